--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,7 @@
 # Thin over CMake and CTest; .ci/run goes by the same targets.
 BUILD ?= build
 FLAGS ?=
+JOBS ?= $(shell nproc)
 
 .PHONY: packages build test lint capacity run run-control run-fleet interop-xds clean
 
@@ -10,7 +11,7 @@
 build: packages
 	cmake -S . -B $(BUILD) -DCMAKE_BUILD_TYPE=Release -DTEALCART_TESTS=ON -DTEALCART_EXAMPLES=ON \
 	    -DTEALCART_CONTROL=ON $(FLAGS)
-	cmake --build $(BUILD) -j4
+	cmake --build $(BUILD) -j$(JOBS)
 
 test: build
 	ctest --test-dir $(BUILD) --output-on-failure
@@ -19,14 +20,14 @@
 measure-%:
 	cmake -S . -B $(BUILD)-measure -DCMAKE_BUILD_TYPE=Release -DTEALCART_TESTS=OFF -DTEALCART_EXAMPLES=OFF \
 	    -DTEALCART_MEASURE=ON -DTEALCART_CONTROL=ON $(FLAGS)
-	cmake --build $(BUILD)-measure -j4 --target measure_$(subst -,_,$*)
+	cmake --build $(BUILD)-measure -j$(JOBS) --target measure_$(subst -,_,$*)
 	$(BUILD)-measure/measure_$(subst -,_,$*)
 
 # The tables of docs/CAPACITY.md out of size and slopes; with SIZE=FILE of another size, to $(BUILD)/CAPACITY.md.
 capacity:
 	cmake -S . -B $(BUILD)-measure -DCMAKE_BUILD_TYPE=Release -DTEALCART_TESTS=OFF -DTEALCART_EXAMPLES=OFF \
 	    -DTEALCART_MEASURE=ON $(FLAGS)
-	cmake --build $(BUILD)-measure -j4 --target capacity
+	cmake --build $(BUILD)-measure -j$(JOBS) --target capacity
 	mkdir -p $(BUILD)
 	$(BUILD)-measure/capacity $(if $(SIZE),--size $(SIZE) --out $(BUILD)/CAPACITY.md)
 
