--- a/interop/xds/run.mjs
+++ b/interop/xds/run.mjs
@@ -90,7 +90,7 @@
   const child = spawn(join(build, program), words, { stdio: ['ignore', 'ignore', 'inherit'] });
   started.push(child);
 };
-run('tealcart-standin', 'discovery', script);
+run('tealcart-fake-fleet', 'discovery', script);
 run('tealcart-control', '--config', join(dir, 'config.json'), '--file', join(dir, 'control.hcl'));
 
 const Client = grpc.makeGenericClientConstructor(service, 'Echo');
--- a/measure/capacity/capacity.cpp
+++ b/measure/capacity/capacity.cpp
@@ -194,11 +194,11 @@
     const auto of = [&size](const char* name) { return size.of(name); };
     constexpr double day = 86'400;
     const double routers = of("routers"), nodes = of("nodes");
-    leaf_calls = of("queries") * of("parts");
+    attempts = of("queries") * of("parts");
     router_queries = of("queries") / routers;
-    router_calls = leaf_calls / routers;
-    node_calls = leaf_calls / nodes;
-    pair_calls = leaf_calls / routers / nodes;
+    router_calls = attempts / routers;
+    node_calls = attempts / nodes;
+    pair_calls = attempts / routers / nodes;
     connections = routers * nodes;
     router_connections = nodes;
     node_connections = routers;
--- a/measure/capacity/capacity.hpp
+++ b/measure/capacity/capacity.hpp
@@ -61,8 +61,8 @@
 struct Load {
     explicit Load(const Size& size);
 
-    double leaf_calls, router_queries, router_calls, node_calls, pair_calls;  // a second
-    double connections, router_connections, node_connections, calls_out;  // if every router knew every node
+    double attempts, router_queries, router_calls, node_calls, pair_calls;  // a second
+    double connections, router_connections, node_connections, calls_out;    // if every router knew every node
     double late_share;  // of a whole query's leaf calls each may be late with this
     double changes, restarts, list_changes, generations;  // a second, on the mean
     double zone_nodes, zone_routers, other_routers, zone_node_bytes;
--- a/measure/capacity/tables.cpp
+++ b/measure/capacity/tables.cpp
@@ -10,7 +10,7 @@
 namespace tealcart::capacity {
 namespace {
 
-constexpr std::size_t longest_line = 180;
+constexpr std::size_t max_line = 180;
 
 class Rows {
   public:
@@ -21,7 +21,7 @@
     void row(std::vector<std::string> cells) {
         std::string line = "|";
         for (const std::string& cell : cells) line += " " + cell + " |";
-        if (cells.size() != width_ || line.size() > longest_line)
+        if (cells.size() != width_ || line.size() > max_line)
             throw std::runtime_error("a row of table '" + table_.name + "' is too long: " + line);
         table_.text += line + "\n";
     }
@@ -108,7 +108,7 @@
 Table follows_table(const Model& m) {
     const Load& l = m.load;
     Rows rows("follows", {"what follows", "figure", "how"});
-    rows.row({"leaf calls of all", rate(l.leaf_calls), "queries x parts"});
+    rows.row({"leaf calls of all", rate(l.attempts), "queries x parts"});
     rows.row({"a router", rate(l.router_queries) + " queries, " + rate(l.router_calls) + " leaf calls",
               "by routers; " + figure(l.calls_out) + " calls out at a time at " + figure(m.of("leaf_ms")) +
                   " ms each"});
@@ -238,7 +238,7 @@
     return rows.done();
 }
 
-Table steward_leads(const Model& m) {
+Table manager_leads(const Model& m) {
     const Load& l = m.load;
     Rows rows("steward-leads", moments);
     const double entries = 1e3 / m.of("batch_ms");
@@ -365,14 +365,14 @@
 
 Table machines(const Model& m) {
     Rows rows("machines", {"role", "machines", "with one zone away", "is it enough?"});
-    const double relays = m.of("relays_a_zone") * m.of("zones"), stewards = m.of("stewards");
-    const double left = m.of("machines") - relays - stewards;
+    const double relays = m.of("relays_a_zone") * m.of("zones"), managers = m.of("stewards");
+    const double left = m.of("machines") - relays - managers;
     rows.row({"relays, " + figure(m.of("relays_a_zone")) + " a zone", figure(relays),
               figure(relays - m.of("relays_a_zone")),
               "the zone's routers are gone with them; each other zone keeps both"});
-    rows.row({"stewards, one a region", figure(stewards), figure(stewards - 1),
-              fmt::format("{} of {} agree; a majority is {}", stewards - 1, stewards,
-                          std::floor(stewards / 2) + 1)});
+    rows.row({"stewards, one a region", figure(managers), figure(managers - 1),
+              fmt::format("{} of {} agree; a majority is {}", managers - 1, managers,
+                          std::floor(managers / 2) + 1)});
     rows.row({"control service, operators' tools, spare", figure(left), figure(std::max(0.0, left - 1)),
               "at most " + figure(m.load.zone_machines) + " machines stand in one zone"});
     rows.row({"all", figure(m.of("machines")), figure(m.of("machines") - m.load.zone_machines),
@@ -497,7 +497,7 @@
     return rows.done();
 }
 
-// What real stewards took from hollow routers, beside what the size allows.
+// What real managers took from hollow routers, beside what the size allows.
 Table hollow(const Model& m) {
     Rows rows("hollow", {"of it", "at the size", "aim", "by"});
     const auto lead_mb = m.at("steward_lead.mb_per_node", m.nodes) +
@@ -525,7 +525,7 @@
     return rows.done();
 }
 
-// Real relays and stewards, hollow routers, four changes a second.
+// Real relays and managers, hollow routers, four changes a second.
 Table relays_measured(const Model& m) {
     Rows rows("relays-measured", {"of it", "at the size", "aim"});
     const auto at = [&m](const char* name) { return m.at(name, m.routers); };
@@ -563,7 +563,7 @@
     rows.row({"every router to every node", figure(l.connections) + " connections",
               figure(l.router_connections) + " a router, " + figure(l.node_connections) +
                   " a node, each used " + rate(l.pair_calls)});
-    rows.row({"a connection for each leaf call", rate(l.leaf_calls) + " made",
+    rows.row({"a connection for each leaf call", rate(l.attempts) + " made",
               core(m.at("router.call_made", 1) / 1e6 * l.router_calls) + " of a router's core, not " +
                   core(m.at("router.call_kept", 1) / 1e6 * l.router_calls)});
     const Slope& log = m.slopes.of("steward.log_bytes");
@@ -622,7 +622,7 @@
 
 // The most that a leaf call may be late for the share of queries that the size asks for.
 template <typename Served>
-double most_late(double share, Served served) {
+double max_late(double share, Served served) {
     double low = 0, high = 1;
     for (int i = 0; i < 100; ++i) {
         const double mid = (low + high) / 2;
@@ -641,16 +641,16 @@
                   figure(leaf_ms(m, 1 - late)) + " ms", measured});
     };
     const auto ms_of = [&](const char* name) { return figure(m.at(name, 1)) + " ms"; };
-    line("all " + figure(parts), most_late(share, [&](double q) { return all_on_time(q, parts); }),
+    line("all " + figure(parts), max_late(share, [&](double q) { return all_on_time(q, parts); }),
          ms_of("leaf.all_99"));
-    line("p = " + figure(most), most_late(share, [&](double q) { return all_on_time(q, most); }),
+    line("p = " + figure(most), max_late(share, [&](double q) { return all_on_time(q, most); }),
          "not measured");
     line("all, with second copies",
-         most_late(share, [&](double q) { return all_on_time(copied(m, q), parts); }),
+         max_late(share, [&](double q) { return all_on_time(copied(m, q), parts); }),
          ms_of("leaf.copied_99"));
-    line("all but 1", most_late(share, [&](double q) { return but_few_on_time(q, whole, 1); }),
+    line("all but 1", max_late(share, [&](double q) { return but_few_on_time(q, whole, 1); }),
          "not measured");
-    line("all but 3", most_late(share, [&](double q) { return but_few_on_time(q, whole, 3); }),
+    line("all but 3", max_late(share, [&](double q) { return but_few_on_time(q, whole, 3); }),
          "not measured");
     return rows.done();
 }
@@ -678,7 +678,7 @@
 std::vector<Table> tables(const Size& size, const Slopes& slopes) {
     const Model m(size, slopes);
     return {size_table(m),     follows_table(m),   needs(m),    router_data(m),
-            router_control(m), steward_leads(m),   others(m),   hollow(m),
+            router_control(m), manager_leads(m),   others(m),   hollow(m),
             relay(m),          relays_measured(m), machines(m), rejected(m),
             fan_out(m),        leaf_times(m),      knowing(m),  slopes_table(m)};
 }
--- a/measure/changes.cpp
+++ b/measure/changes.cpp
@@ -1,4 +1,4 @@
-// What changes of configuration cost the stewards' state at the size of a fleet: 3,600 members behind 24
+// What changes of configuration cost the managers' state at the size of a fleet: 3,600 members behind 24
 // relays, a document of 1,000 entries and 17,000 changes, as commands and bytes, without a wire. The last
 // line has the figures; status 1 where a plain word costs more than what it states or a version does not come
 // through.
@@ -6,14 +6,14 @@
 #include <cstdio>
 
 #include "changes/change_state.hpp"
-#include "changes/gather.hpp"
+#include "changes/report_aggregator.hpp"
 
 using namespace tealcart::changes;
 
 namespace {
 
 constexpr Nanos second = 1'000'000'000;
-constexpr int relays = 24, members = 150, entries = 1000, changes = 17'000, most_exceptions = 16;
+constexpr int relays = 24, members = 150, entries = 1000, changes = 17'000, max_exceptions = 16;
 
 class Spent {
   public:
@@ -43,25 +43,29 @@
     for (int i = 0; i < entries; ++i) whole.set["service/entry-" + std::to_string(i)] = std::string(200, 'a');
     tell(whole);
 
-    std::vector<Gather> gathers;
+    std::vector<ReportAggregator> gathers;
     Spent first, plain, mixed, publish, save, load, gathered;
     std::size_t first_bytes = 0, plain_bytes = 0, mixed_bytes = 0, delta_bytes = 0;
     std::uint64_t plain_looked = 0, mixed_looked = 0;
-    const auto member = [](int r, int m, std::uint64_t acts_on) {
-        return MemberWord{
-            "router-" + std::to_string(r) + "-" + std::to_string(m), 1, 24 * 3600 * second, acts_on, 0, ""};
+    const auto member = [](int r, int m, std::uint64_t applied_version) {
+        return MemberReport{"router-" + std::to_string(r) + "-" + std::to_string(m),
+                            1,
+                            24 * 3600 * second,
+                            applied_version,
+                            0,
+                            ""};
     };
     const auto say = [&](int r, Spent& spent, std::size_t& bytes) {
-        Gather& g = gathers[static_cast<std::size_t>(r)];
-        const RelayWord word = gathered.of([&] { return g.word(now, second); });
-        bytes = std::max(bytes, write_command({"", now, Words{{word}}}).size());
-        const auto effects = spent.of([&] { return tell(Words{{word}}); });
+        ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
+        const RelayReport word = gathered.of([&] { return g.word(now, second); });
+        bytes = std::max(bytes, write_command({"", now, ReportBatch{{word}}}).size());
+        const auto effects = spent.of([&] { return tell(ReportBatch{{word}}); });
         g.taken(word.number, now, 10 * second);
         return effects;
     };
     for (int r = 0; r < relays; ++r) {
         gathers.emplace_back("relay-" + std::to_string(r), "z" + std::to_string(r / 2), 1, 1000,
-                             most_exceptions);
+                             max_exceptions);
         for (int m = 0; m < members; ++m) gathers.back().heard(now, member(r, m, 1));
         say(r, first, first_bytes);
     }
@@ -75,14 +79,14 @@
         // Each says once while a tenth of its members are behind, and once when all have followed.
         const std::uint64_t version = state.version();
         for (int r = 0; r < relays; ++r) {
-            Gather& g = gathers[static_cast<std::size_t>(r)];
+            ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
             for (int m = 0; m < members; ++m)
                 if (m % 10 != 0) g.heard(now, member(r, m, version));
             say(r, mixed, mixed_bytes);
             mixed_looked = std::max(mixed_looked, state.looked_at());
         }
         for (int r = 0; r < relays; ++r) {
-            Gather& g = gathers[static_cast<std::size_t>(r)];
+            ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
             for (int m = 0; m < members; m += 10) g.heard(now, member(r, m, version));
             std::size_t bytes = 0;
             for (const Effect& e : say(r, mixed, bytes)) in_force += e.kind == Effect::in_force;
@@ -108,10 +112,10 @@
     for (int i = 0; i < 12; ++i) {
         now += second;
         for (int r = 1; r < relays; ++r) {
-            Gather& g = gathers[static_cast<std::size_t>(r)];
+            ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
             for (int m = 0; m < members; ++m) g.heard(now, member(r, m, state.version()));
-            const RelayWord word = g.word(now, second);
-            tell(Words{{word}});
+            const RelayReport word = g.word(now, second);
+            tell(ReportBatch{{word}});
             over_looked = std::max(over_looked, state.looked_at());
             g.taken(word.number, now, 10 * second);
         }
--- a/measure/drains.cpp
+++ b/measure/drains.cpp
@@ -9,24 +9,24 @@
 #include <cstdio>
 #include <fstream>
 
-#include "standin/fleet_rig.hpp"
-#include "standin/fleet_sim.hpp"
+#include "testing/fleet_rig.hpp"
+#include "testing/fleet_sim.hpp"
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::milliseconds;
 
 namespace {
 
 constexpr int plans = 200;
-constexpr double most_leaderless_s = 2, most_cpu = 0.02, most_mb = 0.5;
+constexpr double max_leaderless_s = 2, max_cpu = 0.02, max_mb = 0.5;
 
 SimPlan plan_of(std::uint64_t seed) {
     SimPlan plan;
     plan.seed = seed;
     plan.budgets.nodes = {4, 1};
-    plan.budgets.least_holders = 2;
+    plan.budgets.min_holders = 2;
     plan.budgets.lease = 2'000'000'000;
     plan.budgets.drift = 300'000'000;
     plan.strict = seed % 2 == 0;
@@ -106,7 +106,7 @@
         SimPlan plan = plan_of(static_cast<std::uint64_t>(i + 1));
         const SimVerdict v = play(plan);
         all.over_budget += v.over_budget, all.after_done += v.after_done, all.late += v.late;
-        all.grants += v.grants, all.dones += v.dones, all.leaf_calls += v.leaf_calls;
+        all.grants += v.grants, all.dones += v.dones, all.attempts += v.attempts;
         all.deaths += v.deaths, all.pauses += v.pauses, all.cuts += v.cuts, all.new_leaders += v.new_leaders;
         plan.agreed = false;
         const SimVerdict w = play(plan);
@@ -116,7 +116,7 @@
         "%d plans: %llu grants, %llu done, %llu leaf calls; %llu deaths, %llu pauses, %llu cuts, %llu "
         "leaders lost\n",
         plans, static_cast<unsigned long long>(all.grants), static_cast<unsigned long long>(all.dones),
-        static_cast<unsigned long long>(all.leaf_calls), static_cast<unsigned long long>(all.deaths),
+        static_cast<unsigned long long>(all.attempts), static_cast<unsigned long long>(all.deaths),
         static_cast<unsigned long long>(all.pauses), static_cast<unsigned long long>(all.cuts),
         static_cast<unsigned long long>(all.new_leaders));
     std::printf("each looks and acts: %llu drains, %llu over budget\n",
@@ -173,10 +173,10 @@
             const std::size_t old = rig.leader();
             if (old >= 3) break;
             const auto from = Clock::now();
-            rig.stewards[old]->signal(SIGKILL);
+            rig.managers[old]->signal(SIGKILL);
             rig.until([&] { return rig.leader() < 3; });
             leaderless = std::max(leaderless, std::chrono::duration<double>(Clock::now() - from).count());
-            rig.start_steward(old);
+            rig.start_manager(old);
             rig.until([&] {
                 const auto s = rig.status(old);
                 return s.is_object() && s["leader"] != 0 && rig.all_up();
@@ -184,7 +184,7 @@
         }
     }
     aim(acks.size() == 30, "drains of 100 routers done");
-    aim(leaderless > 0 && leaderless < most_leaderless_s, "time without a leader");
+    aim(leaderless > 0 && leaderless < max_leaderless_s, "time without a leader");
     const Load without = load(false), with = load(true);
     const double cpu = without.cpu_ms_a_query > 0 ? with.cpu_ms_a_query / without.cpu_ms_a_query - 1 : 1;
     std::printf(
@@ -194,8 +194,8 @@
         static_cast<unsigned long long>(without.bad), with.cpu_ms_a_query, with.mb,
         static_cast<unsigned long long>(with.good), static_cast<unsigned long long>(with.bad));
     aim(with.good > 0 && with.bad <= without.bad, "queries lost or failed more");
-    aim(with.mb - without.mb < most_mb, "memory of membership");
-    aim(cpu < most_cpu, "CPU of membership");
+    aim(with.mb - without.mb < max_mb, "memory of membership");
+    aim(cpu < max_cpu, "CPU of membership");
     std::printf(
         "drains: plans=%d over_budget=%llu alone_over_budget=%llu after_done=%llu late=%llu "
         "ack_100_p50_ms=%.1f "
--- a/measure/fleet_cost.cpp
+++ b/measure/fleet_cost.cpp
@@ -6,12 +6,12 @@
 #include <chrono>
 
 #include "fleet/fleet_state.hpp"
-#include "steward/requests.hpp"
+#include "fleet_manager/operator_requests.hpp"
 
 namespace {
 
 using namespace tealcart::fleet;
-using tealcart::steward::StewardFigures;
+using tealcart::manager::ManagerFigures;
 
 constexpr Nanos second = 1'000'000'000;
 constexpr int width = 3, zones = 12, words = 6;
@@ -22,20 +22,20 @@
 
 // Each shard is held by three nodes, four machine kinds; all whole, all routers go by the last generation.
 struct Fleet {
-    Fleet(std::int64_t n, std::int64_t r, std::size_t most_out)
-        : nodes(n), routers(r), state(budgets(most_out)) {
-        NodesSeen seen;
+    Fleet(std::int64_t n, std::int64_t r, std::size_t max_out)
+        : nodes(n), routers(r), state(budgets(max_out)) {
+        EndpointsObserved seen;
         for (std::int64_t i = 0; i < nodes; ++i) seen.nodes[node_name(i)] = node(i, Health::whole);
         tell(std::move(seen));
-        Words all;
+        ReportBatch all;
         for (std::int64_t i = 0; i < routers; ++i)
             all.joins.push_back({router_name(i), Role::router, zone_name(i), "1.0", "d1", 1, 0});
         tell(std::move(all));
     }
 
-    static Budgets budgets(std::size_t most_out) {
+    static Budgets budgets(std::size_t max_out) {
         Budgets b;
-        b.nodes = {most_out, 1};
+        b.nodes = {max_out, 1};
         b.halt_failed = 0.5, b.halt_lost = 0.5;
         return b;
     }
@@ -51,7 +51,7 @@
     }
     // The next six members in turn; time goes on so that each renews well within its lease.
     Command batch() {
-        Words some;
+        ReportBatch some;
         for (int i = 0; i < words; ++i) {
             some.renewals.push_back({router_name(next), 1, {state.generation(), {}, {}, 1000, 1}});
             next = (next + 1) % routers;
@@ -84,8 +84,8 @@
 // One is out, and a second waits since no more may be.
 void batch_of_words_while_one_waits(benchmark::State& run) {
     Fleet fleet(run.range(0), run.range(1), 1);
-    fleet.tell(Ask{"a", {false, node_name(0)}});
-    fleet.tell(Ask{"a", {false, node_name(100)}});
+    fleet.tell(RequestRemoval{"a", {false, node_name(0)}});
+    fleet.tell(RequestRemoval{"a", {false, node_name(100)}});
     for (auto _ : run) {
         const Command c = fleet.batch();
         run.SetIterationTime(seconds_of([&] { fleet.state.apply(c); }));
@@ -97,7 +97,7 @@
     Fleet fleet(run.range(0), run.range(1), 20);
     std::int64_t n = 0;
     for (auto _ : run) {
-        const Command c{"", fleet.now, Ask{"a", {false, node_name(n++ % fleet.nodes)}}};
+        const Command c{"", fleet.now, RequestRemoval{"a", {false, node_name(n++ % fleet.nodes)}}};
         const double asked = seconds_of([&] { fleet.state.apply(c); });
         const Command undo{"", fleet.now, Undo{fleet.state.requests().begin()->first}};
         const double undone = seconds_of([&] { fleet.state.apply(undo); });
@@ -109,13 +109,13 @@
 
 void news_of_one_node(benchmark::State& run) {
     Fleet fleet(run.range(0), run.range(1), 20);
-    fleet.tell(Ask{"a", {false, node_name(0)}});
+    fleet.tell(RequestRemoval{"a", {false, node_name(0)}});
     bool cold = false;
     for (auto _ : run) {
         cold = !cold;
-        const Command c{
-            "", fleet.now,
-            NodesSeen{{{node_name(7), fleet.node(7, cold ? Health::cold : Health::whole)}}, false, {}}};
+        const Command c{"", fleet.now,
+                        EndpointsObserved{
+                            {{node_name(7), fleet.node(7, cold ? Health::cold : Health::whole)}}, false, {}}};
         run.SetIterationTime(seconds_of([&] { fleet.state.apply(c); }));
     }
 }
@@ -137,7 +137,7 @@
 void status(benchmark::State& run, bool all) {
     Fleet fleet(run.range(0), run.range(1), 20);
     std::size_t bytes = 0;
-    for (auto _ : run) bytes = tealcart::steward::write_status(fleet.state, StewardFigures{}, all).size();
+    for (auto _ : run) bytes = tealcart::manager::write_status(fleet.state, ManagerFigures{}, all).size();
     run.counters["MB"] = static_cast<double>(bytes) / 1e6;
 }
 void status_of_all(benchmark::State& run) { status(run, true); }
--- a/measure/follower_cost.cpp
+++ b/measure/follower_cost.cpp
@@ -1,8 +1,8 @@
 // What it costs a router to follow changes of configuration: `make measure-follower-cost`. Processor time of
 // a version from the answer's bytes to what the bridge is handed, for documents of 20 and of 1,000 entries,
-// each a `two_phase` block of a vertical of its own (1,000 is more than a deployment has), and the memory of
-// the larger copy. Prints one last line, and ends with 1 where 17,000 versions a day take more than the share
-// of a core, or the copy more of the memory, that a router may spend on control.
+// each a `two_phase` block of a query class of its own (1,000 is more than a deployment has), and the memory
+// of the larger copy. Prints one last line, and ends with 1 where 17,000 versions a day take more than the
+// share of a core, or the copy more of the memory, that a router may spend on control.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -11,7 +11,7 @@
 
 #include "changes/document.hpp"
 #include "members/configuration.hpp"
-#include "wire/change_words.hpp"
+#include "wire/change_messages.hpp"
 
 namespace {
 
@@ -29,14 +29,15 @@
 
 struct Follows {
     explicit Follows(int of) : entries(of) {
-        Terms terms;
-        std::vector<std::string> verticals;
+        RouterConfig config;
+        std::vector<std::string> query_classes;
         for (int i = 0; i < entries; ++i) {
-            terms.verticals.emplace_back().effect = Effect::repeatable;
-            verticals.push_back("vertical-" + std::to_string(i));
+            config.query_classes.emplace_back().effect = Effect::idempotent;
+            query_classes.push_back("vertical-" + std::to_string(i));
         }
         configuration = std::make_unique<Configuration>(
-            Configuration::Settings{{}, std::vector<PhaseTerms>(verticals.size())}, terms, verticals);
+            Configuration::Settings{{}, std::vector<TwoPhaseConfig>(query_classes.size())}, config,
+            query_classes);
         changes::Delta first{0, 1, {}, {}, 0};
         for (int i = 0; i < entries; ++i) first.set[key_of(i)] = value_of(i, 0);
         first.digest = changes::digest_of(first.set);
@@ -46,7 +47,7 @@
         if (copy.take(delta) != changes::Copy::Taken::taken) std::abort();
         auto read = configuration->read(copy.document());
         if (auto* settings = std::get_if<Configuration::Settings>(&read))
-            acts_on = std::move(*settings);
+            applied_version = std::move(*settings);
         else
             std::abort();
         changed += configuration->acted_on(copy.document());
@@ -68,7 +69,7 @@
     const int entries;
     changes::Copy copy;
     std::unique_ptr<Configuration> configuration;
-    Configuration::Settings acts_on;
+    Configuration::Settings applied_version;
     std::size_t changed = 0;
 };
 
--- a/measure/herd.cpp
+++ b/measure/herd.cpp
@@ -1,6 +1,6 @@
 // Measures what hundreds of modules that see little each do to one shared set of data nodes through a release
 // in which most of them lose all they knew: `make measure-herd`. A model on a virtual clock, no sockets.
-// Prints a table, then one last line, and ends with 1 where an aim is missed. docs/standing.md has the
+// Prints a table, then one last line, and ends with 1 where an aim is missed. docs/serving_state.md has the
 // bench's figures.
 
 #include <algorithm>
@@ -25,40 +25,40 @@
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms;
 constexpr Nanos step = 5 * ms, way = ms / 3, length = 26 * second;
-constexpr int routers = 150, places = 80, slots = 4, line = 16, call_cap = 3;
+constexpr int routers = 150, places = 80, slots = 4, line = 16, max_attempts = 3;
 constexpr double queries_a_second = 180, part_work = 50 * ms;
 constexpr Nanos seen_late = 250 * ms;  // what the reference knows of each node is so old
 
 struct Kind {
     const char* name;
     double share;
-    int parts;  // 0: one or two
-    Nanos slo, deadline;
+    int shard_requests;  // 0: one or two
+    Nanos latency_objective, deadline;
     double worth, late, floor, in_part;  // in_part: what an answer that is not whole is worth
     Effect effect;
 };
 constexpr Kind kinds[] = {
-    {"search", 0.4, places, 500 * ms, 1250 * ms, 5, 0.3, 0.4, 0.95, Effect::repeatable},
-    {"report", 0.2, places / 2, 750 * ms, 3100 * ms, 3, 0.1, 1, 0, Effect::repeatable},
-    {"adjust", 0.4, 0, 500 * ms, 1550 * ms, 1, 0, 1, 0, Effect::deduplicated},
+    {"search", 0.4, places, 500 * ms, 1250 * ms, 5, 0.3, 0.4, 0.95, Effect::idempotent},
+    {"report", 0.2, places / 2, 750 * ms, 3100 * ms, 3, 0.1, 1, 0, Effect::idempotent},
+    {"adjust", 0.4, 0, 500 * ms, 1550 * ms, 1, 0, 1, 0, Effect::idempotent_with_key},
 };
 
-Terms terms() {
-    Terms t;
+RouterConfig config() {
+    RouterConfig t;
     for (const Kind& k : kinds)
-        t.verticals.push_back({k.effect, k.slo, k.deadline, 1500 * ms, k.late, k.floor});
+        t.query_classes.push_back({k.effect, k.latency_objective, k.deadline, 1500 * ms, k.late, k.floor});
     t.routers = routers;
-    t.step = step;
+    t.round_interval = step;
     t.places = t.shards = places;
-    t.width = 3;
-    t.call_cap = call_cap;
-    t.may_cancel = t.second_copies = t.retry_after = true;
+    t.replicas_per_shard = 3;
+    t.max_attempts = max_attempts;
+    t.may_cancel = t.may_hedge = t.retry_after = true;
     t.max_retry_after = 500 * ms;
     t.drain_grace = second;
-    t.cold_from = 0.3;
-    t.cold = 10 * second;
-    t.tip_multiple = 4;
-    t.fall = 2 * second;
+    t.slow_start_min_fraction = 0.3;
+    t.slow_start_duration = 10 * second;
+    t.overload_multiple = 4;
+    t.overload_window = 2 * second;
     return t;
 }
 
@@ -67,20 +67,20 @@
 
 struct Call {
     int router = 0, life = 0;
-    std::uint32_t part = 0, node = 0;
+    std::uint32_t shard_request = 0, node = 0;
     std::uint8_t attempt = 0;
     Nanos sent_at = 0;
     bool out = true;
 };
 struct Node {
-    Availability state = Availability::ready;
+    Lifecycle state = Lifecycle::ready;
     Nanos started_at = 0;
     bool bad = false;
     int busy = 0, known = 0,
         since = 0;  // known: of a while ago; since: what the reference has sent since then
     std::deque<std::size_t> queue;
 };
-struct Part {
+struct ShardRequest {
     std::uint32_t query = 0, shard = 0;
     double weight = 0;
     bool planned = true, in = false;
@@ -89,21 +89,21 @@
 };
 struct Query {
     int kind = 0, router = 0, life = 0, tries = 1;
-    Nanos began = 0, give_up_at = 0;
-    std::vector<std::uint32_t> parts;
+    Nanos began = 0, deadline_at = 0;
+    std::vector<std::uint32_t> shard_requests;
     std::vector<double> weights;
     std::vector<std::uint32_t> shards;
     bool ended = false;
 };
 struct LeafNews {
-    LeafEnd end;
+    AttemptResult end;
 };
 struct QueryNews {
     std::uint32_t id;
 };
 struct ListNews {
     ListKind kind;
-    std::vector<NodeEntry> entries;
+    std::vector<Endpoint> entries;
 };
 struct TimerNews {
     std::uint64_t cookie;
@@ -114,7 +114,7 @@
     double worth = 0, earned = 0;
 };
 
-class Day final : public Arrivals, public DecisionWriter {
+class Day final : public RoundEvents, public DecisionSink {
   public:
     Day(Way how, unsigned seed) : way_(how), chance_(seed), nodes_(places), routers_(routers) {
         for (Node& n : nodes_) n.bad = share() < 0.125;
@@ -131,7 +131,7 @@
         for (int i = 0; i < places / 4; ++i) {
             const auto n = static_cast<std::uint32_t>(i * 4);
             const Nanos drain = i % 2 == 0 ? 8 * second : 10 * second;
-            at(drain, [this, n] { change(n, Availability::draining); });
+            at(drain, [this, n] { change(n, Lifecycle::draining); });
             at(drain + 3 * second, [this, n] { replace(n); });
         }
         // Seven in ten routers are killed at once and come back with nothing but the list.
@@ -184,12 +184,13 @@
     void ask(Nanos when, int kind, int router) {
         const std::uint32_t id = 1 + static_cast<std::uint32_t>(queries_.size());
         Query& q = queries_.emplace_back();
-        q.kind = kind, q.router = router, q.began = when, q.give_up_at = when + kinds[kind].deadline;
-        const int parts = kinds[kind].parts > 0 ? kinds[kind].parts : 1 + static_cast<int>(2 * share());
+        q.kind = kind, q.router = router, q.began = when, q.deadline_at = when + kinds[kind].deadline;
+        const int shard_requests =
+            kinds[kind].shard_requests > 0 ? kinds[kind].shard_requests : 1 + static_cast<int>(2 * share());
         const auto first = static_cast<std::uint32_t>(places * share());
         double sum = 0;
-        for (int i = 0; i < parts; ++i) {
-            q.shards.push_back((first + static_cast<std::uint32_t>(i * places / parts)) % places);
+        for (int i = 0; i < shard_requests; ++i) {
+            q.shards.push_back((first + static_cast<std::uint32_t>(i * places / shard_requests)) % places);
             sum += q.weights.emplace_back(1 / std::pow(1 + i, kind == 0 ? 0.9 : 0.3));
         }
         for (double& w : q.weights) w /= sum;
@@ -204,10 +205,10 @@
         if (q.ended) return;
         if (!routers_[q.router].up) return come_again(id);
         q.life = routers_[q.router].life;
-        q.parts.clear();
+        q.shard_requests.clear();
         for (std::size_t i = 0; i < q.shards.size(); ++i) {
-            q.parts.push_back(static_cast<std::uint32_t>(parts_.size()));
-            Part& p = parts_.emplace_back();
+            q.shard_requests.push_back(static_cast<std::uint32_t>(shard_requests_.size()));
+            ShardRequest& p = shard_requests_.emplace_back();
             p.query = id, p.shard = q.shards[i], p.weight = q.weights[i];
         }
         if (way_ == Way::module) return tell(q.router, QueryNews{id});
@@ -216,7 +217,7 @@
 
     void come_again(std::uint32_t id) {
         Query& q = query(id);
-        if (q.tries++ >= 3 || now_ + 250 * ms >= q.give_up_at) return void(q.ended = true);
+        if (q.tries++ >= 3 || now_ + 250 * ms >= q.deadline_at) return void(q.ended = true);
         q.router = static_cast<int>(routers * share());
         at(now_ + 250 * ms, [this, id] { come(id); });
     }
@@ -225,19 +226,19 @@
         Query& q = query(id);
         if (std::exchange(q.ended, true)) return;
         const Kind& k = kinds[q.kind];
-        const double in_time = now_ <= q.began + k.slo ? 1 : now_ <= q.give_up_at ? k.late : 0;
+        const double in_time = now_ <= q.began + k.latency_objective ? 1 : now_ <= q.deadline_at ? k.late : 0;
         tally[k.name].earned += k.worth * in_time * (whole ? 1 : k.in_part);
     }
 
     // Routers
-    NodeEntry entry(std::uint32_t n) const {
+    Endpoint entry(std::uint32_t n) const {
         return {n, static_cast<std::uint16_t>(n), nodes_[n].state, nodes_[n].started_at, 0};
     }
 
     void begin_life(int i, int life) {
         Router& r = routers_[i];
         r.life = life, r.up = true, r.round_due = false;
-        r.module = std::make_unique<QueryRouter>(terms(), static_cast<std::uint64_t>(i * 100 + life));
+        r.module = std::make_unique<QueryRouter>(config(), static_cast<std::uint64_t>(i * 100 + life));
         ListNews list{ListKind::full, {}};
         for (std::uint32_t n = 0; n < places; ++n) list.entries.push_back(entry(n));
         tell(i, std::move(list));
@@ -249,9 +250,9 @@
         r.news.clear();
         for (std::uint32_t id = 1; id <= queries_.size(); ++id) {
             Query& q = query(id);
-            if (q.router != i || q.life != r.life || q.ended || q.parts.empty()) continue;
-            for (const std::uint32_t p : q.parts)
-                for (const std::size_t c : parts_[p].calls) take_back(c);
+            if (q.router != i || q.life != r.life || q.ended || q.shard_requests.empty()) continue;
+            for (const std::uint32_t p : q.shard_requests)
+                for (const std::size_t c : shard_requests_[p].calls) take_back(c);
             come_again(id);
         }
     }
@@ -272,45 +273,45 @@
         });
     }
 
-    void play(ArrivalHandler& h) override {
+    void play(RoundEventHandler& h) override {
         for (const News& news : playing_) {
             if (const auto* list = std::get_if<ListNews>(&news)) h.on_nodes(list->kind, list->entries);
-            if (const auto* leaf = std::get_if<LeafNews>(&news)) h.on_leaf_end(leaf->end);
+            if (const auto* leaf = std::get_if<LeafNews>(&news)) h.on_attempt_result(leaf->end);
             if (const auto* timer = std::get_if<TimerNews>(&news)) h.on_timer(timer->cookie);
             if (const auto* came = std::get_if<QueryNews>(&news)) {
                 const Query& q = query(came->id);
                 h.on_query({came->id, came->id, static_cast<std::uint16_t>(q.kind), UINT32_MAX,
-                            second + q.give_up_at});
-                for (const std::uint32_t p : q.parts)
-                    h.on_part({p, came->id, parts_[p].shard, parts_[p].weight});
+                            second + q.deadline_at});
+                for (const std::uint32_t p : q.shard_requests)
+                    h.on_shard_request({p, came->id, shard_requests_[p].shard, shard_requests_[p].weight});
             }
         }
     }
-    void deliver(std::uint32_t part, std::uint32_t node, Nanos patience) override {
-        send(part, node, patience);
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
+        send(shard_request, node, patience);
     }
-    void cancel(std::uint32_t part, std::uint8_t attempt) override {
-        const std::size_t c = parts_[part].calls[attempt];
+    void cancel(std::uint32_t shard_request, std::uint8_t attempt) override {
+        const std::size_t c = shard_requests_[shard_request].calls[attempt];
         if (calls_[c].out) end(c, Outcome::cancelled);
     }
     void answer(std::uint32_t id, bool whole) override { earn(id, whole); }
     void reject(std::uint32_t id, Nanos) override { come_again(id); }
-    void abort(std::uint32_t id) override { query(id).ended = true; }
-    void wake(std::uint64_t cookie, Nanos wait) override {
+    void fail_query(std::uint32_t id) override { query(id).ended = true; }
+    void set_timer(std::uint64_t cookie, Nanos wait) override {
         at(now_ + wait, [this, i = in_round_, life = routers_[in_round_].life, cookie] {
             if (routers_[i].life == life) tell(i, TimerNews{cookie});
         });
     }
-    void listen() override {}
+    void watch_endpoints() override {}
     void log(const std::string&) override {}
 
     // Leaf calls and data nodes
-    void send(std::uint32_t part, std::uint32_t node, Nanos patience) {
-        const Query& q = query(parts_[part].query);
+    void send(std::uint32_t shard_request, std::uint32_t node, Nanos patience) {
+        const Query& q = query(shard_requests_[shard_request].query);
         const std::size_t c = calls_.size();
-        calls_.push_back(
-            {q.router, q.life, part, node, static_cast<std::uint8_t>(parts_[part].calls.size()), now_});
-        parts_[part].calls.push_back(c);
+        calls_.push_back({q.router, q.life, shard_request, node,
+                          static_cast<std::uint8_t>(shard_requests_[shard_request].calls.size()), now_});
+        shard_requests_[shard_request].calls.push_back(c);
         ++sent;
         at(now_ + way, [this, c] { arrive(c); });
         at(now_ + patience, [this, c] {
@@ -321,9 +322,9 @@
     void arrive(std::size_t c) {
         if (!calls_[c].out) return;
         Node& n = nodes_[calls_[c].node];
-        if (n.state != Availability::ready || static_cast<int>(n.queue.size()) >= line) {
+        if (n.state != Lifecycle::ready || static_cast<int>(n.queue.size()) >= line) {
             ++turned_away;
-            return at(now_ + way, [this, c] { end(c, Outcome::full); });
+            return at(now_ + way, [this, c] { end(c, Outcome::overloaded); });
         }
         if (n.bad && share() < 0.6) return at(now_ + 2 * ms, [this, c] { end(c, Outcome::error); });
         n.queue.push_back(c);
@@ -359,24 +360,24 @@
         if (!calls_[c].out) return;
         take_back(c);
         const Call call = calls_[c];
-        Part& part = parts_[call.part];
+        ShardRequest& shard_request = shard_requests_[call.shard_request];
         if (way_ == Way::module) {
             if (routers_[call.router].life == call.life)
                 tell(call.router,
-                     LeafNews{{call.part, call.node, call.attempt, outcome, now_ - call.sent_at}});
+                     LeafNews{{call.shard_request, call.node, call.attempt, outcome, now_ - call.sent_at}});
             return;
         }
-        Query& q = query(part.query);
+        Query& q = query(shard_request.query);
         if (q.ended) return;
-        part.in |= outcome == Outcome::ok;
-        const auto spent = static_cast<int>(part.calls.size());
-        if (!part.in && spent < call_cap)
-            at(now_ + (way_ == Way::seer && outcome == Outcome::full ? 100 * ms : 0),
-               [this, p = call.part] { choose(p); });
-        settle(part.query, !part.in && spent >= call_cap);
+        shard_request.in |= outcome == Outcome::ok;
+        const auto spent = static_cast<int>(shard_request.calls.size());
+        if (!shard_request.in && spent < max_attempts)
+            at(now_ + (way_ == Way::seer && outcome == Outcome::overloaded ? 100 * ms : 0),
+               [this, p = call.shard_request] { choose(p); });
+        settle(shard_request.query, !shard_request.in && spent >= max_attempts);
     }
 
-    void change(std::uint32_t n, Availability state) {
+    void change(std::uint32_t n, Lifecycle state) {
         nodes_[n].state = state;
         at(now_ + 300 * ms, [this, n] {
             for (int i = 0; i < routers; ++i) tell(i, ListNews{ListKind::delta, {entry(n)}});
@@ -385,7 +386,7 @@
     void replace(std::uint32_t n) {
         nodes_[n].started_at = second + now_;
         nodes_[n].busy = 0;
-        change(n, Availability::ready);
+        change(n, Lifecycle::ready);
     }
 
     // The reference, which sees the true state of every node late, and the plainest policy, which sees none.
@@ -402,33 +403,33 @@
         Query& q = query(id);
         const Kind& k = kinds[q.kind];
         double sum = 0;
-        for (const std::uint32_t p : q.parts) {
-            parts_[p].planned = way_ == Way::plain || k.floor == 1 || sum < k.floor || load() < 0.7;
-            sum += parts_[p].weight;
-            if (parts_[p].planned) choose(p);
+        for (const std::uint32_t p : q.shard_requests) {
+            shard_requests_[p].planned = way_ == Way::plain || k.floor == 1 || sum < k.floor || load() < 0.7;
+            sum += shard_requests_[p].weight;
+            if (shard_requests_[p].planned) choose(p);
         }
-        at(q.began + k.slo - 10 * ms, [this, id] { settle(id, false); });
-        at(q.give_up_at - 10 * ms, [this, id] { settle(id, false); });
+        at(q.began + k.latency_objective - 10 * ms, [this, id] { settle(id, false); });
+        at(q.deadline_at - 10 * ms, [this, id] { settle(id, false); });
     }
 
     void choose(std::uint32_t p) {
-        Part& part = parts_[p];
-        const Query& q = query(part.query);
-        if (q.ended || part.in) return;
+        ShardRequest& shard_request = shard_requests_[p];
+        const Query& q = query(shard_request.query);
+        if (q.ended || shard_request.in) return;
         std::uint32_t best = UINT32_MAX;
         double least = HUGE_VAL;
         for (std::uint32_t j = 0; j < 3; ++j) {
-            const std::uint32_t n = (part.shard + j) % places;
+            const std::uint32_t n = (shard_request.shard + j) % places;
             const Node& node = nodes_[n];
             const double of = way_ == Way::plain
-                                  ? share() + (node.state == Availability::ready ? 0 : 1)
+                                  ? share() + (node.state == Lifecycle::ready ? 0 : 1)
                                   : node.known + node.since * 0.1 + share() + (node.bad ? 8 : 0) +
-                                        (node.state == Availability::ready ? 0 : 1000) +
+                                        (node.state == Lifecycle::ready ? 0 : 1000) +
                                         (node.started_at > 0 ? 4 : 0);
             if (of < least) least = of, best = n;
         }
         ++nodes_[best].since;
-        send(p, best, q.give_up_at - now_);
+        send(p, best, q.deadline_at - now_);
     }
 
     void settle(std::uint32_t id, bool lost) {
@@ -437,15 +438,15 @@
         const Kind& k = kinds[q.kind];
         double in = 0, planned = 0;
         bool all = true;
-        for (const std::uint32_t p : q.parts) {
-            if (parts_[p].in) in += parts_[p].weight;
-            if (parts_[p].planned) planned += parts_[p].weight;
-            all &= parts_[p].in;
+        for (const std::uint32_t p : q.shard_requests) {
+            if (shard_requests_[p].in) in += shard_requests_[p].weight;
+            if (shard_requests_[p].planned) planned += shard_requests_[p].weight;
+            all &= shard_requests_[p].in;
         }
         if (all) return earn(id, true);
-        const bool due = now_ >= q.began + k.slo - 10 * ms;
+        const bool due = now_ >= q.began + k.latency_objective - 10 * ms;
         if (k.floor < 1 && in >= k.floor && (due || in >= planned - 1e-9)) return earn(id, false);
-        if (now_ >= q.give_up_at - 10 * ms || (due && k.late == 0) || (lost && k.floor == 1)) q.ended = true;
+        if (now_ >= q.deadline_at - 10 * ms || (due && k.late == 0) || (lost && k.floor == 1)) q.ended = true;
     }
 
     const Way way_;
@@ -453,7 +454,7 @@
     std::vector<Node> nodes_;
     std::vector<Router> routers_;
     std::deque<Query> queries_;
-    std::deque<Part> parts_;
+    std::deque<ShardRequest> shard_requests_;
     std::deque<Call> calls_;
     std::priority_queue<Due> due_;
     std::map<std::uint64_t, std::function<void()>> does_;
@@ -467,7 +468,7 @@
 
 int main() {
     constexpr unsigned seeds = 5;
-    constexpr double least = 1.15;  // of half of what the reference serves, in every vertical on every day
+    constexpr double least = 1.15;  // of half of what the reference serves, in every query class on every day
     double worst = HUGE_VAL, worst_plain = HUGE_VAL, sums[3][3] = {}, away = 0, sent = 0;
     std::printf("%4s  %-7s %28s\n", "seed", "", "served: module  seer  plain");
     for (unsigned seed = 1; seed <= seeds; ++seed) {
--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -1,6 +1,6 @@
-// What members' calls cost three real stewards on loopback: processor time and bytes written by the one that
+// What members' calls cost three real managers on loopback: processor time and bytes written by the one that
 // leads and one that follows, by calls a second: `make measure-leader-cost`. A member is the program's own
-// watch of the stewards, with nothing behind it. Lines `point NAME CALLS FIGURE` are what `capacity --take`
+// watch of the managers, with nothing behind it. Lines `point NAME CALLS FIGURE` are what `capacity --take`
 // reads; status 1 where a member lost its lease.
 #include <cstdio>
 #include <fstream>
@@ -8,26 +8,26 @@
 #include <sstream>
 #include <vector>
 
-#include "standin/fleet_rig.hpp"
-#include "terms/host_port.hpp"
-#include "wire/steward_watch.hpp"
+#include "config/host_port.hpp"
+#include "testing/fleet_rig.hpp"
+#include "wire/manager_watch.hpp"
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Ms = std::chrono::milliseconds;
 
 namespace {
 
-struct Member final : StewardTaker {
-    Member(boost::asio::io_context& io, Timekeeper& clock, std::vector<HostPort> stewards, std::size_t number)
-        : time(clock), name("m" + std::to_string(number)), watch(io, clock, *this, std::move(stewards)) {}
+struct Member final : ManagerObserver {
+    Member(boost::asio::io_context& io, EventClock& clock, std::vector<HostPort> managers, std::size_t number)
+        : time(clock), name("m" + std::to_string(number)), watch(io, clock, *this, std::move(managers)) {}
 
     MemberCall word() override {
         MemberCall call;
         call.name = name, call.role = "router", call.zone = "a", call.version = "1",
         call.digest = "0123456789abcdef";
-        call.life = 1, call.serve_on = 86'400'000'000'000;
-        call.acts_on = call.knows = known;
+        call.incarnation = 1, call.serve_on = 86'400'000'000'000;
+        call.applied_generation = call.knows = known;
         call.wait = lease > 0 ? lease / 5 : 200'000'000;
         call.queries = 5560;
         return call;
@@ -40,9 +40,9 @@
     }
     void on_outlived(std::uint64_t) override { ++lapses; }
 
-    Timekeeper& time;
+    EventClock& time;
     const std::string name;
-    StewardWatch watch;
+    ManagerWatch watch;
     Nanos lease = 0, until = 0;
     std::uint64_t known = 0, answers = 0, lapses = 0;
 };
@@ -65,7 +65,7 @@
     return u;
 }
 
-std::vector<HostPort> stewards_of(const FleetRig& rig) {
+std::vector<HostPort> managers_of(const FleetRig& rig) {
     std::ifstream file(rig.folder.path("r0.hcl"));
     std::stringstream all;
     all << file.rdbuf();
@@ -94,8 +94,8 @@
         std::printf("the stewards did not come up\n%s", rig.history.text().c_str());
         return 1;
     }
-    const auto at = stewards_of(rig);
-    Timekeeper time;
+    const auto at = managers_of(rig);
+    EventClock time;
     std::vector<std::unique_ptr<Member>> members;
     std::string line;
     const auto answers = [&members] {
@@ -127,12 +127,12 @@
             return 1;
         }
         const std::size_t other = (leader + 1) % 3;
-        const Used a = used(rig.stewards[leader]->pid()), b = used(rig.stewards[other]->pid());
+        const Used a = used(rig.managers[leader]->pid()), b = used(rig.managers[other]->pid());
         const std::uint64_t before = answers();
         const auto began = std::chrono::steady_clock::now();
         run_for(Ms(10'000));
         const double s = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-        const Used c = used(rig.stewards[leader]->pid()), d = used(rig.stewards[other]->pid());
+        const Used c = used(rig.managers[leader]->pid()), d = used(rig.managers[other]->pid());
         const double calls = static_cast<double>(answers() - before) / s;
         rig.until([&rig] { return rig.leader() < 3; });
         sound &= rig.leader() == leader && calls > 0.3 * static_cast<double>(count);
--- a/measure/leaf_times.cpp
+++ b/measure/leaf_times.cpp
@@ -1,7 +1,7 @@
 // How long leaf calls take over loopback, and what a fan-out to 74 data nodes makes of it: queries of one
-// part and of 74, with and without second copies, from a router in this process to stand-in data nodes in
-// another: `make measure-leaf-times`. Wall clock: what else the machine does is in it. Lines `point NAME 1
-// FIGURE` are what `capacity --take` reads; status 1 where a query got no answer.
+// shard request and of 74, with and without second copies, from a router in this process to stand-in data
+// nodes in another: `make measure-leaf-times`. Wall clock: what else the machine does is in it. Lines `point
+// NAME 1 FIGURE` are what `capacity --take` reads; status 1 where a query got no answer.
 #include <sys/prctl.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,15 +14,15 @@
 #include <stdexcept>
 
 #include "service/service.hpp"
-#include "standin/client.hpp"
+#include "testing/client.hpp"
 
 namespace {
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Clock = std::chrono::steady_clock;
 
-constexpr int places = 24, width = 3, parts = 74;
+constexpr int places = 24, width = 3, shard_requests = 74;
 
 std::string script_of() {
     std::string text = "fleet {\n shards = 96\n places = " + std::to_string(places) +
@@ -69,7 +69,7 @@
     FarSide(const FarSide&) = delete;
 };
 
-Launch launch_of(const FarSide& far, bool copies) {
+StartupConfig launch_of(const FarSide& far, bool copies) {
     const std::string settings =
         R"({"extra":{"places":)" + std::to_string(places) + R"(,"ranges":96,"width":)" +
         std::to_string(width) +
@@ -79,12 +79,12 @@
         (copies ? "true" : "false") +
         R"(,"retry_after":true,"max_retry_after":500.0},"safety":{"drain_grace":500.0},"step":5.0,)"
         R"("services":[{"name":"whole","promise":500.0,"deadline":2000.0,"semantics":"repeatable"}]})";
-    Launch made =
-        read_launch(R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + far.discovery +
-                    R"(","seed":"00ff","limits":{"sockets":1024},"known":{"generation":1,)" +
-                    R"("reset":true,"instances":[)" + far.entries + "]},\"settings\":" + settings + "}");
+    StartupConfig made = read_startup_config(
+        R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + far.discovery +
+        R"(","seed":"00ff","limits":{"sockets":1024},"known":{"generation":1,)" +
+        R"("reset":true,"instances":[)" + far.entries + "]},\"settings\":" + settings + "}");
     made.listen.port = 0;
-    follow_operators(made, read_operator_terms("log { level = \"error\" }", "operators"));
+    follow_operators(made, read_operator_config("log { level = \"error\" }", "operators"));
     return made;
 }
 
@@ -121,7 +121,7 @@
         for (Open& o : open) {
             if (o.busy || came.asked >= queries) continue;
             Asking asking;
-            asking.vertical = "whole", asking.id = "q" + std::to_string(++came.asked);
+            asking.query_class = "whole", asking.id = "q" + std::to_string(++came.asked);
             asking.deadline_ms = 2000, asking.two_phase = false;
             for (int p = 0; p < width_of_query; ++p)
                 asking.shards.push_back(static_cast<std::uint32_t>((came.asked * 7 + p) % 96));
@@ -138,8 +138,8 @@
 
 int main() {
     const FarSide far;
-    const Came one = play(far, 1, 20'000, 8, false), all = play(far, parts, 3000, 8, false),
-               copied = play(far, parts, 3000, 8, true);
+    const Came one = play(far, 1, 20'000, 8, false), all = play(far, shard_requests, 3000, 8, false),
+               copied = play(far, shard_requests, 3000, 8, true);
     const std::pair<const char*, const Came*> days[] = {{"one", &one}, {"all", &all}, {"copied", &copied}};
     const std::pair<const char*, double> quantiles[] = {
         {"50", 0.5}, {"90", 0.9}, {"99", 0.99}, {"99.86", 0.99858}, {"99.986", 0.99986}};
--- a/measure/list_cost.cpp
+++ b/measure/list_cost.cpp
@@ -19,14 +19,14 @@
 #include "wire/bodies.hpp"
 
 namespace {
-std::size_t held = 0, most_held = 0;
+std::size_t held = 0, max_in_flight = 0;
 }  // namespace
 
 [[gnu::noinline]] void* operator new(std::size_t size) {
     void* const at = std::malloc(size > 0 ? size : 1);
     if (at == nullptr) throw std::bad_alloc();
     held += malloc_usable_size(at);
-    most_held = std::max(most_held, held);
+    max_in_flight = std::max(max_in_flight, held);
     return at;
 }
 [[gnu::noinline]] void operator delete(void* at) noexcept {
@@ -86,28 +86,28 @@
 }
 
 // A list played to the module, and nothing else.
-struct ListNews final : Arrivals, DecisionWriter {
+struct ListNews final : RoundEvents, DecisionSink {
     ListKind kind = ListKind::full;
-    std::vector<NodeEntry> entries;
+    std::vector<Endpoint> entries;
 
-    void play(ArrivalHandler& handler) override { handler.on_nodes(kind, entries); }
-    void deliver(std::uint32_t, std::uint32_t, Nanos) override {}
+    void play(RoundEventHandler& handler) override { handler.on_nodes(kind, entries); }
+    void send_attempt(std::uint32_t, std::uint32_t, Nanos) override {}
     void cancel(std::uint32_t, std::uint8_t) override {}
     void answer(std::uint32_t, bool) override {}
     void reject(std::uint32_t, Nanos) override {}
-    void abort(std::uint32_t) override {}
-    void wake(std::uint64_t, Nanos) override {}
-    void listen() override {}
+    void fail_query(std::uint32_t) override {}
+    void set_timer(std::uint64_t, Nanos) override {}
+    void watch_endpoints() override {}
     void log(const std::string&) override {}
 };
 
-Terms terms_of(int nodes) {
-    Terms t;
-    t.verticals.push_back({});
-    t.verticals[0].slo = t.verticals[0].deadline = 1'000'000'000;
-    t.step = 5'000'000;
+RouterConfig router_config_of(int nodes) {
+    RouterConfig t;
+    t.query_classes.push_back({});
+    t.query_classes[0].latency_objective = t.query_classes[0].deadline = 1'000'000'000;
+    t.round_interval = 5'000'000;
     t.places = t.shards = nodes;
-    t.width = 3;
+    t.replicas_per_shard = 3;
     return t;
 }
 
@@ -117,16 +117,16 @@
     const int times = nodes > 20'000 ? 5 : 20, changes = nodes > 20'000 ? 40 : 400;
     std::optional<TargetList> list;
     const std::size_t before = held;
-    most_held = held;
+    max_in_flight = held;
     list = read_targets(body, places);
     if (!list || list->nodes.size() != static_cast<std::size_t>(nodes)) return false;
-    const std::size_t read_most = most_held - before, read_left = held - before;
+    const std::size_t read_most = max_in_flight - before, read_left = held - before;
     const double read = least(
         times, [](int) { return 0; }, [&](int) { list = read_targets(body, places); });
 
     const auto change = [&](int i) {
         TargetList one{list->generation + 1, false, {list->nodes[static_cast<std::size_t>(i % nodes)]}, 0};
-        one.nodes[0].availability = i / nodes % 2 == 0 ? Availability::draining : Availability::ready;
+        one.nodes[0].lifecycle = i / nodes % 2 == 0 ? Lifecycle::draining : Lifecycle::ready;
         return one;
     };
     const double whole = least(
@@ -140,21 +140,21 @@
     // One zone goes and comes back.
     TargetList zone{list->generation + 2, false, {}, 0};
     for (int n = 0; n < nodes; n += zones) zone.nodes.push_back(list->nodes[static_cast<std::size_t>(n)]);
-    const auto turn = [&](Availability to) {
-        for (ListedNode& n : zone.nodes) n.availability = to;
+    const auto turn = [&](Lifecycle to) {
+        for (ListedNode& n : zone.nodes) n.lifecycle = to;
     };
-    turn(Availability::gone);
+    turn(Lifecycle::removed);
     const auto zone_went = Clock::now();
     known.take(zone);
     const double zone_gone = ms_of(Clock::now() - zone_went);
-    turn(Availability::ready);
+    turn(Lifecycle::ready);
     const auto zone_came = Clock::now();
     known.take(zone);
     const double zone_back = ms_of(Clock::now() - zone_came);
 
     ListNews news;
     news.entries = NodeList().take(*list).entries;
-    QueryRouter router(terms_of(nodes), 1);
+    QueryRouter router(router_config_of(nodes), 1);
     Nanos now = 1'000'000'000;
     const auto tell = [&](int) { router.round(now += 5'000'000, news, news); };
     const double module = least(
--- a/measure/module_cost.cpp
+++ b/measure/module_cost.cpp
@@ -21,8 +21,8 @@
 using namespace tealcart;
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms, step = 5 * ms;
-constexpr Nanos slo = 120 * ms, warm_up = 4 * second, length = 16 * second;
-constexpr int holders = 3, zones = 12, kinds = 4, parts = 74;
+constexpr Nanos latency_objective = 120 * ms, warm_up = 4 * second, length = 16 * second;
+constexpr int holders = 3, zones = 12, kinds = 4, shard_requests = 74;
 constexpr double queries_a_second = 556, leaf_median_ms = 12, leaf_spread = 0.4;
 
 double cpu_s() {
@@ -36,45 +36,46 @@
     return static_cast<double>(info.uordblks + info.hblkhd) / 1e6;
 }
 
-Terms terms_of(int places) {
-    Terms t;
-    t.verticals = {{Effect::repeatable, slo, 4 * slo, 2 * slo, 0.3, 0.9}};
+RouterConfig router_config_of(int places) {
+    RouterConfig t;
+    t.query_classes = {
+        {Effect::idempotent, latency_objective, 4 * latency_objective, 2 * latency_objective, 0.3, 0.9}};
     t.routers = 3600;
-    t.step = step;
+    t.round_interval = step;
     t.places = t.shards = places;
-    t.call_cap = 3;
-    t.parts_a_call = 16;
-    t.may_cancel = t.second_copies = t.retry_after = true;
-    t.max_retry_after = slo;
+    t.max_attempts = 3;
+    t.max_requests_per_call = 16;
+    t.may_cancel = t.may_hedge = t.retry_after = true;
+    t.max_retry_after = latency_objective;
     t.drain_grace = second;
-    t.cold_from = 0.3;
-    t.cold = 10 * second;
-    t.tip_multiple = 4;
-    t.fall = 2 * second;
+    t.slow_start_min_fraction = 0.3;
+    t.slow_start_duration = 10 * second;
+    t.overload_multiple = 4;
+    t.overload_window = 2 * second;
     return t;
 }
 
 struct End {
     Nanos at;
-    LeafEnd what;
+    AttemptResult what;
     bool operator>(const End& other) const { return at > other.at; }
 };
 
 // One router, its clients and its data nodes.
-class Day final : public Arrivals, public DecisionWriter {
+class Day final : public RoundEvents, public DecisionSink {
   public:
     explicit Day(int nodes)
-        : nodes_(nodes), places_(nodes / holders), chance_(7), router_(terms_of(places_), 11) {}
+        : nodes_(nodes), places_(nodes / holders), chance_(7), router_(router_config_of(places_), 11) {}
 
-    std::vector<NodeEntry> list() const {
-        std::vector<NodeEntry> all;
+    std::vector<Endpoint> list() const {
+        std::vector<Endpoint> all;
         for (int n = 0; n < places_ * holders; ++n)
             all.push_back({static_cast<std::uint32_t>(n), static_cast<std::uint16_t>(n / holders),
-                           Availability::ready, 0, static_cast<std::uint32_t>(n % (zones * kinds))});
+                           Lifecycle::ready, 0, static_cast<std::uint32_t>(n % (zones * kinds))});
         return all;
     }
 
-    void take(ListKind kind, std::vector<NodeEntry> entries) {
+    void take(ListKind kind, std::vector<Endpoint> entries) {
         list_kind_ = kind, list_ = std::move(entries);
         router_.round(now_ += step, *this, *this);
     }
@@ -91,11 +92,11 @@
     std::uint64_t calls = 0, answers = 0, others = 0;
 
   private:
-    void play(ArrivalHandler& handler) override {
+    void play(RoundEventHandler& handler) override {
         if (!list_.empty()) handler.on_nodes(list_kind_, list_);
         list_ = {};
         while (!ends_.empty() && ends_.top().at <= now_) {
-            handler.on_leaf_end(ends_.top().what);
+            handler.on_attempt_result(ends_.top().what);
             ends_.pop();
         }
         while (!timers_.empty() && timers_.top().first <= now_) {
@@ -104,30 +105,33 @@
         }
         for (; due_ >= 1; due_ -= 1) {
             const std::uint32_t id = next_;
-            next_ += parts + 1;
-            handler.on_query({id, id, 0, 0, now_ + 4 * slo});
-            for (std::uint32_t p = 1; p <= parts; ++p)
-                handler.on_part({id + p, id, static_cast<std::uint32_t>(chance_() % places_), 1.0 / parts});
+            next_ += shard_requests + 1;
+            handler.on_query({id, id, 0, 0, now_ + 4 * latency_objective});
+            for (std::uint32_t p = 1; p <= shard_requests; ++p)
+                handler.on_shard_request(
+                    {id + p, id, static_cast<std::uint32_t>(chance_() % places_), 1.0 / shard_requests});
         }
     }
 
-    void deliver(std::uint32_t part, std::uint32_t node, Nanos patience) override {
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
         ++calls;
-        std::uint8_t& tries = tries_[part % tries_.size()];
-        if (part != tried_[part % tries_.size()]) tries = 0, tried_[part % tries_.size()] = part;
+        std::uint8_t& tries = tries_[shard_request % tries_.size()];
+        if (shard_request != tried_[shard_request % tries_.size()])
+            tries = 0, tried_[shard_request % tries_.size()] = shard_request;
         const double u1 = share(), u2 = share();
         const double normal = std::sqrt(-2 * std::log(u1)) * std::cos(2 * M_PI * u2);
         const auto took = static_cast<Nanos>(leaf_median_ms * std::exp(leaf_spread * normal) * 1e6);
         const bool late = took > patience;
         const Nanos span = late ? patience : took;
-        ends_.push({now_ + span, {part, node, tries++, late ? Outcome::timeout : Outcome::ok, span}});
+        ends_.push(
+            {now_ + span, {shard_request, node, tries++, late ? Outcome::timeout : Outcome::ok, span}});
     }
     void cancel(std::uint32_t, std::uint8_t) override {}
     void answer(std::uint32_t, bool) override { ++answers; }
     void reject(std::uint32_t, Nanos) override { ++others; }
-    void abort(std::uint32_t) override { ++others; }
-    void wake(std::uint64_t cookie, Nanos wait) override { timers_.push({now_ + wait, cookie}); }
-    void listen() override {}
+    void fail_query(std::uint32_t) override { ++others; }
+    void set_timer(std::uint64_t cookie, Nanos wait) override { timers_.push({now_ + wait, cookie}); }
+    void watch_endpoints() override {}
     void log(const std::string&) override {}
     double share() { return (static_cast<double>(chance_() >> 11) + 0.5) / 9007199254740992.0; }
 
@@ -135,11 +139,11 @@
     std::mt19937_64 chance_;
     QueryRouter router_;
     ListKind list_kind_ = ListKind::full;
-    std::vector<NodeEntry> list_;
+    std::vector<Endpoint> list_;
     std::priority_queue<End, std::vector<End>, std::greater<>> ends_;
     using Timer = std::pair<Nanos, std::uint64_t>;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-    std::vector<std::uint8_t> tries_;  // by the part's id, of the last ones
+    std::vector<std::uint8_t> tries_;  // by the shard request's id, of the last ones
     std::vector<std::uint32_t> tried_;
     double due_ = 0;
     std::uint32_t next_ = 1;
@@ -167,10 +171,10 @@
         const double taken_mb = heap_mb() - before_mb;
 
         constexpr int changes = 200;
-        NodeEntry one = day.list()[17];
+        Endpoint one = day.list()[17];
         began = cpu_s();
         for (int i = 0; i < changes; ++i) {
-            one.availability = i % 2 == 0 ? Availability::draining : Availability::ready;
+            one.lifecycle = i % 2 == 0 ? Lifecycle::draining : Lifecycle::ready;
             day.take(ListKind::delta, {one});
         }
         const double change_ms = (cpu_s() - began) * 1e3 / changes;
--- a/measure/relays.cpp
+++ b/measure/relays.cpp
@@ -1,5 +1,5 @@
-// What the relay tier costs and how fast it is at the planned size: three real stewards, 24 real relays and
-// up to 3,600 hollow followers (src/standin/hollow_follower.hpp has what is hollow of them) on loopback.
+// What the relay tier costs and how fast it is at the planned size: three real managers, 24 real relays and
+// up to 3,600 hollow followers (src/testing/hollow_follower.hpp has what is hollow of them) on loopback.
 // Costs are processor time, bytes and memory, not wall clock, except where the aim is one: the machine may be
 // shared.
 //
@@ -16,12 +16,12 @@
 #include <random>
 
 #include "capacity/capacity.hpp"
-#include "standin/hollow_follower.hpp"
-#include "standin/hollow_rig.hpp"
-#include "standin/relay_rig.hpp"
+#include "testing/hollow_follower.hpp"
+#include "testing/hollow_rig.hpp"
+#include "testing/relay_rig.hpp"
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::milliseconds;
 using Json = nlohmann::json;
@@ -29,10 +29,10 @@
 namespace {
 
 constexpr double cold_start_s = 300;
-constexpr double most_within_s = 2, all_within_s = 19;  // 99% and all followers act on a version
-constexpr double follower_cpu_ms_s = 18;                // 1.8% of a core
-constexpr double follower_bytes_s = 26'000;             // both ways
-constexpr double leader_cpu_ms_s = 250;                 // a quarter of a core
+constexpr double max_within_s = 2, all_within_s = 19;  // 99% and all followers act on a version
+constexpr double follower_cpu_ms_s = 18;               // 1.8% of a core
+constexpr double follower_bytes_s = 26'000;            // both ways
+constexpr double leader_cpu_ms_s = 250;                // a quarter of a core
 constexpr int changes_a_s = 4;
 constexpr std::size_t value_bytes = 200;
 constexpr Ms still_for{3000}, steady_for{30'000}, relay_killed_for{12'000}, leader_killed_for{15'000};
@@ -58,7 +58,7 @@
 struct Sample {
     Moment at = Clock::now();
     std::size_t leader = 0;
-    std::vector<ProcessFigures> stewards, relays, processes;
+    std::vector<ProcessFigures> managers, relays, processes;
     double in = 0, out = 0;  // bytes of all followers' connections
 };
 Sample sample(RelayRig& rig) {
@@ -70,7 +70,7 @@
     const auto figures = [](const auto& from, auto& to) {
         for (const auto& p : from) to.push_back(p ? figures_of(p->pid()) : ProcessFigures());
     };
-    figures(rig.stewards, s.stewards);
+    figures(rig.managers, s.managers);
     figures(rig.relays, s.relays);
     figures(rig.processes, s.processes);
     return s;
@@ -89,12 +89,12 @@
     const auto spent = [&c](const ProcessFigures& from, const ProcessFigures& to) {
         return 1000 * (to.cpu_s - from.cpu_s) / c.s;
     };
-    for (std::size_t i = 0; i < b.stewards.size(); ++i)
-        (i == b.leader ? c.lead : c.follow) += spent(a.stewards[i], b.stewards[i]);
-    c.follow /= static_cast<double>(b.stewards.size() - 1);
-    if (b.leader < b.stewards.size()) {
-        c.lead_mb = b.stewards[b.leader].dirty_mb;
-        c.lead_disk = static_cast<double>(b.stewards[b.leader].disk - a.stewards[b.leader].disk) / c.s;
+    for (std::size_t i = 0; i < b.managers.size(); ++i)
+        (i == b.leader ? c.lead : c.follow) += spent(a.managers[i], b.managers[i]);
+    c.follow /= static_cast<double>(b.managers.size() - 1);
+    if (b.leader < b.managers.size()) {
+        c.lead_mb = b.managers[b.leader].dirty_mb;
+        c.lead_disk = static_cast<double>(b.managers[b.leader].disk - a.managers[b.leader].disk) / c.s;
     }
     const auto relays = static_cast<double>(b.relays.size()), n = static_cast<double>(followers);
     for (std::size_t i = 0; i < b.relays.size(); ++i) {
@@ -127,14 +127,14 @@
     std::string name;
     std::vector<RelayRig::Published> published;
     bool one_by_one = true;  // each version is the one after that before
-    double rate = 0, publish_ms = 0, longest_publish_ms = 0;
+    double rate = 0, publish_ms = 0, max_publish_ms = 0;
     double p99_s = 0, all_s = 0;          // the worst version's: answered to 99% and to all followers
     double median_ms = 0;                 // of all followers and versions
     std::size_t lost = 0;                 // followers that never acted on a version, summed over versions
     double come_s = -1, in_force_s = -1;  // from the last answer until all act on the last version; told so
     std::uint64_t untrue = 0, looks = 0;  // looks that found a follower with a lease behind what is in force
     FollowerFigures after;
-    bool same = false;  // the last digests are the stewards'
+    bool same = false;  // the last digests are the managers'
 };
 
 class Bench {
@@ -193,7 +193,7 @@
         s.in_force_s = told ? seconds(Clock::now() - answered) : 1e9;
         s.after = rig_.followers();
         s.same = s.after.digests.size() == 1 && s.after.followers == rig_.plan.followers;
-        for (std::size_t i = 0; i < rig_.plan.stewards; ++i) {
+        for (std::size_t i = 0; i < rig_.plan.managers; ++i) {
             const Json c = rig_.changes(i);
             if (c.is_object()) s.same &= c["digest"] == s.after.digests[0] && c["version"] == last_;
         }
@@ -209,7 +209,7 @@
         const auto in_force = c["in_force"].get<std::uint64_t>();
         const FollowerFigures f = rig_.followers();
         s.looks += f.followers == rig_.plan.followers;
-        s.untrue += f.least_held < in_force;
+        s.untrue += f.min_held < in_force;
         return in_force;
     }
 
@@ -223,7 +223,7 @@
         for (const RelayRig::Published& p : s.published) {
             const double took = 1000 * seconds(p.answered - p.asked);
             s.publish_ms += took / static_cast<double>(s.published.size());
-            s.longest_publish_ms = std::max(s.longest_publish_ms, took);
+            s.max_publish_ms = std::max(s.max_publish_ms, took);
             if (p.version <= before || p.version > last_) continue;
             auto& at = acted[p.version - before - 1];
             s.lost += rig_.plan.followers - std::min(rig_.plan.followers, at.size());
@@ -258,7 +258,7 @@
         "    last version at all after %.2f s, told in force after %.2f s; not acted on: %zu; untrue: %llu "
         "of "
         "%llu looks; out of order: %llu; digests %s; leases that lapsed: %llu; spoilt or gap: %llu\n",
-        s.name.c_str(), s.published.size(), s.rate, s.publish_ms, s.longest_publish_ms, s.p99_s, s.all_s,
+        s.name.c_str(), s.published.size(), s.rate, s.publish_ms, s.max_publish_ms, s.p99_s, s.all_s,
         s.median_ms, s.come_s, s.in_force_s, s.lost, static_cast<unsigned long long>(s.untrue),
         static_cast<unsigned long long>(s.looks), static_cast<unsigned long long>(s.after.faults),
         s.same ? "equal" : "DIFFER", static_cast<unsigned long long>(s.after.lapses),
@@ -322,7 +322,7 @@
     rig.start_relay(0);
     rig.until([&] { return rig.run_for(Ms(100)), rig.relays_up(); }, Ms(20'000));
     r.stretches.push_back(bench.run("the leader killed", leader_killed_for, [&] {
-        if (const std::size_t led = rig.leader(); led < rig.plan.stewards) rig.stewards[led]->signal(SIGKILL);
+        if (const std::size_t led = rig.leader(); led < rig.plan.managers) rig.managers[led]->signal(SIGKILL);
     }));
     print(r.stretches.back());
     return r;
@@ -338,7 +338,7 @@
     for (const Stretch& s : r.stretches) {
         const std::string in = at + ": " + s.name;
         const bool still = s.name == "steady";
-        if (still) aim(s.p99_s <= most_within_s, "99% act on each version within 2 s" + in);
+        if (still) aim(s.p99_s <= max_within_s, "99% act on each version within 2 s" + in);
         if (still) aim(s.rate >= 0.95 * changes_a_s, "4 changes a second" + in);
         aim((still ? s.all_s : s.come_s) <= all_within_s, "all act on it within 19 s" + in);
         aim(s.one_by_one, "each change is one version, in order" + in);
--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -1,5 +1,5 @@
 // What the roles of a fleet cost beside the module, by size: a member's word and its answer, the log, the
-// stewards' state, discovery's list in a router's memory, connections of clients and to data nodes, and a
+// managers' state, discovery's list in a router's memory, connections of clients and to data nodes, and a
 // leaf call on a kept connection and on one of its own: `make measure-role-cost`. Processor time is that of
 // the measured thread, memory the heap in use; the kernel's share of a connection is not in it. Lines `point
 // NAME SIZE FIGURE` are what `capacity --take` reads; the last line has them all.
@@ -17,13 +17,13 @@
 #include <vector>
 
 #include "fleet/fleet_state.hpp"
+#include "fleet_manager/endpoint_view.hpp"
+#include "fleet_manager/operator_requests.hpp"
 #include "members/agreed_list.hpp"
-#include "standin/fleet.hpp"
-#include "steward/node_view.hpp"
-#include "steward/requests.hpp"
 #include "tables/node_list.hpp"
-#include "wire/client_front.hpp"
-#include "wire/node_links.hpp"
+#include "testing/fleet.hpp"
+#include "wire/http_server.hpp"
+#include "wire/node_connection_pool.hpp"
 
 namespace {
 
@@ -76,8 +76,8 @@
     MemberCall call;
     call.name = router_name(n), call.role = "router", call.zone = "r1z" + std::to_string(n % 12);
     call.version = "1.12.0", call.digest = "0123456789abcdef";
-    call.life = 1'764'649'382'000'000'000U + n, call.serve_on = 86'400'000 * ms;
-    call.acts_on = call.knows = 1'234'567, call.wait = 2000 * ms;
+    call.incarnation = 1'764'649'382'000'000'000U + n, call.serve_on = 86'400'000 * ms;
+    call.applied_generation = call.knows = 1'234'567, call.wait = 2000 * ms;
     call.queries = 5560, call.failed = 12;
     for (std::size_t i = 0; i < named; ++i) call.silent.push_back(node_name(i));
     return call;
@@ -105,16 +105,16 @@
         point("member.answer_read", out, cost(turns, [&] { sink += read_member_answer(bytes)->out.size(); }));
     }
     for (const std::size_t batch : {1, 10, 100, 1000}) {
-        fleet::Words many;
-        for (std::size_t i = 0; i < batch; ++i) many.renewals.push_back(steward::renew_of(call_of(i, 0)));
+        fleet::ReportBatch many;
+        for (std::size_t i = 0; i < batch; ++i) many.renewals.push_back(manager::renew_of(call_of(i, 0)));
         point("steward.log_bytes", batch,
               static_cast<double>(fleet::write_command({"", 1'764'649'382'000'000'000, many}).size()));
     }
     if (sink == 0) std::printf("nothing was written\n");
 }
 
-fleet::NodesSeen nodes_of(std::size_t nodes) {
-    fleet::NodesSeen seen;
+fleet::EndpointsObserved nodes_of(std::size_t nodes) {
+    fleet::EndpointsObserved seen;
     for (std::size_t i = 0; i < nodes; ++i)
         seen.nodes[node_name(i)] = {"r1z" + std::to_string(i % 12),
                                     "kind-" + std::to_string(i % 4),
@@ -132,14 +132,14 @@
     state.apply({"", 1, nodes_of(nodes)});
     for (std::size_t i = 0; i < members; ++i) {
         const MemberCall call = call_of(i, 0);
-        fleet::Words one{{steward::join_of(call)}, {steward::renew_of(call)}};
-        one.renewals[0].word.acts_on = 0;
+        fleet::ReportBatch one{{manager::join_of(call)}, {manager::renew_of(call)}};
+        one.renewals[0].word.applied_generation = 0;
         state.apply({"", 2, std::move(one)});
     }
     return state;
 }
 
-// The stewards' state: heap, bytes of its snapshot, and what it takes to write it and the status.
+// The managers' state: heap, bytes of its snapshot, and what it takes to write it and the status.
 void state() {
     const auto measure = [](std::size_t nodes, std::size_t members, const char* heap, const char* snapshot,
                             std::size_t by) {
@@ -156,27 +156,27 @@
         fleet::FleetState kept = state_of(nodes, members);
         std::size_t sink = 0;
         point("steward.snapshot_write", nodes, cost(3, [&] { sink += kept.save().size(); }) / 1e3);
-        const std::string status = steward::write_status(kept, {}, false);
+        const std::string status = manager::write_status(kept, {}, false);
         point("steward.status_bytes", nodes, static_cast<double>(status.size()) / 1e6);
         point("steward.status_write", nodes,
-              cost(3, [&] { sink += steward::write_status(kept, {}, false).size(); }) / 1e3);
+              cost(3, [&] { sink += manager::write_status(kept, {}, false).size(); }) / 1e3);
 
         // Six members' words as one entry, with nothing queued and while a drain waits for another one.
         std::size_t turn = 0;
         const auto batch = [&] {
-            fleet::Words six;
+            fleet::ReportBatch six;
             for (std::size_t i = 0; i < 6; ++i) {
-                six.renewals.push_back(steward::renew_of(call_of(turn++ % members, 0)));
-                six.renewals.back().word.acts_on = 0;
+                six.renewals.push_back(manager::renew_of(call_of(turn++ % members, 0)));
+                six.renewals.back().word.applied_generation = 0;
             }
             sink += kept.apply({"", 3, std::move(six)}).size();
         };
         point("fleet.batch", nodes, cost(200, batch) / 1e3);
-        kept.apply({"a", 4, fleet::Ask{"me", {false, node_name(0)}}});
-        kept.apply({"b", 4, fleet::Ask{"me", {false, node_name(1)}}});
+        kept.apply({"a", 4, fleet::RequestRemoval{"me", {false, node_name(0)}}});
+        kept.apply({"b", 4, fleet::RequestRemoval{"me", {false, node_name(1)}}});
         point("fleet.batch_queued", nodes, cost(20, batch) / 1e3);
 
-        fleet::NodesSeen news{{}, false, {}};
+        fleet::EndpointsObserved news{{}, false, {}};
         news.nodes[node_name(7)] = kept.nodes().at(node_name(7));
         std::size_t times = 0;
         const auto change = [&] {
@@ -185,7 +185,7 @@
             sink += kept.apply({"", 5, news}).size();
         };
         point("steward.node_news", nodes, cost(10, change) / 1e3);
-        fleet::NodesSeen zone{{}, false, {}};
+        fleet::EndpointsObserved zone{{}, false, {}};
         for (std::size_t i = 12; i < nodes; i += 12) zone.gone.insert(node_name(i));
         const double began = thread_us();
         sink += kept.apply({"", 6, zone}).size();
@@ -199,19 +199,19 @@
     }
 }
 
-// A steward's look, ten times a second, at what discovery's list has that is not agreed: nothing here. Where
+// A manager's look, ten times a second, at what discovery's list has that is not agreed: nothing here. Where
 // each node is held against each shard that grows by their product, and the measure stops before it is long.
 void view() {
     double last = 0;
     for (const std::size_t nodes : {1000, 3000, 10'000, 40'000, 81'000}) {
         if (last > 100) break;
-        Terms terms;
-        terms.places = terms.shards = static_cast<int>(nodes / 3);
-        steward::NodeView seen(terms);
+        RouterConfig config;
+        config.places = config.shards = static_cast<int>(nodes / 3);
+        manager::NodeView seen(config);
         TargetList list{1, true, {}, 0};
         for (std::size_t i = 0; i < nodes / 3 * 3; ++i)
             list.nodes.push_back({node_name(i), "10.0.0.1:7300", "r1z1", "kind-1",
-                                  static_cast<std::uint32_t>(i / 3), Availability::ready, 0});
+                                  static_cast<std::uint32_t>(i / 3), Lifecycle::ready, 0});
         seen.take(list, 1);
         fleet::FleetState agreed{fleet::Budgets{}};
         if (auto news = seen.news(agreed, 2)) agreed.apply({"", 2, std::move(*news)});
@@ -235,7 +235,7 @@
             const std::string address = "10." + std::to_string(i % 12) + "." + std::to_string(i / 250 % 250) +
                                         "." + std::to_string(i % 250) + ":7300";
             list.nodes.push_back({node_name(i), address, zone, kind, static_cast<std::uint32_t>(i / 3),
-                                  Availability::ready, 1'764'649'382'000 * ms});
+                                  Lifecycle::ready, 1'764'649'382'000 * ms});
             bytes += (R"({"instanceId":")" + node_name(i) + R"(","hostPort":")" + address + R"(","cell":)" +
                       std::to_string(i / 3) + R"(,"zone":")" + zone + R"(","machineType":")" + kind +
                       R"(","lifecycle":"up","startedAtMs":1764649382000},)")
@@ -253,7 +253,7 @@
     }
 }
 
-struct Nobody final : RequestTaker {
+struct Nobody final : RequestHandler {
     void on_request(Handle, Request&, Nanos) override {}
     void on_client_gone(Handle) override {}
 };
@@ -261,9 +261,9 @@
 void client_connections() {
     for (const std::size_t count : {100, 400, 1600}) {
         boost::asio::io_context io{1};
-        Timekeeper time;
+        EventClock time;
         Nobody taker;
-        ClientFront front(io, time, taker, 10'000, 1000 * ms);
+        HttpServer front(io, time, taker, 10'000, 1000 * ms);
         front.listen("127.0.0.1", 0);
         std::vector<tcp::socket> clients;
         clients.reserve(count);
@@ -283,7 +283,7 @@
     }
 }
 
-struct Caller final : LinkOwner {
+struct Caller final : ConnectionObserver {
     bool on_node_answer(Handle link, const NodeAnswer& answer) override {
         if (answer.outcome != Outcome::ok) return false;
         ++answered;
@@ -294,7 +294,7 @@
     bool on_phases_refused(std::uint32_t) override { return false; }
     void on_call_lost(Handle, Outcome) override { ++lost; }
 
-    NodeLinks* links = nullptr;
+    NodeConnectionPool* links = nullptr;
     Handle call;
     std::uint64_t answered = 0, lost = 0;
 };
@@ -309,7 +309,7 @@
         if (child_ == 0) {
             ::prctl(PR_SET_PDEATHSIG, SIGKILL);
             boost::asio::io_context io{1};
-            standin::Fleet fleet(io, standin::read_script("fleet {\n shards = 8\n places = 2\n width = 1\n}\n"
+            testing::Fleet fleet(io, testing::read_script("fleet {\n shards = 8\n places = 2\n width = 1\n}\n"
                                                           "node \"a\" {\n place = 0\n}\n"
                                                           "node \"b\" {\n place = 1\n}\n",
                                                           "script"));
@@ -351,11 +351,12 @@
 Called calls(const Nodes& nodes, std::size_t most) {
     constexpr std::uint32_t count = 4000;
     boost::asio::io_context io{1};
-    Timekeeper time;
-    LinkTerms terms;
-    terms.connect_timeout = 1000 * ms, terms.idle_close = 30'000 * ms, terms.calls_a_link = 100;
+    EventClock time;
+    ConnectionConfig config;
+    config.connect_timeout = 1000 * ms, config.idle_close = 30'000 * ms,
+    config.max_calls_per_connection = 100;
     Caller caller;
-    NodeLinks links(io, time, terms, caller, most);
+    NodeConnectionPool links(io, time, config, caller, most);
     caller.links = &links;
     const double began = thread_us();
     for (std::uint32_t i = 0; i < count && caller.lost == 0; ++i) {
@@ -363,7 +364,7 @@
             QueryText{"q" + std::to_string(i), {}, "one line of what is looked for", {}});
         caller.call = Handle{i, 1};
         links.send(i % 2, nodes.address(i % 2),
-                   {{caller.call, text, i % 8, time.now() + 1000 * ms, Deadlines::never}}, {});
+                   {{caller.call, text, i % 8, time.now() + 1000 * ms, TimerQueue::never}}, {});
         while (caller.answered <= i && caller.lost == 0 && io.run_one_for(std::chrono::seconds(5)) > 0) {
         }
     }
@@ -376,18 +377,19 @@
 void node_connections(const Nodes& nodes) {
     for (const std::size_t count : {100, 400, 1600}) {
         boost::asio::io_context io{1};
-        Timekeeper time;
-        LinkTerms terms;
-        terms.connect_timeout = 5000 * ms, terms.idle_close = 30'000 * ms, terms.calls_a_link = 100;
+        EventClock time;
+        ConnectionConfig config;
+        config.connect_timeout = 5000 * ms, config.idle_close = 30'000 * ms,
+        config.max_calls_per_connection = 100;
         Caller caller;
-        NodeLinks links(io, time, terms, caller, 10'000);
+        NodeConnectionPool links(io, time, config, caller, 10'000);
         caller.links = &links;
         const double before = heap_bytes();
         for (std::uint32_t i = 0; i < count && caller.lost == 0; ++i) {
             const auto text = std::make_shared<QueryText>(QueryText{"q" + std::to_string(i), {}, "text", {}});
             caller.call = Handle{i, 1};
             links.send(i, nodes.address(0),
-                       {{caller.call, text, 0, time.now() + 5000 * ms, Deadlines::never}}, {});
+                       {{caller.call, text, 0, time.now() + 5000 * ms, TimerQueue::never}}, {});
             while (caller.answered <= i && caller.lost == 0 && io.run_one_for(std::chrono::seconds(5)) > 0) {
             }
         }
--- a/measure/scale.cpp
+++ b/measure/scale.cpp
@@ -1,5 +1,5 @@
-// What the fleet costs as it grows: rungs of hollow routers (src/standin/hollow.hpp has what is hollow of
-// them) and lists of nodes against three real stewards on loopback, and days at a top rung. Costs are
+// What the fleet costs as it grows: rungs of hollow routers (src/testing/hollow.hpp has what is hollow of
+// them) and lists of nodes against three real managers on loopback, and days at a top rung. Costs are
 // processor time and bytes, not wall clock, except where the aim is one: the machine may be shared.
 //
 //   measure_scale [--quick] [--only ROUTERSxNODES] [--no-days | --day WORDS] [--processes N] [--witnesses N]
@@ -19,10 +19,10 @@
 #include <fstream>
 #include <map>
 
-#include "standin/hollow_rig.hpp"
+#include "testing/hollow_rig.hpp"
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::milliseconds;
 using Json = nlohmann::json;
@@ -46,8 +46,8 @@
 // What is counted at one moment, of all processes.
 struct Sample {
     Moment at = Clock::now();
-    std::vector<ProcessFigures> stewards;
-    std::vector<pid_t> pids;  // of the stewards
+    std::vector<ProcessFigures> managers;
+    std::vector<pid_t> pids;  // of the managers
     std::size_t leader = 0;
     std::vector<HollowFigures> hollow;
     std::map<int, std::uint64_t> answers;
@@ -58,8 +58,8 @@
     Sample s;
     s.hollow = rig.hollow();
     s.leader = rig.leader();
-    for (const auto& p : rig.stewards) s.pids.push_back(p ? p->pid() : -1);
-    for (const auto& p : rig.stewards) s.stewards.push_back(p ? figures_of(p->pid()) : ProcessFigures());
+    for (const auto& p : rig.managers) s.pids.push_back(p ? p->pid() : -1);
+    for (const auto& p : rig.managers) s.managers.push_back(p ? figures_of(p->pid()) : ProcessFigures());
     s.own_cpu_s = figures_of(::getpid()).cpu_s;
     s.discovery = rig.discovery->counts();
     s.answers = rig.answers;
@@ -71,7 +71,7 @@
 struct Cost {
     double s = 0, lead_cpu = 0, follow_cpu = 0, router_cpu = 0;  // ms/s; router: of each
     double lead_disk = 0, follow_disk = 0;                       // bytes/s
-    double steward_in = 0, steward_out = 0;                      // bytes/s of each router, to it and from it
+    double manager_in = 0, manager_out = 0;                      // bytes/s of each router, to it and from it
     double discovery_in = 0, discovery_out = 0, calls = 0, discovery_calls = 0;
     double lead_mb = 0, lead_dirty_mb = 0, follow_dirty_mb = 0, router_mb = 0, lead_descriptors = 0;
     double own_cpu = 0, discovery_bytes = 0;
@@ -85,7 +85,7 @@
     HollowFigures was, is;
     const auto sum = [](HollowFigures& to, const HollowFigures& f) {
         to.routers += f.routers, to.lapses += f.lapses, to.cpu_s += f.cpu_s, to.dirty_mb += f.dirty_mb;
-        for (const auto of : {&HollowFigures::steward, &HollowFigures::discovery}) {
+        for (const auto of : {&HollowFigures::manager, &HollowFigures::discovery}) {
             (to.*of).calls += (f.*of).calls, (to.*of).in += (f.*of).in, (to.*of).out += (f.*of).out;
         }
     };
@@ -94,17 +94,17 @@
             sum(was, a.hollow[i]), sum(is, b.hollow[i]);
     const double routers = std::max<double>(1, static_cast<double>(is.routers));
     std::size_t follow = 0;
-    for (std::size_t i = 0; i < b.stewards.size(); ++i) {
+    for (std::size_t i = 0; i < b.managers.size(); ++i) {
         if (a.pids[i] != b.pids[i]) continue;  // started anew
-        const double cpu = 1000 * rate(a.stewards[i].cpu_s, b.stewards[i].cpu_s);
+        const double cpu = 1000 * rate(a.managers[i].cpu_s, b.managers[i].cpu_s);
         const double disk =
-            rate(static_cast<double>(a.stewards[i].disk), static_cast<double>(b.stewards[i].disk));
+            rate(static_cast<double>(a.managers[i].disk), static_cast<double>(b.managers[i].disk));
         if (i == b.leader) {
-            c.lead_cpu = cpu, c.lead_disk = disk, c.lead_mb = b.stewards[i].rss_mb;
-            c.lead_dirty_mb = b.stewards[i].dirty_mb;
-            c.lead_descriptors = static_cast<double>(b.stewards[i].descriptors);
+            c.lead_cpu = cpu, c.lead_disk = disk, c.lead_mb = b.managers[i].rss_mb;
+            c.lead_dirty_mb = b.managers[i].dirty_mb;
+            c.lead_descriptors = static_cast<double>(b.managers[i].descriptors);
         } else {
-            c.follow_cpu += cpu, c.follow_disk += disk, c.follow_dirty_mb += b.stewards[i].dirty_mb;
+            c.follow_cpu += cpu, c.follow_disk += disk, c.follow_dirty_mb += b.managers[i].dirty_mb;
             ++follow;
         }
     }
@@ -116,9 +116,9 @@
         return rate(static_cast<double>(was.*whose.*of), static_cast<double>(is.*whose.*of), routers);
     };
     c.router_cpu = 1000 * rate(was.cpu_s, is.cpu_s, routers);
-    c.steward_in = wire(&WireCount::in, &HollowFigures::steward);
-    c.steward_out = wire(&WireCount::out, &HollowFigures::steward);
-    c.calls = wire(&WireCount::calls, &HollowFigures::steward);
+    c.manager_in = wire(&WireCount::in, &HollowFigures::manager);
+    c.manager_out = wire(&WireCount::out, &HollowFigures::manager);
+    c.calls = wire(&WireCount::calls, &HollowFigures::manager);
     c.discovery_in = wire(&WireCount::in, &HollowFigures::discovery);
     c.discovery_out = wire(&WireCount::out, &HollowFigures::discovery);
     c.discovery_calls = wire(&WireCount::calls, &HollowFigures::discovery);
@@ -142,7 +142,7 @@
         "%.0f B/s in, %.0f out; leases that ended wrongly: %llu; this process %.0f ms/s; witnesses: %llu "
         "answers of 200, %llu others\n",
         what, c.s, c.lead_cpu, c.follow_cpu, c.lead_dirty_mb, c.lead_descriptors, c.lead_disk, c.follow_disk,
-        c.router_cpu, c.router_mb, c.calls, c.steward_in, c.steward_out, c.discovery_calls, c.discovery_in,
+        c.router_cpu, c.router_mb, c.calls, c.manager_in, c.manager_out, c.discovery_calls, c.discovery_in,
         c.discovery_out, static_cast<unsigned long long>(c.lapses), c.own_cpu,
         static_cast<unsigned long long>(c.good), static_cast<unsigned long long>(c.bad));
     std::fflush(stdout);
@@ -151,7 +151,7 @@
 struct Rung {
     std::size_t routers = 0;
     std::uint32_t nodes = 0;
-    bool up = false, heard = false;  // all routers hold a lease; the stewards know the list
+    bool up = false, heard = false;  // all routers hold a lease; the managers know the list
     double up_s = -1;
     std::size_t list_bytes = 0, reader_nodes = 0;
     Cost still;
@@ -285,9 +285,9 @@
                 const auto [n, what] = due.front().second;
                 due.pop_front();
                 rig_.discovery->set(n,
-                                    what == 0   ? Availability::draining
-                                    : what == 1 ? Availability::gone
-                                                : Availability::ready,
+                                    what == 0   ? Lifecycle::draining
+                                    : what == 1 ? Lifecycle::removed
+                                                : Lifecycle::ready,
                                     what == 2 ? epoch_now() : 0);
                 rig_.discovery->tell();
             }
@@ -296,31 +296,31 @@
     }
 
     void zone(Day& d) {
-        const auto all = [&](Availability a, Nanos started) {
+        const auto all = [&](Lifecycle a, Nanos started) {
             for (std::uint32_t n = 0; n < rig_.plan.nodes; ++n)
                 if (n % hollow_zones == 3) rig_.discovery->set(n, a, started);
             rig_.discovery->tell();
         };
         for (std::size_t i = 3; i < rig_.plan.processes; i += hollow_zones)
             rig_.processes[i]->signal(SIGKILL);
-        all(Availability::gone, 0);
+        all(Lifecycle::removed, 0);
         rig_.run_for(Ms(20'000));
-        all(Availability::ready, epoch_now());
+        all(Lifecycle::ready, epoch_now());
         for (std::size_t i = 3; i < rig_.plan.processes; i += hollow_zones) rig_.start_hollow(i);
         d.back_s = back();
     }
 
     void leader(Day& d) {
         const std::size_t old = rig_.leader();
-        if (old == rig_.plan.stewards) return;
+        if (old == rig_.plan.managers) return;
         const auto from = Clock::now();
-        rig_.stewards[old]->signal(SIGKILL);
-        if (rig_.until([&] { return rig_.leader() < rig_.plan.stewards && rig_.leader() != old; },
+        rig_.managers[old]->signal(SIGKILL);
+        if (rig_.until([&] { return rig_.leader() < rig_.plan.managers && rig_.leader() != old; },
                        Ms(30'000)))
             d.leaderless_s = seconds_since(from);
         rig_.run_for(Ms(15'000));
         d.back_s = back();
-        rig_.start_steward(old);
+        rig_.start_manager(old);
         rig_.run_for(Ms(5000));
     }
 
@@ -404,7 +404,7 @@
     const HollowRig::Drain drain = rig.drain(5, Ms(60'000));
     aim(drain.done, "a drain is done");
     // Until all have acted on the node's way back, which is an entry of the list too.
-    const Json agreed = rig.status(rig.leader() % rig.plan.stewards);
+    const Json agreed = rig.status(rig.leader() % rig.plan.managers);
     const std::uint64_t generation =
         agreed.is_object() ? agreed["generation"].get<std::uint64_t>() : UINT64_MAX;
     const auto acted = [&] {
@@ -417,7 +417,7 @@
     // What has changed reaches each router once: as many entries as nodes changed, and their bytes.
     const Sample before = sample(rig);
     constexpr std::uint32_t changed = 100;
-    for (std::uint32_t n = 1000; n < 1000 + changed; ++n) rig.discovery->set(n, Availability::draining);
+    for (std::uint32_t n = 1000; n < 1000 + changed; ++n) rig.discovery->set(n, Lifecycle::draining);
     rig.discovery->tell();
     const auto entries = [](const std::vector<HollowFigures>& all) {
         std::uint64_t sum = 0;
@@ -434,7 +434,7 @@
     for (std::size_t i = 0; i < after.hollow.size(); ++i) {
         const HollowFigures &a = before.hollow[i], &b = after.hollow[i];
         bytes += b.discovery.in - a.discovery.in;
-        calls += b.steward.calls;
+        calls += b.manager.calls;
         lapses += b.lapses;
     }
     const double each = static_cast<double>(bytes) / static_cast<double>(rig.plan.routers * changed);
@@ -509,7 +509,7 @@
         aim(r.heard && r.drain_ms <= done_within_ms, "a drain done within 19 s" + at);
         aim(r.still.lead_cpu <= leader_cpu_ms_s, "leader's processor time" + at);
         aim(r.still.router_cpu <= router_cpu_ms_s * ordinary, "a router's processor time" + at);
-        aim(r.still.steward_in + r.still.steward_out + r.still.discovery_in + r.still.discovery_out <=
+        aim(r.still.manager_in + r.still.manager_out + r.still.discovery_in + r.still.discovery_out <=
                 router_bytes_s * ordinary,
             "a router's bytes" + at);
     }
@@ -520,7 +520,7 @@
         aim(d.back_s <= cold_start_s, "all hold a lease again within 5 minutes" + at);
         const double share = d.is_ordinary ? ordinary : 1;
         aim(d.cost.router_cpu <= router_cpu_ms_s * share, "a router's processor time" + at);
-        aim(d.cost.steward_in + d.cost.steward_out + d.cost.discovery_in + d.cost.discovery_out <=
+        aim(d.cost.manager_in + d.cost.manager_out + d.cost.discovery_in + d.cost.discovery_out <=
                 router_bytes_s * share,
             "a router's bytes" + at);
         aim(d.cost.lead_cpu <= leader_cpu_ms_s, "leader's processor time" + at);
@@ -542,8 +542,8 @@
     along("steward_follow.mb_per_member", "MB", "member", &Cost::follow_dirty_mb);
     along("steward_follow.log_per_member", "B/s", "member", &Cost::follow_disk);
     along("router.cpu_per_member", "ms/s", "member", &Cost::router_cpu);
-    along("router.steward_in_per_member", "B/s", "member", &Cost::steward_in);
-    along("router.steward_out_per_member", "B/s", "member", &Cost::steward_out);
+    along("router.steward_in_per_member", "B/s", "member", &Cost::manager_in);
+    along("router.steward_out_per_member", "B/s", "member", &Cost::manager_out);
     along("router.discovery_in_per_member", "B/s", "member", &Cost::discovery_in);
     along("router.discovery_out_per_member", "B/s", "member", &Cost::discovery_out);
     along("steward_lead.cpu_per_node", "ms/s", "node", &Cost::lead_cpu);
@@ -578,7 +578,7 @@
         std::printf(
             " [%s]=lead_ms_s:%.1f,router_ms_s:%.3f,router_B_s:%.0f,drain_ms:%.0f,back_s:%.1f,wrong:%llu",
             d.name.c_str(), d.cost.lead_cpu, d.cost.router_cpu,
-            d.cost.steward_in + d.cost.steward_out + d.cost.discovery_in + d.cost.discovery_out, d.drain.ms,
+            d.cost.manager_in + d.cost.manager_out + d.cost.discovery_in + d.cost.discovery_out, d.drain.ms,
             d.back_s, static_cast<unsigned long long>(d.cost.lapses));
     std::printf(" %s\n", aim.kept ? "kept" : "MISSED");
     return aim.kept ? 0 : 1;
--- a/measure/two_phase.cpp
+++ b/measure/two_phase.cpp
@@ -12,12 +12,12 @@
 #include "phases/section_memory.hpp"
 #include "phases/term_filter.hpp"
 #include "service/service.hpp"
-#include "standin/client.hpp"
+#include "testing/client.hpp"
 
 namespace {
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Clock = std::chrono::steady_clock;
 
 constexpr int shards = 200, places = 8, rows = 10;
@@ -57,7 +57,7 @@
     return text;
 }
 
-Launch launch_of(Fleet& fleet, const std::string& operators) {
+StartupConfig launch_of(Fleet& fleet, const std::string& operators) {
     const std::string settings =
         R"({"extra":{"places":)" + std::to_string(places) + R"(,"ranges":)" + std::to_string(shards) +
         R"(,"width":2,"floor_by_class":[0.4],"complete_from":[1.0],"parts_a_call":16},)"
@@ -65,12 +65,12 @@
         R"("most_held":8000,"may_cancel":true,"second_copies":true,"retry_after":true,"max_retry_after":500.0},)"
         R"("safety":{"drain_grace":500.0,"cold_from":0.2,"cold":2000.0,"tip_multiple":3.0,"fall":500.0},"step":5.0,)"
         R"("services":[{"name":"part","promise":500.0,"deadline":2000.0,"semantics":"repeatable","late_worth":0.5}]})";
-    Launch made = read_launch(
+    StartupConfig made = read_startup_config(
         R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + fleet.discovery.address() +
         R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
         fleet.entries() + "]},\"settings\":" + settings + "}");
     made.listen.port = 0;
-    follow_operators(made, read_operator_terms(operators + "\nlog { level = \"error\" }", "operators"));
+    follow_operators(made, read_operator_config(operators + "\nlog { level = \"error\" }", "operators"));
     return made;
 }
 
@@ -117,7 +117,7 @@
             if (o.busy || came.asked >= day.queries) continue;
             if (day.before) day.before(fleet, came.asked);
             Asking& a = o.asking = {};
-            a.vertical = "part", a.id = "q" + std::to_string(++came.asked), a.deadline_ms = 2000;
+            a.query_class = "part", a.id = "q" + std::to_string(++came.asked), a.deadline_ms = 2000;
             a.two_phase = day.two_phase;
             a.find = {{day.term(came.asked)}, {}, rows};
             for (std::uint32_t s = 0; s < shards; ++s) a.shards.push_back(s);
--- a/measure/xds.cpp
+++ b/measure/xds.cpp
@@ -21,21 +21,21 @@
 constexpr Nanos ms = 1'000'000;
 constexpr int places = 40, width = 3;
 
-Terms terms() {
-    Terms t;
-    VerticalTerms v;
-    v.slo = 500 * ms;
+RouterConfig config() {
+    RouterConfig t;
+    QueryClassConfig v;
+    v.latency_objective = 500 * ms;
     v.deadline = 2000 * ms;
-    v.floor = 0.4;
-    t.verticals = {v};
-    t.step = 5 * ms;
+    v.min_answer_weight = 0.4;
+    t.query_classes = {v};
+    t.round_interval = 5 * ms;
     t.places = t.shards = places;
-    t.width = t.call_cap = width;
+    t.replicas_per_shard = t.max_attempts = width;
     t.drain_grace = 800 * ms;
-    t.cold_from = 0.2;
-    t.cold = 5000 * ms;
-    t.tip_multiple = 3;
-    t.fall = 1000 * ms;
+    t.slow_start_min_fraction = 0.2;
+    t.slow_start_duration = 5000 * ms;
+    t.overload_multiple = 3;
+    t.overload_window = 1000 * ms;
     return t;
 }
 
@@ -44,7 +44,7 @@
     for (int n = 0; n < nodes; ++n)
         list.push_back({"n" + std::to_string(n), "127.0.0.1:" + std::to_string(1024 + n % 60000),
                         "z" + std::to_string(n % 3), "m", static_cast<std::uint32_t>(n % places),
-                        Availability::ready, 0});
+                        Lifecycle::ready, 0});
     return list;
 }
 
@@ -76,7 +76,7 @@
     std::thread ticker;
 
     explicit Service(int limit, int at = 0)
-        : server(terms(), {"part"}, control(limit), 250 * ms, 1, static_cast<std::uint64_t>(wall() / ms)),
+        : server(config(), {"part"}, control(limit), 250 * ms, 1, static_cast<std::uint64_t>(wall() / ms)),
           port(server.start("127.0.0.1:" + std::to_string(at))) {
         ticker = std::thread([this] {
             while (ticking) server.tick(), std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -87,8 +87,8 @@
         ticker.join();
         server.stop();
     }
-    static ControlTerms control(int limit) {
-        ControlTerms c;
+    static ControlConfig control(int limit) {
+        ControlConfig c;
         c.on = true;
         c.node_limit = limit;
         c.leave_grace = 2000 * ms;
@@ -183,7 +183,7 @@
             std::vector<std::string> leaving;
             for (int i = 0; i < 4; ++i) {
                 ListedNode& n = list[static_cast<std::size_t>(wave * 4 + i)];
-                n.availability = Availability::draining;
+                n.lifecycle = Lifecycle::draining;
                 leaving.push_back(n.id);
             }
             const auto told = Clock::now();
@@ -199,7 +199,7 @@
                 }
             for (int i = 0; i < 4; ++i) {
                 ListedNode& n = list[static_cast<std::size_t>(wave * 4 + i)];
-                n.availability = Availability::ready;
+                n.lifecycle = Lifecycle::ready;
                 n.started_at = wall();
             }
             service.tell(list);
@@ -280,7 +280,7 @@
         first_of[delta] = static_cast<double>(before.bytes) / few;
         const double cpu = cpu_seconds();
         for (int i = 0; i < changes; ++i) {
-            list[static_cast<std::size_t>(i)].availability = Availability::draining;
+            list[static_cast<std::size_t>(i)].lifecycle = Lifecycle::draining;
             service.tell(list);
             const std::string drains = list[static_cast<std::size_t>(i)].id,
                               pool = pool_name(static_cast<std::uint32_t>(i % places));
--- a/src/changes/change_bytes.cpp
+++ b/src/changes/change_codec.cpp
@@ -13,28 +13,28 @@
 constexpr int state_form = 1, command_form = 1;
 
 json of(const Limits& l) {
-    return {l.lease,        l.drift,          l.forget,    l.halt_refused,    l.halt_refused_least,
-            l.most_entries, l.longest_entry,  l.most_kept, l.most_kept_bytes, l.most_members,
-            l.most_relays,  l.most_remembered};
+    return {l.lease,       l.drift,         l.forget,   l.halt_refused,   l.halt_refused_least,
+            l.max_entries, l.max_entry,     l.max_kept, l.max_kept_bytes, l.max_members,
+            l.max_relays,  l.max_remembered};
 }
 Limits limits_of(const json& j) {
     Limits l;
     l.lease = j.at(0), l.drift = j.at(1), l.forget = j.at(2);
     l.halt_refused = j.at(3), l.halt_refused_least = j.at(4);
-    l.most_entries = j.at(5), l.longest_entry = j.at(6);
-    l.most_kept = j.at(7), l.most_kept_bytes = j.at(8);
-    l.most_members = j.at(9), l.most_relays = j.at(10), l.most_remembered = j.at(11);
+    l.max_entries = j.at(5), l.max_entry = j.at(6);
+    l.max_kept = j.at(7), l.max_kept_bytes = j.at(8);
+    l.max_members = j.at(9), l.max_relays = j.at(10), l.max_remembered = j.at(11);
     return l;
 }
 
-json of(const std::vector<MemberWord>& words) {
+json of(const std::vector<MemberReport>& words) {
     json list = json::array();
-    for (const MemberWord& w : words)
-        list.push_back({w.name, w.life, w.serve_on, w.acts_on, w.refused, w.why});
+    for (const MemberReport& w : words)
+        list.push_back({w.name, w.incarnation, w.serve_on, w.applied_version, w.refused, w.why});
     return list;
 }
-std::vector<MemberWord> member_words_of(const json& j) {
-    std::vector<MemberWord> words;
+std::vector<MemberReport> member_words_of(const json& j) {
+    std::vector<MemberReport> words;
     for (const json& w : j) words.push_back({w.at(0), w.at(1), w.at(2), w.at(3), w.at(4), w.at(5)});
     return words;
 }
@@ -42,7 +42,7 @@
 using Lives = std::vector<std::pair<std::string, std::uint64_t>>;
 json of(const Lives& lives) {
     json list = json::array();
-    for (const auto& [name, life] : lives) list.push_back(json::array({name, life}));
+    for (const auto& [name, incarnation] : lives) list.push_back(json::array({name, incarnation}));
     return list;
 }
 Lives lives_of(const json& j) {
@@ -51,11 +51,11 @@
     return lives;
 }
 
-json of(const RelayWord& w) {
-    return json::array({w.relay, w.zone, w.life, w.number, w.whole, of(w.joined), of(w.left), of(w.lost),
-                        w.lowest, of(w.exceptions)});
+json of(const RelayReport& w) {
+    return json::array({w.relay, w.zone, w.incarnation, w.number, w.whole, of(w.joined), of(w.left),
+                        of(w.lost), w.lowest, of(w.exceptions)});
 }
-RelayWord relay_word_of(const json& j) {
+RelayReport relay_word_of(const json& j) {
     return {j.at(0),           j.at(1),
             j.at(2),           j.at(3),
             j.at(4),           member_words_of(j.at(5)),
@@ -81,15 +81,15 @@
         return {"publish", json::array({c.asker, entries(c.set), Keys(c.removed),
                                         c.based_on ? json(*c.based_on) : json(nullptr)})};
     }
-    json operator()(const GoBack& c) const { return {"go_back", json::array({c.asker, c.to})}; }
+    json operator()(const Rollback& c) const { return {"go_back", json::array({c.asker, c.to})}; }
     json operator()(const Resume&) const { return {"resume", json::array()}; }
-    json operator()(const Words& c) const {
+    json operator()(const ReportBatch& c) const {
         json list = json::array();
-        for (const RelayWord& w : c.words) list.push_back(of(w));
+        for (const RelayReport& w : c.words) list.push_back(of(w));
         return {"words", std::move(list)};
     }
     json operator()(const Forget& c) const { return {"forget", json::array({c.name})}; }
-    json operator()(const Allow& c) const { return {"allow", of(c.limits)}; }
+    json operator()(const SetLimits& c) const { return {"allow", of(c.limits)}; }
     json operator()(const Tick&) const { return {"tick", json::array()}; }
 };
 
@@ -99,15 +99,15 @@
         if (!j.at(3).is_null()) c.based_on = j.at(3).get<std::uint64_t>();
         return c;
     }
-    if (word == "go_back") return GoBack{j.at(0), j.at(1)};
+    if (word == "go_back") return Rollback{j.at(0), j.at(1)};
     if (word == "resume") return Resume{};
     if (word == "words") {
-        Words c;
+        ReportBatch c;
         for (const json& w : j) c.words.push_back(relay_word_of(w));
         return c;
     }
     if (word == "forget") return Forget{j.at(0)};
-    if (word == "allow") return Allow{limits_of(j)};
+    if (word == "allow") return SetLimits{limits_of(j)};
     if (word == "tick") return Tick{};
     throw std::runtime_error("a command '" + word + "' that this program does not know");
 }
@@ -146,11 +146,11 @@
     for (const auto& [name, m] : members_) {
         json holds = json::array();
         for (const Hold& h : m.holds) holds.push_back(json::array({h.relay, h.exception}));
-        members[name] = {m.life,     m.stated,         m.refused,    m.refused_told, m.why,
-                         m.serve_on, std::move(holds), m.held_until, m.ended,        m.left};
+        members[name] = {m.incarnation, m.stated,         m.refused,    m.refused_told, m.why,
+                         m.serve_on,    std::move(holds), m.held_until, m.ended,        m.left};
     }
     for (const auto& [name, r] : relays_)
-        relays[name] = {r.zone, r.life, r.number, r.lowest, r.lease_until, r.live};
+        relays[name] = {r.zone, r.incarnation, r.number, r.lowest, r.lease_until, r.live};
     for (const std::string& id : came_) {
         json list = json::array();
         for (const Effect& e : remembered_.at(id))
@@ -191,12 +191,12 @@
         read.halted_for_ = all.at("halted_for");
         for (const auto& [name, r] : all.at("relays").items()) {
             Relay& relay = read.relays_[name];
-            relay.zone = r.at(0), relay.life = r.at(1), relay.number = r.at(2), relay.lowest = r.at(3);
+            relay.zone = r.at(0), relay.incarnation = r.at(1), relay.number = r.at(2), relay.lowest = r.at(3);
             relay.lease_until = r.at(4), relay.live = r.at(5);
         }
         for (const auto& [name, m] : all.at("members").items()) {
             Member& member = read.members_[name];
-            member.life = m.at(0), member.stated = m.at(1), member.refused = m.at(2);
+            member.incarnation = m.at(0), member.stated = m.at(1), member.refused = m.at(2);
             member.refused_told = m.at(3), member.why = m.at(4), member.serve_on = m.at(5);
             for (const json& h : m.at(6)) {
                 member.holds.push_back({h.at(0), h.at(1)});
--- a/src/changes/change_state.cpp
+++ b/src/changes/change_state.cpp
@@ -5,7 +5,7 @@
 namespace tealcart::changes {
 namespace {
 
-constexpr std::size_t longest_key = 128;
+constexpr std::size_t max_key = 128;
 
 bool well_formed(const std::string& text, std::size_t longest) {
     return !text.empty() && text.size() <= longest && std::none_of(text.begin(), text.end(), [](char c) {
@@ -47,7 +47,7 @@
     if (!command.id.empty()) {
         remembered_[command.id] = effects_;
         came_.push_back(command.id);
-        while (came_.size() > limits_.most_remembered) {
+        while (came_.size() > limits_.max_remembered) {
             remembered_.erase(came_.front());
             came_.pop_front();
         }
@@ -111,7 +111,7 @@
 bool ChangeState::lease_over(Nanos until) const { return now_ > plus(until, limits_.drift); }
 
 // What is known of a member by name, and what its relays say of all that they don't name.
-std::uint64_t ChangeState::acts_on(const Member& m) const {
+std::uint64_t ChangeState::applied_version(const Member& m) const {
     std::uint64_t most = m.stated;
     for (const Hold& h : m.holds)
         if (!h.exception) most = std::max(most, relays_.at(h.relay).lowest);
@@ -168,7 +168,7 @@
         refresh(m.holds[0].relay, r);
         m.place = Member::sole;
     } else {
-        m.counted_as = acts_on(m);
+        m.counted_as = applied_version(m);
         if (m.refused <= m.counted_as) m.refused = 0, m.why.clear();
         loose_.emplace(m.counted_as, name);
         if (m.holds.empty()) member_ends_.emplace(m.held_until, name);
@@ -179,11 +179,11 @@
     if (m.refused > 0) ++refusing_[m.refused];
 }
 
-// What it said of the member while it had it stays true: no version is given up for an earlier one in a life.
-// A refusal stands while a relay that has the member says so, or none has it.
+// What it said of the member while it had it stays true: no version is given up for an earlier one in a
+// incarnation. A refusal stands while a relay that has the member says so, or none has it.
 void ChangeState::release(const std::string& relay, const std::string& name) {
     Member& m = members_.at(name);
-    m.stated = acts_on(m);
+    m.stated = applied_version(m);
     std::erase_if(m.holds, [&](const Hold& h) { return h.relay == relay; });
     if (!m.holds.empty()) drop_refusal(m);
 }
@@ -227,48 +227,48 @@
     }
 }
 
-void ChangeState::on(const Words& c) {
-    for (const RelayWord& word : c.words) take(word);
+void ChangeState::on(const ReportBatch& c) {
+    for (const RelayReport& word : c.words) take(word);
 }
 
 // Why a word is not taken; empty: it is.
-std::string ChangeState::fault_of(const RelayWord& w) const {
-    if (!well_formed(w.relay, longest_name) || w.zone.size() > longest_name) return "malformed";
+std::string ChangeState::fault_of(const RelayReport& w) const {
+    if (!well_formed(w.relay, max_name) || w.zone.size() > max_name) return "malformed";
     std::size_t more = 0;
-    for (const MemberWord& m : w.joined) {
-        if (!well_formed(m.name, longest_name) || m.serve_on < 0) return "malformed";
+    for (const MemberReport& m : w.joined) {
+        if (!well_formed(m.name, max_name) || m.serve_on < 0) return "malformed";
         more += !members_.contains(m.name);
     }
-    if (members_.size() + more > limits_.most_members) return "no room for so many members";
+    if (members_.size() + more > limits_.max_members) return "no room for so many members";
     const auto it = relays_.find(w.relay);
     if (it == relays_.end()) {
         if (!w.whole) return "it is not known: all is to be said";
-        return relays_.size() < limits_.most_relays ? "" : "no room for so many relays";
+        return relays_.size() < limits_.max_relays ? "" : "no room for so many relays";
     }
     const Relay& r = it->second;
-    if (w.life < r.life) return "an earlier life";
-    if (w.life == r.life && w.number <= r.number) return "overtaken";
-    if (!w.whole && w.life > r.life) return "a new life: all is to be said";
+    if (w.incarnation < r.incarnation) return "an earlier life";
+    if (w.incarnation == r.incarnation && w.number <= r.number) return "overtaken";
+    if (!w.whole && w.incarnation > r.incarnation) return "a new life: all is to be said";
     if (!w.whole && !r.live) return "its lease was over: all is to be said";
     return "";
 }
 
-void ChangeState::take(const RelayWord& w) {
+void ChangeState::take(const RelayReport& w) {
     ++looked_at_;
     if (std::string why = fault_of(w); !why.empty()) return tell(Effect::stale, std::move(why), {w.relay});
     if (w.whole && relays_.contains(w.relay)) dissolve(w.relay);
     Relay& r = relays_[w.relay];
     (r.live ? relay_ends_ : relays_over_).erase({r.lease_until, w.relay});
-    if (!r.live || w.life != r.life) r.lease_until = none, r.lowest = 0;
+    if (!r.live || w.incarnation != r.incarnation) r.lease_until = none, r.lowest = 0;
     r.zone = w.zone;
-    r.life = w.life;
+    r.incarnation = w.incarnation;
     r.number = w.number;
     r.live = true;
     r.lease_until = std::max(r.lease_until, plus(now_, limits_.lease));
     relay_ends_.emplace(r.lease_until, w.relay);
 
-    for (const auto& [name, life] : w.left) take_left(name, life);
-    for (const auto& [name, life] : w.lost) take_lost(w.relay, name, life);
+    for (const auto& [name, incarnation] : w.left) take_left(name, incarnation);
+    for (const auto& [name, incarnation] : w.lost) take_lost(w.relay, name, incarnation);
     if (const std::uint64_t lowest = agreed(w.lowest); lowest != r.lowest) {
         r.lowest = lowest;
         refresh(w.relay, r);
@@ -279,18 +279,18 @@
             put_in(name, m);
         }
     }
-    for (const MemberWord& joined : w.joined) take_joined(w.relay, joined);
+    for (const MemberReport& joined : w.joined) take_joined(w.relay, joined);
     take_exceptions(w.relay, w.exceptions);
 }
 
-// By its own farewell, whichever relay heard it: the last word of a life.
-void ChangeState::take_left(const std::string& name, std::uint64_t life) {
+// By its own farewell, whichever relay heard it: the last word of a incarnation.
+void ChangeState::take_left(const std::string& name, std::uint64_t incarnation) {
     ++looked_at_;
     const auto it = members_.find(name);
-    if (it == members_.end() || it->second.life != life || it->second.left) return;
+    if (it == members_.end() || it->second.incarnation != incarnation || it->second.left) return;
     Member& m = it->second;
     take_out(name, m);
-    m.stated = acts_on(m);
+    m.stated = applied_version(m);
     for (const Hold& h : m.holds) relays_.at(h.relay).exceptions.erase(name);
     m.holds.clear();
     m.left = true;
@@ -300,10 +300,10 @@
 }
 
 // The relay knows by its own clock that what it granted is over, and `drift` after it.
-void ChangeState::take_lost(const std::string& relay, const std::string& name, std::uint64_t life) {
+void ChangeState::take_lost(const std::string& relay, const std::string& name, std::uint64_t incarnation) {
     ++looked_at_;
     const auto it = members_.find(name);
-    if (it == members_.end() || it->second.life != life) return;
+    if (it == members_.end() || it->second.incarnation != incarnation) return;
     Member& m = it->second;
     if (std::none_of(m.holds.begin(), m.holds.end(), [&](const Hold& h) { return h.relay == relay; })) return;
     take_out(name, m);
@@ -313,42 +313,42 @@
     put_in(name, m);
 }
 
-void ChangeState::take_joined(const std::string& relay, const MemberWord& w) {
+void ChangeState::take_joined(const std::string& relay, const MemberReport& w) {
     ++looked_at_;
     Member& m = members_[w.name];
-    if (w.life < m.life) return tell(Effect::stale, "an earlier life", {w.name});
+    if (w.incarnation < m.incarnation) return tell(Effect::stale, "an earlier life", {w.name});
     take_out(w.name, m);
-    if (w.life > m.life) {
+    if (w.incarnation > m.incarnation) {
         for (const Hold& h : m.holds) relays_.at(h.relay).exceptions.erase(w.name);
         m = Member{};
     }
-    m.life = w.life;
+    m.incarnation = w.incarnation;
     m.left = false;
     m.serve_on = w.serve_on;
-    m.stated = std::max(m.stated, agreed(w.acts_on));
+    m.stated = std::max(m.stated, agreed(w.applied_version));
     if (std::none_of(m.holds.begin(), m.holds.end(), [&](const Hold& h) { return h.relay == relay; }))
         m.holds.push_back({relay, false});
     drop_refusal(m);
     put_in(w.name, m);
 }
 
-void ChangeState::take_exceptions(const std::string& relay, const std::vector<MemberWord>& words) {
+void ChangeState::take_exceptions(const std::string& relay, const std::vector<MemberReport>& words) {
     const auto hold_of = [&](Member& m) {
         return std::find_if(m.holds.begin(), m.holds.end(), [&](const Hold& h) { return h.relay == relay; });
     };
     std::set<std::string> before = std::exchange(relays_.at(relay).exceptions, {}), now;
-    for (const MemberWord& w : words) {
+    for (const MemberReport& w : words) {
         ++looked_at_;
         const auto it = members_.find(w.name);
-        if (it == members_.end() || it->second.life != w.life) continue;
+        if (it == members_.end() || it->second.incarnation != w.incarnation) continue;
         Member& m = it->second;
         if (hold_of(m) == m.holds.end()) continue;
         take_out(w.name, m);
         hold_of(m)->exception = true;
-        m.stated = std::max(m.stated, agreed(w.acts_on));
-        const std::uint64_t acts = acts_on(m), refused = agreed(w.refused);
+        m.stated = std::max(m.stated, agreed(w.applied_version));
+        const std::uint64_t acts = applied_version(m), refused = agreed(w.refused);
         m.refused = refused > acts ? refused : 0;
-        m.why = m.refused > 0 ? cut(w.why, longest_why) : "";
+        m.why = m.refused > 0 ? cut(w.why, max_why) : "";
         put_in(w.name, m);
         now.insert(w.name);
         if (m.refused > m.refused_told) {
@@ -378,28 +378,28 @@
     Change change;
     std::size_t entries = document_.size();
     for (const auto& [key, value] : c.set) {
-        if (!well_formed(key, longest_key)) return refuse("a malformed key");
+        if (!well_formed(key, max_key)) return refuse("a malformed key");
         if (c.removed.contains(key)) return refuse("both set and removed: " + key);
-        if (key.size() + value.size() > limits_.longest_entry)
-            return refuse("longer than " + std::to_string(limits_.longest_entry) + " bytes: " + key);
+        if (key.size() + value.size() > limits_.max_entry)
+            return refuse("longer than " + std::to_string(limits_.max_entry) + " bytes: " + key);
         const auto it = document_.find(key);
         if (it != document_.end() && it->second == value) continue;
         entries += it == document_.end();
         change.set.emplace(key, value);
     }
     for (const std::string& key : c.removed) {
-        if (!well_formed(key, longest_key)) return refuse("a malformed key");
+        if (!well_formed(key, max_key)) return refuse("a malformed key");
         if (!document_.contains(key)) continue;
         --entries;
         change.removed.insert(key);
     }
     if (change.set.empty() && change.removed.empty()) return refuse("nothing would change");
-    if (entries > limits_.most_entries && entries > document_.size())
-        return refuse("more than " + std::to_string(limits_.most_entries) + " entries");
+    if (entries > limits_.max_entries && entries > document_.size())
+        return refuse("more than " + std::to_string(limits_.max_entries) + " entries");
     publish(c.asker, change);
 }
 
-void ChangeState::on(const GoBack& c) {
+void ChangeState::on(const Rollback& c) {
     if (c.to == 0 || c.to > version_ || kept_.empty() || c.to < kept_.front().version)
         return tell(Effect::refused, "version " + std::to_string(c.to) + " is not kept");
     Change back;
@@ -415,7 +415,7 @@
 }
 
 void ChangeState::publish(const std::string& asker, const Change& change) {
-    Kept k{++version_, now_, cut(asker, longest_name), change, {}, 0};
+    Kept k{++version_, now_, cut(asker, max_name), change, {}, 0};
     const auto save_old = [&](const std::string& key) {
         const auto it = document_.find(key);
         if (it == document_.end()) return void(k.back.removed.insert(key));
@@ -441,7 +441,7 @@
 
 // The latest stays, however long it is.
 void ChangeState::trim_kept() {
-    while (kept_.size() > 1 && (kept_.size() > limits_.most_kept || kept_bytes_ > limits_.most_kept_bytes)) {
+    while (kept_.size() > 1 && (kept_.size() > limits_.max_kept || kept_bytes_ > limits_.max_kept_bytes)) {
         kept_bytes_ -= kept_.front().forth.bytes() + kept_.front().back.bytes();
         kept_.pop_front();
     }
@@ -462,7 +462,7 @@
     tell(Effect::forgotten, {}, {c.name});
 }
 
-void ChangeState::on(const Allow& c) {
+void ChangeState::on(const SetLimits& c) {
     limits_ = c.limits;
     recount();
     trim_kept();
@@ -512,28 +512,28 @@
     return delta;
 }
 
-Page ChangeState::page(const std::string& after, std::size_t most_bytes) const {
+Page ChangeState::page(const std::string& after, std::size_t max_bytes) const {
     Page page{version_, digest_, after, {}, false};
     std::size_t bytes = 0;
     auto it = document_.upper_bound(after);
     for (; it != document_.end(); ++it) {
         bytes += it->first.size() + it->second.size();
-        if (bytes > most_bytes && !page.entries.empty()) break;
+        if (bytes > max_bytes && !page.entries.empty()) break;
         page.entries.emplace_hint(page.entries.end(), *it);
     }
     page.last = it == document_.end();
     return page;
 }
 
-Reach ChangeState::reach(std::uint64_t version, std::size_t most_names) const {
-    Reach reach;
+RolloutProgress ChangeState::reach(std::uint64_t version, std::size_t max_names) const {
+    RolloutProgress reach;
     const auto name_in = [&](std::vector<std::string>& list, const std::string& name) {
-        if (list.size() < most_names) list.push_back(name);
+        if (list.size() < max_names) list.push_back(name);
     };
     for (const auto& [name, m] : members_) {
-        const std::uint64_t acts = acts_on(m);
+        const std::uint64_t acts = applied_version(m);
         if (m.place == Member::gone) {
-            if (acts < version && may_act(m)) name_in(reach.unheard, name);
+            if (acts < version && may_act(m)) name_in(reach.unacknowledged, name);
             continue;
         }
         ++reach.live;
@@ -552,19 +552,20 @@
     return list;
 }
 
-std::uint64_t ChangeState::last_number(const std::string& relay, std::uint64_t life) const {
+std::uint64_t ChangeState::last_number(const std::string& relay, std::uint64_t incarnation) const {
     const auto it = relays_.find(relay);
-    return it != relays_.end() && it->second.live && it->second.life == life ? it->second.number : 0;
+    return it != relays_.end() && it->second.live && it->second.incarnation == incarnation ? it->second.number
+                                                                                           : 0;
 }
 
-std::uint64_t ChangeState::last_life(const std::string& relay) const {
+std::uint64_t ChangeState::last_incarnation(const std::string& relay) const {
     const auto it = relays_.find(relay);
-    return it == relays_.end() ? 0 : it->second.life;
+    return it == relays_.end() ? 0 : it->second.incarnation;
 }
 
-bool ChangeState::knows_later_life(const std::string& relay, std::uint64_t life) const {
+bool ChangeState::knows_later_life(const std::string& relay, std::uint64_t incarnation) const {
     const auto it = relays_.find(relay);
-    return it != relays_.end() && it->second.life > life;
+    return it != relays_.end() && it->second.incarnation > incarnation;
 }
 
 }  // namespace tealcart::changes
--- a/src/changes/change_state.hpp
+++ b/src/changes/change_state.hpp
@@ -1,5 +1,5 @@
 // Changes of configuration for a fleet, agreed in one order: versions, each a delta behind a digest, and how
-// far each has come. One deterministic state machine for the stewards' log, as FleetState is: apply(command)
+// far each has come. One deterministic state machine for the managers' log, as FleetState is: apply(command)
 // gives effects, and the same commands in the same order give the same state on every replica. No I/O and no
 // clock: the time stands in each command. docs/design-changes.md has the promise and its assumptions.
 #pragma once
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "changes/document.hpp"
-#include "changes/words.hpp"
+#include "changes/reports.hpp"
 
 namespace tealcart::changes {
 
@@ -28,11 +28,11 @@
     // A version that a greater share of the members that live refuses, of so many at least, halts publishing.
     double halt_refused = 0.1;
     std::size_t halt_refused_least = 1;
-    std::size_t most_entries = 1000, longest_entry = 16 * 1024;  // of the document; bytes of key and value
-    std::size_t most_kept = 1000;  // versions whose deltas are kept, for catching up and for going back
-    std::size_t most_kept_bytes = 64u << 20;  // of keys and values in these deltas, there and back
-    std::size_t most_members = 100'000, most_relays = 10'000;
-    std::size_t most_remembered = 10'000;  // commands, so that one that comes twice is one
+    std::size_t max_entries = 1000, max_entry = 16 * 1024;  // of the document; bytes of key and value
+    std::size_t max_kept = 1000;  // versions whose deltas are kept, for catching up and for going back
+    std::size_t max_kept_bytes = 64u << 20;  // of keys and values in these deltas, there and back
+    std::size_t max_members = 100'000, max_relays = 10'000;
+    std::size_t max_remembered = 10'000;  // commands, so that one that comes twice is one
 
     friend bool operator==(const Limits&, const Limits&) = default;
 };
@@ -44,18 +44,18 @@
     std::set<std::string> removed;
     std::optional<std::uint64_t> based_on;  // refused where another version is the latest
 };
-struct GoBack {  // a further version with the content of an earlier one
+struct Rollback {  // a further version with the content of an earlier one
     std::string asker;
     std::uint64_t to = 0;
 };
-struct Resume {};  // after a halt by refusals
-struct Words {     // what relays said in one short time
-    std::vector<RelayWord> words;
+struct Resume {};     // after a halt by refusals
+struct ReportBatch {  // what relays said in one short time
+    std::vector<RelayReport> words;
 };
 struct Forget {  // a member that is lost, which an operator knows not to come back
     std::string name;
 };
-struct Allow {
+struct SetLimits {
     Limits limits;
 };
 struct Tick {};
@@ -63,7 +63,7 @@
 struct Command {
     std::string id;  // the asker's own, tells that a command comes again; empty: not to be remembered
     Nanos at = 0;    // by the proposer's clock
-    std::variant<Publish, GoBack, Resume, Words, Forget, Allow, Tick> what;
+    std::variant<Publish, Rollback, Resume, ReportBatch, Forget, SetLimits, Tick> what;
 };
 
 std::vector<std::uint8_t> write_command(const Command& command);
@@ -80,7 +80,7 @@
         halted,
         resumed,
         over,   // a relay's lease has certainly ended: `names`
-        stale,  // a relay's word that was not taken, or a member's earlier life: `names`, `why`
+        stale,  // a relay's word that was not taken, or a member's earlier incarnation: `names`, `why`
         forgotten
     } kind;
     std::uint64_t version = 0;
@@ -91,11 +91,11 @@
 };
 
 // How far a version has come.
-struct Reach {
+struct RolloutProgress {
     std::size_t live = 0, acting = 0;  // members whose lease holds; of these, that act on it or a later one
     std::vector<std::string> behind;   // live ones that don't, at most so many as were asked for
     std::vector<std::string> refusing;
-    std::vector<std::string> unheard;  // lease over, may go by an older version
+    std::vector<std::string> unacknowledged;  // lease over, may go by an older version
 };
 
 class ChangeState {
@@ -121,8 +121,8 @@
     // never was: then pages.
     std::optional<Delta> since(std::uint64_t version) const;
     // The latest document in pages: entries after this key, up to so many bytes.
-    Page page(const std::string& after, std::size_t most_bytes) const;
-    Reach reach(std::uint64_t version, std::size_t most_names) const;
+    Page page(const std::string& after, std::size_t max_bytes) const;
+    RolloutProgress reach(std::uint64_t version, std::size_t max_names) const;
     // When and by whom each kept version was published.
     struct Published {
         std::uint64_t version = 0;
@@ -133,10 +133,10 @@
     };
     std::vector<Published> history(std::size_t most) const;
     std::size_t members() const { return members_.size(); }  // that are known
-    // Of the last relay word that was taken of this life; 0: none.
-    std::uint64_t last_number(const std::string& relay, std::uint64_t life) const;
-    std::uint64_t last_life(const std::string& relay) const;  // 0: it is not known
-    bool knows_later_life(const std::string& relay, std::uint64_t life) const;
+    // Of the last relay word that was taken of this incarnation; 0: none.
+    std::uint64_t last_number(const std::string& relay, std::uint64_t incarnation) const;
+    std::uint64_t last_incarnation(const std::string& relay) const;  // 0: it is not known
+    bool knows_later_life(const std::string& relay, std::uint64_t incarnation) const;
     // Of the last command: how many members, relays and entries were looked at; for tests of its cost.
     std::uint64_t looked_at() const { return looked_at_; }
 
@@ -149,7 +149,7 @@
         bool exception = false;  // it lists the member as one
     };
     struct Member {
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         std::uint64_t stated =
             0;  // the greatest that was said of it by name, or of all while it was among them
         std::uint64_t refused = 0, refused_told = 0;
@@ -166,7 +166,7 @@
     using ByVersion = std::set<std::pair<std::uint64_t, std::string>>;
     struct Relay {
         std::string zone;
-        std::uint64_t life = 0, number = 0, lowest = 0;
+        std::uint64_t incarnation = 0, number = 0, lowest = 0;
         Nanos lease_until = none;
         bool live = false;             // its lease is not over, and it has said all its members
         ByVersion plain, marked;       // members that it alone has, by what they stated; marked: exceptions
@@ -190,20 +190,20 @@
     };
 
     void on(const Publish& c);
-    void on(const GoBack& c);
+    void on(const Rollback& c);
     void on(const Resume& c);
-    void on(const Words& c);
+    void on(const ReportBatch& c);
     void on(const Forget& c);
-    void on(const Allow& c);
+    void on(const SetLimits& c);
     void on(const Tick&) {}
 
     void publish(const std::string& asker, const Change& asked);
-    void take(const RelayWord& word);
-    std::string fault_of(const RelayWord& word) const;
-    void take_joined(const std::string& relay, const MemberWord& word);
-    void take_left(const std::string& name, std::uint64_t life);
-    void take_lost(const std::string& relay, const std::string& name, std::uint64_t life);
-    void take_exceptions(const std::string& relay, const std::vector<MemberWord>& words);
+    void take(const RelayReport& word);
+    std::string fault_of(const RelayReport& word) const;
+    void take_joined(const std::string& relay, const MemberReport& word);
+    void take_left(const std::string& name, std::uint64_t incarnation);
+    void take_lost(const std::string& relay, const std::string& name, std::uint64_t incarnation);
+    void take_exceptions(const std::string& relay, const std::vector<MemberReport>& words);
     void release(const std::string& relay, const std::string& name);  // that relay has it no more
     static void drop_refusal(Member& member);                         // unless a relay says it
     void dissolve(const std::string& relay);
@@ -215,7 +215,7 @@
     bool lease_over(Nanos until) const;
     bool may_act(const Member& member) const;
     std::uint64_t agreed(std::uint64_t version) const { return version > version_ ? 0 : version; }
-    std::uint64_t acts_on(const Member& member) const;
+    std::uint64_t applied_version(const Member& member) const;
     Nanos end_of(const Member& member) const { return std::max(member.held_until, member.ended); }
     void pass_time(Nanos at);
     void settle_ends();
--- a/src/changes/document.cpp
+++ b/src/changes/document.cpp
@@ -68,7 +68,7 @@
     if (page.entries.empty() ? !page.last : page.entries.begin()->first <= page.after)
         return begin_anew(Taken::spoilt);
     for (const auto& [key, value] : page.entries) coming_bytes_ += key.size() + value.size();
-    if (coming_bytes_ > most_bytes_) return begin_anew(Taken::spoilt);
+    if (coming_bytes_ > max_bytes_) return begin_anew(Taken::spoilt);
     coming_.insert(page.entries.begin(), page.entries.end());
     if (!page.entries.empty()) after_ = page.entries.rbegin()->first;
     wants_pages_ = true;
--- a/src/changes/document.hpp
+++ b/src/changes/document.hpp
@@ -40,8 +40,8 @@
 
 class Copy {
   public:
-    // `most_bytes`: of keys and values that are still coming in pages; more is taken as spoilt.
-    explicit Copy(std::size_t most_bytes = 64u << 20) : most_bytes_(most_bytes) {}
+    // `max_bytes`: of keys and values that are still coming in pages; more is taken as spoilt.
+    explicit Copy(std::size_t max_bytes = 64u << 20) : max_bytes_(max_bytes) {}
 
     enum class Taken : std::uint8_t {
         taken,  // the copy is at the delta's or the last page's version now
@@ -66,7 +66,7 @@
   private:
     Taken begin_anew(Taken why);
 
-    std::size_t most_bytes_, coming_bytes_ = 0;
+    std::size_t max_bytes_, coming_bytes_ = 0;
     std::uint64_t version_ = 0, digest_ = 0;
     Document document_;
     bool wants_pages_ = false;
--- a/src/changes/gather.cpp
+++ b/src/changes/report_aggregator.cpp
@@ -1,52 +1,52 @@
-#include "changes/gather.hpp"
+#include "changes/report_aggregator.hpp"
 
 #include <algorithm>
 
 namespace tealcart::changes {
 
-Gather::Gather(std::string relay, std::string zone, std::uint64_t life, std::size_t most_members,
-               std::size_t most_exceptions)
-    : relay_(std::move(relay)), zone_(std::move(zone)), life_(life), most_members_(most_members),
-      most_exceptions_(most_exceptions) {}
+ReportAggregator::ReportAggregator(std::string relay, std::string zone, std::uint64_t incarnation,
+                                   std::size_t max_members, std::size_t max_exceptions)
+    : relay_(std::move(relay)), zone_(std::move(zone)), incarnation_(incarnation), max_members_(max_members),
+      max_exceptions_(max_exceptions) {}
 
-// Words may overtake each other: an older one renews, and says nothing else.
-bool Gather::heard(Nanos now, const MemberWord& said) {
-    if (said.name.empty() || said.name.size() > longest_name) return false;
-    MemberWord word = said;
-    word.why = cut(word.why, longest_why);
+// ReportBatch may overtake each other: an older one renews, and says nothing else.
+bool ReportAggregator::heard(Nanos now, const MemberReport& said) {
+    if (said.name.empty() || said.name.size() > max_name) return false;
+    MemberReport word = said;
+    word.why = cut(word.why, max_why);
     const auto it = members_.find(word.name);
     if (it == members_.end()) {
-        if (members_.size() >= most_members_) return false;
+        if (members_.size() >= max_members_) return false;
         members_[word.name] = {word, now};
         gone_.erase(word.name);
         return true;
     }
     Known& m = it->second;
-    if (word.life < m.word.life) return false;
-    if (word.life > m.word.life)
+    if (word.incarnation < m.word.incarnation) return false;
+    if (word.incarnation > m.word.incarnation)
         m = {word, now};
-    else if (word.acts_on >= m.word.acts_on)
+    else if (word.applied_version >= m.word.applied_version)
         m.word = word;
     m.heard = std::max(m.heard, now);
     return true;
 }
 
 // More of them than there may be members are not kept one by one: all is said anew instead.
-void Gather::gone(const std::string& name, std::uint64_t life, bool lost) {
-    if (gone_.size() >= most_members_ && !gone_.contains(name)) return say_all();
-    gone_[name] = {life, lost};
+void ReportAggregator::gone(const std::string& name, std::uint64_t incarnation, bool lost) {
+    if (gone_.size() >= max_members_ && !gone_.contains(name)) return say_all();
+    gone_[name] = {incarnation, lost};
 }
 
-void Gather::left(const std::string& name, std::uint64_t life) {
+void ReportAggregator::left(const std::string& name, std::uint64_t incarnation) {
     const auto it = members_.find(name);
     if (it != members_.end()) {
-        if (it->second.word.life > life) return;
+        if (it->second.word.incarnation > incarnation) return;
         members_.erase(it);
     }
-    gone(name, life, false);
+    gone(name, incarnation, false);
 }
 
-Nanos Gather::grant(Nanos now, const std::string& name) {
+Nanos ReportAggregator::grant(Nanos now, const std::string& name) {
     const auto it = members_.find(name);
     if (it == members_.end() || !it->second.said || lease_until_ <= now) return 0;
     it->second.granted_until = std::max(it->second.granted_until, lease_until_);
@@ -54,17 +54,17 @@
 }
 
 // The greatest version that all but so many members act on at least.
-std::uint64_t Gather::lowest() const {
+std::uint64_t ReportAggregator::lowest() const {
     if (members_.empty()) return 0;
     std::vector<std::uint64_t> acts;
     acts.reserve(members_.size());
-    for (const auto& [name, m] : members_) acts.push_back(m.word.acts_on);
-    const auto nth = acts.begin() + static_cast<std::ptrdiff_t>(std::min(most_exceptions_, acts.size() - 1));
+    for (const auto& [name, m] : members_) acts.push_back(m.word.applied_version);
+    const auto nth = acts.begin() + static_cast<std::ptrdiff_t>(std::min(max_exceptions_, acts.size() - 1));
     std::nth_element(acts.begin(), nth, acts.end());
     return *nth;
 }
 
-RelayWord Gather::word(Nanos now, Nanos drift) {
+RelayReport ReportAggregator::word(Nanos now, Nanos drift) {
     for (auto it = members_.begin(); it != members_.end();) {
         const Known& m = it->second;
         // Before the first answer nothing was granted, and nobody knows for how long one may be silent.
@@ -73,23 +73,23 @@
             continue;
         }
         const std::string name = it->first;
-        const std::uint64_t life = m.word.life;
+        const std::uint64_t incarnation = m.word.incarnation;
         it = members_.erase(it);
-        gone(name, life, true);
+        gone(name, incarnation, true);
     }
-    RelayWord word{relay_, zone_, life_, number_ + 1, whole_, {}, {}, {}, lowest(), {}};
-    for (const auto& [name, g] : gone_) (g.lost ? word.lost : word.left).emplace_back(name, g.life);
+    RelayReport word{relay_, zone_, incarnation_, number_ + 1, whole_, {}, {}, {}, lowest(), {}};
+    for (const auto& [name, g] : gone_) (g.lost ? word.lost : word.left).emplace_back(name, g.incarnation);
     for (const auto& [name, m] : members_) {
         if (!m.said) word.joined.push_back(m.word);
-        if (m.word.acts_on < word.lowest) word.exceptions.push_back(m.word);
+        if (m.word.applied_version < word.lowest) word.exceptions.push_back(m.word);
     }
     // Who refuses is named too, as far as there is room: it acts on an earlier version by that alone.
     for (const auto& [name, m] : members_)
-        if (m.word.acts_on >= word.lowest && m.word.refused > m.word.acts_on &&
-            word.exceptions.size() < most_exceptions_)
+        if (m.word.applied_version >= word.lowest && m.word.refused > m.word.applied_version &&
+            word.exceptions.size() < max_exceptions_)
             word.exceptions.push_back(m.word);
     std::sort(word.exceptions.begin(), word.exceptions.end(),
-              [](const MemberWord& a, const MemberWord& b) { return a.name < b.name; });
+              [](const MemberReport& a, const MemberReport& b) { return a.name < b.name; });
     if (last_) {
         word.number = last_->number;
         if (word == *last_) return word;
@@ -107,7 +107,7 @@
     return word;
 }
 
-void Gather::taken(std::uint64_t number, Nanos sent, Nanos lease) {
+void ReportAggregator::taken(std::uint64_t number, Nanos sent, Nanos lease) {
     const auto made = made_.find(number);
     if (made == made_.end()) return;
     lease_ = lease;
@@ -120,7 +120,7 @@
     if (last_ && number >= last_->number) last_.reset();
 }
 
-void Gather::say_all() {
+void ReportAggregator::say_all() {
     whole_ = true;
     whole_since_ = 0;
     gone_.clear();
--- /dev/null
+++ b/src/changes/reports.hpp
@@ -0,0 +1,52 @@
+// What is said of members upward: by a member itself, and by a relay of all its members at once.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "changes/document.hpp"
+
+namespace tealcart::changes {
+
+constexpr std::size_t max_name = 128, max_why = 256;  // bytes
+
+// Not in the middle of a character of UTF-8, which no JSON would take.
+inline std::string cut(const std::string& text, std::size_t most) {
+    if (text.size() <= most) return text;
+    while (most > 0 && (static_cast<unsigned char>(text[most]) & 0xc0) == 0x80) --most;
+    return text.substr(0, most);
+}
+
+// What a relay says of one member: at its first word, and later where it is an exception.
+struct MemberReport {
+    std::string name;
+    std::uint64_t incarnation = 0;      // a new, greater number at each start
+    Nanos serve_on = 0;                 // after its lease it may act by what it last knew for so long
+    std::uint64_t applied_version = 0;  // the version it acts by; 0: what it was started with
+    std::uint64_t refused = 0;          // the version that it can't take over, 0 for none
+    std::string why;                    // of the refusal; what is longer than `max_why` is cut
+
+    friend bool operator==(const MemberReport&, const MemberReport&) = default;
+};
+
+// What a relay says of all its members at once. Numbered by the relay: one that is no later than the last
+// taken of that incarnation renews nothing and says nothing. A incarnation's first word is `whole`, and so is
+// the first after the relay's lease was over: another is stale, and the relay is to say all.
+struct RelayReport {
+    std::string relay, zone;
+    std::uint64_t incarnation = 0, number = 0;
+    bool whole = false;  // `joined` are all its members
+    std::vector<MemberReport>
+        joined;  // since the last word that the managers took; refusals stand in exceptions
+    std::vector<std::pair<std::string, std::uint64_t>> left,
+        lost;                  // name and incarnation: by farewell; lease over
+    std::uint64_t lowest = 0;  // all its members that are no exception act on this version at least
+    std::vector<MemberReport> exceptions;  // all of them at present, by name
+
+    friend bool operator==(const RelayReport&, const RelayReport&) = default;
+};
+
+}  // namespace tealcart::changes
--- a/src/terms/block_reader.cpp
+++ b/src/config/block_reader.cpp
@@ -1,4 +1,4 @@
-#include "terms/block_reader.hpp"
+#include "config/block_reader.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -13,7 +13,7 @@
 };
 constexpr Unit time_units[] = {{"ns", 1}, {"us", 1e3}, {"ms", 1e6}, {"s", 1e9}, {"m", 60e9}, {"h", 3600e9}};
 constexpr Unit byte_units[] = {{"B", 1}, {"KiB", 1024}, {"MiB", 1 << 20}, {"GiB", 1 << 30}};
-constexpr double longest_span = 365 * 24 * 3600e9, most_bytes = 1e15;
+constexpr double max_span = 365 * 24 * 3600e9, max_bytes = 1e15;
 
 template <std::size_t N>
 bool read_unit(std::string_view text, const Unit (&units)[N], double most, double& value) {
@@ -45,14 +45,14 @@
 
 bool read_span(std::string_view text, Nanos& span) {
     double value = 0;
-    if (!read_unit(text, time_units, longest_span, value)) return false;
+    if (!read_unit(text, time_units, max_span, value)) return false;
     span = std::llround(value);
     return true;
 }
 
 bool read_bytes(std::string_view text, std::uint64_t& bytes) {
     double value = 0;
-    if (!read_unit(text, byte_units, most_bytes, value)) return false;
+    if (!read_unit(text, byte_units, max_bytes, value)) return false;
     bytes = static_cast<std::uint64_t>(value);
     return true;
 }
--- a/src/terms/block_reader.hpp
+++ b/src/config/block_reader.hpp
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
+#include "config/hcl.hpp"
 #include "router/query_router.hpp"
-#include "terms/hcl.hpp"
 
 namespace tealcart {
 
--- a/src/terms/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -1,4 +1,4 @@
-#include "terms/hcl.hpp"
+#include "config/hcl.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -259,7 +259,7 @@
 }
 
 HclBlock parse_hcl(std::string_view text, std::string_view source) {
-    if (text.size() > longest_hcl) throw HclMistakes(source, {{{}, "the file is over 1 MiB"}});
+    if (text.size() > max_hcl) throw HclMistakes(source, {{{}, "the file is over 1 MiB"}});
     if (const auto at = too_deep(text))
         throw HclMistakes(source, {{*at, "blocks, lists or objects too deep in each other"}});
     if (text.find('\0') != text.npos) throw HclMistakes(source, {{{}, "the file holds a zero byte"}});
--- a/src/terms/hcl.hpp
+++ b/src/config/hcl.hpp
@@ -53,8 +53,8 @@
     std::vector<HclMistake> mistakes;
 };
 
-constexpr std::size_t longest_hcl = 1 << 20;  // bytes; and blocks, lists and objects lie at most ...
-constexpr int deepest_hcl = 24;               // ... so deep in each other
+constexpr std::size_t max_hcl = 1 << 20;  // bytes; and blocks, lists and objects lie at most ...
+constexpr int deepest_hcl = 24;           // ... so deep in each other
 
 // The file as one block without a type. Throws HclMistakes with the first thing that can't be read.
 HclBlock parse_hcl(std::string_view text, std::string_view source);
--- a/src/terms/host_port.cpp
+++ b/src/config/host_port.cpp
@@ -1,4 +1,4 @@
-#include "terms/host_port.hpp"
+#include "config/host_port.hpp"
 
 #include <charconv>
 
--- a/src/terms/migration.cpp
+++ b/src/config/migration.cpp
@@ -1,10 +1,10 @@
-#include "terms/migration.hpp"
+#include "config/migration.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-#include "terms/block_reader.hpp"
-#include "terms/operator_terms.hpp"
+#include "config/block_reader.hpp"
+#include "config/operator_config.hpp"
 
 namespace tealcart {
 namespace {
@@ -30,14 +30,15 @@
 }
 
 // Why a two-phase block does not hold at the new deployment, or nothing where it does.
-std::string why_not(const HclBlock& block, const Terms& terms, const std::vector<std::string>& verticals) {
+std::string why_not(const HclBlock& block, const RouterConfig& config,
+                    const std::vector<std::string>& query_classes) {
     if (block.labels.empty()) return "it names no vertical";
-    const auto found = std::find(verticals.begin(), verticals.end(), block.labels[0]);
-    if (found == verticals.end()) return "the new deployment has no vertical '" + block.labels[0] + "'";
-    const VerticalTerms& v = terms.verticals[static_cast<std::size_t>(found - verticals.begin())];
-    if (v.effect != Effect::repeatable)
+    const auto found = std::find(query_classes.begin(), query_classes.end(), block.labels[0]);
+    if (found == query_classes.end()) return "the new deployment has no vertical '" + block.labels[0] + "'";
+    const QueryClassConfig& v = config.query_classes[static_cast<std::size_t>(found - query_classes.begin())];
+    if (v.effect != Effect::idempotent)
         return "'" + block.labels[0] + "' is not repeatable there and can't be put in two phases";
-    if (v.second_step > 0) return "'" + block.labels[0] + "' has a second step there";
+    if (v.second_step_requests > 0) return "'" + block.labels[0] + "' has a second step there";
     return {};
 }
 
@@ -50,22 +51,23 @@
 }  // namespace
 
 Migration migrate(std::string_view old_text, std::string_view source, std::string_view settings) {
-    read_operator_terms(old_text, source);  // all that is wrong with the old file, before anything is written
+    read_operator_config(old_text,
+                         source);  // all that is wrong with the old file, before anything is written
     const HclBlock root = parse_hcl(old_text, source);
-    const Terms terms = read_terms(settings);
-    const LinkTerms link = read_link_terms(settings);
+    const RouterConfig config = read_router_config(settings);
+    const ConnectionConfig link = read_connection_config(settings);
 
     Migration m;
-    m.stated.push_back("parts in one call: " + std::to_string(terms.parts_a_call));
-    m.stated.push_back("a call's own cost: " + ms_text(terms.call_cost));
+    m.stated.push_back("parts in one call: " + std::to_string(config.max_requests_per_call));
+    m.stated.push_back("a call's own cost: " + ms_text(config.call_overhead));
     m.stated.push_back(std::string("the list of data nodes: ") +
-                       (terms.discovery == Discovery::ask ? "asked for" : "pushed"));
-    m.stated.push_back("drains kept within " + ms_text(terms.drain_grace));
-    if (terms.budgeted) {
+                       (config.discovery == Discovery::poll ? "asked for" : "pushed"));
+    m.stated.push_back("drains kept within " + ms_text(config.drain_grace));
+    if (config.retry_budget_enabled) {
         char budget[96];
         std::snprintf(budget, sizeof budget, "further leaf calls: %g + %g a request within ",
-                      terms.budget_free, terms.resend_ratio);
-        m.stated.push_back(budget + ms_text(terms.budget_window));
+                      config.retry_budget_free, config.retry_budget_ratio);
+        m.stated.push_back(budget + ms_text(config.retry_budget_window));
     }
 
     const auto lines = split_lines(old_text);
@@ -73,7 +75,7 @@
     std::vector<char> out(lines.size(), 0);  // lines left out
     for (const HclBlock& block : root.blocks) {
         if (block.type != "two_phase") continue;
-        const std::string why = why_not(block, terms, link.verticals);
+        const std::string why = why_not(block, config, link.query_classes);
         if (why.empty()) continue;
         m.left.push_back({block.at, why});
         const auto next = std::upper_bound(starts.begin(), starts.end(), block.at.line);
@@ -90,12 +92,12 @@
     }
     const bool has_calls =
         std::any_of(root.blocks.begin(), root.blocks.end(), [](auto& b) { return b.type == "calls"; });
-    if (!has_calls && (terms.parts_a_call > 1 || terms.call_cost > 0))
+    if (!has_calls && (config.max_requests_per_call > 1 || config.call_overhead > 0))
         m.text +=
             "\n# As the new deployment's settings state; stated here, they hold whatever the settings say.\n"
             "# calls {\n#   parts = " +
-            std::to_string(terms.parts_a_call) + "\n#   cost  = \"" + write_span(terms.call_cost) +
-            "\"\n# }\n";
+            std::to_string(config.max_requests_per_call) + "\n#   cost  = \"" +
+            write_span(config.call_overhead) + "\"\n# }\n";
     return m;
 }
 
--- a/src/terms/migration.hpp
+++ b/src/config/migration.hpp
@@ -6,8 +6,8 @@
 #include <string_view>
 #include <vector>
 
-#include "terms/hcl.hpp"
-#include "terms/terms_text.hpp"
+#include "config/hcl.hpp"
+#include "config/router_config_reader.hpp"
 
 namespace tealcart {
 
--- a/src/terms/operator_terms.cpp
+++ b/src/config/operator_config.cpp
@@ -1,11 +1,11 @@
-#include "terms/operator_terms.hpp"
+#include "config/operator_config.hpp"
 
 #include <algorithm>
 #include <fstream>
 #include <iterator>
 
-#include "terms/block_reader.hpp"
-#include "terms/host_port.hpp"
+#include "config/block_reader.hpp"
+#include "config/host_port.hpp"
 
 namespace tealcart {
 namespace {
@@ -16,14 +16,14 @@
     BlockReader in(block, mistakes);
     StatedPhases stated;
     stated.at = block.at;
-    stated.vertical = in.label("the vertical's name");
-    PhaseTerms& t = stated.terms;
+    stated.query_class = in.label("the vertical's name");
+    TwoPhaseConfig& t = stated.config;
     t.on = true;
     t.share = in.number("share", t.share, 0.01, 0.9);
     t.least = in.span("least", t.least, ms, 3600 * second);
     t.most = in.span("most", t.most, ms, 3600 * second);
     t.keep = in.span("keep", t.keep, 0, 3600 * second);
-    t.most_rows = static_cast<int>(in.whole("most_rows", t.most_rows, 1, most_words_rows));
+    t.max_rows = static_cast<int>(in.whole("most_rows", t.max_rows, 1, max_words_rows));
     t.audit = in.number("audit", t.audit, 0, 1);
     t.remember = in.flag("remember", t.remember);
     if (t.least > t.most) in.wrong(block.at, "'least' is over 'most'");
@@ -31,10 +31,10 @@
     return stated;
 }
 
-ControlTerms read_control(const HclBlock& block, std::vector<HclMistake>& mistakes) {
+ControlConfig read_control(const HclBlock& block, std::vector<HclMistake>& mistakes) {
     BlockReader in(block, mistakes);
     in.no_label();
-    ControlTerms t;
+    ControlConfig t;
     t.on = true;
     t.listen = in.text("listen", t.listen);
     if (!read_host_port(t.listen)) in.wrong(block.at, "'listen' is no address with a port");
@@ -46,15 +46,15 @@
     t.ack_wait = in.span("ack_wait", t.ack_wait, 10 * ms, 60 * second);
     t.leave_grace = in.span("leave_grace", t.leave_grace, 0, 3600 * second);
     t.yield_after = in.span("yield_after", t.yield_after, 0, 3600 * second);
-    t.most_proxies = static_cast<int>(in.whole("most_proxies", t.most_proxies, 1, 1'000'000));
+    t.max_proxies = static_cast<int>(in.whole("most_proxies", t.max_proxies, 1, 1'000'000));
     in.finish();
     return t;
 }
 
-MemberTerms read_member(const HclBlock& block, std::vector<HclMistake>& mistakes) {
+MemberConfig read_member(const HclBlock& block, std::vector<HclMistake>& mistakes) {
     BlockReader in(block, mistakes);
     in.no_label();
-    MemberTerms t;
+    MemberConfig t;
     const auto name = [&](const char* attribute) {
         std::string text = in.text(attribute, "");
         if (text.size() > 128 ||
@@ -75,10 +75,10 @@
         }
         return read;
     };
-    t.stewards = addresses("stewards", "steward");
+    t.managers = addresses("stewards", "steward");
     t.relays = addresses("relays", "relay");
-    t.on = !t.stewards.empty();
-    if (t.stewards.empty() && t.relays.empty()) in.wrong(block.at, "'stewards' and 'relays' name none");
+    t.on = !t.managers.empty();
+    if (t.managers.empty() && t.relays.empty()) in.wrong(block.at, "'stewards' and 'relays' name none");
     t.serve_on = in.span("serve_on", t.serve_on, 0, 365 * 24 * 3600 * second);
     t.then_stop = in.choice("then", 0, {"leave", "stop"}) == 1;
     t.first_word = in.span("first_word", t.first_word, 0, 3600 * second);
@@ -89,97 +89,98 @@
 
 }  // namespace
 
-OperatorTerms read_operator_terms(std::string_view text, std::string_view source) {
-    OperatorTerms terms = read_operator_terms(parse_hcl(text, source), source);
-    terms.text = text;
-    return terms;
+OperatorConfig read_operator_config(std::string_view text, std::string_view source) {
+    OperatorConfig config = read_operator_config(parse_hcl(text, source), source);
+    config.text = text;
+    return config;
 }
 
-OperatorTerms read_operator_terms(const HclBlock& root, std::string_view source) {
+OperatorConfig read_operator_config(const HclBlock& root, std::string_view source) {
     std::vector<HclMistake> mistakes;
-    OperatorTerms terms;
-    terms.source = source;
+    OperatorConfig config;
+    config.source = source;
     BlockReader in(root, mistakes);
     if (const HclBlock* log = in.only_block("log")) {
         BlockReader of(*log, mistakes);
         of.no_label();
-        terms.log.form = static_cast<LogForm>(of.choice("format", 0, {"text", "json"}));
-        terms.log.level = static_cast<LogLevel>(of.choice("level", 1, {"debug", "info", "warn", "error"}));
+        config.log.form = static_cast<LogForm>(of.choice("format", 0, {"text", "json"}));
+        config.log.level = static_cast<LogLevel>(of.choice("level", 1, {"debug", "info", "warn", "error"}));
         of.finish();
     }
     if (const HclBlock* memory = in.only_block("section_memory")) {
         BlockReader of(*memory, mistakes);
         of.no_label();
-        MemoryTerms& m = terms.memory;
+        SectionMemoryConfig& m = config.memory;
         m.bytes = of.bytes("bytes", m.bytes, 4096, 1ULL << 30);
-        m.longest_lease = of.span("longest_lease", m.longest_lease, ms, 3600 * second);
+        m.max_lease = of.span("longest_lease", m.max_lease, ms, 3600 * second);
         m.distrust = of.span("distrust", m.distrust, second, 24 * 3600 * second);
         of.finish();
     }
-    if (const HclBlock* control = in.only_block("control")) terms.control = read_control(*control, mistakes);
-    if (const HclBlock* member = in.only_block("member")) terms.member = read_member(*member, mistakes);
+    if (const HclBlock* control = in.only_block("control")) config.control = read_control(*control, mistakes);
+    if (const HclBlock* member = in.only_block("member")) config.member = read_member(*member, mistakes);
     if (const HclBlock* calls = in.only_block("calls")) {
         BlockReader of(*calls, mistakes);
         of.no_label();
-        CallTerms& c = terms.calls;
+        CallConfig& c = config.calls;
         c.stated = true;
-        c.parts = static_cast<int>(of.whole("parts", c.parts, 1, 1024));
+        c.shard_requests = static_cast<int>(of.whole("parts", c.shard_requests, 1, 1024));
         c.cost = of.span("cost", c.cost, 0, 60 * second);
         of.finish();
     }
     for (const HclBlock* block : in.blocks("two_phase")) {
         StatedPhases stated = read_phases(*block, mistakes);
-        for (const StatedPhases& other : terms.phases)
-            if (other.vertical == stated.vertical && !stated.vertical.empty())
-                in.wrong(block->at, "a second 'two_phase' block for '" + stated.vertical + "'");
-        terms.phases.push_back(std::move(stated));
+        for (const StatedPhases& other : config.phases)
+            if (other.query_class == stated.query_class && !stated.query_class.empty())
+                in.wrong(block->at, "a second 'two_phase' block for '" + stated.query_class + "'");
+        config.phases.push_back(std::move(stated));
     }
     in.finish();
-    if (mistakes.empty()) return terms;
+    if (mistakes.empty()) return config;
     std::stable_sort(mistakes.begin(), mistakes.end(), [](const HclMistake& a, const HclMistake& b) {
         return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
     });
     throw HclMistakes(source, std::move(mistakes));
 }
 
-void follow_calls(const CallTerms& calls, Terms& terms, LinkTerms& link) {
+void follow_calls(const CallConfig& calls, RouterConfig& config, ConnectionConfig& link) {
     if (!calls.stated) return;
-    terms.parts_a_call = link.parts_a_call = calls.parts;
-    terms.call_cost = calls.cost;
+    config.max_requests_per_call = link.max_requests_per_call = calls.shard_requests;
+    config.call_overhead = calls.cost;
 }
 
-OperatorTerms read_operator_file(const std::string& path) {
+OperatorConfig read_operator_file(const std::string& path) {
     std::ifstream file(path);
     std::string text{std::istreambuf_iterator<char>(file), {}};
     if (!file) throw Malformed("the operators' file " + path + " can't be read");
-    return read_operator_terms(text, path);
+    return read_operator_config(text, path);
 }
 
-std::optional<std::size_t> phased_vertical(const StatedPhases& stated, const Terms& terms,
-                                           const std::vector<std::string>& verticals,
-                                           std::vector<HclMistake>& mistakes) {
-    const auto found = std::find(verticals.begin(), verticals.end(), stated.vertical);
-    const auto v = static_cast<std::size_t>(found - verticals.begin());
+std::optional<std::size_t> two_phase_query_class(const StatedPhases& stated, const RouterConfig& config,
+                                                 const std::vector<std::string>& query_classes,
+                                                 std::vector<HclMistake>& mistakes) {
+    const auto found = std::find(query_classes.begin(), query_classes.end(), stated.query_class);
+    const auto v = static_cast<std::size_t>(found - query_classes.begin());
     const std::size_t before = mistakes.size();
-    if (found == verticals.end())
-        mistakes.push_back({stated.at, "the settings name no vertical '" + stated.vertical + "'"});
-    else if (terms.verticals[v].effect != Effect::repeatable)
+    if (found == query_classes.end())
+        mistakes.push_back({stated.at, "the settings name no vertical '" + stated.query_class + "'"});
+    else if (config.query_classes[v].effect != Effect::idempotent)
         mistakes.push_back(
-            {stated.at, "'" + stated.vertical + "' is not repeatable and can't be put in two phases"});
-    else if (terms.verticals[v].second_step > 0)
+            {stated.at, "'" + stated.query_class + "' is not repeatable and can't be put in two phases"});
+    else if (config.query_classes[v].second_step_requests > 0)
         mistakes.push_back(
-            {stated.at, "'" + stated.vertical + "' has a second step and can't be put in two phases"});
+            {stated.at, "'" + stated.query_class + "' has a second step and can't be put in two phases"});
     return mistakes.size() == before ? std::optional(v) : std::nullopt;
 }
 
-std::vector<PhaseTerms> phases_by_vertical(const OperatorTerms& stated, const Terms& terms,
-                                           const std::vector<std::string>& verticals) {
-    std::vector<PhaseTerms> by_vertical(verticals.size());
+std::vector<TwoPhaseConfig> two_phase_by_query_class(const OperatorConfig& stated, const RouterConfig& config,
+                                                     const std::vector<std::string>& query_classes) {
+    std::vector<TwoPhaseConfig> by_query_class(query_classes.size());
     std::vector<HclMistake> mistakes;
     for (const StatedPhases& s : stated.phases)
-        if (const auto v = phased_vertical(s, terms, verticals, mistakes)) by_vertical[*v] = s.terms;
+        if (const auto v = two_phase_query_class(s, config, query_classes, mistakes))
+            by_query_class[*v] = s.config;
     if (!mistakes.empty()) throw HclMistakes(stated.source, std::move(mistakes));
-    return by_vertical;
+    return by_query_class;
 }
 
 }  // namespace tealcart
--- a/src/control/control_terms.hpp
+++ b/src/control/control_config.hpp
@@ -8,7 +8,7 @@
 
 namespace tealcart {
 
-struct ControlTerms {
+struct ControlConfig {
     bool on = false;
     std::string listen = "127.0.0.1:18000";
     int node_limit = 64;  // requests that a warm data node may have in hand from all proxies together
@@ -21,7 +21,7 @@
     Nanos leave_grace = 30'000'000'000;  // a proxy that left may go by what it was told for so long
     Nanos yield_after =
         5'000'000'000;  // for so long a proxy that knows of a newer list is told nothing older
-    int most_proxies = 4096;
+    int max_proxies = 4096;
 };
 
 }  // namespace tealcart
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -17,11 +17,11 @@
 
 }  // namespace
 
-Controller::Controller(const Terms& terms, const std::vector<std::string>& verticals,
-                       const ControlTerms& control, const ResourceEncoder& encoder, std::uint64_t seed,
+Controller::Controller(const RouterConfig& config, const std::vector<std::string>& query_classes,
+                       const ControlConfig& control, const ResourceEncoder& encoder, std::uint64_t seed,
                        std::uint64_t epoch)
-    : control_(control), encoder_(encoder), epoch_(epoch), decider_(terms, verticals, control, seed),
-      shares_(static_cast<std::size_t>(terms.places)) {
+    : control_(control), encoder_(encoder), epoch_(epoch), decider_(config, query_classes, control, seed),
+      shares_(static_cast<std::size_t>(config.places)) {
     decide(0);
 }
 
@@ -53,8 +53,8 @@
         }
         if (first) resources_[at(XdsType::cluster)][name] = nullptr;
     }
-    if (first || !(decisions_.verticals == made.verticals))
-        for (const VerticalRoute& v : made.verticals) {
+    if (first || !(decisions_.query_classes == made.query_classes))
+        for (const QueryClassRoute& v : made.query_classes) {
             resources_[at(XdsType::listener)][v.name] = encoder_.listener(v, version());
             resources_[at(XdsType::route)][v.name] = encoder_.route(v, made.pools.size(), version());
             encoded_ += 2;
@@ -156,7 +156,7 @@
     Stream& stream = found->second;
     if (stream.node.empty()) {
         if (node.empty()) return Refusal::no_node;
-        if (!by_node_.contains(node) && by_node_.size() >= static_cast<std::size_t>(control_.most_proxies))
+        if (!by_node_.contains(node) && by_node_.size() >= static_cast<std::size_t>(control_.max_proxies))
             return Refusal::full;
         stream.node = node;
         // The same node on another stream has connected anew; the old one has not noticed yet.
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -22,8 +22,9 @@
     enum class Refusal : std::uint8_t { none, no_node, other_node, unknown_type, too_many, full };
 
     // `epoch`: another at each start, growing (ms since the Unix epoch).
-    Controller(const Terms& terms, const std::vector<std::string>& verticals, const ControlTerms& control,
-               const ResourceEncoder& encoder, std::uint64_t seed, std::uint64_t epoch);
+    Controller(const RouterConfig& config, const std::vector<std::string>& query_classes,
+               const ControlConfig& control, const ResourceEncoder& encoder, std::uint64_t seed,
+               std::uint64_t epoch);
 
     void take_list(const TargetList& list, Nanos now);
     // What time alone changes: ramps, graces, waits for acknowledgements.
@@ -73,7 +74,7 @@
     static void forget_name(Subscribers& subscribers, const std::string& name, StreamId id);
     void index_stream(StreamId id, const Stream& stream, XdsType type, const ProxyStream::NameChange& names);
 
-    const ControlTerms control_;
+    const ControlConfig control_;
     const ResourceEncoder& encoder_;
     const std::uint64_t epoch_;
     Decider decider_;
--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -10,40 +10,41 @@
 constexpr double weight_step =
     5;  // a ramp climbs by so much at a time, so that proxies aren't told of every instant
 
-class ListNews final : public Arrivals {
+class ListNews final : public RoundEvents {
   public:
-    ListNews(ListKind kind, std::vector<NodeEntry> entries) : kind_(kind), entries_(std::move(entries)) {}
-    void play(ArrivalHandler& handler) override { handler.on_nodes(kind_, entries_); }
+    ListNews(ListKind kind, std::vector<Endpoint> entries) : kind_(kind), entries_(std::move(entries)) {}
+    void play(RoundEventHandler& handler) override { handler.on_nodes(kind_, entries_); }
 
   private:
     ListKind kind_;
-    std::vector<NodeEntry> entries_;
+    std::vector<Endpoint> entries_;
 };
 
 // The module hears of lists here and is asked for its judgement; it has no queries to decide on.
-class NoQueries final : public DecisionWriter {
+class NoQueries final : public DecisionSink {
   public:
-    void deliver(std::uint32_t, std::uint32_t, Nanos) override {}
+    void send_attempt(std::uint32_t, std::uint32_t, Nanos) override {}
     void cancel(std::uint32_t, std::uint8_t) override {}
     void answer(std::uint32_t, bool) override {}
     void reject(std::uint32_t, Nanos) override {}
-    void abort(std::uint32_t) override {}
-    void wake(std::uint64_t, Nanos) override {}
-    void listen() override {}
+    void fail_query(std::uint32_t) override {}
+    void set_timer(std::uint64_t, Nanos) override {}
+    void watch_endpoints() override {}
     void log(const std::string&) override {}
 };
 
 }  // namespace
 
-Decider::Decider(const Terms& terms, const std::vector<std::string>& verticals, const ControlTerms& control,
-                 std::uint64_t seed)
-    : verticals_(verticals), terms_(terms.verticals), control_(control),
-      places_(static_cast<std::uint32_t>(terms.places)), width_(static_cast<std::uint32_t>(terms.width)),
-      drain_grace_(terms.drain_grace), module_(terms, seed) {}
+Decider::Decider(const RouterConfig& config, const std::vector<std::string>& query_classes,
+                 const ControlConfig& control, std::uint64_t seed)
+    : query_classes_(query_classes), config_(config.query_classes), control_(control),
+      places_(static_cast<std::uint32_t>(config.places)),
+      width_(static_cast<std::uint32_t>(config.replicas_per_shard)), drain_grace_(config.drain_grace),
+      module_(config, seed) {}
 
 std::size_t Decider::ready() const {
     return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), [](const auto& n) {
-        return n.second.gone_since == 0 && n.second.listed.availability == Availability::ready;
+        return n.second.gone_since == 0 && n.second.listed.lifecycle == Lifecycle::ready;
     }));
 }
 
@@ -58,27 +59,27 @@
     std::vector<std::string> gone;
     for (auto& [id, node] : nodes_) {
         const auto at = named.find(id);
-        const bool goes = at == named.end() ? list.whole : at->second->availability == Availability::gone;
+        const bool goes = at == named.end() ? list.whole : at->second->lifecycle == Lifecycle::removed;
         if (goes && node.gone_since == 0) gone.push_back(id);
     }
     for (const auto& [id, entry] : named) {
-        if (entry->availability == Availability::gone) continue;
+        if (entry->lifecycle == Lifecycle::removed) continue;
         const auto [at, fresh] = nodes_.try_emplace(id);
         Node& node = at->second;
         if (fresh) node.number = next_number_++;
         const bool anew = fresh || node.listed.started_at != entry->started_at;
         node.listed = *entry;
         node.gone_since = 0;
-        const bool drains = entry->availability == Availability::draining;
+        const bool drains = entry->lifecycle == Lifecycle::draining;
         if (!drains || anew) node.drains_since = 0;
         if (drains && node.drains_since == 0) node.drains_since = now_;
     }
-    while (!most_ready_.empty() && most_ready_.front().first < now_ - control_.panic_window)
-        most_ready_.pop_front();
+    while (!max_ready_.empty() && max_ready_.front().first < now_ - control_.panic_window)
+        max_ready_.pop_front();
     std::size_t going = 0;
-    for (const std::string& id : gone) going += nodes_[id].listed.availability == Availability::ready;
+    for (const std::string& id : gone) going += nodes_[id].listed.lifecycle == Lifecycle::ready;
     const std::size_t before = ready(),
-                      most = std::max(before, most_ready_.empty() ? 0 : most_ready_.front().second);
+                      most = std::max(before, max_ready_.empty() ? 0 : max_ready_.front().second);
     const std::size_t left = before - going;
     if (going > 0 && static_cast<double>(left) < control_.panic * static_cast<double>(most)) {
         if (panic_until_ == 0) {
@@ -97,17 +98,16 @@
             std::erase_if(nodes_, [](const auto& n) { return n.second.gone_since > 0; });
         }
     }
-    while (!most_ready_.empty() && most_ready_.back().second <= ready()) most_ready_.pop_back();
-    most_ready_.emplace_back(now_, ready());
-    judge(now_);
+    while (!max_ready_.empty() && max_ready_.back().second <= ready()) max_ready_.pop_back();
+    max_ready_.emplace_back(now_, ready());
+    capacity_shares(now_);
 }
 
 // Which nodes are cold, and by how much, is the module's to say.
-void Decider::judge(Nanos now) {
-    std::vector<NodeEntry> entries;
+void Decider::capacity_shares(Nanos now) {
+    std::vector<Endpoint> entries;
     for (const auto& [id, node] : nodes_)
-        entries.push_back(
-            {node.number, node.listed.place, node.listed.availability, node.listed.started_at, 0});
+        entries.push_back({node.number, node.listed.place, node.listed.lifecycle, node.listed.started_at, 0});
     ListNews news(ListKind::full, std::move(entries));
     NoQueries none;
     module_.round(now, news, none);
@@ -120,12 +120,12 @@
         lines_.push_back("what went from the list stays away: " + std::to_string(ready()) +
                          " data nodes are left");
         std::erase_if(nodes_, [](const auto& n) { return n.second.gone_since > 0; });
-        most_ready_.clear();
-        judge(now_);
+        max_ready_.clear();
+        capacity_shares(now_);
     }
     share_.clear();
     bool ramps = false;
-    for (const NodeJudgement& j : module_.judge(now_)) {
+    for (const NodeCapacityShare& j : module_.capacity_shares(now_)) {
         share_[j.node] = j.share;
         ramps |= j.share < 1;
     }
@@ -162,10 +162,10 @@
                 pool.limit += static_cast<std::uint32_t>(std::max(1.0, control_.node_limit * of_warm));
         }
     }
-    for (std::size_t v = 0; v < verticals_.size(); ++v) {
-        const RepeatTerms repeats = module_.repeats(static_cast<std::uint16_t>(v));
-        made.verticals.push_back(
-            {verticals_[v], terms_[v].deadline, terms_[v].slo, repeats.most_calls, repeats.within});
+    for (std::size_t v = 0; v < query_classes_.size(); ++v) {
+        const RetryLimits retry_limits = module_.retry_limits(static_cast<std::uint16_t>(v));
+        made.query_classes.push_back({query_classes_[v], config_[v].deadline, config_[v].latency_objective,
+                                      retry_limits.max_attempts, retry_limits.within});
     }
     return made;
 }
--- a/src/control/decisions.hpp
+++ b/src/control/decisions.hpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "control/control_terms.hpp"
+#include "control/control_config.hpp"
 #include "router/query_router.hpp"
 #include "wire/bodies.hpp"
 
@@ -32,26 +32,26 @@
     friend bool operator==(const Pool&, const Pool&) = default;
 };
 
-// What a proxy may do with a part of a vertical.
-struct VerticalRoute {
+// What a proxy may do with a shard request of a query class.
+struct QueryClassRoute {
     std::string name;
-    Nanos timeout = 0, slo = 0;
-    int tries = 1;      // leaf calls of one part
+    Nanos timeout = 0, latency_objective = 0;
+    int tries = 1;      // leaf calls of one shard request
     Nanos try_for = 0;  // a further one may begin within this; 0: no bound of its own
 
-    friend bool operator==(const VerticalRoute&, const VerticalRoute&) = default;
+    friend bool operator==(const QueryClassRoute&, const QueryClassRoute&) = default;
 };
 
 struct Decisions {
     std::uint64_t generation = 0;  // of the list they are made from
     std::vector<Pool> pools;       // by place
-    std::vector<VerticalRoute> verticals;
+    std::vector<QueryClassRoute> query_classes;
 };
 
 class Decider {
   public:
-    Decider(const Terms& terms, const std::vector<std::string>& verticals, const ControlTerms& control,
-            std::uint64_t seed);
+    Decider(const RouterConfig& config, const std::vector<std::string>& query_classes,
+            const ControlConfig& control, std::uint64_t seed);
 
     // A list as discovery tells it. Lines for the log are kept until taken.
     void take(const TargetList& list, Nanos now);
@@ -72,18 +72,18 @@
         Nanos gone_since = 0;      // kept while a list is not believed
     };
 
-    void judge(Nanos now);
+    void capacity_shares(Nanos now);
     std::size_t ready() const;
 
-    const std::vector<std::string> verticals_;
-    const std::vector<VerticalTerms> terms_;
-    const ControlTerms control_;
+    const std::vector<std::string> query_classes_;
+    const std::vector<QueryClassConfig> config_;
+    const ControlConfig control_;
     const std::uint32_t places_, width_;
     const Nanos drain_grace_;
     QueryRouter module_;
     std::map<std::string, Node> nodes_;
-    std::map<std::uint32_t, double> share_;                 // of a warm node's load, by the module's number
-    std::deque<std::pair<Nanos, std::size_t>> most_ready_;  // counts in the window, falling
+    std::map<std::uint32_t, double> share_;                // of a warm node's load, by the module's number
+    std::deque<std::pair<Nanos, std::size_t>> max_ready_;  // counts in the window, falling
     std::vector<std::string> lines_;
     std::uint64_t generation_ = 0;
     std::uint32_t next_number_ = 0;
--- a/src/control/proxy_stream.cpp
+++ b/src/control/proxy_stream.cpp
@@ -19,8 +19,8 @@
     told = 0;
     const auto type = type_of(said.type_url);
     if (!type) return Heard::unknown_type;
-    if (said.names.size() > most_names || said.subscribe.size() > most_names ||
-        said.initial_versions.size() > most_names)
+    if (said.names.size() > max_names || said.subscribe.size() > max_names ||
+        said.initial_versions.size() > max_names)
         return Heard::too_many;
     Of& of = of_[index(*type)];
     of_[index(XdsType::cluster)].looked = of_[index(XdsType::endpoint)].looked =
@@ -43,7 +43,7 @@
     of.looked &= !first && !said.rejects;
     delta_ ? hear_delta(of, *type, said, first, names) : hear_whole(of, *type, said, first, names);
     of.looked &= said.subscribe.empty() && said.unsubscribe.empty();
-    return of.names.size() > most_names ? Heard::too_many : heard;
+    return of.names.size() > max_names ? Heard::too_many : heard;
 }
 
 void ProxyStream::hear_whole(Of& of, XdsType type, const FromProxy& said, bool first, NameChange& change) {
--- a/src/control/proxy_stream.hpp
+++ b/src/control/proxy_stream.hpp
@@ -61,7 +61,7 @@
     // Nothing is under way, and all that it subscribed to was told as `view` has it.
     bool settled(const XdsView& view) const;
 
-    static constexpr std::size_t most_names = 20'000;  // that one proxy may name for a type
+    static constexpr std::size_t max_names = 20'000;  // that one proxy may name for a type
 
   private:
     struct Held {
--- a/src/control/resources.hpp
+++ b/src/control/resources.hpp
@@ -45,8 +45,8 @@
     virtual ResourcePtr cluster(std::uint32_t pool, std::uint32_t limit,
                                 const std::string& version) const = 0;
     virtual ResourcePtr endpoints(std::uint32_t pool, const Pool& what, const std::string& version) const = 0;
-    virtual ResourcePtr listener(const VerticalRoute& of, const std::string& version) const = 0;
-    virtual ResourcePtr route(const VerticalRoute& of, std::size_t pools,
+    virtual ResourcePtr listener(const QueryClassRoute& of, const std::string& version) const = 0;
+    virtual ResourcePtr route(const QueryClassRoute& of, std::size_t pools,
                               const std::string& version) const = 0;
 };
 std::string pool_name(std::uint32_t pool);
--- a/src/fleet/fleet_bytes.cpp
+++ b/src/fleet/fleet_codec.cpp
@@ -23,7 +23,7 @@
     return {of(b.nodes),
             of(b.nodes_a_zone),
             of(b.nodes_a_kind),
-            b.least_holders,
+            b.min_holders,
             of(b.routers),
             of(b.routers_a_zone),
             b.lease,
@@ -35,18 +35,18 @@
             b.halt_lost,
             b.halt_holders,
             b.silent_share,
-            b.most_open,
-            b.most_remembered};
+            b.max_open,
+            b.max_remembered};
 }
 Budgets budgets_of(const json& j) {
     Budgets b;
     b.nodes = limit_of(j.at(0)), b.nodes_a_zone = limit_of(j.at(1)), b.nodes_a_kind = limit_of(j.at(2));
-    b.least_holders = j.at(3);
+    b.min_holders = j.at(3);
     b.routers = limit_of(j.at(4)), b.routers_a_zone = limit_of(j.at(5));
     b.lease = j.at(6), b.drift = j.at(7), b.forget = j.at(8), b.wait_for_lost = j.at(9);
     b.halt_failed = j.at(10), b.halt_failed_least = j.at(11), b.halt_lost = j.at(12);
-    b.halt_holders = j.at(13), b.silent_share = j.at(14), b.most_open = j.at(15);
-    b.most_remembered = j.at(16);
+    b.halt_holders = j.at(13), b.silent_share = j.at(14), b.max_open = j.at(15);
+    b.max_remembered = j.at(16);
     return b;
 }
 
@@ -56,22 +56,24 @@
             static_cast<Health>(j.at(3).get<int>()), j.at(4)};
 }
 
-json of(const Word& w) {
-    json in_hand = json::array();
-    for (const Target& t : w.in_hand) in_hand.push_back(of(t));
-    return {w.acts_on, std::move(in_hand), w.silent, w.queries, w.failed};
+json of(const MemberReport& w) {
+    json in_flight = json::array();
+    for (const Target& t : w.in_flight) in_flight.push_back(of(t));
+    return {w.applied_generation, std::move(in_flight), w.silent, w.queries, w.failed};
 }
-Word word_of(const json& j) {
-    Word w{j.at(0), {}, j.at(2).get<std::set<std::string>>(), j.at(3), j.at(4)};
-    for (const json& t : j.at(1)) w.in_hand.insert(target_of(t));
+MemberReport word_of(const json& j) {
+    MemberReport w{j.at(0), {}, j.at(2).get<std::set<std::string>>(), j.at(3), j.at(4)};
+    for (const json& t : j.at(1)) w.in_flight.insert(target_of(t));
     return w;
 }
 
-json of(const Join& c) { return {c.name, int(c.role), c.zone, c.version, c.digest, c.life, c.serve_on}; }
+json of(const Join& c) {
+    return {c.name, int(c.role), c.zone, c.version, c.digest, c.incarnation, c.serve_on};
+}
 Join join_of(const json& j) {
     return {j.at(0), static_cast<Role>(j.at(1).get<int>()), j.at(2), j.at(3), j.at(4), j.at(5), j.at(6)};
 }
-json of(const Renew& c) { return {c.name, c.life, of(c.word)}; }
+json of(const Renew& c) { return {c.name, c.incarnation, of(c.word)}; }
 Renew renew_of(const json& j) { return {j.at(0), j.at(1), word_of(j.at(2))}; }
 
 json of(const std::map<std::string, Node>& nodes) {
@@ -89,16 +91,18 @@
 struct Writer {
     json operator()(const Join& c) const { return {"join", of(c)}; }
     json operator()(const Renew& c) const { return {"renew", of(c)}; }
-    json operator()(const Leave& c) const { return {"leave", json{c.name, c.life}}; }
+    json operator()(const Leave& c) const { return {"leave", json{c.name, c.incarnation}}; }
     json operator()(const Forget& c) const { return {"forget", json::array({c.name})}; }
-    json operator()(const NodesSeen& c) const { return {"nodes", json{of(c.nodes), c.whole, c.gone}}; }
-    json operator()(const Ask& c) const { return {"ask", json{c.asker, of(c.target)}}; }
+    json operator()(const EndpointsObserved& c) const {
+        return {"nodes", json{of(c.nodes), c.whole, c.gone}};
+    }
+    json operator()(const RequestRemoval& c) const { return {"ask", json{c.asker, of(c.target)}}; }
     json operator()(const Undo& c) const { return {"undo", json::array({c.request})}; }
     json operator()(const Halt& c) const { return {"halt", json::array({c.why})}; }
     json operator()(const Resume&) const { return {"resume", json::array()}; }
     json operator()(const Tick&) const { return {"tick", json::array()}; }
-    json operator()(const Allow& c) const { return {"allow", of(c.budgets)}; }
-    json operator()(const Words& c) const {
+    json operator()(const SetBudgets& c) const { return {"allow", of(c.budgets)}; }
+    json operator()(const ReportBatch& c) const {
         json joins = json::array(), renewals = json::array();
         for (const Join& j : c.joins) joins.push_back(of(j));
         for (const Renew& r : c.renewals) renewals.push_back(of(r));
@@ -111,15 +115,16 @@
     if (word == "renew") return renew_of(j);
     if (word == "leave") return Leave{j.at(0), j.at(1)};
     if (word == "forget") return Forget{j.at(0)};
-    if (word == "nodes") return NodesSeen{nodes_of(j.at(0)), j.at(1), j.at(2).get<std::set<std::string>>()};
-    if (word == "ask") return Ask{j.at(0), target_of(j.at(1))};
+    if (word == "nodes")
+        return EndpointsObserved{nodes_of(j.at(0)), j.at(1), j.at(2).get<std::set<std::string>>()};
+    if (word == "ask") return RequestRemoval{j.at(0), target_of(j.at(1))};
     if (word == "undo") return Undo{j.at(0)};
     if (word == "halt") return Halt{j.at(0)};
     if (word == "resume") return Resume{};
     if (word == "tick") return Tick{};
-    if (word == "allow") return Allow{budgets_of(j)};
+    if (word == "allow") return SetBudgets{budgets_of(j)};
     if (word == "words") {
-        Words all;
+        ReportBatch all;
         for (const json& one : j.at(0)) all.joins.push_back(join_of(one));
         for (const json& one : j.at(1)) all.renewals.push_back(renew_of(one));
         return all;
@@ -172,12 +177,12 @@
         to.array(10);
         to.number(static_cast<std::uint64_t>(m.role));
         to.text(m.zone), to.text(m.version), to.text(m.digest);
-        to.number(m.life), to.number(m.serve_on), to.number(m.lease_until);
+        to.number(m.incarnation), to.number(m.serve_on), to.number(m.lease_until);
         to.flag(m.lost), to.flag(m.left);
         to.array(5);
-        to.number(m.word.acts_on);
-        to.array(m.word.in_hand.size());
-        for (const Target& t : m.word.in_hand) to.array(2), to.flag(t.router), to.text(t.name);
+        to.number(m.word.applied_generation);
+        to.array(m.word.in_flight.size());
+        for (const Target& t : m.word.in_flight) to.array(2), to.flag(t.router), to.text(t.name);
         to.array(m.word.silent.size());
         for (const std::string& node : m.word.silent) to.text(node);
         to.number(m.word.queries), to.number(m.word.failed);
@@ -273,14 +278,14 @@
         Member& m = members.emplace_hint(members.end(), name, Member{})->second;
         m.role = static_cast<Role>(from.number());
         m.zone = from.text(), m.version = from.text(), m.digest = from.text();
-        m.life = from.number(), m.serve_on = from.whole(), m.lease_until = from.whole();
+        m.incarnation = from.number(), m.serve_on = from.whole(), m.lease_until = from.whole();
         m.lost = from.flag(), m.left = from.flag();
         from.array(5);
-        m.word.acts_on = from.number();
+        m.word.applied_generation = from.number();
         for (std::size_t targets = from.array(); targets > 0; --targets) {
             from.array(2);
             const bool router = from.flag();
-            m.word.in_hand.insert({router, from.text()});
+            m.word.in_flight.insert({router, from.text()});
         }
         for (std::size_t silent = from.array(); silent > 0; --silent) m.word.silent.insert(from.text());
         m.word.queries = from.number(), m.word.failed = from.number();
@@ -321,7 +326,7 @@
     json requests = json::array(), out = json::array(), remembered = json::array();
     for (const auto& [id, r] : requests_)
         requests.push_back(
-            {id, r.asker, of(r.target), int(r.stage), r.fence, r.generation, r.held_by, r.unheard});
+            {id, r.asker, of(r.target), int(r.stage), r.fence, r.generation, r.held_by, r.unacknowledged});
     for (const auto& [t, id] : out_) out.push_back({of(t), id});
     for (const std::string& id : came_) {
         json list = json::array();
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -53,7 +53,7 @@
     if (!command.id.empty()) {
         remembered_[command.id] = effects_;
         came_.push_back(command.id);
-        while (came_.size() > budgets_.most_remembered) {
+        while (came_.size() > budgets_.max_remembered) {
             remembered_.erase(came_.front());
             came_.pop_front();
         }
@@ -86,13 +86,14 @@
 void FleetState::on(const Join& c) {
     const auto [it, is_new] = members_.try_emplace(c.name);
     Member& m = it->second;
-    if (c.life < m.life)
+    if (c.incarnation < m.incarnation)
         return effects_.push_back({Effect::stale, 0, 0, generation_, c.name, "an earlier life"});
     if (!is_new) count(c.name, m, false);
-    // A new life knows nothing of what the old one acted on, and has nothing in hand. The old one's process
-    // may still be there: its word is not taken, and it hears so.
-    if (c.life > m.life) m = Member{};
-    m.role = c.role, m.zone = c.zone, m.version = c.version, m.digest = c.digest, m.life = c.life;
+    // A new incarnation knows nothing of what the old one acted on, and has nothing in hand. The old one's
+    // process may still be there: its word is not taken, and it hears so.
+    if (c.incarnation > m.incarnation) m = Member{};
+    m.role = c.role, m.zone = c.zone, m.version = c.version, m.digest = c.digest,
+    m.incarnation = c.incarnation;
     m.serve_on = c.serve_on;
     m.lost = m.left = false;
     m.lease_until = std::max(m.lease_until, now_ + budgets_.lease);
@@ -101,29 +102,29 @@
 
 void FleetState::on(const Renew& c) {
     const auto it = members_.find(c.name);
-    if (it == members_.end() || it->second.life != c.life || it->second.left)
+    if (it == members_.end() || it->second.incarnation != c.incarnation || it->second.left)
         return effects_.push_back(
             {Effect::stale, 0, 0, generation_, c.name, "not a member, or of another life"});
     Member& m = it->second;
     count(c.name, m, false);
     m.lease_until = std::max(m.lease_until, now_ + budgets_.lease);
     m.lost = false;
-    // Words may overtake each other: an older one knows nothing of what the member has in hand now.
-    const bool agreed = c.word.acts_on <= generation_;
-    if (agreed && c.word.acts_on >= m.word.acts_on) m.word = c.word;
+    // ReportBatch may overtake each other: an older one knows nothing of what the member has in hand now.
+    const bool agreed = c.word.applied_generation <= generation_;
+    if (agreed && c.word.applied_generation >= m.word.applied_generation) m.word = c.word;
     count(c.name, m, true);
     if (!agreed)
         effects_.push_back({Effect::stale, 0, 0, generation_, c.name, "a generation that is not agreed"});
 }
 
-void FleetState::on(const Words& c) {
+void FleetState::on(const ReportBatch& c) {
     for (const Join& join : c.joins) on(join);
     for (const Renew& renew : c.renewals) on(renew);
 }
 
 void FleetState::on(const Leave& c) {
     const auto it = members_.find(c.name);
-    if (it == members_.end() || it->second.life != c.life)
+    if (it == members_.end() || it->second.incarnation != c.incarnation)
         return effects_.push_back(
             {Effect::stale, 0, 0, generation_, c.name, "not a member, or of another life"});
     Member& m = it->second;
@@ -152,7 +153,7 @@
 
 // A node that discovery forgets while it is out stays known as gone, so that its request and what it uses up
 // of the budgets are not lost; others are dropped.
-void FleetState::on(const NodesSeen& c) {
+void FleetState::on(const EndpointsObserved& c) {
     const auto drop = [this](auto it) {
         count(it->first, it->second, false);
         if (!out(false, it->first)) return void(nodes_.erase(it));
@@ -175,14 +176,14 @@
     }
 }
 
-void FleetState::on(const Allow& c) {
+void FleetState::on(const SetBudgets& c) {
     if (budgets_ == c.budgets) return;
     budgets_ = c.budgets;
     recount();
 }
 
-void FleetState::on(const Ask& c) {
-    if (requests_.size() >= budgets_.most_open)
+void FleetState::on(const RequestRemoval& c) {
+    if (requests_.size() >= budgets_.max_open)
         return effects_.push_back(
             {Effect::refused, 0, 0, generation_, c.target.name, "too many requests are open"});
     if (const auto it = counts_.open.find(c.target); it != counts_.open.end())
@@ -240,7 +241,8 @@
 bool FleetState::comes_back(const Request& r) const {
     if (r.target.router) {
         const auto it = members_.find(r.target.name);
-        return it != members_.end() && !lease_over(it->second) && it->second.word.acts_on < r.generation;
+        return it != members_.end() && !lease_over(it->second) &&
+               it->second.word.applied_generation < r.generation;
     }
     const auto it = nodes_.find(r.target.name);
     return it != nodes_.end() && it->second.health != Health::gone && it->second.health != Health::whole;
@@ -259,7 +261,7 @@
     if (budgets_.wait_for_lost ? !may_act(m) : lease_over(m)) return false;
     // A router that is lost can't tell that it has nothing in hand; it has nothing that counts.
     if (r.target.router && r.target.name == name && lease_over(m)) return false;
-    return m.word.acts_on < r.generation || m.word.in_hand.contains(r.target);
+    return m.word.applied_generation < r.generation || m.word.in_flight.contains(r.target);
 }
 
 std::vector<std::string> FleetState::waits_for(const Request& request) const {
@@ -276,10 +278,10 @@
     const Member* self = nullptr;
     if (r.target.router && exempt_.contains(r.target.name)) self = &members_.at(r.target.name);
     for (auto it = counts_.heard.begin(); it != counts_.heard.end() && it->first < r.generation; ++it)
-        if (it->second > (self != nullptr && self->word.acts_on == it->first)) return true;
-    const auto hand = counts_.in_hand.find(r.target);
-    return hand != counts_.in_hand.end() &&
-           hand->second > (self != nullptr && self->word.in_hand.contains(r.target));
+        if (it->second > (self != nullptr && self->word.applied_generation == it->first)) return true;
+    const auto hand = counts_.in_flight.find(r.target);
+    return hand != counts_.in_flight.end() &&
+           hand->second > (self != nullptr && self->word.in_flight.contains(r.target));
 }
 
 // What no waiting can change.
@@ -299,7 +301,7 @@
     for (const std::uint32_t shard : it->second.shards) {
         ++looked_at_;
         const std::size_t others = counts_.shards.at(shard).holders - 1;
-        if (others < budgets_.least_holders)
+        if (others < budgets_.min_holders)
             return "shard " + std::to_string(shard) + " has only " + std::to_string(others) +
                    " other holders";
     }
@@ -342,7 +344,7 @@
     looked_at_ += own.size();
     for (const auto& [shard, times] : own) {
         const std::size_t holders = counts_.shards.at(shard).whole - (adds ? times : 0);
-        if (holders < budgets_.least_holders)
+        if (holders < budgets_.min_holders)
             return "shard " + std::to_string(shard) + " would keep " + std::to_string(holders) +
                    " whole holders";
     }
@@ -374,7 +376,7 @@
 // Whether it was counted as one whose lease is over, or which may act, is told by the lists it stands in:
 // time may have gone on.
 void FleetState::count(const std::string& name, const Member& m, bool in) {
-    looked_at_ += 1 + m.word.silent.size() + m.word.in_hand.size();
+    looked_at_ += 1 + m.word.silent.size() + m.word.in_flight.size();
     bool over = lease_over(m), acting = may_act(m);
     Counts::End lease(m.lease_until, name), acts(acts_until(m), name);
     if (in) {
@@ -403,18 +405,18 @@
     }
     if (over && acting) {
         if (in)
-            counts_.lost_acting.emplace(m.word.acts_on, name);
+            counts_.lost_acting.emplace(m.word.applied_generation, name);
         else
-            counts_.lost_acting.erase({m.word.acts_on, name});
+            counts_.lost_acting.erase({m.word.applied_generation, name});
     }
     if (budgets_.wait_for_lost && over && acting && drained && in)
         exempt_.insert(name);
     else
         exempt_.erase(name);
     if (budgets_.wait_for_lost ? acting : !over) {
-        step(counts_.heard, m.word.acts_on, in);
-        for (const Target& t : m.word.in_hand)
-            if (step(counts_.in_hand, t, in) == 0) look_again({t.router, t.name});
+        step(counts_.heard, m.word.applied_generation, in);
+        for (const Target& t : m.word.in_flight)
+            if (step(counts_.in_flight, t, in) == 0) look_again({t.router, t.name});
     }
 }
 
@@ -568,11 +570,11 @@
         count(id, r, false);
         r.stage = Stage::done;
         count(id, r, true);
-        for (const auto& [acts_on, name] : counts_.lost_acting) {
-            if (acts_on >= r.generation) break;
-            r.unheard.insert(name);
+        for (const auto& [applied_generation, name] : counts_.lost_acting) {
+            if (applied_generation >= r.generation) break;
+            r.unacknowledged.insert(name);
         }
-        looked_at_ += r.unheard.size();
+        looked_at_ += r.unacknowledged.size();
         tell(Effect::done, id);
     }
     look_at_.clear();
