--- a/src/fleet/fleet_state.hpp
+++ b/src/fleet/fleet_state.hpp
@@ -32,7 +32,7 @@
 // What operators allow. Everything that is not whole counts as out, whoever took it out.
 struct Budgets {
     Limit nodes, nodes_a_zone, nodes_a_kind;
-    std::size_t least_holders = 1;  // whole ones, of every shard
+    std::size_t min_holders = 1;  // whole ones, of every shard
     Limit routers, routers_a_zone;
     Nanos lease = 10'000'000'000;  // how long a member's word holds
     Nanos drift = 1'000'000'000;   // by so much more its clock may run slow, or its process may have paused
@@ -47,8 +47,8 @@
     std::size_t halt_holders = 0;           // a shard has fewer whole holders than these
     // A node counts as out once this share of the routers that live finds it silent.
     double silent_share = 0.5;
-    std::size_t most_open = 1000;          // requests not yet ended
-    std::size_t most_remembered = 10'000;  // commands, so that one that comes twice is one
+    std::size_t max_open = 1000;          // requests not yet ended
+    std::size_t max_remembered = 10'000;  // commands, so that one that comes twice is one
 
     friend bool operator==(const Budgets&, const Budgets&) = default;
 };
@@ -89,23 +89,23 @@
 };
 
 // What a member says each time, of itself.
-struct Word {
-    std::uint64_t acts_on = 0;              // the generation it goes by
-    std::set<Target> in_hand;               // what is out and still has work of this member's
+struct MemberReport {
+    std::uint64_t applied_generation = 0;   // the generation it goes by
+    std::set<Target> in_flight;             // what is out and still has work of this member's
     std::set<std::string> silent;           // data nodes that it finds silent
     std::uint64_t queries = 0, failed = 0;  // of the last seconds
 
-    friend bool operator==(const Word&, const Word&) = default;
+    friend bool operator==(const MemberReport&, const MemberReport&) = default;
 };
 
 struct Member {
     Role role = Role::router;
     std::string zone, version, digest;
-    std::uint64_t life = 0;  // a new, greater number at each start
-    Nanos serve_on = 0;      // after its lease it may act by what it last knew for so long
+    std::uint64_t incarnation = 0;  // a new, greater number at each start
+    Nanos serve_on = 0;             // after its lease it may act by what it last knew for so long
     Nanos lease_until = 0;
     bool lost = false, left = false;  // its lease has certainly ended; by its own farewell
-    Word word;
+    MemberReport word;
 };
 
 struct Request {
@@ -115,7 +115,7 @@
     std::uint64_t fence = 0, generation = 0;  // 0 until granted
     std::string held_by;                      // the limit that a queued one waits for
     // Of one that is done: members whose lease was over, and which may have gone by an older word then.
-    std::set<std::string> unheard;
+    std::set<std::string> unacknowledged;
 };
 
 // What is counted as commands change it, so that none looks through all nodes, members or requests. All of it
@@ -147,7 +147,7 @@
     std::set<std::pair<std::uint64_t, std::string>> lost_acting;  // over but may act, by what they act on
     // Of members that a granted request waits for: how many go by a generation, have work in hand there.
     std::map<std::uint64_t, std::size_t> heard;
-    std::map<Target, std::size_t> in_hand;
+    std::map<Target, std::size_t> in_flight;
     std::map<Target, std::uint64_t, TargetLess> open;  // requests by target
     std::set<std::uint64_t> queued[2];                 // of nodes, of routers
     std::map<std::uint64_t, std::uint64_t> granted;    // by generation
@@ -161,33 +161,33 @@
     std::string name;
     Role role;
     std::string zone, version, digest;
-    std::uint64_t life;
+    std::uint64_t incarnation;
     Nanos serve_on = 0;  // the member's own, see Member
 };
 struct Renew {
     std::string name;
-    std::uint64_t life;
-    Word word;
+    std::uint64_t incarnation;
+    MemberReport word;
 };
 // What many members said in one short time, as one command: joins first.
-struct Words {
+struct ReportBatch {
     std::vector<Join> joins;
     std::vector<Renew> renewals;
 };
 struct Leave {
     std::string name;
-    std::uint64_t life;
+    std::uint64_t incarnation;
 };
 // A member whose lease is over, and which an operator knows not to come back.
 struct Forget {
     std::string name;
 };
-struct NodesSeen {
+struct EndpointsObserved {
     std::map<std::string, Node> nodes;
     bool whole = true;                // all of them: one that is not among them is gone; else what is new ...
     std::set<std::string> gone = {};  // ... and who went
 };
-struct Ask {
+struct RequestRemoval {
     std::string asker;
     Target target;
 };
@@ -200,14 +200,16 @@
 struct Resume {};
 struct Tick {};
 // What operators allow, from their file. Takes nothing back; nothing more is granted until it holds.
-struct Allow {
+struct SetBudgets {
     Budgets budgets;
 };
 
 struct Command {
     std::string id;  // empty: not to be remembered
     Nanos at = 0;    // by the proposer's clock
-    std::variant<Join, Renew, Leave, NodesSeen, Ask, Undo, Halt, Resume, Tick, Words, Forget, Allow> what;
+    std::variant<Join, Renew, Leave, EndpointsObserved, RequestRemoval, Undo, Halt, Resume, Tick, ReportBatch,
+                 Forget, SetBudgets>
+        what;
 };
 
 // A command as bytes, for the log, and back. `read_command` throws std::runtime_error on noise, and on a
@@ -226,7 +228,7 @@
         halted,
         resumed,
         over,      // a member's lease has certainly ended
-        stale,     // the word of an earlier life, not taken
+        stale,     // the word of an earlier incarnation, not taken
         forgotten  // a member that was lost counts no more
     } kind;
     std::uint64_t request = 0, fence = 0, generation = 0;
@@ -274,15 +276,15 @@
     void on(const Join& c);
     void on(const Renew& c);
     void on(const Leave& c);
-    void on(const NodesSeen& c);
-    void on(const Ask& c);
+    void on(const EndpointsObserved& c);
+    void on(const RequestRemoval& c);
     void on(const Undo& c);
     void on(const Halt& c);
     void on(const Resume& c);
     void on(const Tick&) {}
-    void on(const Words& c);
+    void on(const ReportBatch& c);
     void on(const Forget& c);
-    void on(const Allow& c);
+    void on(const SetBudgets& c);
 
     bool is_out(const std::string& name, const Node& node) const;
     bool comes_back(const Request& request) const;
--- a/src/steward/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -1,16 +1,16 @@
-#include "steward/change_requests.hpp"
+#include "fleet_manager/change_requests.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 using Json = nlohmann::ordered_json;
 constexpr Nanos ms = 1'000'000;
-constexpr std::size_t most_history = 20, most_named = 20, most_keys = 10'000;
-constexpr std::size_t longest_key = 1024;
-constexpr std::size_t longest_delta = 256 * 1024, page_bytes = 64 * 1024;  // of keys and values, to relays
+constexpr std::size_t max_history = 20, max_named = 20, max_keys = 10'000;
+constexpr std::size_t max_key = 1024;
+constexpr std::size_t max_delta = 256 * 1024, page_bytes = 64 * 1024;  // of keys and values, to relays
 
 bool take_text(const Json& in, const char* key, std::string& to, std::size_t longest) {
     const auto it = in.find(key);
@@ -21,7 +21,7 @@
            std::all_of(to.begin(), to.end(), [](char c) { return static_cast<unsigned char>(c) >= ' '; });
 }
 
-bool is_key(const std::string& text) { return !text.empty() && text.size() <= longest_key; }
+bool is_key(const std::string& text) { return !text.empty() && text.size() <= max_key; }
 
 std::size_t bytes_of(const changes::Delta& delta) {
     std::size_t sum = 0;
@@ -44,7 +44,7 @@
     ChangeRequest r;
     if (!take_text(in, "id", r.id, 128) || r.id.empty()) return fail("'id' is missing or malformed");
     if (!take_text(in, "asker", r.asker, 128)) return fail("'asker' is malformed");
-    if (!take_text(in, "key", r.key, longest_key)) return fail("'key' is malformed");
+    if (!take_text(in, "key", r.key, max_key)) return fail("'key' is malformed");
     if (const auto set = in.find("set"); set != in.end()) {
         if (!set->is_object()) return fail("'set' is no object of texts by key");
         for (const auto& [key, value] : set->items()) {
@@ -89,20 +89,20 @@
 }
 
 std::string write_changes(const changes::ChangeState& state, const ChangeFigures& figures) {
-    const changes::Reach reach = state.reach(state.version(), most_named);
+    const changes::RolloutProgress reach = state.reach(state.version(), max_named);
     Json history = Json::array(), keys = Json::array();
-    for (const auto& p : state.history(most_history))
+    for (const auto& p : state.history(max_history))
         history.push_back({{"version", p.version},
                            {"at_ms", p.at / ms},
                            {"asker", p.asker},
                            {"entries", p.entries},
                            {"in_force", p.in_force}});
     for (const auto& [key, value] : state.document()) {
-        if (keys.size() >= most_keys) break;
+        if (keys.size() >= max_keys) break;
         keys.push_back({key, value.size()});
     }
     const auto some = [](std::vector<std::string> names) {
-        names.resize(std::min(names.size(), most_named));
+        names.resize(std::min(names.size(), max_named));
         return names;
     };
     Json out = {{"fleet", figures.fleet},
@@ -122,7 +122,7 @@
                     {"acting", reach.acting},
                     {"behind", some(reach.behind)},
                     {"refusing", some(reach.refusing)},
-                    {"unheard", some(reach.unheard)}};
+                    {"unheard", some(reach.unacknowledged)}};
     out["history"] = std::move(history);
     out["keys"] = std::move(keys);
     return written(out);
@@ -139,7 +139,7 @@
     if (watched.knows >= state.version()) return;
     if (!watched.wants_pages) {
         auto delta = state.since(watched.knows);
-        if (delta && bytes_of(*delta) <= longest_delta) {
+        if (delta && bytes_of(*delta) <= max_delta) {
             answer.delta = std::move(delta);
             return;
         }
@@ -147,4 +147,4 @@
     answer.page = state.page(watched.wants_pages ? watched.after : "", page_bytes);
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/change_requests.hpp
+++ b/src/fleet_manager/change_requests.hpp
@@ -1,4 +1,4 @@
-// What operators and their tools ask of the stewards about changes, as JSON bodies, and what they are told.
+// What operators and their tools ask of the managers about changes, as JSON bodies, and what they are told.
 // Pure functions.
 #pragma once
 
@@ -7,11 +7,11 @@
 #include <string_view>
 
 #include "changes/change_state.hpp"
-#include "wire/change_words.hpp"
+#include "wire/change_messages.hpp"
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 
-// The same again under its id, to any steward, is one.
+// The same again under its id, to any manager, is one.
 struct ChangeRequest {
     std::string id, asker;
     std::map<std::string, std::string> set;
@@ -38,4 +38,4 @@
 // What a relay with this copy is to be told of the document: pages where one delta would be too long.
 void put_news(const changes::ChangeState& state, const Watched& watched, ChangesAnswer& answer);
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/command_main.cpp
+++ b/src/fleet_manager/command_main.cpp
@@ -1,5 +1,5 @@
 // The operators' commands: drain, undrain, halt, resume, fleet, config. Each call has an id, so that one that
-// is said again, to whichever steward, is one.
+// is said again, to whichever manager, is one.
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -14,37 +14,37 @@
 #include <set>
 #include <thread>
 
-#include "steward/asker.hpp"
-#include "steward/steward_terms.hpp"
+#include "fleet_manager/fleet_manager_config.hpp"
+#include "fleet_manager/manager_client.hpp"
 
 namespace {
 
 using namespace tealcart;
-using namespace tealcart::steward;
+using namespace tealcart::manager;
 using Json = nlohmann::ordered_json;
 
 constexpr auto look_every = std::chrono::milliseconds(200), one_look = std::chrono::milliseconds(1000);
 enum Status : int { good = 0, unreached = 1, usage = 2, refused = 3 };
 
 struct Asked {
-    std::vector<std::string> stewards, targets, routers;
+    std::vector<std::string> managers, targets, routers;
     std::string file, zone, asker, id, why, name, address;
-    std::uint64_t steward = 0, version = 0;
+    std::uint64_t manager = 0, version = 0;
     std::optional<std::uint64_t> based_on;
     std::vector<std::string> entries, removed;
     double within_s = 10;
     bool wait = false, json = false, all = false;
 };
 
-std::vector<HostPort> stewards_of(const Asked& asked) {
+std::vector<HostPort> managers_of(const Asked& asked) {
     std::vector<HostPort> all;
-    for (const std::string& text : asked.stewards) {
+    for (const std::string& text : asked.managers) {
         const auto at = read_host_port(text);
         if (!at) throw Malformed("'" + text + "' is no address with a port");
         all.push_back(*at);
     }
     if (all.empty() && !asked.file.empty())
-        for (const auto& [id, s] : read_steward_file(asked.file).stewards) all.push_back(s.http);
+        for (const auto& [id, s] : read_fleet_manager_file(asked.file).managers) all.push_back(s.http);
     if (all.empty()) throw Malformed("name the stewards: --stewards, TEALCART_STEWARDS or --file");
     return all;
 }
@@ -101,12 +101,12 @@
                 static_cast<unsigned long long>(r["fence"].get<std::uint64_t>()), note.c_str());
 }
 
-// The state as the steward that leads has it; where none says that it leads, as any has it. Null: none
+// The state as the manager that leads has it; where none says that it leads, as any has it. Null: none
 // answers.
-Json state_of(const std::vector<HostPort>& stewards, const std::string& path = "/fleet/status") {
+Json state_of(const std::vector<HostPort>& managers, const std::string& path = "/fleet/status") {
     boost::asio::io_context io(1);
     Json found;
-    for (const HostPort& at : stewards) {
+    for (const HostPort& at : managers) {
         const Reply reply = ask_once(io, at, path, "", one_look);
         Json state = Json::parse(reply.body, nullptr, false);
         if (reply.status != 200 || !state.is_object()) continue;
@@ -124,10 +124,10 @@
 }
 
 // Until each of the requests is done (or, on the way back, has ended). Ctrl-C leaves them as they are.
-int wait_for(const std::vector<HostPort>& stewards, const std::vector<std::uint64_t>& requests, bool back) {
+int wait_for(const std::vector<HostPort>& managers, const std::vector<std::uint64_t>& requests, bool back) {
     std::string before;
     while (true) {
-        const Json state = state_of(stewards);
+        const Json state = state_of(managers);
         if (state.is_object() && state["leader"] == state["steward"]) {
             std::size_t open = 0;
             std::string now;
@@ -153,9 +153,9 @@
 }
 
 int change(const Asked& asked, const std::string& path) {
-    const std::vector<HostPort> stewards = stewards_of(asked);
+    const std::vector<HostPort> managers = managers_of(asked);
     const std::string id = asked.id.empty() ? new_id() : asked.id;
-    const Reply reply = ask_stewards(stewards, path, call_of(asked, id).dump(), within(asked));
+    const Reply reply = query_managers(managers, path, call_of(asked, id).dump(), within(asked));
     const Json in = Json::parse(reply.body, nullptr, false);
     if (reply.status != 200 || !in.is_object()) return told(reply, id);
     int status = good;
@@ -179,16 +179,16 @@
     const bool back = path == "/fleet/undo";
     if (back) {
         // What was asked back is told by number only where it ended at once; else it is found by its target.
-        const Json state = state_of(stewards);
+        const Json state = state_of(managers);
         if (state.is_object())
             for (const Json& r : state["requests"])
                 if (r["stage"] == "returning") requests.push_back(r["request"]);
     }
-    return wait_for(stewards, requests, back);
+    return wait_for(managers, requests, back);
 }
 
 int show(const Asked& asked) {
-    const Json s = state_of(stewards_of(asked), asked.all ? "/fleet/status?all=1" : "/fleet/status");
+    const Json s = state_of(managers_of(asked), asked.all ? "/fleet/status?all=1" : "/fleet/status");
     if (!s.is_object()) return told({}, "-");
     if (asked.json) return std::printf("%s\n", s.dump().c_str()) < 0;
     if (!s.contains("nodes_counted")) {
@@ -259,10 +259,10 @@
     return good;
 }
 
-int change_stewards(const Asked& asked, const char* path) {
+int change_managers(const Asked& asked, const char* path) {
     const Json call = {
-        {"id", new_id()}, {"asker", asked.asker}, {"requests", {asked.steward}}, {"name", asked.address}};
-    const Reply reply = ask_stewards(stewards_of(asked), path, call.dump(), within(asked));
+        {"id", new_id()}, {"asker", asked.asker}, {"requests", {asked.manager}}, {"name", asked.address}};
+    const Reply reply = query_managers(managers_of(asked), path, call.dump(), within(asked));
     return reply.status == 200 ? std::puts("done") < 0 : told(reply, "-");
 }
 
@@ -287,10 +287,10 @@
 }
 
 // Until every member that lives acts on it. Where it is refused and halts, it can't come to that by itself.
-int wait_for_version(const std::vector<HostPort>& stewards, std::uint64_t version) {
+int wait_for_version(const std::vector<HostPort>& managers, std::uint64_t version) {
     std::string before;
     while (true) {
-        const Json s = state_of(stewards, "/fleet/changes");
+        const Json s = state_of(managers, "/fleet/changes");
         if (s.is_object() && s["leader"] == s["steward"] && number_of(s, "version") >= version) {
             if (const std::string now = s["reach"].dump() + s["halted"].dump(); now != before) {
                 print_reach(s);
@@ -308,7 +308,7 @@
 }
 
 int publish(const Asked& asked, const std::string& path, Json call) {
-    const std::vector<HostPort> stewards = stewards_of(asked);
+    const std::vector<HostPort> managers = managers_of(asked);
     const std::string id = asked.id.empty() ? new_id() : asked.id;
     call["id"] = id;
     call["asker"] = asked.asker;
@@ -318,7 +318,7 @@
     } catch (const Json::exception&) {
         throw Malformed("what is to be set is no text in UTF-8");
     }
-    const Reply reply = ask_stewards(stewards, path, body, within(asked));
+    const Reply reply = query_managers(managers, path, body, within(asked));
     const Json in = Json::parse(reply.body, nullptr, false);
     if (reply.status != 200 || !in.is_object()) return told(reply, id);
     if (asked.json) std::printf("%s\n", reply.body.c_str());
@@ -336,7 +336,7 @@
         std::printf("\n");
     }
     std::fflush(stdout);
-    return asked.wait && status == good && version > 0 ? wait_for_version(stewards, version) : status;
+    return asked.wait && status == good && version > 0 ? wait_for_version(managers, version) : status;
 }
 
 int set_entries(const Asked& asked) {
@@ -360,7 +360,7 @@
 
 int show_entry(const Asked& asked) {
     const Json call = {{"id", new_id()}, {"key", asked.name}};
-    const Reply reply = ask_stewards(stewards_of(asked), "/fleet/entry", call.dump(), within(asked));
+    const Reply reply = query_managers(managers_of(asked), "/fleet/entry", call.dump(), within(asked));
     const Json in = Json::parse(reply.body, nullptr, false);
     if (reply.status != 200 || !in.is_object()) return told(reply, "-");
     if (asked.json) return std::printf("%s\n", reply.body.c_str()) < 0;
@@ -370,8 +370,8 @@
 
 int show_changes(const Asked& asked) {
     if (!asked.name.empty()) return show_entry(asked);
-    const Json s = state_of(stewards_of(asked), "/fleet/changes");
-    if (!s.is_object()) return told(ask_stewards(stewards_of(asked), "/fleet/changes", "", one_look), "-");
+    const Json s = state_of(managers_of(asked), "/fleet/changes");
+    if (!s.is_object()) return told(query_managers(managers_of(asked), "/fleet/changes", "", one_look), "-");
     if (asked.json) return std::printf("%s\n", s.dump().c_str()) < 0;
     if (number_of(s, "leader") == 0) std::printf("NO STEWARD LEADS: nothing is published\n");
     print_reach(s);
@@ -403,7 +403,7 @@
     if (asked.asker.empty()) asked.asker = "operator";
     const auto of = [&](CLI::App* in, const char* command, const char* what) {
         CLI::App* sub = in->add_subcommand(command, what);
-        sub->add_option("--stewards", asked.stewards, "their addresses, with commas")
+        sub->add_option("--stewards", asked.managers, "their addresses, with commas")
             ->envname("TEALCART_STEWARDS")
             ->delimiter(',');
         sub->add_option("--file", asked.file, "or the stewards' file")->envname("TEALCART_FLEET_FILE");
@@ -435,10 +435,10 @@
     CLI::App* forget = of(fleet, "forget", "a router that is lost and will not come back counts no more");
     forget->add_option("NAME", asked.name, "the member")->required();
     CLI::App* add = of(fleet, "steward-add", "a steward joins; see docs/fleet.md for the order");
-    add->add_option("ID", asked.steward, "its id")->required();
+    add->add_option("ID", asked.manager, "its id")->required();
     add->add_option("ADDRESS", asked.address, "its 'raft' address")->required();
     CLI::App* remove = of(fleet, "steward-remove", "a steward is taken out");
-    remove->add_option("ID", asked.steward, "its id")->required();
+    remove->add_option("ID", asked.manager, "its id")->required();
     CLI::App* config = app.add_subcommand("config", "a fleet's changes of configuration; docs/changes.md");
     config->require_subcommand(1);
     const auto publishing = [&](CLI::App* sub) {
@@ -483,8 +483,8 @@
         if (resume->parsed()) return change(asked, "/fleet/resume");
         if (status->parsed()) return show(asked);
         if (forget->parsed()) return change(asked, "/fleet/forget");
-        if (add->parsed()) return change_stewards(asked, "/fleet/stewards/add");
-        return change_stewards(asked, "/fleet/stewards/remove");
+        if (add->parsed()) return change_managers(asked, "/fleet/stewards/add");
+        return change_managers(asked, "/fleet/stewards/remove");
     } catch (const HclMistakes& e) {
         std::fprintf(stderr, "%s\n", e.what());
     } catch (const std::exception& e) {
--- a/src/steward/folder.cpp
+++ b/src/fleet_manager/data_directory.cpp
@@ -1,4 +1,4 @@
-#include "steward/folder.hpp"
+#include "fleet_manager/data_directory.hpp"
 
 #include <unistd.h>
 
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 using Json = nlohmann::json;
@@ -46,4 +46,4 @@
     if (::access(folder.c_str(), W_OK) != 0) fail(folder, "can't be written");
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/folder.hpp
+++ b/src/fleet_manager/data_directory.hpp
@@ -1,15 +1,15 @@
-// A steward's folder: whose it is, so that one is never started on another's, or on none by mistake.
+// A manager's folder: whose it is, so that one is never started on another's, or on none by mistake.
 #pragma once
 
 #include <cstdint>
 #include <string>
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 
 // Makes the folder where it is not there, and marks it. Throws std::runtime_error in one line where it is
 // somebody's already, or can't be written.
 void mark_folder(const std::string& folder, const std::string& fleet, std::uint64_t id);
-// Throws std::runtime_error in one line where the folder is not this steward's.
+// Throws std::runtime_error in one line where the folder is not this manager's.
 void check_folder(const std::string& folder, const std::string& fleet, std::uint64_t id);
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/node_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -1,9 +1,9 @@
-#include "steward/node_view.hpp"
+#include "fleet_manager/endpoint_view.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 // A call for news waits 20 s at most, and is made anew when it is a second late.
@@ -22,21 +22,21 @@
         look_at(node.id);
         if (const auto it = nodes_.find(node.id); it != nodes_.end())
             cold_ends_.erase({it->second.started_at + cold_, node.id});
-        if (node.availability == Availability::gone)
+        if (node.lifecycle == Lifecycle::removed)
             nodes_.erase(node.id);
         else
             nodes_[node.id] = node;
     }
 }
 
-// A steward that does not lead takes nothing out of the list: it is not to grow by names that are long gone.
+// A manager that does not lead takes nothing out of the list: it is not to grow by names that are long gone.
 void NodeView::look_at(const std::string& name) {
     if (all_) return;
     look_at_.insert(name);
     if (look_at_.size() > nodes_.size() + 1000) all_ = true;
 }
 
-void NodeView::agreed(const fleet::NodesSeen& seen) {
+void NodeView::agreed(const fleet::EndpointsObserved& seen) {
     if (seen.whole) return look_at_all();
     for (const auto& [name, node] : seen.nodes) look_at(name);
     for (const std::string& name : seen.gone) look_at(name);
@@ -54,14 +54,14 @@
     std::sort(node.shards.begin(), node.shards.end());
     if (stale(now))
         node.health = fleet::Health::unknown;
-    else if (listed.availability == Availability::draining)
+    else if (listed.lifecycle == Lifecycle::draining)
         node.health = fleet::Health::draining;
     else if (listed.started_at > 0 && now < listed.started_at + cold_)
         node.health = fleet::Health::cold;
     return node;
 }
 
-std::optional<fleet::NodesSeen> NodeView::news(const fleet::FleetState& state, Nanos now) {
+std::optional<fleet::EndpointsObserved> NodeView::news(const fleet::FleetState& state, Nanos now) {
     looked_at_ = 0;
     if (heard_at_ == 0) return std::nullopt;
     if (stale(now) != was_stale_) {
@@ -75,7 +75,7 @@
     }
     while (!cold_ends_.empty() && cold_ends_.begin()->first <= now)
         look_at_.insert(std::move(cold_ends_.extract(cold_ends_.begin()).value().second));
-    fleet::NodesSeen news{{}, false, {}};
+    fleet::EndpointsObserved news{{}, false, {}};
     for (auto it = look_at_.begin(); it != look_at_.end();) {
         ++looked_at_;
         const std::string& name = *it;
@@ -97,4 +97,4 @@
     return news;
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/node_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -1,4 +1,4 @@
-// The fleet's data nodes as this steward's watch on discovery tells of them, and what of that the stewards
+// The fleet's data nodes as this manager's watch on discovery tells of them, and what of that the managers
 // are yet to agree on. No I/O.
 #pragma once
 
@@ -10,21 +10,22 @@
 #include "fleet/fleet_state.hpp"
 #include "wire/bodies.hpp"
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 
 class NodeView {
   public:
-    // Of the deployment's terms it needs where shards lie and how long a node is cold.
-    explicit NodeView(const Terms& terms)
-        : places_(terms.places), width_(terms.width), shards_(terms.shards), cold_(terms.cold) {}
+    // Of the deployment's config it needs where shards lie and how long a node is cold.
+    explicit NodeView(const RouterConfig& config)
+        : places_(config.places), width_(config.replicas_per_shard), shards_(config.shards),
+          cold_(config.slow_start_duration) {}
 
     void take(const TargetList& list, Nanos now);
     // What differs from the agreed state now; nothing before discovery has spoken. Looks at nodes that were
     // told of by discovery or in the log since they were last the same, that are warm now, or at all.
-    std::optional<fleet::NodesSeen> news(const fleet::FleetState& state, Nanos now);
+    std::optional<fleet::EndpointsObserved> news(const fleet::FleetState& state, Nanos now);
     // This was agreed, whoever proposed it.
-    void agreed(const fleet::NodesSeen& seen);
-    // The agreed state is another, or this steward begins to lead.
+    void agreed(const fleet::EndpointsObserved& seen);
+    // The agreed state is another, or this manager begins to lead.
     void look_at_all() { all_ = true; }
     std::size_t looked_at() const { return looked_at_; }  // nodes, by the last call for news
     // Discovery has been silent for so long that nothing is known of any node.
@@ -44,4 +45,4 @@
     std::size_t looked_at_ = 0;
 };
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/steward.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -1,20 +1,20 @@
-#include "steward/steward.hpp"
+#include "fleet_manager/fleet_manager.hpp"
 
 #include <algorithm>
 #include <csignal>
 
+#include "fleet_manager/change_requests.hpp"
+#include "fleet_manager/log_entries.hpp"
 #include "service/log.hpp"
-#include "steward/change_requests.hpp"
-#include "steward/entries.hpp"
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr Nanos words_wait = 5 * ms;      // of members' words for others that come at the same time
-constexpr std::size_t most_words = 2000;  // in one entry of the log
-constexpr std::size_t most_clients = 20'000;
-constexpr std::size_t longest_call = 2 * 1024 * 1024;  // of a relay with all its members; of a publisher
+constexpr Nanos words_wait = 5 * ms;     // of members' words for others that come at the same time
+constexpr std::size_t max_words = 2000;  // in one entry of the log
+constexpr std::size_t max_clients = 20'000;
+constexpr std::size_t max_call = 2 * 1024 * 1024;  // of a relay with all its members; of a publisher
 constexpr Nanos stall = 5 * second, view_every = 100 * ms;
 constexpr int handlers_a_turn = 4096;
 enum Due : std::uint64_t { flush, flush_of_relays };
@@ -30,21 +30,21 @@
 
 }  // namespace
 
-Steward::Steward(boost::asio::io_context& io, const StewardTerms& terms, std::uint64_t id,
-                 const Launch& launch, Nanos clock_error)
-    : io_(io), signals_(io, SIGTERM, SIGINT), terms_(terms), id_(id), clock_error_(clock_error),
-      tick_every_(std::min(
-          {250 * ms, terms.budgets.lease / 20, terms.takes_changes ? terms.changes.lease / 20 : 250 * ms})),
-      state_(terms.budgets), changes_(terms.changes), view_(launch.terms),
-      front_(io, time_, *this, most_clients, stall, terms.takes_changes ? longest_call : longest_body),
-      watch_(io, time_, *this, launch.discovery, launch.terms.discovery,
-             static_cast<std::uint32_t>(launch.terms.places), launch.seed, launch.list_bound),
+FleetManager::FleetManager(boost::asio::io_context& io, const FleetManagerConfig& config, std::uint64_t id,
+                           const StartupConfig& launch, Nanos clock_error)
+    : io_(io), signals_(io, SIGTERM, SIGINT), config_(config), id_(id), clock_error_(clock_error),
+      tick_every_(std::min({250 * ms, config.budgets.lease / 20,
+                            config.takes_changes ? config.changes.lease / 20 : 250 * ms})),
+      state_(config.budgets), changes_(config.changes), view_(launch.config),
+      front_(io, time_, *this, max_clients, stall, config.takes_changes ? max_call : max_body),
+      watch_(io, time_, *this, launch.discovery, launch.config.discovery,
+             static_cast<std::uint32_t>(launch.config.places), launch.seed, launch.list_bound),
       raft_(io,
-            {id, terms.stewards.at(id).raft, terms.stewards.at(id).bind, terms.stewards.at(id).folder,
-             terms.election},
+            {id, config.managers.at(id).raft, config.managers.at(id).bind, config.managers.at(id).folder,
+             config.election},
             *this),
       timer_(io) {
-    const OneSteward& self = terms_.stewards.at(id);
+    const OneManager& self = config_.managers.at(id);
     raft_.start();
     front_.listen(self.http_bind.host, self.http_bind.port);
     watch_.start(0);  // its view begins with nothing, whatever the configuration knows
@@ -52,11 +52,11 @@
         if (!ec) stop_began_ = time_.now();
     });
     log_line("steward %llu of %s: members and operators at %s:%u, generation %llu",
-             static_cast<unsigned long long>(id), terms_.fleet.c_str(), self.http.host.c_str(), front_.port(),
-             static_cast<unsigned long long>(state_.generation()));
+             static_cast<unsigned long long>(id), config_.fleet.c_str(), self.http.host.c_str(),
+             front_.port(), static_cast<unsigned long long>(state_.generation()));
 }
 
-void Steward::run() {
+void FleetManager::run() {
     Nanos wait = 0;
     while (stop_began_ == 0) {
         set_timer(std::min(time_.due.next(), time_.now() + std::min(wait, tick_every_)));
@@ -76,44 +76,44 @@
 }
 
 // Set anew only for an earlier time: one that is put off would wake the loop for nothing.
-void Steward::set_timer(Nanos at) {
+void FleetManager::set_timer(Nanos at) {
     at = std::max(at, time_.now());
-    if (timer_at_ != Deadlines::never && timer_at_ <= at) return;
+    if (timer_at_ != TimerQueue::never && timer_at_ <= at) return;
     timer_at_ = at;
     timer_.expires_at(time_.steady(at));
     timer_.async_wait([this](const boost::system::error_code& ec) {
-        if (!ec) timer_at_ = Deadlines::never;
+        if (!ec) timer_at_ = TimerQueue::never;
     });
 }
 
-std::string Steward::leader_address() const {
-    const auto it = terms_.stewards.find(raft_.leader());
-    return it == terms_.stewards.end() ? std::string()
-                                       : it->second.http.host + ":" + std::to_string(it->second.http.port);
+std::string FleetManager::leader_address() const {
+    const auto it = config_.managers.find(raft_.leader());
+    return it == config_.managers.end() ? std::string()
+                                        : it->second.http.host + ":" + std::to_string(it->second.http.port);
 }
 
-void Steward::refuse(Handle client, int status, std::string_view words) {
+void FleetManager::refuse(Handle client, int status, std::string_view words) {
     front_.answer(client, {status, write_error(words), 0});
 }
 
-void Steward::send_elsewhere(Handle client) {
+void FleetManager::send_elsewhere(Handle client) {
     const std::string leader = leader_address();
     if (leader.empty() || raft_.leader() == id_) return refuse(client, 503, "no steward leads now");
     front_.answer(client, {421, write_elsewhere(leader), 0});
 }
 
-void Steward::on_client_gone(Handle client) {
+void FleetManager::on_client_gone(Handle client) {
     waiting_.erase(client.slot);
     relays_waiting_.erase(client.slot);
 }
 
-void Steward::on_request(Handle client, Request& request, Nanos) {
+void FleetManager::on_request(Handle client, Request& request, Nanos) {
     const std::string_view path = request.path;
-    if (!terms_.takes_changes && (path == "/fleet/changes" || path == relay_path))
+    if (!config_.takes_changes && (path == "/fleet/changes" || path == relay_path))
         return refuse(client, 404, "the stewards' file has no 'changes' block");
     if (path == "/fleet/changes") {
         if (request.method != "GET") return front_.answer(client, {405, write_error("GET only"), 0, "GET"});
-        const ChangeFigures figures{id_, raft_.leader(), terms_.fleet, leader_address(),
+        const ChangeFigures figures{id_, raft_.leader(), config_.fleet, leader_address(),
                                     relays_waiting_.size()};
         return front_.answer(client, {200, write_changes(changes_, figures), 0});
     }
@@ -122,10 +122,10 @@
         if (path == "/-/ready")
             return raft_.leader() == 0 ? refuse(client, 503, "no steward leads now")
                                        : front_.answer(client, {200, {}, 0});
-        const StewardFigures figures{id_,
+        const ManagerFigures figures{id_,
                                      raft_.leader(),
                                      raft_.applied(),
-                                     terms_.fleet,
+                                     config_.fleet,
                                      leader_address(),
                                      waiting_.size(),
                                      view_.stale(time_.now()) ? 45 * second : 0};
@@ -140,45 +140,45 @@
     on_operator(client, path.substr(before.size()), request.body);
 }
 
-// Words that come within a few ms go into the log as one entry.
-void Steward::on_member(Handle client, const std::string& body) {
+// ReportBatch that come within a few ms go into the log as one entry.
+void FleetManager::on_member(Handle client, const std::string& body) {
     std::string wrong;
     auto call = read_member_call(body, wrong);
     if (!call) return refuse(client, 400, wrong);
     if (!raft_.leads()) return send_elsewhere(client);
     const auto known = state_.members().find(call->name);
-    if (known != state_.members().end() && known->second.life > call->life)
-        return front_.answer(client, {409, write_outlived(known->second.life), 0});
+    if (known != state_.members().end() && known->second.incarnation > call->incarnation)
+        return front_.answer(client, {409, write_outlived(known->second.incarnation), 0});
     if (call->leaves) {
-        propose({{"", 0, fleet::Leave{call->name, call->life}}}, [this, client](bool agreed, auto) {
+        propose({{"", 0, fleet::Leave{call->name, call->incarnation}}}, [this, client](bool agreed, auto) {
             if (!agreed) return refuse(client, 503, "not agreed");
             front_.answer(client, {200, write_member_answer(answer_of(state_)), 0});
         });
         return;
     }
     const fleet::Join join = join_of(*call);
-    const bool same = known != state_.members().end() && known->second.life == join.life &&
+    const bool same = known != state_.members().end() && known->second.incarnation == join.incarnation &&
                       known->second.version == join.version && known->second.digest == join.digest &&
                       known->second.zone == join.zone && known->second.serve_on == join.serve_on &&
                       known->second.role == join.role;
     if (!same) batch_.words.joins.push_back(join);
     batch_.words.renewals.push_back(renew_of(*call));
     batch_.calls.emplace_back(client, std::move(*call));
-    if (batch_.calls.size() >= most_words) return flush_words();
-    if (flush_due_ == Deadlines::none)
+    if (batch_.calls.size() >= max_words) return flush_words();
+    if (flush_due_ == TimerQueue::none)
         flush_due_ = time_.due.add(time_.now() + words_wait, *this, Handle{}, flush);
 }
 
-void Steward::on_due(Handle, std::uint64_t what) {
+void FleetManager::on_due(Handle, std::uint64_t what) {
     if (what == flush_of_relays) {
-        flush_relays_due_ = Deadlines::none;
+        flush_relays_due_ = TimerQueue::none;
         return flush_relays();
     }
-    flush_due_ = Deadlines::none;
+    flush_due_ = TimerQueue::none;
     flush_words();
 }
 
-void Steward::flush_words() {
+void FleetManager::flush_words() {
     time_.due.drop(flush_due_);
     Batch batch = std::exchange(batch_, {});
     if (batch.calls.empty()) return;
@@ -190,20 +190,20 @@
                 continue;
             }
             const auto known = state_.members().find(call.name);
-            if (known != state_.members().end() && known->second.life > call.life)
-                front_.answer(client, {409, write_outlived(known->second.life), 0});
+            if (known != state_.members().end() && known->second.incarnation > call.incarnation)
+                front_.answer(client, {409, write_outlived(known->second.incarnation), 0});
             else
                 waiting_[client.slot] = {client, {call.knows, time_.now() + call.wait, true}};
         }
     });
 }
 
-void Steward::tell_waiting() {
+void FleetManager::tell_waiting() {
     const Nanos now = time_.now();
     std::string body;  // the same for all
     for (auto it = waiting_.begin(); it != waiting_.end();) {
         const auto& [client, w] = it->second;
-        // What a member knows may also be of a steward that was ahead: then it waits its time.
+        // What a member knows may also be of a manager that was ahead: then it waits its time.
         if (state_.generation() <= w.knows && now < w.until) {
             ++it;
             continue;
@@ -215,33 +215,33 @@
     }
 }
 
-void Steward::on_relay(Handle client, const std::string& body) {
+void FleetManager::on_relay(Handle client, const std::string& body) {
     std::string wrong;
     auto call = read_relay_call(body, wrong);
     if (!call) return refuse(client, 400, wrong);
     if (!raft_.leads()) return send_elsewhere(client);
-    if (changes_.knows_later_life(call->word.relay, call->word.life))
-        return front_.answer(client, {409, write_outlived(changes_.last_life(call->word.relay)), 0});
+    if (changes_.knows_later_life(call->word.relay, call->word.incarnation))
+        return front_.answer(client, {409, write_outlived(changes_.last_incarnation(call->word.relay)), 0});
     relay_batch_.words.words.push_back(call->word);
     relay_batch_.calls.emplace_back(client, std::move(*call));
-    if (relay_batch_.calls.size() >= most_words) return flush_relays();
-    if (flush_relays_due_ == Deadlines::none)
+    if (relay_batch_.calls.size() >= max_words) return flush_relays();
+    if (flush_relays_due_ == TimerQueue::none)
         flush_relays_due_ = time_.due.add(time_.now() + words_wait, *this, Handle{}, flush_of_relays);
 }
 
-void Steward::flush_relays() {
+void FleetManager::flush_relays() {
     time_.due.drop(flush_relays_due_);
     RelayBatch batch = std::exchange(relay_batch_, {});
     if (batch.calls.empty()) return;
     auto calls = std::make_shared<decltype(batch.calls)>(std::move(batch.calls));
     propose_change(changes::Command{"", 0, std::move(batch.words)}, [this, calls](bool agreed, auto effects) {
         for (const auto& [client, call] : *calls) {
-            const changes::RelayWord& word = call.word;
+            const changes::RelayReport& word = call.word;
             if (!agreed) {
                 send_elsewhere(client);
-            } else if (changes_.knows_later_life(word.relay, word.life)) {
-                front_.answer(client, {409, write_outlived(changes_.last_life(word.relay)), 0});
-            } else if (changes_.last_number(word.relay, word.life) >= word.number) {
+            } else if (changes_.knows_later_life(word.relay, word.incarnation)) {
+                front_.answer(client, {409, write_outlived(changes_.last_incarnation(word.relay)), 0});
+            } else if (changes_.last_number(word.relay, word.incarnation) >= word.number) {
                 relays_waiting_[client.slot] = {client, call.watched, word.number,
                                                 time_.now() + call.watched.wait};
             } else if (const std::string why = refusal_of(effects, word.relay); !why.empty()) {
@@ -258,7 +258,7 @@
     });
 }
 
-void Steward::answer_relay(const RelayWaiting& w) {
+void FleetManager::answer_relay(const RelayWaiting& w) {
     ChangesAnswer answer;
     answer.lease = changes_.limits().lease;
     answer.taken = w.number;
@@ -267,10 +267,10 @@
     front_.answer(w.client, {200, write_changes_answer(answer), 0});
 }
 
-void Steward::tell_relays() {
+void FleetManager::tell_relays() {
     const Nanos now = time_.now();
     for (auto it = relays_waiting_.begin(); it != relays_waiting_.end();) {
-        // What a relay knows may also be of a steward that was ahead: then it waits its time.
+        // What a relay knows may also be of a manager that was ahead: then it waits its time.
         if (changes_.version() <= it->second.watched.knows && now < it->second.until) {
             ++it;
             continue;
@@ -281,11 +281,11 @@
     }
 }
 
-bool Steward::on_change(Handle client, std::string_view what, const std::string& body) {
+bool FleetManager::on_change(Handle client, std::string_view what, const std::string& body) {
     if (what != "publish" && what != "back" && what != "changes-resume" && what != "entry") return false;
     std::string wrong;
     auto call = read_change_request(body, wrong);
-    if (!terms_.takes_changes) {
+    if (!config_.takes_changes) {
         refuse(client, 404, "the stewards' file has no 'changes' block");
     } else if (!call) {
         refuse(client, 400, wrong);
@@ -300,7 +300,7 @@
         if (what == "publish")
             command.what = changes::Publish{std::move(call->asker), std::move(call->set),
                                             std::move(call->removed), call->based_on};
-        if (what == "back") command.what = changes::GoBack{std::move(call->asker), call->to};
+        if (what == "back") command.what = changes::Rollback{std::move(call->asker), call->to};
         propose_change(std::move(command),
                        [this, client](bool agreed, const std::vector<changes::Effect>& effects) {
                            if (!agreed)
@@ -311,7 +311,7 @@
     return true;
 }
 
-void Steward::on_operator(Handle client, std::string_view what, const std::string& body) {
+void FleetManager::on_operator(Handle client, std::string_view what, const std::string& body) {
     std::string wrong;
     const auto call = read_operator_call(body, wrong);
     if (!call) return refuse(client, 400, wrong);
@@ -327,8 +327,8 @@
                 if (node.zone == call->zone) targets.push_back({false, name});
         if (targets.empty()) return refuse(client, 404, "no such target is known");
         for (const fleet::Target& t : targets)
-            commands.push_back(
-                {call->id + "/" + (t.router ? "router/" : "node/") + t.name, 0, fleet::Ask{call->asker, t}});
+            commands.push_back({call->id + "/" + (t.router ? "router/" : "node/") + t.name, 0,
+                                fleet::RequestRemoval{call->asker, t}});
     } else if (what == "undo") {
         std::vector<std::uint64_t> requests = call->requests;
         const std::set<fleet::Target> targets(call->targets.begin(), call->targets.end());
@@ -347,7 +347,7 @@
         add(fleet::Resume{});
     } else if (what == "forget") {
         add(fleet::Forget{call->name});
-        if (terms_.takes_changes)  // it may be known to both
+        if (config_.takes_changes)  // it may be known to both
             propose_change({call->id + "/changes", 0, changes::Forget{call->name}}, [](bool, auto) {});
     } else if (what == "stewards/add" || what == "stewards/remove") {
         if (changing_) return refuse(client, 409, "another change of the stewards is under way");
@@ -374,7 +374,7 @@
     });
 }
 
-void Steward::propose(std::vector<fleet::Command> commands, Told told) {
+void FleetManager::propose(std::vector<fleet::Command> commands, Told told) {
     struct All {
         std::size_t left;
         bool agreed = true;
@@ -394,7 +394,7 @@
     }
 }
 
-void Steward::propose_change(changes::Command command, ChangesTold told) {
+void FleetManager::propose_change(changes::Command command, ChangesTold told) {
     command.at = time_.now() + clock_error_;
     ticked_changes_at_ = time_.now();
     const auto ended = [this, told](bool applied) {
@@ -403,23 +403,23 @@
     if (!raft_.propose(entry_of_changes(changes::write_command(command)), ended)) ended(false);
 }
 
-std::vector<std::uint8_t> Steward::save() const {
+std::vector<std::uint8_t> FleetManager::save() const {
     // Where no change was ever agreed, earlier programs can read it.
-    if (!terms_.takes_changes && changes_.version() == 0) return state_.save();
+    if (!config_.takes_changes && changes_.version() == 0) return state_.save();
     return write_snapshot({state_.save(), changes_.save()});
 }
 
-void Steward::load(const std::vector<std::uint8_t>& bytes) {
+void FleetManager::load(const std::vector<std::uint8_t>& bytes) {
     const Snapshot snapshot = read_snapshot(bytes);
     state_.load(snapshot.fleet);
     view_.look_at_all();
     if (snapshot.changes)
         changes_.load(*snapshot.changes);
     else
-        changes_ = changes::ChangeState(terms_.changes);
+        changes_ = changes::ChangeState(config_.changes);
 }
 
-void Steward::apply(const std::uint8_t* bytes, std::size_t size) {
+void FleetManager::apply(const std::uint8_t* bytes, std::size_t size) {
     const Entry entry = read_entry(bytes, size);
     if (entry.of_changes) {
         last_change_effects_ = changes_.apply(changes::read_command(entry.bytes, entry.size));
@@ -434,7 +434,7 @@
     }
     const fleet::Command command = fleet::read_command(entry.bytes, entry.size);
     last_effects_ = state_.apply(command);
-    if (const auto* seen = std::get_if<fleet::NodesSeen>(&command.what)) view_.agreed(*seen);
+    if (const auto* seen = std::get_if<fleet::EndpointsObserved>(&command.what)) view_.agreed(*seen);
     for (const fleet::Effect& e : last_effects_)
         log_line("%s: request %llu fence %llu generation %llu %s%s%s", word_of(e.kind),
                  static_cast<unsigned long long>(e.request), static_cast<unsigned long long>(e.fence),
@@ -444,7 +444,7 @@
 
 // What only the one that leads does: time goes on, the data nodes as discovery tells of them, the budgets of
 // its own file.
-void Steward::lead() {
+void FleetManager::lead() {
     const std::uint64_t leader = raft_.leader();
     if (std::exchange(led_by_, leader) != leader)
         log_line(leader == 0 ? "no steward leads" : "steward %llu leads",
@@ -455,20 +455,21 @@
     const auto nothing = [](bool, auto) {};
     if (now - view_at_ >= view_every && !proposing_view_) {
         view_at_ = now;
-        if (!(state_.budgets() == terms_.budgets)) propose({{"", 0, fleet::Allow{terms_.budgets}}}, nothing);
+        if (!(state_.budgets() == config_.budgets))
+            propose({{"", 0, fleet::SetBudgets{config_.budgets}}}, nothing);
         if (auto news = view_.news(state_, now)) {
             proposing_view_ = true;
             propose({{"", 0, std::move(*news)}}, [this](bool, auto) { proposing_view_ = false; });
         }
     }
-    if (terms_.takes_changes && !allowing_ && !(changes_.limits() == terms_.changes)) {
+    if (config_.takes_changes && !allowing_ && !(changes_.limits() == config_.changes)) {
         allowing_ = true;
-        propose_change(changes::Command{"", 0, changes::Allow{terms_.changes}},
+        propose_change(changes::Command{"", 0, changes::SetLimits{config_.changes}},
                        [this](bool, auto) { allowing_ = false; });
-    } else if (terms_.takes_changes && now - ticked_changes_at_ >= tick_every_) {
+    } else if (config_.takes_changes && now - ticked_changes_at_ >= tick_every_) {
         propose_change(changes::Command{"", 0, changes::Tick{}}, nothing);
     }
     if (now - proposed_at_ >= tick_every_) propose({{"", 0, fleet::Tick{}}}, nothing);
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/steward.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -1,5 +1,5 @@
-// One steward: members', relays' and operators' calls over HTTP/1.1, the replicated log behind them, and the
-// fleet's agreed state. Whoever leads proposes; every steward applies.
+// One manager: members', relays' and operators' calls over HTTP/1.1, the replicated log behind them, and the
+// fleet's agreed state. Whoever leads proposes; every manager applies.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,22 +10,22 @@
 
 #include "changes/change_state.hpp"
 #include "fleet/fleet_state.hpp"
-#include "service/launch.hpp"
-#include "steward/node_view.hpp"
-#include "steward/raft_node.hpp"
-#include "steward/requests.hpp"
-#include "steward/steward_terms.hpp"
-#include "wire/change_words.hpp"
-#include "wire/client_front.hpp"
+#include "fleet_manager/endpoint_view.hpp"
+#include "fleet_manager/fleet_manager_config.hpp"
+#include "fleet_manager/operator_requests.hpp"
+#include "fleet_manager/raft_node.hpp"
+#include "service/startup_config.hpp"
+#include "wire/change_messages.hpp"
 #include "wire/discovery_watch.hpp"
+#include "wire/http_server.hpp"
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 
-class Steward final : private RequestTaker, private ListTaker, private DueHandler, private LogMachine {
+class FleetManager final : private RequestHandler, private ListTaker, private DueHandler, private LogMachine {
   public:
     // `clock_error` is added to the clock that commands carry: for tests of clocks that run apart.
-    Steward(boost::asio::io_context& io, const StewardTerms& terms, std::uint64_t id, const Launch& launch,
-            Nanos clock_error);
+    FleetManager(boost::asio::io_context& io, const FleetManagerConfig& config, std::uint64_t id,
+                 const StartupConfig& launch, Nanos clock_error);
 
     void run();  // until SIGTERM; throws std::runtime_error once the log can't be kept
 
@@ -45,11 +45,11 @@
     };
     // Calls whose words go into the log together.
     struct Batch {
-        fleet::Words words;
+        fleet::ReportBatch words;
         std::vector<std::pair<Handle, MemberCall>> calls;
     };
     struct RelayBatch {
-        changes::Words words;
+        changes::ReportBatch words;
         std::vector<std::pair<Handle, RelayCall>> calls;
     };
 
@@ -84,14 +84,14 @@
 
     boost::asio::io_context& io_;
     boost::asio::signal_set signals_;
-    const StewardTerms terms_;
+    const FleetManagerConfig config_;
     const std::uint64_t id_;
     const Nanos clock_error_, tick_every_;
-    Timekeeper time_;
+    EventClock time_;
     fleet::FleetState state_;
     changes::ChangeState changes_;
     NodeView view_;
-    ClientFront front_;
+    HttpServer front_;
     DiscoveryWatch watch_;
     RaftNode raft_;
     boost::asio::steady_timer timer_;
@@ -99,13 +99,13 @@
     Batch batch_;
     std::map<std::uint32_t, RelayWaiting> relays_waiting_;  // by the client's slot
     RelayBatch relay_batch_;
-    Deadlines::Ticket flush_due_ = Deadlines::none, flush_relays_due_ = Deadlines::none;
+    TimerQueue::Ticket flush_due_ = TimerQueue::none, flush_relays_due_ = TimerQueue::none;
     std::vector<fleet::Effect> last_effects_;
     std::vector<changes::Effect> last_change_effects_;
     std::uint64_t told_generation_ = 0, led_by_ = 0;
-    Nanos timer_at_ = Deadlines::never, proposed_at_ = 0, ticked_changes_at_ = 0, stop_began_ = 0,
+    Nanos timer_at_ = TimerQueue::never, proposed_at_ = 0, ticked_changes_at_ = 0, stop_began_ = 0,
           view_at_ = 0;
     bool changing_ = false, proposing_view_ = false, allowing_ = false, leads_ = false;
 };
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/steward_terms.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -1,13 +1,13 @@
-#include "steward/steward_terms.hpp"
+#include "fleet_manager/fleet_manager_config.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <fstream>
 #include <iterator>
 
-#include "terms/block_reader.hpp"
+#include "config/block_reader.hpp"
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms, hour = 3600 * second;
@@ -26,14 +26,14 @@
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
-void read_steward(const HclBlock& block, std::vector<HclMistake>& mistakes, StewardTerms& terms) {
+void read_manager(const HclBlock& block, std::vector<HclMistake>& mistakes, FleetManagerConfig& config) {
     BlockReader in(block, mistakes);
     const std::string label = in.label("the steward's id");
     std::uint64_t id = 0;
     const auto [end, ec] = std::from_chars(label.data(), label.data() + label.size(), id);
     if (ec != std::errc() || end != label.data() + label.size() || id == 0)
         in.wrong(block.at, "a steward's id is a whole number above 0");
-    OneSteward s;
+    OneManager s;
     const auto address = [&](const char* name, bool needed) {
         const std::string text = in.text(name, "");
         const auto at = read_host_port(text);
@@ -48,27 +48,27 @@
     if (s.http_bind.port == 0) s.http_bind = s.http;
     s.folder = in.text("folder", "");
     if (s.folder.empty()) in.wrong(block.at, "'folder' is not stated");
-    for (const auto& [other, of] : terms.stewards)
+    for (const auto& [other, of] : config.managers)
         if (of.raft == s.raft || of.http == s.http || (of.folder == s.folder && !s.folder.empty()))
             in.wrong(block.at, "it has an address or folder of steward " + std::to_string(other));
     in.finish();
-    if (!terms.stewards.emplace(id, std::move(s)).second)
+    if (!config.managers.emplace(id, std::move(s)).second)
         in.wrong(block.at, "a second steward " + std::to_string(id));
 }
 
 }  // namespace
 
-StewardTerms read_steward_terms(std::string_view text, std::string_view source) {
+FleetManagerConfig read_fleet_manager_config(std::string_view text, std::string_view source) {
     const HclBlock root = parse_hcl(text, source);
     std::vector<HclMistake> mistakes;
-    StewardTerms terms;
-    terms.source = source;
+    FleetManagerConfig config;
+    config.source = source;
     BlockReader in(root, mistakes);
     if (const HclBlock* log = in.only_block("log")) {
         BlockReader of(*log, mistakes);
         of.no_label();
-        terms.log.form = static_cast<LogForm>(of.choice("format", 0, {"text", "json"}));
-        terms.log.level = static_cast<LogLevel>(of.choice("level", 1, {"debug", "info", "warn", "error"}));
+        config.log.form = static_cast<LogForm>(of.choice("format", 0, {"text", "json"}));
+        config.log.level = static_cast<LogLevel>(of.choice("level", 1, {"debug", "info", "warn", "error"}));
         of.finish();
     }
     const HclBlock* fleet = in.only_block("fleet");
@@ -76,26 +76,26 @@
         in.wrong(root.at, "there is no 'fleet' block");
     } else {
         BlockReader of(*fleet, mistakes);
-        fleet::Budgets& b = terms.budgets;
-        terms.fleet = of.label("the fleet's name");
-        if (!is_name(terms.fleet)) of.wrong(fleet->at, "the fleet's name has blanks or over 128 letters");
-        terms.election = of.span("election", terms.election, 100 * ms, 60 * second);
+        fleet::Budgets& b = config.budgets;
+        config.fleet = of.label("the fleet's name");
+        if (!is_name(config.fleet)) of.wrong(fleet->at, "the fleet's name has blanks or over 128 letters");
+        config.election = of.span("election", config.election, 100 * ms, 60 * second);
         b.lease = of.span("lease", b.lease, 500 * ms, hour);
         b.drift = of.span("drift", b.drift, 0, hour);
         b.forget = of.span("forget", b.forget, 0, 365 * 24 * hour);
         b.wait_for_lost = of.flag("wait_for_lost", b.wait_for_lost);
-        b.most_open = static_cast<std::size_t>(of.whole("most_open", 1000, 1, 1'000'000));
-        if (b.lease < 2 * terms.election)
+        b.max_open = static_cast<std::size_t>(of.whole("most_open", 1000, 1, 1'000'000));
+        if (b.lease < 2 * config.election)
             of.wrong(fleet->at, "'lease' is under two of 'election': no leader could be found within one");
-        for (const HclBlock* steward : of.blocks("steward")) read_steward(*steward, mistakes, terms);
-        if (terms.stewards.empty()) of.wrong(fleet->at, "it names no 'steward'");
+        for (const HclBlock* manager : of.blocks("steward")) read_manager(*manager, mistakes, config);
+        if (config.managers.empty()) of.wrong(fleet->at, "it names no 'steward'");
         if (const HclBlock* nodes = of.only_block("data_nodes")) {
             BlockReader n(*nodes, mistakes);
             n.no_label();
             b.nodes = read_limit(n, "");
             b.nodes_a_zone = read_limit(n, "zone_");
             b.nodes_a_kind = read_limit(n, "kind_");
-            b.least_holders = static_cast<std::size_t>(n.whole("least_holders", 1, 0, 1000));
+            b.min_holders = static_cast<std::size_t>(n.whole("least_holders", 1, 0, 1000));
             b.silent_share = n.number("silent_share", b.silent_share, 0.01, 1);
             n.finish();
         }
@@ -118,40 +118,40 @@
         if (const HclBlock* block = of.only_block("changes")) {
             BlockReader c(*block, mistakes);
             c.no_label();
-            changes::Limits& l = terms.changes;
+            changes::Limits& l = config.changes;
             const auto count = [&c](const char* name, std::size_t& to, std::int64_t most) {
                 to = static_cast<std::size_t>(c.whole(name, static_cast<std::int64_t>(to), 1, most));
             };
-            terms.takes_changes = true;
+            config.takes_changes = true;
             l.lease = c.span("lease", l.lease, 500 * ms, hour);
             l.drift = c.span("drift", l.drift, 0, hour);
             l.forget = c.span("forget", l.forget, 0, 365 * 24 * hour);
             l.halt_refused = c.number("halt_refused", l.halt_refused, 0, 1);
             count("halt_refused_least", l.halt_refused_least, any_number);
-            count("most_entries", l.most_entries, 10'000);
-            l.longest_entry = c.bytes("longest_entry", l.longest_entry, 16, 256 * 1024);
-            count("most_kept", l.most_kept, 100'000);
-            count("most_members", l.most_members, 1'000'000);
-            count("most_relays", l.most_relays, 100'000);
-            if (l.lease < 2 * terms.election)
+            count("most_entries", l.max_entries, 10'000);
+            l.max_entry = c.bytes("longest_entry", l.max_entry, 16, 256 * 1024);
+            count("most_kept", l.max_kept, 100'000);
+            count("most_members", l.max_members, 1'000'000);
+            count("most_relays", l.max_relays, 100'000);
+            if (l.lease < 2 * config.election)
                 c.wrong(block->at, "'lease' is under two of 'election': no leader could be found within one");
             c.finish();
         }
         of.finish();
     }
     in.finish();
-    if (mistakes.empty()) return terms;
+    if (mistakes.empty()) return config;
     std::stable_sort(mistakes.begin(), mistakes.end(), [](const HclMistake& a, const HclMistake& b) {
         return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
     });
     throw HclMistakes(source, std::move(mistakes));
 }
 
-StewardTerms read_steward_file(const std::string& path) {
+FleetManagerConfig read_fleet_manager_file(const std::string& path) {
     std::ifstream file(path);
     std::string text{std::istreambuf_iterator<char>(file), {}};
     if (!file) throw Malformed("the stewards' file " + path + " can't be read");
-    return read_steward_terms(text, path);
+    return read_fleet_manager_config(text, path);
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/entries.cpp
+++ b/src/fleet_manager/log_entries.cpp
@@ -1,17 +1,17 @@
-#include "steward/entries.hpp"
+#include "fleet_manager/log_entries.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 #include <string>
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 // The fleet's own entries and snapshots are CBOR maps, which begin with 0xa0 to 0xbf; these can't.
 constexpr std::uint8_t changes_mark = 0x01;
 constexpr std::uint8_t snapshot_mark[] = {0x02, 't', 'c'};
 constexpr std::uint8_t snapshot_form = 1;
-constexpr std::size_t head = sizeof snapshot_mark + 1 + 8;  // then the length of the fleet's part
+constexpr std::size_t head = sizeof snapshot_mark + 1 + 8;  // then the length of the fleet's shard request
 
 }  // namespace
 
@@ -52,4 +52,4 @@
     return s;
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/entries.hpp
+++ b/src/fleet_manager/log_entries.hpp
@@ -1,4 +1,4 @@
-// What the stewards' log carries: commands of the fleet's state and of the changes' state, told apart by
+// What the managers' log carries: commands of the fleet's state and of the changes' state, told apart by
 // their first byte, and snapshots of both. Entries and snapshots from before there were changes are read as
 // the fleet's. Pure functions on bytes.
 #pragma once
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 
 using Bytes = std::vector<std::uint8_t>;
 
@@ -26,7 +26,7 @@
     std::optional<Bytes> changes;  // none: from before there were any
 };
 Bytes write_snapshot(const Snapshot& snapshot);
-// Throws std::runtime_error on another form and on noise; what is in the parts is for their readers.
+// Throws std::runtime_error on another form and on noise; what is in the shard requests is for their readers.
 Snapshot read_snapshot(const Bytes& bytes);
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -1,4 +1,4 @@
-// The stewards' program: `init` makes a steward's folder, `serve` runs one, `check` reads the operators'
+// The managers' program: `init` makes a manager's folder, `serve` runs one, `check` reads the operators'
 // file.
 
 #include <CLI/CLI.hpp>
@@ -6,14 +6,14 @@
 #include <cstdio>
 #include <filesystem>
 
+#include "fleet_manager/data_directory.hpp"
+#include "fleet_manager/fleet_manager.hpp"
 #include "service/log.hpp"
-#include "steward/folder.hpp"
-#include "steward/steward.hpp"
 
 namespace {
 
 using namespace tealcart;
-using namespace tealcart::steward;
+using namespace tealcart::manager;
 
 struct Asked {
     std::string file, config;
@@ -22,18 +22,19 @@
     std::int64_t clock_error_ms = 0;
 };
 
-const OneSteward& self_of(const StewardTerms& terms, std::uint64_t id) {
-    const auto it = terms.stewards.find(id);
-    if (it == terms.stewards.end()) throw Malformed(terms.source + " names no steward " + std::to_string(id));
+const OneManager& self_of(const FleetManagerConfig& config, std::uint64_t id) {
+    const auto it = config.managers.find(id);
+    if (it == config.managers.end())
+        throw Malformed(config.source + " names no steward " + std::to_string(id));
     return it->second;
 }
 
 int init(const Asked& asked) {
-    const StewardTerms terms = read_steward_file(asked.file);
-    const OneSteward& self = self_of(terms, asked.id);
-    mark_folder(self.folder, terms.fleet, asked.id);
+    const FleetManagerConfig config = read_fleet_manager_file(asked.file);
+    const OneManager& self = self_of(config, asked.id);
+    mark_folder(self.folder, config.fleet, asked.id);
     std::vector<RaftServer> servers;
-    for (const auto& [id, s] : terms.stewards) servers.push_back({id, s.raft});
+    for (const auto& [id, s] : config.managers) servers.push_back({id, s.raft});
     try {
         if (!asked.join) RaftNode::bootstrap({asked.id, self.raft, self.bind, self.folder}, servers);
     } catch (...) {
@@ -42,29 +43,29 @@
         throw;
     }
     std::printf("%s is steward %llu's of %s\n", self.folder.c_str(),
-                static_cast<unsigned long long>(asked.id), terms.fleet.c_str());
+                static_cast<unsigned long long>(asked.id), config.fleet.c_str());
     return 0;
 }
 
 int serve(const Asked& asked) {
     std::signal(SIGPIPE, SIG_IGN);
     std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is told as a disk that is full is
-    const StewardTerms terms = read_steward_file(asked.file);
-    const OneSteward& self = self_of(terms, asked.id);
-    start_log(terms.log);
-    const Launch launch = read_launch_file(asked.config);
-    check_folder(self.folder, terms.fleet, asked.id);
+    const FleetManagerConfig config = read_fleet_manager_file(asked.file);
+    const OneManager& self = self_of(config, asked.id);
+    start_log(config.log);
+    const StartupConfig launch = read_startup_config_file(asked.config);
+    check_folder(self.folder, config.fleet, asked.id);
     boost::asio::io_context io(1);
-    Steward steward(io, terms, asked.id, launch, asked.clock_error_ms * 1'000'000);
-    steward.run();
+    FleetManager manager(io, config, asked.id, launch, asked.clock_error_ms * 1'000'000);
+    manager.run();
     return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("tealcart-steward: keeps what a fleet has agreed on; docs/fleet.md");
-    app.name("tealcart steward");
+    CLI::App app("tealcart-fleet-manager: keeps what a fleet has agreed on; docs/fleet.md");
+    app.name("tealcart fleet-manager");
     Asked asked;
     const auto of = [&](const char* command, const char* what) {
         CLI::App* sub = app.add_subcommand(command, what);
@@ -94,15 +95,15 @@
         if (making->parsed()) return init(asked);
         if (serving->parsed()) return serve(asked);
         if (checking->parsed()) {
-            const StewardTerms terms = read_steward_file(asked.file);
-            std::printf("%s: %zu stewards of %s\n", asked.file.c_str(), terms.stewards.size(),
-                        terms.fleet.c_str());
+            const FleetManagerConfig config = read_fleet_manager_file(asked.file);
+            std::printf("%s: %zu stewards of %s\n", asked.file.c_str(), config.managers.size(),
+                        config.fleet.c_str());
         }
         return 0;
     } catch (const HclMistakes& e) {
         std::fprintf(stderr, "%s\n", e.what());
     } catch (const std::exception& e) {
-        std::fprintf(stderr, "tealcart steward: %s\n", e.what());
+        std::fprintf(stderr, "tealcart fleet-manager: %s\n", e.what());
     }
     return 1;
 }
--- a/src/steward/asker.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -1,4 +1,4 @@
-#include "steward/asker.hpp"
+#include "fleet_manager/manager_client.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,20 +8,20 @@
 #include <thread>
 
 #include "wire/http.hpp"
-#include "wire/member_words.hpp"
+#include "wire/member_messages.hpp"
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t longest_answer = 64 * 1024 * 1024;
+constexpr std::size_t max_answer = 64 * 1024 * 1024;
 constexpr auto one_try = std::chrono::milliseconds(1500), pause = std::chrono::milliseconds(50);
 
 struct Asking {
-    explicit Asking(boost::asio::io_context& io) : socket(io), reader(longest_answer) {}
+    explicit Asking(boost::asio::io_context& io) : socket(io), reader(max_answer) {}
 
     tcp::socket socket;
     AnswerReader reader;
@@ -69,16 +69,16 @@
     return a->reply;
 }
 
-Reply ask_stewards(const std::vector<HostPort>& stewards, const std::string& path, const std::string& body,
-                   std::chrono::milliseconds within) {
+Reply query_managers(const std::vector<HostPort>& managers, const std::string& path, const std::string& body,
+                     std::chrono::milliseconds within) {
     const auto until = Clock::now() + within;
     boost::asio::io_context io(1);
     Reply last;
     std::optional<HostPort> leader;  // named by one that follows, in the list or not
     for (std::size_t at = 0; Clock::now() < until;) {
         const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now());
-        const HostPort to = leader ? *leader : stewards[at];
-        if (!leader) at = (at + 1) % stewards.size();
+        const HostPort to = leader ? *leader : managers[at];
+        if (!leader) at = (at + 1) % managers.size();
         leader.reset();
         const Reply reply = ask_once(io, to, path, body, std::min(left, one_try));
         if (reply.status == 200 || (reply.status >= 400 && reply.status < 410)) return reply;
@@ -90,4 +90,4 @@
     return {0, last.body};
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -1,9 +1,9 @@
-#include "steward/requests.hpp"
+#include "fleet_manager/operator_requests.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -85,7 +85,7 @@
     return Json{{"effects", list}}.dump();
 }
 
-std::string write_status(const fleet::FleetState& state, const StewardFigures& figures, bool all) {
+std::string write_status(const fleet::FleetState& state, const ManagerFigures& figures, bool all) {
     Json out = {{"fleet", figures.fleet},
                 {"steward", figures.id},
                 {"leader", figures.leader},
@@ -102,16 +102,16 @@
                     {"asker", r.asker},    {"fence", r.fence},           {"generation", r.generation},
                     {"held_by", r.held_by}};
         one["waits_for"] = r.stage == fleet::Stage::granted ? state.waits_for(r) : std::vector<std::string>{};
-        one["unheard"] = r.unheard;
+        one["unheard"] = r.unacknowledged;
         requests.push_back(std::move(one));
     }
     // All of a list, or those that are not as they should be.
     const auto list = [&](const auto& from, Json& to, const auto& exception, const auto& write) {
-        const bool each = all || from.size() <= most_listed_whole;
+        const bool each = all || from.size() <= max_listed_whole;
         std::size_t left_out = 0;
         for (const auto& [name, one] : from) {
             if (!each && !exception(name, one)) continue;
-            if (!each && to.size() >= most_exceptions)
+            if (!each && to.size() >= max_exceptions)
                 ++left_out;
             else
                 to.push_back(write(name, one));
@@ -119,7 +119,7 @@
         return Json{{"listed", each ? "all" : "exceptions"}, {"exceptions_left_out", left_out}};
     };
     const auto member_exception = [&](const std::string& name, const fleet::Member& m) {
-        return m.lost || m.left || m.word.acts_on != state.generation() || state.out(true, name);
+        return m.lost || m.left || m.word.applied_generation != state.generation() || state.out(true, name);
     };
     const auto write_member = [&](const std::string& name, const fleet::Member& m) {
         return Json({{"name", name},
@@ -127,8 +127,8 @@
                      {"zone", m.zone},
                      {"version", m.version},
                      {"digest", m.digest},
-                     {"life", m.life},
-                     {"acts_on", m.word.acts_on},
+                     {"life", m.incarnation},
+                     {"acts_on", m.word.applied_generation},
                      {"lease_left_ms", (m.lease_until - state.now()) / ms},
                      {"lost", m.lost},
                      {"left", m.left},
@@ -166,13 +166,15 @@
 fleet::Join join_of(const MemberCall& c) {
     return {c.name,    c.role == "router" ? fleet::Role::router : fleet::Role::control,
             c.zone,    c.version,
-            c.digest,  c.life,
+            c.digest,  c.incarnation,
             c.serve_on};
 }
 
 fleet::Renew renew_of(const MemberCall& c) {
-    fleet::Renew r{c.name, c.life, {c.acts_on, {}, {c.silent.begin(), c.silent.end()}, c.queries, c.failed}};
-    for (const TargetName& t : c.in_hand) r.word.in_hand.insert({t.router, t.name});
+    fleet::Renew r{c.name,
+                   c.incarnation,
+                   {c.applied_generation, {}, {c.silent.begin(), c.silent.end()}, c.queries, c.failed}};
+    for (const TargetName& t : c.in_flight) r.word.in_flight.insert({t.router, t.name});
     return r;
 }
 
@@ -182,4 +184,4 @@
     return a;
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/requests.hpp
+++ b/src/fleet_manager/operator_requests.hpp
@@ -1,4 +1,4 @@
-// What operators and their tools ask of the stewards, as JSON bodies, and what they are told. Pure functions.
+// What operators and their tools ask of the managers, as JSON bodies, and what they are told. Pure functions.
 #pragma once
 
 #include <optional>
@@ -7,11 +7,11 @@
 #include <vector>
 
 #include "fleet/fleet_state.hpp"
-#include "wire/member_words.hpp"
+#include "wire/member_messages.hpp"
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 
-// A request that may be said again under the same id, to any steward, and is one.
+// A request that may be said again under the same id, to any manager, and is one.
 struct OperatorCall {
     std::string id, asker, why;
     std::vector<fleet::Target> targets;
@@ -21,17 +21,17 @@
 };
 std::optional<OperatorCall> read_operator_call(std::string_view body, std::string& wrong);
 
-struct StewardFigures {
+struct ManagerFigures {
     std::uint64_t id = 0, leader = 0, applied = 0;
     std::string fleet, leader_address;
     std::size_t waiting = 0;  // members' calls
     Nanos discovery_silent = 0;
 };
 
-// The agreed state for people and tools. Of over `most_listed_whole` data nodes, or members, only those are
-// listed that are not as they should be, and `most_exceptions` of them at most; all are counted, by zone.
-constexpr std::size_t most_listed_whole = 200, most_exceptions = 1000;
-std::string write_status(const fleet::FleetState& state, const StewardFigures& figures, bool all);
+// The agreed state for people and tools. Of over `max_listed_whole` data nodes, or members, only those are
+// listed that are not as they should be, and `max_exceptions` of them at most; all are counted, by zone.
+constexpr std::size_t max_listed_whole = 200, max_exceptions = 1000;
+std::string write_status(const fleet::FleetState& state, const ManagerFigures& figures, bool all);
 std::string write_effects(const std::vector<fleet::Effect>& effects);
 
 const char* word_of(fleet::Effect::Kind kind);
@@ -43,4 +43,4 @@
 fleet::Renew renew_of(const MemberCall& call);
 MemberAnswer answer_of(const fleet::FleetState& state);
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -1,4 +1,4 @@
-#include "steward/raft_node.hpp"
+#include "fleet_manager/raft_node.hpp"
 
 #include <unistd.h>
 
@@ -8,14 +8,14 @@
 #include <span>
 #include <stdexcept>
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 namespace {
 
 constexpr Nanos ms = 1'000'000;
 constexpr std::size_t segment = 1 << 20;               // bytes of a file of the log
 constexpr unsigned snapshot_after = 4096, keep = 512;  // entries
 constexpr unsigned connect_again_ms = 100;
-constexpr Nanos longest_sleep = 50 * ms;
+constexpr Nanos max_sleep = 50 * ms;
 
 // The library counts in words of eight bytes: an entry of any other length makes its segment, read again,
 // look corrupt, and shifts what follows it in a message. So what is written begins with its length and is
@@ -58,23 +58,23 @@
     Changed changed;
 };
 
-RaftNode::RaftNode(boost::asio::io_context& io, const RaftTerms& terms, LogMachine& machine)
+RaftNode::RaftNode(boost::asio::io_context& io, const RaftConfig& config, LogMachine& machine)
     : io_(io), machine_(machine) {
-    open(terms);
+    open(config);
 }
 
 // What the library calls back into this holds no exception: it is kept until `turn` throws it.
-void RaftNode::open(const RaftTerms& terms) {
+void RaftNode::open(const RaftConfig& config) {
     if (const int rv = uv_loop_init(&loop_); rv != 0)
         throw std::runtime_error(std::string("the log's loop: ") + uv_strerror(rv));
     transport_.data = this;
-    if (raft_uv_tcp_init(&transport_, &loop_) != 0) fail(terms.folder, transport_.errmsg);
-    if (!terms.bind.empty() && raft_uv_tcp_set_bind_address(&transport_, terms.bind.c_str()) != 0)
-        fail(terms.folder, "it can't listen at " + terms.bind);
-    if (const int rv = raft_uv_init(&raft_io_, &loop_, terms.folder.c_str(), &transport_); rv != 0)
-        fail(terms.folder, raft_io_.errmsg[0] != 0 ? raft_io_.errmsg : raft_strerror(rv));
+    if (raft_uv_tcp_init(&transport_, &loop_) != 0) fail(config.folder, transport_.errmsg);
+    if (!config.bind.empty() && raft_uv_tcp_set_bind_address(&transport_, config.bind.c_str()) != 0)
+        fail(config.folder, "it can't listen at " + config.bind);
+    if (const int rv = raft_uv_init(&raft_io_, &loop_, config.folder.c_str(), &transport_); rv != 0)
+        fail(config.folder, raft_io_.errmsg[0] != 0 ? raft_io_.errmsg : raft_strerror(rv));
     raft_uv_set_segment_size(&raft_io_, segment);
-    // What can't be read is told, and not set aside: a steward that forgot what it agreed to would break the
+    // What can't be read is told, and not set aside: a manager that forgot what it agreed to would break the
     // log.
     raft_uv_set_auto_recovery(&raft_io_, false);
     raft_uv_set_connect_retry_delay(&raft_io_, connect_again_ms);
@@ -110,12 +110,12 @@
         raft_free(buf->base);
         return 0;
     };
-    if (const int rv = raft_init(&raft_, &raft_io_, &fsm_, terms.id, terms.address.c_str()); rv != 0)
-        fail(terms.folder, raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_) : raft_strerror(rv));
+    if (const int rv = raft_init(&raft_, &raft_io_, &fsm_, config.id, config.address.c_str()); rv != 0)
+        fail(config.folder, raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_) : raft_strerror(rv));
     raft_.data = this;
     append_ = std::exchange(raft_io_.append, append);
-    raft_set_election_timeout(&raft_, static_cast<unsigned>(terms.election / ms));
-    raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(std::max<Nanos>(20, terms.election / ms / 10)));
+    raft_set_election_timeout(&raft_, static_cast<unsigned>(config.election / ms));
+    raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(std::max<Nanos>(20, config.election / ms / 10)));
     raft_set_snapshot_threshold(&raft_, snapshot_after);
     raft_set_snapshot_trailing(&raft_, keep);
     raft_set_pre_vote(&raft_, true);
@@ -150,14 +150,14 @@
     return rv;
 }
 
-void RaftNode::bootstrap(const RaftTerms& terms, const std::vector<RaftServer>& servers) {
+void RaftNode::bootstrap(const RaftConfig& config, const std::vector<RaftServer>& servers) {
     struct Nothing final : LogMachine {
         void apply(const std::uint8_t*, std::size_t) override {}
         std::vector<std::uint8_t> save() const override { return {}; }
         void load(const std::vector<std::uint8_t>&) override {}
     } nothing;
     boost::asio::io_context io;
-    RaftNode node(io, terms, nothing);
+    RaftNode node(io, config, nothing);
     raft_configuration all;
     raft_configuration_init(&all);
     int rv = 0;
@@ -167,7 +167,7 @@
     raft_configuration_close(&all);
     const std::string wrong = rv == RAFT_CANTBOOTSTRAP ? "it holds a log already" : raft_strerror(rv);
     node.close();
-    if (rv != 0) fail(terms.folder, wrong);
+    if (rv != 0) fail(config.folder, wrong);
 }
 
 RaftNode::~RaftNode() { close(); }
@@ -185,7 +185,7 @@
 }
 
 Nanos RaftNode::turn() {
-    if (closed_) return longest_sleep;
+    if (closed_) return max_sleep;
     uv_run(&loop_, UV_RUN_NOWAIT);
     if (!broken_.empty()) throw std::runtime_error(broken_);
     if (started_ && raft_state(&raft_) == RAFT_UNAVAILABLE)
@@ -194,7 +194,7 @@
         backend_->async_wait(boost::asio::posix::stream_descriptor::wait_read,
                              [this](const boost::system::error_code&) { waits_ = false; });
     const int next = uv_backend_timeout(&loop_);
-    return next < 0 ? longest_sleep : std::min(longest_sleep, next * ms);
+    return next < 0 ? max_sleep : std::min(max_sleep, next * ms);
 }
 
 void RaftNode::close() {
@@ -281,4 +281,4 @@
     change.release();
 }
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/steward/raft_node.hpp
+++ b/src/fleet_manager/raft_node.hpp
@@ -2,7 +2,7 @@
 // are bytes, handed to a machine in the one order that all nodes agree on.
 //
 // libuv's loop has no thread of its own: its backend is one descriptor, which the io_context waits on, and
-// `turn` lets the loop do what is ready. So a steward is one thread, as the query router is.
+// `turn` lets the loop do what is ready. So a manager is one thread, as the query router is.
 #pragma once
 
 #include <uv.h>
@@ -23,7 +23,7 @@
 
 #include "router/query_router.hpp"
 
-namespace tealcart::steward {
+namespace tealcart::manager {
 
 struct RaftServer {
     std::uint64_t id = 0;
@@ -39,7 +39,7 @@
     virtual void load(const std::vector<std::uint8_t>& bytes) = 0;
 };
 
-struct RaftTerms {
+struct RaftConfig {
     std::uint64_t id = 0;
     std::string address, bind, folder;  // bind: where it listens, if that is another address
     Nanos election = 600'000'000;
@@ -48,11 +48,11 @@
 class RaftNode {
   public:
     // Throws std::runtime_error, in one line, where the folder can't be used or holds what can't be read.
-    RaftNode(boost::asio::io_context& io, const RaftTerms& terms, LogMachine& machine);
+    RaftNode(boost::asio::io_context& io, const RaftConfig& config, LogMachine& machine);
     ~RaftNode();
 
     // An empty folder becomes one of these servers.
-    static void bootstrap(const RaftTerms& terms, const std::vector<RaftServer>& servers);
+    static void bootstrap(const RaftConfig& config, const std::vector<RaftServer>& servers);
 
     void start();
     // To be called after each turn of the io_context, and after as long as it says at the latest. Throws
@@ -80,7 +80,7 @@
 
     static int append(raft_io* io, raft_io_append* request, const raft_entry entries[], unsigned n,
                       raft_io_append_cb told);
-    void open(const RaftTerms& terms);
+    void open(const RaftConfig& config);
 
     boost::asio::io_context& io_;
     LogMachine& machine_;
@@ -97,4 +97,4 @@
     bool waits_ = false;
 };
 
-}  // namespace tealcart::steward
+}  // namespace tealcart::manager
--- a/src/members/agreed_list.cpp
+++ b/src/members/agreed_list.cpp
@@ -7,8 +7,7 @@
 namespace tealcart {
 
 ListedNode AgreedList::joined(ListedNode node) const {
-    if (node.availability == Availability::ready && is_out(node.id))
-        node.availability = Availability::draining;
+    if (node.lifecycle == Lifecycle::ready && is_out(node.id)) node.lifecycle = Lifecycle::draining;
     return node;
 }
 
@@ -18,7 +17,7 @@
     TargetList list = news;
     for (ListedNode& node : list.nodes) {
         ++looked_;
-        if (node.availability == Availability::gone)
+        if (node.lifecycle == Lifecycle::removed)
             nodes_.erase(node.id);
         else
             nodes_[node.id] = node;
@@ -36,7 +35,7 @@
     for (const std::string& name : changed) {
         ++looked_;
         const auto it = nodes_.find(name);
-        if (!cut_ && it != nodes_.end() && it->second.availability == Availability::ready)
+        if (!cut_ && it != nodes_.end() && it->second.lifecycle == Lifecycle::ready)
             list.nodes.push_back(joined(it->second));
     }
     return list;
@@ -47,8 +46,7 @@
     if (std::exchange(cut_, cut) == cut) return list;
     for (const auto& [name, node] : nodes_) {
         ++looked_;
-        if (node.availability == Availability::ready && !out_.contains(name))
-            list.nodes.push_back(joined(node));
+        if (node.lifecycle == Lifecycle::ready && !out_.contains(name)) list.nodes.push_back(joined(node));
     }
     return list;
 }
--- a/src/members/configuration.cpp
+++ b/src/members/configuration.cpp
@@ -17,7 +17,7 @@
     std::string why;
     const auto wrong = [&why](std::string words) {
         std::replace(words.begin(), words.end(), '\n', ';');
-        if (why.size() < longest_why) why.append(why.empty() ? "" : "; ").append(words);
+        if (why.size() < max_why) why.append(why.empty() ? "" : "; ").append(words);
     };
     for (const auto& [key, value] : document) {
         const std::size_t dot = key.find('.');
@@ -31,19 +31,19 @@
             HclBlock& block = root.blocks.emplace_back(parse_hcl(value, key));
             block.type = type;
             if (dot != std::string::npos) block.labels = {key.substr(dot + 1)};
-            const OperatorTerms stated = read_operator_terms(root, key);
+            const OperatorConfig stated = read_operator_config(root, key);
             if (type == "log") settings.log = stated.log;
             std::vector<HclMistake> mistakes;
             for (const StatedPhases& s : stated.phases)
-                if (const auto v = phased_vertical(s, terms_, verticals_, mistakes))
-                    settings.phases[*v] = s.terms;
+                if (const auto v = two_phase_query_class(s, config_, query_classes_, mistakes))
+                    settings.phases[*v] = s.config;
             if (!mistakes.empty()) throw HclMistakes(key, std::move(mistakes));
         } catch (const HclMistakes& e) {
             wrong(e.what());
         }
     }
     if (why.empty()) return settings;
-    if (why.size() > longest_why) why.resize(longest_why);
+    if (why.size() > max_why) why.resize(max_why);
     return Refusal{std::move(why)};
 }
 
--- a/src/members/configuration.hpp
+++ b/src/members/configuration.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "changes/document.hpp"
-#include "terms/operator_terms.hpp"
+#include "config/operator_config.hpp"
 
 namespace tealcart {
 
@@ -20,17 +20,19 @@
   public:
     // What may change while the router runs.
     struct Settings {
-        LogTerms log;
-        std::vector<PhaseTerms> phases;  // by vertical
+        LogConfig log;
+        std::vector<TwoPhaseConfig> phases;  // by query class
     };
     struct Refusal {
-        std::string why;  // every mistake as `KEY:LINE:COLUMN: WORDS`, cut at `longest_why` bytes
+        std::string why;  // every mistake as `KEY:LINE:COLUMN: WORDS`, cut at `max_why` bytes
     };
-    static constexpr std::size_t longest_why = 480;
+    static constexpr std::size_t max_why = 480;
 
-    // `started`: what the file says. `terms`, `verticals`: the deployment, which documents are held against.
-    Configuration(Settings started, Terms terms, std::vector<std::string> verticals)
-        : started_(std::move(started)), terms_(std::move(terms)), verticals_(std::move(verticals)) {}
+    // `started`: what the file says. `config`, `query classes`: the deployment, which documents are held
+    // against.
+    Configuration(Settings started, RouterConfig config, std::vector<std::string> query_classes)
+        : started_(std::move(started)), config_(std::move(config)), query_classes_(std::move(query_classes)) {
+    }
 
     // All of it, or why not; changes nothing here.
     std::variant<Settings, Refusal> read(const changes::Document& document) const;
@@ -40,8 +42,8 @@
 
   private:
     const Settings started_;
-    const Terms terms_;
-    const std::vector<std::string> verticals_;
+    const RouterConfig config_;
+    const std::vector<std::string> query_classes_;
     std::map<std::string, std::uint64_t> digests_;  // of the entries that are acted on
 };
 
--- a/src/members/member_host.hpp
+++ b/src/members/member_host.hpp
@@ -4,16 +4,16 @@
 #include <functional>
 #include <string>
 
-#include "tables/deadlines.hpp"
+#include "tables/timer_queue.hpp"
 #include "wire/discovery_watch.hpp"
 
 namespace tealcart {
 
 // What a member of a fleet may do now, beside what the platform allows.
-enum class StandingBy : std::uint8_t { agreement, configuration };
-struct MemberStanding {
+enum class ServingStateSource : std::uint8_t { agreement, configuration };
+struct MemberServingState {
     bool ready = true, admits = true;
-    Nanos no_calls_after = Deadlines::never;
+    Nanos no_calls_after = TimerQueue::never;
 };
 
 // Told how queries and leaf calls end.
@@ -28,7 +28,7 @@
 class MemberHost : public ListTaker {
   public:
     virtual void watch_outcomes(OutcomeTaker* taker) = 0;
-    virtual void take_standing(StandingBy by, const MemberStanding& standing) = 0;
+    virtual void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) = 0;
     // When the next round is due; never while nothing has come in.
     virtual Nanos next_round() const = 0;
     virtual std::size_t held() const = 0;
--- a/src/members/member_lease.cpp
+++ b/src/members/member_lease.cpp
@@ -11,38 +11,38 @@
 
 }  // namespace
 
-MemberLease::MemberLease(const MemberTerms& terms, Nanos started, std::uint64_t life)
-    : started_(started), serve_on_(terms.serve_on), first_word_(terms.first_word),
-      then_stop_(terms.then_stop), life_(life) {}
+MemberLease::MemberLease(const MemberConfig& config, Nanos started, std::uint64_t incarnation)
+    : started_(started), serve_on_(config.serve_on), first_word_(config.first_word),
+      then_stop_(config.then_stop), incarnation_(incarnation) {}
 
 void MemberLease::renewed(Nanos sent, Nanos lease) {
     lease_ = lease;
     lease_until_ = std::max(lease_until_, sent + lease);
 }
 
-void MemberLease::outlived(std::uint64_t last_life) {
+void MemberLease::outlived(std::uint64_t last_incarnation) {
     if (lease_until_ > 0)
         followed_ = true;
     else
-        life_ = std::max(life_, last_life) + 1;
+        incarnation_ = std::max(incarnation_, last_incarnation) + 1;
 }
 
-// One that never heard a steward counts from its start: they may have taken it in all the same.
+// One that never heard a manager counts from its start: they may have taken it in all the same.
 Nanos MemberLease::alone_until() const {
     const Nanos from = lease_until_ > 0 ? lease_until_ : started_;
     return serve_on_ > never - from ? never : from + serve_on_;
 }
 
-Standing MemberLease::standing(Nanos now) const {
-    if (followed_) return Standing::cut;
-    if (lease_until_ > 0 && now < lease_until_) return Standing::member;
-    if (lease_until_ == 0 && now < started_ + first_word_) return Standing::unheard;
-    return now >= alone_until() ? Standing::cut : Standing::alone;
+ServingState MemberLease::serving_state(Nanos now) const {
+    if (followed_) return ServingState::cut;
+    if (lease_until_ > 0 && now < lease_until_) return ServingState::member;
+    if (lease_until_ == 0 && now < started_ + first_word_) return ServingState::unheard;
+    return now >= alone_until() ? ServingState::cut : ServingState::alone;
 }
 
 bool MemberLease::ready(Nanos now) const {
-    const Standing s = standing(now);
-    return s == Standing::member || s == Standing::alone;
+    const ServingState s = serving_state(now);
+    return s == ServingState::member || s == ServingState::alone;
 }
 
 bool MemberLease::admits(Nanos now) const { return !followed_ && now < no_calls_after(now); }
@@ -50,7 +50,7 @@
 Nanos MemberLease::no_calls_after(Nanos now) const {
     if (followed_) return 0;
     if (!then_stop_) return never;
-    return standing(now) == Standing::unheard ? 0 : alone_until();
+    return serving_state(now) == ServingState::unheard ? 0 : alone_until();
 }
 
 Nanos MemberLease::next_change(Nanos now) const {
@@ -61,8 +61,8 @@
     return followed_ ? never : next;
 }
 
-Nanos MemberLease::wait(bool in_hand) const {
-    if (in_hand) return in_hand_wait;
+Nanos MemberLease::wait(bool in_flight) const {
+    if (in_flight) return in_hand_wait;
     return lease_ > 0 ? lease_ / 5 : first_wait;
 }
 
--- a/src/members/outcome_watch.cpp
+++ b/src/members/outcome_watch.cpp
@@ -19,7 +19,7 @@
 }
 
 void OutcomeWatch::call_ended(Nanos now, std::uint32_t node, Outcome outcome) {
-    if (outcome == Outcome::moot || outcome == Outcome::cancelled) return;
+    if (outcome == Outcome::not_sent || outcome == Outcome::cancelled) return;
     const bool bad =
         outcome == Outcome::timeout || outcome == Outcome::connect_failed || outcome == Outcome::reset;
     if (!bad) return void(nodes_.erase(node));
--- a/src/phases/section_memory.cpp
+++ b/src/phases/section_memory.cpp
@@ -21,8 +21,8 @@
     for (const std::string& term : f.terms) hashes.push_back(term_hash(term));
 }
 
-SectionMemory::SectionMemory(const MemoryTerms& terms, std::uint32_t shards)
-    : most_bytes_(terms.bytes), longest_lease_(terms.longest_lease), of_(shards) {}
+SectionMemory::SectionMemory(const SectionMemoryConfig& terms, std::uint32_t shards)
+    : max_bytes_(terms.bytes), max_lease_(terms.max_lease), of_(shards) {}
 
 std::size_t SectionMemory::size_of(const Kept& kept) { return sizeof(Kept) + kept.filter.bytes(); }
 
@@ -37,7 +37,7 @@
                           Nanos now) {
     if (shard >= of_.size()) return;
     hear_version(shard, word.version);
-    const Nanos lease = std::min(word.lease, longest_lease_);
+    const Nanos lease = std::min(word.lease, max_lease_);
     const Nanos until = asked_at + lease - lease / drift_share;
     if (!word.has_filter || until <= now) return;
     if (of_[shard]) {
@@ -51,8 +51,8 @@
     }
     Kept kept{shard, node, word.version, until, word.filter};
     const std::size_t size = size_of(kept);
-    if (size > most_bytes_) return;
-    while (bytes_ + size > most_bytes_) drop(by_use_.back().shard);
+    if (size > max_bytes_) return;
+    while (bytes_ + size > max_bytes_) drop(by_use_.back().shard);
     by_use_.push_front(std::move(kept));
     of_[shard] = by_use_.begin();
     bytes_ += size_of(by_use_.front());
--- a/src/phases/section_memory.hpp
+++ b/src/phases/section_memory.hpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "phases/phase_terms.hpp"
+#include "phases/two_phase_config.hpp"
 #include "phases/word.hpp"
 
 namespace tealcart {
@@ -22,7 +22,7 @@
 
 class SectionMemory {
   public:
-    SectionMemory(const MemoryTerms& terms, std::uint32_t shards);
+    SectionMemory(const SectionMemoryConfig& terms, std::uint32_t shards);
 
     // A word that came from `node` to a question asked at `asked_at`. Kept where it has a filter and a lease
     // that still runs; the lease counts from the asking, which is before the node gave it, less what clocks
@@ -53,8 +53,8 @@
     static std::size_t size_of(const Kept& kept);
     void drop(std::uint32_t shard);
 
-    const std::size_t most_bytes_;
-    const Nanos longest_lease_;
+    const std::size_t max_bytes_;
+    const Nanos max_lease_;
     std::list<Kept> by_use_;  // latest first
     std::vector<std::optional<Place>> of_;
     std::size_t bytes_ = 0;
--- a/src/phases/two_phase.cpp
+++ b/src/phases/two_phase.cpp
@@ -4,14 +4,15 @@
 
 namespace tealcart {
 
-TwoPhase::TwoPhase(const PhaseTerms& terms, int rows, int call_cap, const std::vector<double>& weights)
-    : terms_(terms), rows_(rows), call_cap_(call_cap) {
+TwoPhase::TwoPhase(const TwoPhaseConfig& config, int rows, int max_attempts,
+                   const std::vector<double>& weights)
+    : config_(config), rows_(rows), call_cap_(max_attempts) {
     for (const double weight : weights) sections_.emplace_back().weight = weight;
 }
 
 Leg TwoPhase::begin(Nanos now, Nanos useful_by, const Outlook& outlook) {
     useful_by_ = useful_by;
-    Leg leg{Leg::find, first_phase_end(terms_, now, useful_by), {}};
+    Leg leg{Leg::find, first_phase_end(config_, now, useful_by), {}};
     const bool time = leg.until > now && call_cap_ > 1;
     double sum = 0;
     for (std::uint32_t i = 0; i < sections_.size(); ++i) {
@@ -21,13 +22,14 @@
             s.fate = Fate::pruned;
             s.node = *node;
         } else if (time && outlook.worth_asking(i)) {
-            leg.parts.push_back({i, s.weight, 1, false});
+            leg.shard_requests.push_back({i, s.weight, 1, false});
             sum += s.weight;
         }
     }
-    if (leg.parts.empty()) return fetch(State::fetching);
-    for (LegPart& part : leg.parts)
-        part.weight = sum > 0 ? part.weight / sum : 1.0 / static_cast<double>(leg.parts.size());
+    if (leg.shard_requests.empty()) return fetch(State::fetching);
+    for (LegShardRequest& shard_request : leg.shard_requests)
+        shard_request.weight =
+            sum > 0 ? shard_request.weight / sum : 1.0 / static_cast<double>(leg.shard_requests.size());
     state_ = State::finding;
     return leg;
 }
@@ -70,12 +72,13 @@
         if (s.fate == Fate::pruned) continue;
         // What is missing by now is not asked again, but stands below the line.
         const int spent = s.fate == Fate::missing ? call_cap_ : s.spent;
-        leg.parts.push_back({i, s.weight, spent, s.fate == Fate::answered});
+        leg.shard_requests.push_back({i, s.weight, spent, s.fate == Fate::answered});
         sum += s.weight;
     }
-    if (leg.parts.empty()) return finish(Verdict::answer);
-    for (LegPart& part : leg.parts)
-        part.weight = sum > 0 ? part.weight / sum : 1.0 / static_cast<double>(leg.parts.size());
+    if (leg.shard_requests.empty()) return finish(Verdict::answer);
+    for (LegShardRequest& shard_request : leg.shard_requests)
+        shard_request.weight =
+            sum > 0 ? shard_request.weight / sum : 1.0 / static_cast<double>(leg.shard_requests.size());
     return leg;
 }
 
@@ -99,7 +102,7 @@
         if (s.fate == Fate::open) s.fate = Fate::missing;
     const auto doubtful = unconfirmed();
     if (doubtful.empty() || state_ == State::judging) return finish(Verdict::answer);
-    const bool again = state_ == State::fetching && now + terms_.least <= useful_by_ - terms_.keep;
+    const bool again = state_ == State::fetching && now + config_.least <= useful_by_ - config_.keep;
     rechecked_ |= again;
     for (const std::uint32_t i : doubtful) sections_[i].fate = again ? Fate::open : Fate::missing;
     return fetch(again ? State::rechecking : State::judging);
--- a/src/phases/two_phase.hpp
+++ b/src/phases/two_phase.hpp
@@ -1,12 +1,12 @@
-// The life of one query in two phases, as a state machine without I/O.
+// The incarnation of one query in two phases, as a state machine without I/O.
 //
 //     begun -> finding -> fetching -> rechecking -> judging -> ended
 //
-// Each state but the first and last is a leg: a question put to the decision module, with parts and weights,
-// which it answers as it does any query's (an answer, a rejection, an abort). Any state may be passed over.
-// What the module decides (nodes, further leaf calls, giving up) is not decided here; what is: which sections
-// are asked in which leg, how long the first may take, which weight counts, and whether an answer may be
-// called whole.
+// Each state but the first and last is a leg: a question put to the decision module, with shard requests and
+// weights, which it answers as it does any query's (an answer, a rejection, an abort). Any state may be
+// passed over. What the module decides (nodes, further leaf calls, giving up) is not decided here; what is:
+// which sections are asked in which leg, how long the first may take, which weight counts, and whether an
+// answer may be called whole.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,15 @@
 #include <vector>
 
 #include "phases/budget.hpp"
-#include "phases/phase_terms.hpp"
 #include "phases/threshold.hpp"
+#include "phases/two_phase_config.hpp"
 #include "phases/word.hpp"
 
 namespace tealcart {
 
-// One section of a leg. The weights of a leg's parts sum to 1: pruned sections stand on neither side.
-struct LegPart {
+// One section of a leg. The weights of a leg's shard requests sum to 1: pruned sections stand on neither
+// side.
+struct LegShardRequest {
     std::uint32_t section = 0;  // by its place in the query
     double weight = 0;
     int spent = 0;    // leaf calls of the section's cap that are used up, or kept back
@@ -33,10 +34,10 @@
 struct Leg {
     enum Kind : std::uint8_t { find, fetch, end } kind = end;
     Nanos until = 0;  // find: when it has to end
-    std::vector<LegPart> parts;
+    std::vector<LegShardRequest> shard_requests;
 };
 
-enum class Verdict : std::uint8_t { answer, reject, abort };
+enum class Verdict : std::uint8_t { answer, reject, fail_query };
 
 // What the answer states of its sections.
 struct Covered {
@@ -55,8 +56,8 @@
         std::function<bool(std::uint32_t)> worth_asking;
     };
 
-    // `call_cap`: most leaf calls of a section over all legs; one is kept for the second phase.
-    TwoPhase(const PhaseTerms& terms, int rows, int call_cap, const std::vector<double>& weights);
+    // `max_attempts`: most leaf calls of a section over all legs; one is kept for the second phase.
+    TwoPhase(const TwoPhaseConfig& config, int rows, int max_attempts, const std::vector<double>& weights);
 
     Leg begin(Nanos now, Nanos useful_by, const Outlook& outlook);
 
@@ -74,7 +75,7 @@
     Rows take_rows(std::uint32_t section, std::uint64_t version, const std::vector<double>& ranks);
     void take_untold(std::uint32_t section);
 
-    const PhaseTerms& terms() const { return terms_; }  // those it began with
+    const TwoPhaseConfig& config() const { return config_; }  // those it began with
     State state() const { return state_; }
     Verdict verdict() const { return verdict_; }
     bool whole() const;
@@ -106,7 +107,7 @@
     std::vector<std::uint32_t> unconfirmed() const;
     void note_wrong(std::uint32_t node);
 
-    const PhaseTerms terms_;
+    const TwoPhaseConfig config_;
     const int rows_, call_cap_;
     std::vector<Section> sections_;
     std::vector<std::uint32_t> wrong_, ever_wrong_;
--- a/src/phases/speakers.cpp
+++ b/src/phases/two_phase_capability.cpp
@@ -1,4 +1,4 @@
-#include "phases/speakers.hpp"
+#include "phases/two_phase_capability.hpp"
 
 #include <algorithm>
 #include <unordered_set>
@@ -9,23 +9,23 @@
     : places_(static_cast<std::uint32_t>(places)), width_(static_cast<std::uint32_t>(width)),
       distrust_(distrust), at_place_(places_) {}
 
-void Speakers::hear_entry(const NodeEntry& entry, bool anew) {
+void Speakers::hear_entry(const Endpoint& entry, bool anew) {
     const auto known = nodes_.find(entry.node);
     if (known != nodes_.end()) std::erase(at_place_[known->second.place], entry.node);
-    if (entry.availability == Availability::gone) {
+    if (entry.lifecycle == Lifecycle::removed) {
         if (known != nodes_.end()) nodes_.erase(known);
         return;
     }
     Node& node = nodes_[entry.node];
     if (anew || node.place != entry.place % places_) node = {};
     node.place = entry.place % places_;
-    node.ready = entry.availability == Availability::ready;
+    node.ready = entry.lifecycle == Lifecycle::ready;
     at_place_[node.place].push_back(entry.node);
 }
 
-void Speakers::keep_only(std::span<const NodeEntry> entries) {
+void Speakers::keep_only(std::span<const Endpoint> entries) {
     std::unordered_set<std::uint32_t> named;
-    for (const NodeEntry& entry : entries) named.insert(entry.node);
+    for (const Endpoint& entry : entries) named.insert(entry.node);
     std::erase_if(nodes_, [&](const auto& known) {
         if (named.contains(known.first)) return false;
         std::erase(at_place_[known.second.place], known.first);
--- a/src/phases/speakers.hpp
+++ b/src/phases/two_phase_capability.hpp
@@ -16,10 +16,10 @@
     Speakers(int places, int width, Nanos distrust);
 
     // What the list says of a node now. `anew`: its entry moved or started again, so what was known is void.
-    void hear_entry(const NodeEntry& entry, bool anew);
+    void hear_entry(const Endpoint& entry, bool anew);
 
     // A whole list: what it does not name is gone.
-    void keep_only(std::span<const NodeEntry> entries);
+    void keep_only(std::span<const Endpoint> entries);
 
     void proved(std::uint32_t node) { set(node, Speech::two_phase); }
     void refused(std::uint32_t node) { set(node, Speech::one_phase); }
--- a/src/relay/history.cpp
+++ b/src/relay/history.cpp
@@ -12,7 +12,7 @@
 void History::took(changes::Delta delta) {
     bytes_ += bytes_of(delta);
     deltas_.push_back(std::move(delta));
-    while (!deltas_.empty() && (deltas_.size() > most_deltas_ || bytes_ > most_bytes_)) {
+    while (!deltas_.empty() && (deltas_.size() > max_deltas_ || bytes_ > max_bytes_)) {
         bytes_ -= bytes_of(deltas_.front());
         deltas_.pop_front();
     }
@@ -43,13 +43,13 @@
     return all;
 }
 
-changes::Page page_of(const changes::Copy& copy, const std::string& after, std::size_t most_bytes) {
+changes::Page page_of(const changes::Copy& copy, const std::string& after, std::size_t max_bytes) {
     changes::Page page{copy.version(), copy.digest(), after, {}, false};
     std::size_t bytes = 0;
     auto it = after.empty() ? copy.document().begin() : copy.document().upper_bound(after);
     for (; it != copy.document().end(); ++it) {
         bytes += it->first.size() + it->second.size();
-        if (bytes > most_bytes && !page.entries.empty()) break;
+        if (bytes > max_bytes && !page.entries.empty()) break;
         page.entries.emplace_hint(page.entries.end(), *it);
     }
     page.last = it == copy.document().end();
--- a/src/relay/history.hpp
+++ b/src/relay/history.hpp
@@ -13,8 +13,7 @@
 
 class History {
   public:
-    History(std::size_t most_deltas, std::size_t most_bytes)
-        : most_deltas_(most_deltas), most_bytes_(most_bytes) {}
+    History(std::size_t max_deltas, std::size_t max_bytes) : max_deltas_(max_deltas), max_bytes_(max_bytes) {}
 
     // The copy took it: it begins where the last ended, or before.
     void took(changes::Delta delta);
@@ -25,12 +24,12 @@
     std::optional<changes::Delta> since(std::uint64_t version) const;
 
   private:
-    const std::size_t most_deltas_, most_bytes_;
+    const std::size_t max_deltas_, max_bytes_;
     std::deque<changes::Delta> deltas_;
     std::size_t bytes_ = 0;
 };
 
 // Entries behind this key, up to so many bytes of keys and values, and one at least.
-changes::Page page_of(const changes::Copy& copy, const std::string& after, std::size_t most_bytes);
+changes::Page page_of(const changes::Copy& copy, const std::string& after, std::size_t max_bytes);
 
 }  // namespace tealcart::relay
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -15,11 +15,11 @@
 
 int serve(const std::string& path) {
     std::signal(SIGPIPE, SIG_IGN);
-    const RelayTerms terms = read_relay_file(path);
-    start_log(terms.log);
+    const RelayConfig config = read_relay_file(path);
+    start_log(config.log);
     boost::asio::io_context io(1);
     std::random_device chance;
-    Relay relay(io, terms, chance() | 1u);
+    Relay relay(io, config, chance() | 1u);
     relay.run();
     return 0;
 }
@@ -46,9 +46,9 @@
     try {
         if (serving->parsed()) return serve(file);
         if (checking->parsed()) {
-            const RelayTerms terms = read_relay_file(file);
-            std::printf("%s: relay %s of zone %s, %zu stewards\n", file.c_str(), terms.name.c_str(),
-                        terms.zone.c_str(), terms.stewards.size());
+            const RelayConfig config = read_relay_file(file);
+            std::printf("%s: relay %s of zone %s, %zu stewards\n", file.c_str(), config.name.c_str(),
+                        config.zone.c_str(), config.managers.size());
         }
         return 0;
     } catch (const HclMistakes& e) {
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -7,21 +7,21 @@
 
 #include "service/log.hpp"
 #include "wire/bodies.hpp"
-#include "wire/member_words.hpp"
+#include "wire/member_messages.hpp"
 
 namespace tealcart::relay {
 namespace {
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr Nanos stall = 5 * second, longest_turn = 250 * ms;
-// What followers say is gathered for so long, and no more than five words a second go to the stewards but
+constexpr Nanos stall = 5 * second, max_turn = 250 * ms;
+// What followers say is gathered for so long, and no more than five words a second go to the managers but
 // those that ask for a further page.
 constexpr Nanos gathered_for = 30 * ms, between_words = 200 * ms, between_pages = 20 * ms;
-constexpr Nanos first_wait = 200 * ms, least_wait = 50 * ms;
-constexpr std::size_t most_exceptions = 20, most_deltas = 1000, most_delta_bytes = 8u << 20;
-constexpr std::size_t longest_delta = 256 * 1024;  // pages beyond it
-constexpr std::size_t most_at_hand = 16;           // deltas, for followers at different versions
-constexpr std::size_t spare_clients = 64;          // for operators, and followers that connect anew
+constexpr Nanos first_wait = 200 * ms, min_wait = 50 * ms;
+constexpr std::size_t max_exceptions = 20, max_deltas = 1000, max_delta_bytes = 8u << 20;
+constexpr std::size_t max_delta = 256 * 1024;  // pages beyond it
+constexpr std::size_t max_at_hand = 16;        // deltas, for followers at different versions
+constexpr std::size_t spare_clients = 64;      // for operators, and followers that connect anew
 constexpr int handlers_a_turn = 4096;
 enum Due : std::uint64_t { speak };
 
@@ -33,25 +33,26 @@
 
 }  // namespace
 
-Relay::Relay(boost::asio::io_context& io, const RelayTerms& terms, std::uint64_t seed)
-    : io_(io), signals_(io, SIGTERM, SIGINT), terms_(terms), history_(most_deltas, most_delta_bytes),
-      life_(started_at()), gather_(terms.name, terms.zone, life_, terms.most_followers, most_exceptions),
-      front_(io, time_, *this, terms.most_followers + spare_clients, stall),
-      watch_(io, time_, *this, relay_path, "steward", terms.stewards, 0, seed), timer_(io) {
-    front_.listen(terms_.bind.host, terms_.bind.port);
+Relay::Relay(boost::asio::io_context& io, const RelayConfig& config, std::uint64_t seed)
+    : io_(io), signals_(io, SIGTERM, SIGINT), config_(config), history_(max_deltas, max_delta_bytes),
+      incarnation_(started_at()),
+      gather_(config.name, config.zone, incarnation_, config.max_followers, max_exceptions),
+      front_(io, time_, *this, config.max_followers + spare_clients, stall),
+      watch_(io, time_, *this, relay_path, "steward", config.managers, 0, seed), timer_(io) {
+    front_.listen(config_.bind.host, config_.bind.port);
     signals_.async_wait([this](const boost::system::error_code& ec, int) {
         if (!ec) stop_began_ = time_.now();
     });
-    pages_left_ = std::max(1.0, terms_.pages_a_second);
+    pages_left_ = std::max(1.0, config_.pages_a_second);
     pages_at_ = time_.now();
     watch_.start();
-    log_line("relay %s of zone %s, life %llu: followers at %s:%u", terms_.name.c_str(), terms_.zone.c_str(),
-             static_cast<unsigned long long>(life_), terms_.bind.host.c_str(), front_.port());
+    log_line("relay %s of zone %s, life %llu: followers at %s:%u", config_.name.c_str(), config_.zone.c_str(),
+             static_cast<unsigned long long>(incarnation_), config_.bind.host.c_str(), front_.port());
 }
 
 void Relay::run() {
     while (stop_began_ == 0 && followed_.empty()) {
-        set_timer(std::min(time_.due.next(), time_.now() + longest_turn));
+        set_timer(std::min(time_.due.next(), time_.now() + max_turn));
         io_.run_one();
         for (int i = 0; i < handlers_a_turn && io_.poll_one() > 0; ++i) {
         }
@@ -70,11 +71,11 @@
     const Nanos now = time_.now();
     for (const auto& [slot, w] : waiting_) at = std::min(at, w.until);
     at = std::max(at, now);
-    if (timer_at_ != Deadlines::never && timer_at_ <= at) return;
+    if (timer_at_ != TimerQueue::never && timer_at_ <= at) return;
     timer_at_ = at;
     timer_.expires_at(time_.steady(at));
     timer_.async_wait([this](const boost::system::error_code& ec) {
-        if (!ec) timer_at_ = Deadlines::never;
+        if (!ec) timer_at_ = TimerQueue::never;
     });
 }
 
@@ -98,22 +99,23 @@
     std::string wrong;
     const auto call = read_follower_call(body, wrong);
     if (!call) return refuse(client, 400, wrong);
-    const changes::MemberWord& word = call->word;
+    const changes::MemberReport& word = call->word;
     const auto known = heard_.find(word.name);
-    if (known != heard_.end() && known->second.life > word.life)
-        return front_.answer(client, {409, write_outlived(known->second.life), 0});
+    if (known != heard_.end() && known->second.incarnation > word.incarnation)
+        return front_.answer(client, {409, write_outlived(known->second.incarnation), 0});
     const Nanos now = time_.now();
     if (call->leaves) {
-        gather_.left(word.name, word.life);
+        gather_.left(word.name, word.incarnation);
         heard_.erase(word.name);
         say_soon(gathered_for);
         return front_.answer(client, {200, write_changes_answer({copy_.version(), 0, 0, false, 0, {}, {}})});
     }
     if (!gather_.heard(now, word)) return refuse(client, 503, "it has as many followers as it may");
-    const Heard heard{word.life, word.acts_on, word.refused};
+    const Heard heard{word.incarnation, word.applied_version, word.refused};
     const Heard before = known == heard_.end() ? Heard{} : known->second;
     heard_[word.name] = heard;
-    if (heard.life != before.life || heard.acts_on > before.acts_on || heard.refused != before.refused)
+    if (heard.incarnation != before.incarnation || heard.applied_version > before.applied_version ||
+        heard.refused != before.refused)
         say_soon(gathered_for);
     const bool owed = gather_.grant(now, word.name) == 0;
     // One call of a follower at a time: what it said before on another connection waits for nothing.
@@ -128,8 +130,8 @@
 }
 
 bool Relay::may_page(Nanos now) {
-    pages_left_ = std::min(std::max(1.0, terms_.pages_a_second),
-                           pages_left_ + static_cast<double>(now - pages_at_) * terms_.pages_a_second / 1e9);
+    pages_left_ = std::min(std::max(1.0, config_.pages_a_second),
+                           pages_left_ + static_cast<double>(now - pages_at_) * config_.pages_a_second / 1e9);
     pages_at_ = now;
     return pages_left_ >= 1;
 }
@@ -139,17 +141,17 @@
     answer.version = copy_.version();
     if (w.watched.knows >= copy_.version()) return answer;
     if (!w.watched.wants_pages) {
-        if (deltas_.size() >= most_at_hand) deltas_.clear();
+        if (deltas_.size() >= max_at_hand) deltas_.clear();
         const auto [it, is_new] = deltas_.try_emplace(w.watched.knows);
         if (is_new) it->second = history_.since(w.watched.knows);
-        if (it->second && bytes_of(*it->second) <= longest_delta) {
+        if (it->second && bytes_of(*it->second) <= max_delta) {
             answer.delta = it->second;
             return answer;
         }
     }
     if (!may_page(time_.now())) return std::nullopt;
     pages_left_ -= 1;
-    answer.page = page_of(copy_, w.watched.wants_pages ? w.watched.after : "", terms_.page_bytes);
+    answer.page = page_of(copy_, w.watched.wants_pages ? w.watched.after : "", config_.page_bytes);
     return answer;
 }
 
@@ -180,23 +182,24 @@
     }
 }
 
-// The word to the stewards.
+// The word to the managers.
 PostTaker::Call Relay::change_call() {
     const Nanos now = time_.now();
     spoke_at_ = now;
     RelayCall call;
     call.word = gather_.word(now, drift_);
     for (const auto* gone : {&call.word.left, &call.word.lost})
-        for (const auto& [name, life] : *gone)
-            if (const auto it = heard_.find(name); it != heard_.end() && it->second.life <= life)
+        for (const auto& [name, incarnation] : *gone)
+            if (const auto it = heard_.find(name);
+                it != heard_.end() && it->second.incarnation <= incarnation)
                 heard_.erase(it);
     exceptions_.clear();
-    for (const changes::MemberWord& w : call.word.exceptions) exceptions_.push_back(w.name);
+    for (const changes::MemberReport& w : call.word.exceptions) exceptions_.push_back(w.name);
     call.watched.knows = copy_.version();
     call.watched.digest = copy_.digest();
     call.watched.wants_pages = copy_.wants_pages();
     call.watched.after = copy_.wants_after();
-    call.watched.wait = lease_ > 0 ? std::max(least_wait, lease_ / 10) : first_wait;
+    call.watched.wait = lease_ > 0 ? std::max(min_wait, lease_ / 10) : first_wait;
     time_.due.drop(speak_due_);
     return {write_relay_call(call), call.watched.wait};
 }
@@ -239,26 +242,27 @@
     }
 }
 
-void Relay::on_later_life(std::uint64_t last_life) {
+void Relay::on_later_life(std::uint64_t last_incarnation) {
     if (had_lease_) {
-        followed_ = "another process goes by the name of relay " + terms_.name;
+        followed_ = "another process goes by the name of relay " + config_.name;
         return;
     }
-    life_ = std::max(life_, last_life) + 1;
-    gather_ = changes::Gather(terms_.name, terms_.zone, life_, terms_.most_followers, most_exceptions);
+    incarnation_ = std::max(incarnation_, last_incarnation) + 1;
+    gather_ = changes::ReportAggregator(config_.name, config_.zone, incarnation_, config_.max_followers,
+                                        max_exceptions);
     heard_.clear();
 }
 
 // At most one call more, and not more often than may be: while the watch is between two calls, or has to wait
-// for a steward, the next call says it.
+// for a manager, the next call says it.
 void Relay::say_soon(Nanos after) {
     const Nanos at = std::max(time_.now() + after, spoke_at_ + between_words);
-    if (watch_.waits() && speak_due_ == Deadlines::none)
+    if (watch_.waits() && speak_due_ == TimerQueue::none)
         time_.due.move(speak_due_, at, *this, Handle{}, speak);
 }
 
 void Relay::on_due(Handle, std::uint64_t) {
-    speak_due_ = Deadlines::none;
+    speak_due_ = TimerQueue::none;
     if (watch_.waits())
         watch_.say_now();
     else
@@ -279,14 +283,14 @@
 
 std::string Relay::write_status() const {
     return nlohmann::ordered_json{
-        {"relay", terms_.name},
-        {"zone", terms_.zone},
-        {"life", life_},
+        {"relay", config_.name},
+        {"zone", config_.zone},
+        {"life", incarnation_},
         {"version", copy_.version()},
         {"digest", copy_.digest()},
         {"wants_pages", copy_.wants_pages()},
         {"members", gather_.members()},
-        {"most_members", terms_.most_followers},
+        {"most_members", config_.max_followers},
         {"waiting", waiting_.size()},
         {"lowest", gather_.lowest()},
         {"exceptions", exceptions_},
--- a/src/service/follower.cpp
+++ b/src/service/config_follower.cpp
@@ -1,4 +1,4 @@
-#include "service/follower.hpp"
+#include "service/config_follower.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -12,56 +12,59 @@
 
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos farewell_within = 300 * ms;
-constexpr int most_without_lease = 3;    // answers in a row, after its own is over
-constexpr Nanos least_pause = 200 * ms;  // between calls that bring nothing and were not kept waiting
-const char* const standings[] = {"no relay has spoken yet", "its lease holds",
-                                 "its lease is over; it goes on by the version it has", "cut off"};
-
-MemberTerms lease_terms(MemberTerms terms) {
-    terms.first_word = terms.config_first_word;
-    return terms;
+constexpr int max_without_lease = 3;   // answers in a row, after its own is over
+constexpr Nanos min_pause = 200 * ms;  // between calls that bring nothing and were not kept waiting
+const char* const serving_states[] = {"no relay has spoken yet", "its lease holds",
+                                      "its lease is over; it goes on by the version it has", "cut off"};
+
+MemberConfig lease_config(MemberConfig config) {
+    config.first_word = config.config_first_word;
+    return config;
 }
 
 unsigned long long number(std::uint64_t version) { return version; }
 
 }  // namespace
 
-Follower::Follower(boost::asio::io_context& io, Timekeeper& time, const Launch& launch, Bridge& bridge)
-    : time_(time), terms_(lease_terms(launch.operators.member)),
-      name_(terms_.name.empty() ? launch.name : terms_.name), bridge_(bridge), log_(launch.operators.log),
-      configuration_({launch.operators.log, launch.phases}, launch.terms, launch.link_terms.verticals),
-      lease_(terms_, time.now(), static_cast<std::uint64_t>(time.now())),
-      watch_(io, time, *this, follower_path, "relay", terms_.relays, std::hash<std::string>{}(name_),
+ConfigFollower::ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
+                               QueryDispatcher& bridge)
+    : time_(time), config_(lease_config(launch.operators.member)),
+      name_(config_.name.empty() ? launch.name : config_.name), bridge_(bridge), log_(launch.operators.log),
+      configuration_({launch.operators.log, launch.phases}, launch.config,
+                     launch.connection_config.query_classes),
+      lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
+      watch_(io, time, *this, follower_path, "relay", config_.relays, std::hash<std::string>{}(name_),
              launch.seed | 1),
-      ready_by_(time.now() + terms_.first_word) {
+      ready_by_(time.now() + config_.first_word) {
     look();
 }
 
-void Follower::stop() {
+void ConfigFollower::stop() {
     time_.due.drop(pause_);
     watch_.stop();
 }
 
-void Follower::look() {
+void ConfigFollower::look() {
     const Nanos now = time_.now();
-    const Standing standing = lease_.standing(now);
-    if (standing != standing_)
-        log_line("configuration, as %s, life %llu: %s", name_.c_str(), number(lease_.life()),
-                 standings[static_cast<int>(standing)]);
-    standing_ = standing;
-    bridge_.take_standing(StandingBy::configuration, {lease_.ready(now) && (caught_up_ || now >= ready_by_),
-                                                      lease_.admits(now), lease_.no_calls_after(now)});
+    const ServingState serving_state = lease_.serving_state(now);
+    if (serving_state != serving_state_)
+        log_line("configuration, as %s, life %llu: %s", name_.c_str(), number(lease_.incarnation()),
+                 serving_states[static_cast<int>(serving_state)]);
+    serving_state_ = serving_state;
+    bridge_.set_serving_state(ServingStateSource::configuration,
+                              {lease_.ready(now) && (caught_up_ || now >= ready_by_), lease_.admits(now),
+                               lease_.no_calls_after(now)});
 }
 
-Nanos Follower::next_change() const {
+Nanos ConfigFollower::next_change() const {
     const Nanos now = time_.now(), next = lease_.next_change(now);
     return caught_up_ || now >= ready_by_ ? next : std::min(next, ready_by_);
 }
 
-PostTaker::Call Follower::change_call() {
+PostTaker::Call ConfigFollower::change_call() {
     FollowerCall call;
-    call.word = {name_, lease_.life(), terms_.serve_on, acts_on_, refused_, why_};
-    call.zone = terms_.zone;
+    call.word = {name_, lease_.incarnation(), config_.serve_on, acts_on_, refused_, why_};
+    call.zone = config_.zone;
     call.leaves = leaves_;
     call.watched = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), 0};
     if (!leaves_) call.watched.wait = lease_.wait(false);
@@ -69,9 +72,9 @@
     return {write_follower_call(call), wait_};
 }
 
-// Guards against a version of which a part would hold in one round and the rest in the next: handlers run
-// between rounds, and all of it is handed over in one.
-void Follower::take_over() {
+// Guards against a version of which a shard request would hold in one round and the rest in the next:
+// handlers run between rounds, and all of it is handed over in one.
+void ConfigFollower::take_over() {
     auto read = configuration_.read(copy_.document());
     if (auto* refusal = std::get_if<Configuration::Refusal>(&read)) {
         refused_ = copy_.version();
@@ -93,7 +96,7 @@
     bridge_.take_phases(std::move(settings.phases));
 }
 
-void Follower::on_changes(Nanos sent, const ChangesAnswer& answer) {
+void ConfigFollower::on_changes(Nanos sent, const ChangesAnswer& answer) {
     if (leaves_) {
         left_ = true;
         return;
@@ -118,44 +121,44 @@
     caught_up_ |= answer.lease > 0 && copy_.version() >= answer.version;
     look();
     // A relay that answers at once and brings nothing is not asked again at once.
-    const Nanos earliest = sent + std::max(wait_, least_pause);
+    const Nanos earliest = sent + std::max(wait_, min_pause);
     if (!further && time_.now() < earliest)
         time_.due.move(pause_, earliest, *this, Handle{});
     else
         go_on();
 }
 
-void Follower::on_due(Handle, std::uint64_t) {
-    pause_ = Deadlines::none;
+void ConfigFollower::on_due(Handle, std::uint64_t) {
+    pause_ = TimerQueue::none;
     go_on();
 }
 
-void Follower::go_on() {
+void ConfigFollower::go_on() {
     owes_next_ = true;
-    if (bridge_.next_round() == Deadlines::never) after_round();
+    if (bridge_.next_round() == TimerQueue::never) after_round();
 }
 
-void Follower::after_round() {
+void ConfigFollower::after_round() {
     acts_on_ = taken_;
     if (!std::exchange(owes_next_, false)) return;
-    if (without_lease_ < most_without_lease || terms_.relays.size() == 1) return watch_.next();
-    // It reaches no steward, and another may.
+    if (without_lease_ < max_without_lease || config_.relays.size() == 1) return watch_.next();
+    // It reaches no manager, and another may.
     without_lease_ = 0;
     watch_.pass_over("it grants no lease");
 }
 
-void Follower::on_later_life(std::uint64_t last_life) {
-    lease_.outlived(last_life);
+void ConfigFollower::on_later_life(std::uint64_t last_incarnation) {
+    lease_.outlived(last_incarnation);
     look();
 }
 
-bool Follower::farewell() {
+bool ConfigFollower::farewell() {
     const Nanos now = time_.now();
     if (farewell_began_ == 0) {
         farewell_began_ = now;
         leaves_ = true;
         time_.due.drop(pause_);
-        if (standing_ != Standing::member) return true;
+        if (serving_state_ != ServingState::member) return true;
         watch_.say_now();
     }
     return left_ || now - farewell_began_ > farewell_within;
--- a/src/service/follower.hpp
+++ b/src/service/config_follower.hpp
@@ -6,15 +6,16 @@
 #include "changes/document.hpp"
 #include "members/configuration.hpp"
 #include "members/member_lease.hpp"
-#include "service/bridge.hpp"
-#include "service/launch.hpp"
+#include "service/query_dispatcher.hpp"
+#include "service/startup_config.hpp"
 #include "wire/change_watch.hpp"
 
 namespace tealcart {
 
-class Follower final : public DueHandler, private ChangeTaker {
+class ConfigFollower final : public DueHandler, private ChangeTaker {
   public:
-    Follower(boost::asio::io_context& io, Timekeeper& time, const Launch& launch, Bridge& bridge);
+    ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
+                   QueryDispatcher& bridge);
 
     void start() { watch_.start(); }
     void stop();
@@ -29,21 +30,21 @@
     void on_due(Handle, std::uint64_t what) override;
 
     // 0: what it was started with.
-    std::uint64_t acts_on() const { return acts_on_; }
+    std::uint64_t applied_version() const { return acts_on_; }
     std::uint64_t refused() const { return refused_; }
 
   private:
     PostTaker::Call change_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
-    void on_later_life(std::uint64_t last_life) override;
+    void on_later_life(std::uint64_t last_incarnation) override;
     void take_over();
     void go_on();
 
-    Timekeeper& time_;
-    const MemberTerms terms_;
+    EventClock& time_;
+    const MemberConfig config_;
     const std::string name_;
-    Bridge& bridge_;
-    LogTerms log_;  // that it acts on
+    QueryDispatcher& bridge_;
+    LogConfig log_;  // that it acts on
     changes::Copy copy_;
     Configuration configuration_;
     MemberLease lease_;
@@ -56,9 +57,9 @@
     const Nanos ready_by_;           // without the relays' word
     bool caught_up_ = false;         // with what the relays' first word told of
     bool owes_next_ = false, leaves_ = false, left_ = false;
-    Standing standing_ = Standing::unheard;
+    ServingState serving_state_ = ServingState::unheard;
     Nanos farewell_began_ = 0;
-    Deadlines::Ticket pause_ = Deadlines::none;
+    TimerQueue::Ticket pause_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/service/log.cpp
+++ b/src/service/log.cpp
@@ -71,9 +71,9 @@
 
 }  // namespace
 
-void start_log(const LogTerms& terms) {
-    form = terms.form;
-    logger().set_level(levels[static_cast<std::size_t>(terms.level)]);
+void start_log(const LogConfig& config) {
+    form = config.form;
+    logger().set_level(levels[static_cast<std::size_t>(config.level)]);
 }
 
 void log_line(const char* format, ...) {
--- a/src/service/log.hpp
+++ b/src/service/log.hpp
@@ -3,12 +3,12 @@
 
 #include <string_view>
 
-#include "terms/operator_terms.hpp"
+#include "config/operator_config.hpp"
 
 namespace tealcart {
 
 // How lines are written from here on: as text, which is how it begins, or as JSON with time, level and query.
-void start_log(const LogTerms& terms);
+void start_log(const LogConfig& config);
 
 // One line on standard error, at level info. Over a burst of 200 lines, twenty a second at most are written;
 // how many were not is told with the next one that is.
--- a/src/service/main.cpp
+++ b/src/service/main.cpp
@@ -13,11 +13,11 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
+#include "config/migration.hpp"
 #include "service/completion.hpp"
 #include "service/log.hpp"
 #include "service/service.hpp"
 #include "service/version.hpp"
-#include "terms/migration.hpp"
 
 namespace {
 
@@ -26,8 +26,8 @@
     bool dry_run = false;
 };
 
-tealcart::Launch read_all(const Asked& asked) {
-    tealcart::Launch launch = tealcart::read_launch_file(asked.launch);
+tealcart::StartupConfig read_all(const Asked& asked) {
+    tealcart::StartupConfig launch = tealcart::read_startup_config_file(asked.launch);
     if (!asked.file.empty()) tealcart::follow_operators(launch, tealcart::read_operator_file(asked.file));
     return launch;
 }
@@ -43,12 +43,12 @@
 
 // The operators' file alone or, where the platform's configuration is at hand, against it.
 int check(const Asked& asked) {
-    const tealcart::OperatorTerms terms = tealcart::read_operator_file(asked.file);
+    const tealcart::OperatorConfig config = tealcart::read_operator_file(asked.file);
     if (!asked.launch.empty()) {
-        tealcart::Launch launch = tealcart::read_launch_file(asked.launch);
-        tealcart::follow_operators(launch, terms);
+        tealcart::StartupConfig launch = tealcart::read_startup_config_file(asked.launch);
+        tealcart::follow_operators(launch, config);
     }
-    std::printf("%s: %zu verticals in two phases%s\n", asked.file.c_str(), terms.phases.size(),
+    std::printf("%s: %zu verticals in two phases%s\n", asked.file.c_str(), config.phases.size(),
                 asked.launch.empty() ? "; not held against a configuration" : "");
     return 0;
 }
@@ -91,7 +91,8 @@
 void run_if_beside(char** argv) {
     const std::string_view word = argv[1];
     if (word == "control") std::exit(run_beside("tealcart-control", "TEALCART_CONTROL", argv + 1));
-    if (word == "steward") std::exit(run_beside("tealcart-steward", "TEALCART_FLEET", argv + 1));
+    if (word == "fleet-manager" || word == "steward")  // "steward" is the earlier name of the sub-command
+        std::exit(run_beside("tealcart-fleet-manager", "TEALCART_FLEET", argv + 1));
     if (word == "relay") std::exit(run_beside("tealcart-relay", "TEALCART_FLEET", argv + 1));
     for (const char* of_fleet : {"drain", "undrain", "halt", "resume", "fleet", "config"})
         if (word == of_fleet) std::exit(run_beside("tealcart-fleet", "TEALCART_FLEET", argv));
@@ -130,7 +131,8 @@
     migrating->add_flag("--dry-run", asked.dry_run,
                         "print the new file and what stays behind; write nothing");
     app.add_subcommand("control", "hand decisions to other proxies over xDS; see tealcart control --help");
-    app.add_subcommand("steward", "keep what a fleet agrees on; see tealcart steward --help");
+    app.add_subcommand("fleet-manager", "replicate what a fleet agrees on; see tealcart fleet-manager --help")
+        ->alias("steward");
     app.add_subcommand("relay", "hand a fleet's changes on to its routers; see tealcart relay --help");
     for (const char* of_fleet : {"drain", "undrain", "halt", "resume", "fleet", "config"})
         app.add_subcommand(of_fleet, "ask a fleet's stewards; see --help of it");
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -13,11 +13,11 @@
 
 constexpr Nanos ms = 1'000'000;
 constexpr Nanos farewell_within = 300 * ms;
-const char* const standings[] = {"no steward has spoken yet", "a member",
-                                 "its lease is over; it goes on by what it last knew", "cut off"};
+const char* const serving_states[] = {"no steward has spoken yet", "a member",
+                                      "its lease is over; it goes on by what it last knew", "cut off"};
 
 // Of all that was stated when it started.
-std::string digest_of(const Launch& launch) {
+std::string digest_of(const StartupConfig& launch) {
     const std::string all = launch.settings + '\n' + launch.operators.text;
     char text[17];
     std::snprintf(text, sizeof text, "%016llx",
@@ -27,11 +27,12 @@
 
 }  // namespace
 
-Membership::Membership(boost::asio::io_context& io, Timekeeper& time, const Launch& launch, MemberHost& host)
-    : time_(time), terms_(launch.operators.member), name_(terms_.name.empty() ? launch.name : terms_.name),
+Membership::Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
+                       MemberHost& host)
+    : time_(time), config_(launch.operators.member), name_(config_.name.empty() ? launch.name : config_.name),
       digest_(digest_of(launch)), host_(host),
-      lease_(terms_, time.now(), static_cast<std::uint64_t>(time.now())),
-      watch_(io, time, *this, terms_.stewards, launch.agreed_bound) {
+      lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
+      watch_(io, time, *this, config_.managers, launch.agreed_bound) {
     host_.watch_outcomes(this);
     look();
 }
@@ -45,21 +46,22 @@
 // Guards against going on, after a stall, by a lease that is over.
 void Membership::look() {
     const Nanos now = time_.now();
-    const Standing standing = lease_.standing(now);
-    if (standing != standing_)
-        log_line("member %s, life %llu: %s", name_.c_str(), static_cast<unsigned long long>(lease_.life()),
-                 standings[static_cast<int>(standing)]);
-    standing_ = standing;
+    const ServingState serving_state = lease_.serving_state(now);
+    if (serving_state != serving_state_)
+        log_line("member %s, life %llu: %s", name_.c_str(),
+                 static_cast<unsigned long long>(lease_.incarnation()),
+                 serving_states[static_cast<int>(serving_state)]);
+    serving_state_ = serving_state;
     const bool cut = now >= lease_.no_calls_after(now);
     if (cut != cut_) hand_on(list_.cut(cut));
     cut_ = cut;
-    host_.take_standing(StandingBy::agreement,
-                        {lease_.ready(now) && !out_, lease_.admits(now), lease_.no_calls_after(now)});
+    host_.set_serving_state(ServingStateSource::agreement,
+                            {lease_.ready(now) && !out_, lease_.admits(now), lease_.no_calls_after(now)});
 }
 
 void Membership::after_round() {
     // All that the bridge was told has been played to the module by now.
-    if (host_.next_round() != Deadlines::never) return;
+    if (host_.next_round() != TimerQueue::never) return;
     acts_on_ = told_;
     watch_.next();
 }
@@ -73,18 +75,18 @@
     MemberCall call;
     call.name = name_;
     call.role = "router";
-    call.zone = terms_.zone;
+    call.zone = config_.zone;
     call.version = version;
     call.digest = digest_;
-    call.life = lease_.life();
-    call.serve_on = terms_.serve_on;
-    call.acts_on = acts_on_;
+    call.incarnation = lease_.incarnation();
+    call.serve_on = config_.serve_on;
+    call.applied_generation = acts_on_;
     call.knows = told_;
-    if (out_ && host_.held() > 0) call.in_hand.push_back({true, name_});
+    if (out_ && host_.held() > 0) call.in_flight.push_back({true, name_});
     for (const std::string& node : list_.out())
         if (host_.any_call_to([&node](const std::string& at) { return at == node; }))
-            call.in_hand.push_back({false, node});
-    call.wait = lease_.wait(!call.in_hand.empty() || acts_on_ < told_);
+            call.in_flight.push_back({false, node});
+    call.wait = lease_.wait(!call.in_flight.empty() || acts_on_ < told_);
     for (const std::uint32_t node : outcomes_.silent(time_.now()))
         if (const std::string& at = host_.node_name(node); !at.empty()) call.silent.push_back(at);
     const OutcomeWatch::Counts counts = outcomes_.counts(time_.now());
@@ -100,7 +102,7 @@
         return;
     }
     lease_.renewed(sent, answer.lease);
-    // A steward that leads anew may be behind for a moment; what is known stands.
+    // A manager that leads anew may be behind for a moment; what is known stands.
     if (answer.generation > told_ || told_ == 0) {
         std::set<std::string> out;
         out_ = false;
@@ -121,8 +123,8 @@
     after_round();
 }
 
-void Membership::on_outlived(std::uint64_t last_life) {
-    lease_.outlived(last_life);
+void Membership::on_outlived(std::uint64_t last_incarnation) {
+    lease_.outlived(last_incarnation);
     look();
 }
 
@@ -131,7 +133,7 @@
     if (farewell_began_ == 0) {
         farewell_began_ = now;
         leaves_ = true;
-        if (standing_ != Standing::member) return true;
+        if (serving_state_ != ServingState::member) return true;
         watch_.say_now();
     }
     return left_ || now - farewell_began_ > farewell_within;
--- a/src/service/membership.hpp
+++ b/src/service/membership.hpp
@@ -1,20 +1,20 @@
-// A query router's part in the fleet: discovery's list and what was agreed go to its host, the bridge, as
-// one, the lease is kept, and what the router does is told. Made only where the operators' file has a
-// `member` block.
+// A query router's shard request in the fleet: discovery's list and what was agreed go to its host, the
+// bridge, as one, the lease is kept, and what the router does is told. Made only where the operators' file
+// has a `member` block.
 #pragma once
 
 #include "members/agreed_list.hpp"
 #include "members/member_host.hpp"
 #include "members/member_lease.hpp"
 #include "members/outcome_watch.hpp"
-#include "service/launch.hpp"
-#include "wire/steward_watch.hpp"
+#include "service/startup_config.hpp"
+#include "wire/manager_watch.hpp"
 
 namespace tealcart {
 
-class Membership final : public ListTaker, private StewardTaker, private OutcomeTaker {
+class Membership final : public ListTaker, private ManagerObserver, private OutcomeTaker {
   public:
-    Membership(boost::asio::io_context& io, Timekeeper& time, const Launch& launch, MemberHost& host);
+    Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch, MemberHost& host);
 
     void start() { watch_.start(); }
     void stop() { watch_.stop(); }
@@ -28,7 +28,7 @@
     void after_round();
     Nanos next_change() const { return lease_.next_change(time_.now()); }
     const MemberLease& lease() const { return lease_; }
-    std::uint64_t acts_on() const { return acts_on_; }
+    std::uint64_t applied_generation() const { return acts_on_; }
     const WireCount& wire() const { return watch_.wire(); }
     // Says farewell; true once it was heard, or has been waited for long enough.
     bool farewell();
@@ -36,23 +36,23 @@
   private:
     MemberCall word() override;
     void on_agreed(Nanos sent, const MemberAnswer& answer) override;
-    void on_outlived(std::uint64_t last_life) override;
+    void on_outlived(std::uint64_t last_incarnation) override;
     void on_query_end(int status) override;
     void on_call_end(std::uint32_t node, Outcome outcome) override;
     void hand_on(const TargetList& list);
     bool anything_in_hand() const;
 
-    Timekeeper& time_;
-    const MemberTerms terms_;
+    EventClock& time_;
+    const MemberConfig config_;
     const std::string name_, digest_;
     MemberHost& host_;
     MemberLease lease_;
     AgreedList list_;
     OutcomeWatch outcomes_;
-    StewardWatch watch_;
+    ManagerWatch watch_;
     std::uint64_t told_ = 0, acts_on_ = 0;  // generations
     bool out_ = false, cut_ = false, leaves_ = false, left_ = false;
-    Standing standing_ = Standing::unheard;
+    ServingState serving_state_ = ServingState::unheard;
     Nanos farewell_began_ = 0;
 };
 
--- a/src/service/bridge.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -1,5 +1,5 @@
-// Between the sockets and the decisions: keeps queries, parts and leaf calls, plays what came in to the
-// module once a round and carries out what it decides. A query's slot is given back in `release`, a leaf
+// Between the sockets and the decisions: keeps queries, shard requests and leaf calls, plays what came in to
+// the module once a round and carries out what it decides. A query's slot is given back in `release`, a leaf
 // call's in `call_ended`. Holds no decisions.
 #pragma once
 
@@ -12,18 +12,18 @@
 #include <variant>
 #include <vector>
 
+#include "config/router_config_reader.hpp"
 #include "members/member_host.hpp"
 #include "phases/section_memory.hpp"
-#include "phases/speakers.hpp"
 #include "phases/two_phase.hpp"
+#include "phases/two_phase_capability.hpp"
 #include "router/query_router.hpp"
-#include "service/launch.hpp"
+#include "service/startup_config.hpp"
+#include "tables/event_clock.hpp"
 #include "tables/node_list.hpp"
-#include "tables/slots.hpp"
-#include "tables/timekeeper.hpp"
-#include "terms/terms_text.hpp"
-#include "wire/client_front.hpp"
-#include "wire/node_links.hpp"
+#include "tables/slot_map.hpp"
+#include "wire/http_server.hpp"
+#include "wire/node_connection_pool.hpp"
 
 namespace tealcart {
 
@@ -35,15 +35,15 @@
     Nanos worst_overrun = 0;
 };
 
-class Bridge final : public RequestTaker,
-                     public LinkOwner,
-                     public MemberHost,
-                     public DueHandler,
-                     private Arrivals,
-                     private DecisionWriter {
+class QueryDispatcher final : public RequestHandler,
+                              public ConnectionObserver,
+                              public MemberHost,
+                              public DueHandler,
+                              private RoundEvents,
+                              private DecisionSink {
   public:
-    Bridge(Timekeeper& time, const Launch& launch);
-    void connect(AnswerGiver& front, CallSender& links) { front_ = &front, links_ = &links; }
+    QueryDispatcher(EventClock& time, const StartupConfig& launch);
+    void connect(ResponseWriter& front, AttemptSender& links) { front_ = &front, links_ = &links; }
 
     void on_request(Handle client, Request& request, Nanos began) override;
     void on_client_gone(Handle client) override;
@@ -59,7 +59,7 @@
 
     // When the next round is due; never while nothing has come in, or before `begin`.
     Nanos next_round() const override {
-        return arrived_.empty() || !begun_ ? Deadlines::never : last_round_ + step_;
+        return arrived_.empty() || !begun_ ? TimerQueue::never : last_round_ + step_;
     }
     void run_round();
 
@@ -69,13 +69,13 @@
     void begin_stop() { stopping_ = true; }
     // Of members of a fleet alone.
     void watch_outcomes(OutcomeTaker* taker) override { outcomes_ = taker; }
-    void take_standing(StandingBy by, const MemberStanding& standing) override;
-    // From here on queries begin by these, one for each vertical; those in hand end by the terms they began
-    // with. To be called between two rounds.
-    void take_phases(std::vector<PhaseTerms> phases);
+    void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) override;
+    // From here on queries begin by these, one for each query class; those in hand end by the config they
+    // began with. To be called between two rounds.
+    void take_phases(std::vector<TwoPhaseConfig> phases);
     bool any_call_to(const std::function<bool(const std::string&)>& which) const override {
         bool any = false;
-        calls_.each([&](Handle, const LeafCall& call) { any |= which(nodes_.name(call.node)); });
+        calls_.each([&](Handle, const Attempt& call) { any |= which(nodes_.name(call.node)); });
         return any;
     }
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
@@ -87,7 +87,7 @@
     const SectionMemory& section_memory() const { return memory_; }
 
   private:
-    struct Part {
+    struct ShardRequest {
         std::uint32_t id = 0, shard = 0;
         double weight = 0;
         Nanos hint = 0;
@@ -103,46 +103,46 @@
         std::vector<Handle> links;  // they were sent on
     };
     struct Phased {
-        Phased(Find f, const PhaseTerms& terms, int call_cap, const std::vector<double>& weights)
-            : find(std::move(f)), keys(find), machine(terms, find.rows, call_cap, weights) {}
+        Phased(Find f, const TwoPhaseConfig& config, int max_attempts, const std::vector<double>& weights)
+            : find(std::move(f)), keys(find), machine(config, find.rows, max_attempts, weights) {}
 
         const Find find;
         const FindKeys keys;
         TwoPhase machine;
-        std::vector<QueryPart> sections;
+        std::vector<QueryShardRequest> sections;
         std::uint8_t leg = 0;
-        std::size_t leg_begins = 0;  // among the query's parts
+        std::size_t leg_begins = 0;  // among the query's shard requests
         Nanos began = 0, find_until = 0;
         std::vector<std::uint32_t> earlier_ids;  // of legs that have ended
         Nanos not_before = 0;
     };
     struct Query {
         std::uint32_t id = 0;
-        std::uint16_t vertical = 0;
+        std::uint16_t query_class = 0;
         bool again = false, played = false, ended = false;
         Handle client;
-        Nanos give_up_at = 0;
+        Nanos deadline_at = 0;
         std::shared_ptr<QueryText> text;
-        std::vector<Part> parts;
+        std::vector<ShardRequest> shard_requests;
         std::size_t value_bytes = 0;
         int out = 0;
         std::unique_ptr<Phased> phased;
     };
-    struct LeafCall {
+    struct Attempt {
         Handle query, link;
-        std::uint32_t part = 0, node = 0;  // part: its place in the query
+        std::uint32_t shard_request = 0, node = 0;  // shard request: its place in the query
         std::uint8_t attempt = 0;
         char letter = 'R';
         Nanos sent_at = 0, until = 0;
-        Deadlines::Ticket due = Deadlines::none;
+        TimerQueue::Ticket due = TimerQueue::none;
     };
     struct PartAt {
         Handle query;
-        std::uint32_t part = 0;
+        std::uint32_t shard_request = 0;
     };
     struct ListNews {
         ListKind kind;
-        std::vector<NodeEntry> entries;
+        std::vector<Endpoint> entries;
     };
     struct QueryNews {
         Handle query;
@@ -153,18 +153,18 @@
     struct Timer {
         std::uint64_t cookie = 0;
     };
-    using Arrived = std::variant<ListNews, QueryNews, LeafEnd, Gone, Timer>;
+    using Arrived = std::variant<ListNews, QueryNews, AttemptResult, Gone, Timer>;
 
-    // Arrivals
-    void play(ArrivalHandler& handler) override;
-    // DecisionWriter
-    void deliver(std::uint32_t part, std::uint32_t node, Nanos patience) override;
-    void cancel(std::uint32_t part, std::uint8_t attempt) override;
+    // RoundEvents
+    void play(RoundEventHandler& handler) override;
+    // DecisionSink
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override;
+    void cancel(std::uint32_t shard_request, std::uint8_t attempt) override;
     void answer(std::uint32_t query, bool whole) override;
     void reject(std::uint32_t query, Nanos not_before) override;
-    void abort(std::uint32_t query) override;
-    void wake(std::uint64_t cookie, Nanos wait) override;
-    void listen() override {}  // the watch always stands
+    void fail_query(std::uint32_t query) override;
+    void set_timer(std::uint64_t cookie, Nanos wait) override;
+    void watch_endpoints() override {}  // the watch always stands
     void log(const std::string& line) override;
 
     Query* query_of(std::uint32_t id);
@@ -172,7 +172,7 @@
     void refuse(Handle client, int status, std::string_view words);
     void finish(std::uint32_t id, Answer answer);
     void give_answer(std::uint32_t id, std::string text);
-    void add_part(Handle h, Query& q, const QueryPart& stated);
+    void add_shard_request(Handle h, Query& q, const QueryShardRequest& stated);
     void take_back(Query& q, std::size_t from);
     // In bridge_phases.cpp:
     void begin_phases(Handle h, QueryBody body, Find find, Nanos began);
@@ -181,29 +181,29 @@
     void conclude(Query& q);
     void tell_speakers(const NodeList::News& news, ListKind kind);
     void doubt_words(const Query& q);
-    char letter_for(const Query& q, const Part& part, std::uint32_t node) const;
+    char letter_for(const Query& q, const ShardRequest& shard_request, std::uint32_t node) const;
     bool audited(double share);
     void end_query(Handle h);
     void call_ended(Handle h, Outcome outcome, std::string_view value = {});
     void release(Handle h);
     void send_calls();
-    Nanos send_by(const Query& q, const Part& part, const LeafCall& call) const;
+    Nanos send_by(const Query& q, const ShardRequest& shard_request, const Attempt& call) const;
 
-    Timekeeper& time_;
-    AnswerGiver* front_ = nullptr;
-    CallSender* links_ = nullptr;
+    EventClock& time_;
+    ResponseWriter* front_ = nullptr;
+    AttemptSender* links_ = nullptr;
     const Nanos step_;
     const std::uint32_t shards_;
-    std::vector<std::string> verticals_;
+    std::vector<std::string> query_classes_;
     std::vector<bool> keyed_;
-    std::vector<Nanos> repeat_window_;
-    const std::size_t most_held_, parts_a_call_;
+    std::vector<Nanos> idempotency_window_;
+    const std::size_t max_in_flight_, max_requests_per_call_;
     const int call_cap_;
     std::vector<Nanos> slo_;
-    std::vector<PhaseTerms> phases_;  // by vertical
-    // Some vertical is in two phases, or may come to be: what data nodes speak is kept.
+    std::vector<TwoPhaseConfig> phases_;  // by query class
+    // Some query class is in two phases, or may come to be: what data nodes speak is kept.
     const bool may_phase_;
-    bool remembers_;  // some vertical that is in two phases does
+    bool remembers_;  // some query class that is in two phases does
     bool begun_ = false, stopping_ = false;
 
     Speakers speakers_;
@@ -212,19 +212,19 @@
     std::knuth_b chance_;
     QueryRouter router_;
     NodeList nodes_;
-    Slots<Query> queries_;
-    Slots<LeafCall> calls_;
-    std::unordered_map<std::uint32_t, Handle> by_id_;       // the module's ids of queries
-    std::unordered_map<std::uint32_t, PartAt> part_by_id_;  // and of parts
+    SlotMap<Query> queries_;
+    SlotMap<Attempt> calls_;
+    std::unordered_map<std::uint32_t, Handle> by_id_;                // the module's ids of queries
+    std::unordered_map<std::uint32_t, PartAt> shard_request_by_id_;  // and of shard requests
     struct TextHash : std::hash<std::string_view> {
         using is_transparent = void;
     };
     std::unordered_map<std::string, Handle, TextHash, std::equal_to<>> by_text_;  // the clients' ids
     std::unordered_map<std::uint32_t, Handle> by_client_;  // the query that a client's slot waits for
-    std::array<MemberStanding, 2> standings_;              // by StandingBy
-    MemberStanding standing_;                              // the stricter of them
+    std::array<MemberServingState, 2> serving_states_;     // by ServingStateSource
+    MemberServingState serving_state_;                     // the stricter of them
     OutcomeTaker* outcomes_ = nullptr;
-    std::size_t held_ = 0;  // queries and parts not yet ended
+    std::size_t held_ = 0;  // queries and shard requests not yet ended
     std::uint32_t last_id_ = 0;
     Nanos last_round_ = 0;
     std::vector<Arrived> arrived_, playing_;
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -20,23 +20,25 @@
 // The loop wakes at least so often, to know of a stall.
 constexpr Nanos heartbeat = 100 * ms;
 
-std::size_t links_of(const Launch& launch) { return (launch.sockets - other_descriptors) / 3; }
-std::size_t clients_of(const Launch& launch) { return launch.sockets - other_descriptors - links_of(launch); }
+std::size_t links_of(const StartupConfig& launch) { return (launch.sockets - other_descriptors) / 3; }
+std::size_t clients_of(const StartupConfig& launch) {
+    return launch.sockets - other_descriptors - links_of(launch);
+}
 
 }  // namespace
 
-Service::Service(boost::asio::io_context& io, std::function<Launch()> read)
+Service::Service(boost::asio::io_context& io, std::function<StartupConfig()> read)
     : io_(io), signals_(io_, SIGTERM, SIGINT, SIGHUP), read_(std::move(read)), launch_(read_()),
       bridge_(time_, launch_),
-      front_(io_, time_, bridge_, clients_of(launch_), launch_.link_terms.longest_wait),
-      links_(io_, time_, launch_.link_terms, bridge_, links_of(launch_)),
+      front_(io_, time_, bridge_, clients_of(launch_), launch_.connection_config.max_wait),
+      links_(io_, time_, launch_.connection_config, bridge_, links_of(launch_)),
       member_(launch_.operators.member.on ? std::make_unique<Membership>(io_, time_, launch_, bridge_)
                                           : nullptr),
       follower_(launch_.operators.member.relays.empty()
                     ? nullptr
-                    : std::make_unique<Follower>(io_, time_, launch_, bridge_)),
+                    : std::make_unique<ConfigFollower>(io_, time_, launch_, bridge_)),
       watch_(io_, time_, member_ ? static_cast<ListTaker&>(*member_) : bridge_, launch_.discovery,
-             launch_.terms.discovery, static_cast<std::uint32_t>(launch_.terms.places), launch_.seed + 2,
+             launch_.config.discovery, static_cast<std::uint32_t>(launch_.config.places), launch_.seed + 2,
              launch_.list_bound),
       timer_(io_) {
     start_log(launch_.operators.log);
@@ -67,7 +69,7 @@
 // Of the rest only discovery's address can change under way; what can't is told, and holds at the next start.
 void Service::follow_launch() {
     try {
-        const Launch next = read_();
+        const StartupConfig next = read_();
         std::string later;
         const auto differs = [&later](bool changed, const char* what) {
             if (changed) later.append(later.empty() ? "; only at the next start: " : ", ").append(what);
@@ -117,11 +119,11 @@
     if (follower_) at = std::min(at, follower_->next_change());
     if (stop_began_ > 0) at = std::min(at, std::max(time_.now() + ms, stop_began_ + arrivals_after_stop));
     at = std::clamp(at, time_.now(), time_.now() + heartbeat);
-    if (timer_at_ != Deadlines::never && timer_at_ <= at) return;
+    if (timer_at_ != TimerQueue::never && timer_at_ <= at) return;
     timer_at_ = at;
     timer_.expires_at(time_.steady(at));
     timer_.async_wait([this](const boost::system::error_code& ec) {
-        if (!ec) timer_at_ = Deadlines::never;
+        if (!ec) timer_at_ = TimerQueue::never;
     });
 }
 
--- a/src/service/service.hpp
+++ b/src/service/service.hpp
@@ -6,10 +6,10 @@
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 
-#include "service/bridge.hpp"
-#include "service/follower.hpp"
-#include "service/launch.hpp"
+#include "service/config_follower.hpp"
 #include "service/membership.hpp"
+#include "service/query_dispatcher.hpp"
+#include "service/startup_config.hpp"
 
 namespace tealcart {
 
@@ -17,7 +17,7 @@
   public:
     // Listens from here on, as `read` tells it to; `read` is asked again at each SIGHUP. Throws what `read`
     // throws, and boost::system::system_error where the address can't be had.
-    Service(boost::asio::io_context& io, std::function<Launch()> read);
+    Service(boost::asio::io_context& io, std::function<StartupConfig()> read);
 
     // Serves until a SIGTERM and all that it asks for are done.
     void run();
@@ -27,8 +27,8 @@
     void begin_stop();
 
     std::uint16_t port() const { return front_.port(); }
-    const Bridge& bridge() const { return bridge_; }
-    const Follower* follower() const { return follower_.get(); }  // null: none
+    const QueryDispatcher& bridge() const { return bridge_; }
+    const ConfigFollower* follower() const { return follower_.get(); }  // null: none
 
   private:
     void await_signal();
@@ -38,17 +38,17 @@
 
     boost::asio::io_context& io_;
     boost::asio::signal_set signals_;  // taken before the configuration is read, so that no change is missed
-    const std::function<Launch()> read_;
-    Launch launch_;
-    Timekeeper time_;
-    Bridge bridge_;
-    ClientFront front_;
-    NodeLinks links_;
-    std::unique_ptr<Membership> member_;  // of a fleet, where the operators' file says so
-    std::unique_ptr<Follower> follower_;  // of its changes of configuration, the same
+    const std::function<StartupConfig()> read_;
+    StartupConfig launch_;
+    EventClock time_;
+    QueryDispatcher bridge_;
+    HttpServer front_;
+    NodeConnectionPool links_;
+    std::unique_ptr<Membership> member_;        // of a fleet, where the operators' file says so
+    std::unique_ptr<ConfigFollower> follower_;  // of its changes of configuration, the same
     DiscoveryWatch watch_;
     boost::asio::steady_timer timer_;
-    Nanos timer_at_ = Deadlines::never, stop_began_ = 0, list_by_ = 0;
+    Nanos timer_at_ = TimerQueue::never, stop_began_ = 0, list_by_ = 0;
 };
 
 }  // namespace tealcart
--- a/src/service/launch.cpp
+++ b/src/service/startup_config.cpp
@@ -1,4 +1,4 @@
-#include "service/launch.hpp"
+#include "service/startup_config.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -34,10 +34,10 @@
 
 }  // namespace
 
-Launch read_launch(const std::string& configuration) {
+StartupConfig read_startup_config(const std::string& configuration) {
     const Json in = Json::parse(configuration, nullptr, false);
     if (in.is_discarded()) throw Malformed("the configuration is not JSON");
-    Launch launch;
+    StartupConfig launch;
     launch.name = text(in, "name");
     launch.listen = address(in, "listen");
     launch.discovery = address(in, "discovery");
@@ -53,13 +53,13 @@
     if (const auto memory = limits.find("memory_mb"); memory != limits.end() && memory->is_number_unsigned())
         launch.memory = std::min<std::size_t>(memory->get<std::size_t>(), 1 << 24) * 1'000'000;
     launch.settings = required(in, "settings").dump();
-    launch.terms = read_terms(launch.settings);
-    launch.link_terms = read_link_terms(launch.settings);
-    launch.list_bound = bound_of_list(launch.terms, launch.memory);
-    launch.agreed_bound = bound_of_agreed(launch.terms, launch.memory);
-    launch.phases.resize(launch.link_terms.verticals.size());
-    for (const VerticalTerms& v : launch.terms.verticals)
-        if (v.second_step > 0)
+    launch.config = read_router_config(launch.settings);
+    launch.connection_config = read_connection_config(launch.settings);
+    launch.list_bound = bound_of_list(launch.config, launch.memory);
+    launch.agreed_bound = bound_of_agreed(launch.config, launch.memory);
+    launch.phases.resize(launch.connection_config.query_classes.size());
+    for (const QueryClassConfig& v : launch.config.query_classes)
+        if (v.second_step_requests > 0)
             throw Malformed("a vertical has a second step, which is not served on sockets yet");
     if (const auto known = in.find("known"); known != in.end() && !known->is_null()) {
         const std::string stated = known->dump();
@@ -67,7 +67,7 @@
             log_line("'known' in the configuration, %zu bytes, is over its bound of %zu: %s; it is left out",
                      stated.size(), launch.list_bound.bytes, launch.list_bound.why.c_str());
         } else {
-            auto list = read_targets(stated, static_cast<std::uint32_t>(launch.terms.places));
+            auto list = read_targets(stated, static_cast<std::uint32_t>(launch.config.places));
             if (!list) throw Malformed("'known' in the configuration is no list of data nodes");
             launch.known = std::move(*list);
         }
@@ -76,16 +76,17 @@
     return launch;
 }
 
-Launch read_launch_file(const std::string& path) {
+StartupConfig read_startup_config_file(const std::string& path) {
     if (path.empty()) throw Malformed("ROUTER_CONFIG is not set");
     std::ifstream file(path);
     if (!file) throw Malformed("the configuration " + path + " can't be read");
-    return read_launch({std::istreambuf_iterator<char>(file), {}});
+    return read_startup_config({std::istreambuf_iterator<char>(file), {}});
 }
 
-void follow_operators(Launch& launch, OperatorTerms operators) {
-    follow_calls(operators.calls, launch.terms, launch.link_terms);
-    launch.phases = phases_by_vertical(operators, launch.terms, launch.link_terms.verticals);
+void follow_operators(StartupConfig& launch, OperatorConfig operators) {
+    follow_calls(operators.calls, launch.config, launch.connection_config);
+    launch.phases =
+        two_phase_by_query_class(operators, launch.config, launch.connection_config.query_classes);
     launch.operators = std::move(operators);
 }
 
--- a/src/service/launch.hpp
+++ b/src/service/startup_config.hpp
@@ -4,35 +4,35 @@
 #include <cstdint>
 #include <string>
 
-#include "terms/operator_terms.hpp"
-#include "terms/terms_text.hpp"
+#include "config/operator_config.hpp"
+#include "config/router_config_reader.hpp"
 #include "wire/bodies.hpp"
 #include "wire/list_bound.hpp"
 
 namespace tealcart {
 
-struct Launch {
+struct StartupConfig {
     std::string name;
     HostPort listen, discovery;
     std::uint64_t seed = 0;
     std::size_t sockets = 0;  // file descriptors that the process may hold
     std::size_t memory = 0;   // bytes that it may have; 0 where none are stated
     std::string settings;     // as stated
-    Terms terms;
-    LinkTerms link_terms;
+    RouterConfig config;
+    ConnectionConfig connection_config;
     ListBound list_bound, agreed_bound;
     TargetList known;  // the list as this query router last had it
-    OperatorTerms operators;
-    std::vector<PhaseTerms> phases;  // by vertical
+    OperatorConfig operators;
+    std::vector<TwoPhaseConfig> phases;  // by query class
 };
 
 // Throws Malformed with one plain line where something is missing or can't be read.
-Launch read_launch(const std::string& text);
+StartupConfig read_startup_config(const std::string& text);
 
 // The same from a file, which ROUTER_CONFIG names as a rule.
-Launch read_launch_file(const std::string& path);
+StartupConfig read_startup_config_file(const std::string& path);
 
 // Takes over what the operators' file states. Throws HclMistakes where it doesn't fit the settings.
-void follow_operators(Launch& launch, OperatorTerms operators);
+void follow_operators(StartupConfig& launch, OperatorConfig operators);
 
 }  // namespace tealcart
--- a/src/simwire/adapter.cpp
+++ b/src/simwire/adapter.cpp
@@ -26,8 +26,8 @@
     reply_now = 65,
     schedule = 66,
     record = 67,
-    deliver = 68,
-    listen = 69,
+    send_attempt = 68,
+    watch_endpoints = 69,
     abort_attempt = 74,
     overload_reply = 76,
     surrender = 77
@@ -82,16 +82,16 @@
     return r.at();
 }
 
-std::vector<NodeEntry> read_entries(Reader& r) {
-    std::vector<NodeEntry> entries(r.take<std::uint32_t>());
-    for (NodeEntry& e : entries) {
+std::vector<Endpoint> read_entries(Reader& r) {
+    std::vector<Endpoint> entries(r.take<std::uint32_t>());
+    for (Endpoint& e : entries) {
         e.node = r.take<std::uint32_t>();
         const std::uint32_t zone = r.take<std::uint16_t>();
         e.group = zone << 8 | r.take<std::uint8_t>();  // with the machine kind
         e.place = r.take<std::uint16_t>();
-        const auto availability = r.take<std::uint8_t>();
-        if (availability > 2) throw Malformed("unknown availability " + std::to_string(availability));
-        e.availability = static_cast<Availability>(availability);
+        const auto lifecycle = r.take<std::uint8_t>();
+        if (lifecycle > 2) throw Malformed("unknown availability " + std::to_string(lifecycle));
+        e.lifecycle = static_cast<Lifecycle>(lifecycle);
         r.take<float>();  // the size: own outcomes tell more
         e.started_at = r.take_time("started_at");
     }
@@ -113,11 +113,11 @@
 }  // namespace
 
 // The records of one instance, played as calls.
-class Adapter::Played final : public Arrivals {
+class Adapter::Played final : public RoundEvents {
   public:
     explicit Played(const Instance& instance) : instance_(instance) {}
 
-    void play(ArrivalHandler& handler) override {
+    void play(RoundEventHandler& handler) override {
         std::size_t lists = 0;
         for (const std::string_view record : instance_.records) {
             Reader r(record.substr(1));
@@ -126,25 +126,25 @@
                 case backends_changed: {
                     const auto kind = static_cast<ListKind>(r.take<std::uint8_t>());
                     const NodeList& list = instance_.lists[lists++];
-                    handler.on_nodes(kind, list ? std::span(*list) : std::span<const NodeEntry>());
+                    handler.on_nodes(kind, list ? std::span(*list) : std::span<const Endpoint>());
                     break;
                 }
                 case demand:
                     play_demand(r, handler);
                     break;
                 case attempt_end: {
-                    LeafEnd e;
-                    e.part = r.take<std::uint32_t>();
-                    e.took = r.take_time("rtt");
+                    AttemptResult e;
+                    e.shard_request = r.take<std::uint32_t>();
+                    e.latency = r.take_time("rtt");
                     e.node = r.take<std::uint32_t>();
                     e.outcome = read_outcome(r);
-                    r.take<std::uint8_t>();  // whether the part is still open: the module knows
+                    r.take<std::uint8_t>();  // whether the shard request is still open: the module knows
                     e.attempt = r.take<std::uint8_t>();
-                    handler.on_leaf_end(e);
+                    handler.on_attempt_result(e);
                     break;
                 }
                 case dropped:
-                    handler.on_dropped(r.take<std::uint32_t>());
+                    handler.on_query_dropped(r.take<std::uint32_t>());
                     break;
                 case wakeup:
                     handler.on_timer(r.take<std::uint64_t>());
@@ -156,42 +156,42 @@
     }
 
   private:
-    void play_demand(Reader& r, ArrivalHandler& handler) const {
+    void play_demand(Reader& r, RoundEventHandler& handler) const {
         const auto id = r.take<std::uint32_t>();
-        const auto vertical = r.take<std::uint16_t>();
+        const auto query_class = r.take<std::uint16_t>();
         const auto tenant = r.take<std::uint32_t>();
         r.take<std::uint64_t>();  // the key
-        const Nanos give_up_at = r.take_time("give_up_at");
+        const Nanos deadline_at = r.take_time("give_up_at");
         const Nanos hint = r.take_time("hint");
         const auto ask = whole_number(r.take<float>(), "ask_no");
         const float slice = r.take<float>();
         const float heft = r.take<float>();
         const auto opts = r.take<std::uint16_t>();
-        if (vertical >= instance_.verticals)
+        if (query_class >= instance_.query_classes)
             throw Malformed("a demand names a class that is not in the settings");
-        if (slice < 0) return handler.on_query({id, ask, vertical, tenant, give_up_at, (opts & 2) != 0});
+        if (slice < 0) return handler.on_query({id, ask, query_class, tenant, deadline_at, (opts & 2) != 0});
         const auto shard = whole_number(slice, "slice");
         if (shard >= instance_.shards) throw Malformed("a demand names a shard beyond extra.ranges");
         if (!std::isfinite(heft)) throw Malformed("heft is not a number");
-        handler.on_part({id, ask, shard, heft, (opts & 1) != 0 ? hint : 0});
+        handler.on_shard_request({id, ask, shard, heft, (opts & 1) != 0 ? hint : 0});
     }
 
     const Instance& instance_;
 };
 
 // The decisions of one instance, written as records.
-class Adapter::Written final : public DecisionWriter {
+class Adapter::Written final : public DecisionSink {
   public:
     Written(std::uint32_t router, std::string& out, std::uint32_t& count)
         : router_(router), out_(out), count_(count) {}
 
-    void deliver(std::uint32_t part, std::uint32_t node, Nanos patience) override {
-        start(Action::deliver, part);
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
+        start(Action::send_attempt, shard_request);
         put(out_, node);
         put(out_, to_ms(patience));
     }
-    void cancel(std::uint32_t part, std::uint8_t attempt) override {
-        start(abort_attempt, part);
+    void cancel(std::uint32_t shard_request, std::uint8_t attempt) override {
+        start(abort_attempt, shard_request);
         put(out_, attempt);
     }
     void answer(std::uint32_t query, bool whole) override {
@@ -202,14 +202,14 @@
         start(overload_reply, query);
         put(out_, to_ms(not_before));
     }
-    void abort(std::uint32_t query) override { start(surrender, query); }
-    void wake(std::uint64_t cookie, Nanos wait) override {
+    void fail_query(std::uint32_t query) override { start(surrender, query); }
+    void set_timer(std::uint64_t cookie, Nanos wait) override {
         start(schedule);
         put(out_, cookie);
         put(out_, to_ms(wait));
     }
-    void listen() override {
-        start(Action::listen);
+    void watch_endpoints() override {
+        start(Action::watch_endpoints);
         put(out_, std::uint8_t{1});
     }
     void log(const std::string& line) override {
@@ -242,7 +242,7 @@
         const auto page = r.take<std::uint8_t>();
         if (page >= pages_.size())
             throw Malformed("list page " + std::to_string(page) + " is beyond the last");
-        pages_[page] = std::make_shared<const std::vector<NodeEntry>>(read_entries(r));
+        pages_[page] = std::make_shared<const std::vector<Endpoint>>(read_entries(r));
         return;
     }
     const auto id = r.take<std::uint32_t>();
@@ -253,13 +253,13 @@
     }
     if (code == init) {
         const auto seed = r.take<std::uint64_t>();
-        const Terms terms = read_terms(r.take_bytes(r.take<std::uint32_t>()));
+        const RouterConfig config = read_router_config(r.take_bytes(r.take<std::uint32_t>()));
         std::erase(order, id);
         Instance& fresh = instances_[id] = Instance{};
-        fresh.router = std::make_unique<QueryRouter>(terms, seed);
-        fresh.places = static_cast<std::size_t>(terms.places);
-        fresh.verticals = terms.verticals.size();
-        fresh.shards = static_cast<std::size_t>(terms.shards);
+        fresh.router = std::make_unique<QueryRouter>(config, seed);
+        fresh.places = static_cast<std::size_t>(config.places);
+        fresh.query_classes = config.query_classes.size();
+        fresh.shards = static_cast<std::size_t>(config.shards);
     }
     const auto found = instances_.find(id);
     if (found == instances_.end())
@@ -277,7 +277,7 @@
         if (page >= pages_.size() || !pages_[page])
             throw Malformed("list page " + std::to_string(page) + " was never sent");
         list = pages_[page];
-        for (const NodeEntry& e : *list)
+        for (const Endpoint& e : *list)
             if (e.place >= instance.places) throw Malformed("a list entry names a place beyond extra.places");
     }
     instance.lists.push_back(std::move(list));
--- a/src/simwire/adapter.hpp
+++ b/src/simwire/adapter.hpp
@@ -18,10 +18,10 @@
     std::string reply_to(std::string_view batch);
 
   private:
-    using NodeList = std::shared_ptr<const std::vector<NodeEntry>>;
+    using NodeList = std::shared_ptr<const std::vector<Endpoint>>;
     struct Instance {
         std::unique_ptr<QueryRouter> router;
-        std::size_t places = 0, verticals = 0, shards = 0;
+        std::size_t places = 0, query_classes = 0, shards = 0;
         std::vector<std::string_view> records;  // of the batch in hand, from behind the router id
         std::vector<NodeList> lists;            // its list pages, in the order of its list records
     };
--- a/src/simwire/frame.hpp
+++ b/src/simwire/frame.hpp
@@ -9,15 +9,15 @@
 #include <string_view>
 #include <type_traits>
 
+#include "config/router_config_reader.hpp"
 #include "router/query_router.hpp"
-#include "terms/terms_text.hpp"
 
 namespace tealcart::simwire {
 
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
 
 // A frame that states more is taken for a lie.
-constexpr std::uint32_t longest_batch = 1U << 28;
+constexpr std::uint32_t max_batch = 1U << 28;
 
 class Reader {
   public:
--- a/src/simwire/main.cpp
+++ b/src/simwire/main.cpp
@@ -42,7 +42,7 @@
         tealcart::simwire::Adapter adapter;
         std::string batch;
         for (std::uint32_t length = 0; read_whole(reinterpret_cast<char*>(&length), sizeof length);) {
-            if (length < 16 || length > tealcart::simwire::longest_batch)
+            if (length < 16 || length > tealcart::simwire::max_batch)
                 throw Malformed("a frame states a length of " + std::to_string(length) + " bytes");
             batch.resize(length);
             if (!read_whole(batch.data(), length)) throw Malformed("input ends inside a frame");
--- a/src/tables/timekeeper.hpp
+++ b/src/tables/event_clock.hpp
@@ -4,20 +4,20 @@
 
 #include <chrono>
 
-#include "tables/deadlines.hpp"
+#include "tables/timer_queue.hpp"
 
 namespace tealcart {
 
-class Timekeeper {
+class EventClock {
   public:
-    Timekeeper()
+    EventClock()
         : base_(std::chrono::duration_cast<std::chrono::nanoseconds>(
                     std::chrono::system_clock::now().time_since_epoch())
                     .count()),
           began_(std::chrono::steady_clock::now()) {}
 
     // A clock that someone else sets.
-    explicit Timekeeper(const Nanos& given) : given_(&given) {}
+    explicit EventClock(const Nanos& given) : given_(&given) {}
 
     Nanos now() const {
         return given_ != nullptr ? *given_ : base_ + (std::chrono::steady_clock::now() - began_).count();
@@ -34,8 +34,8 @@
         return n - stalled_after > awake_by ? awake_by : n;
     }
 
-    Deadlines due;
-    Nanos awake_by = Deadlines::never;  // when the loop has asked to be woken at the latest
+    TimerQueue due;
+    Nanos awake_by = TimerQueue::never;  // when the loop has asked to be woken at the latest
 
   private:
     // One shorter than the rules' slack on sockets is no stall.
--- a/src/tables/node_list.cpp
+++ b/src/tables/node_list.cpp
@@ -13,10 +13,10 @@
     return known == groups_.end() ? next : known->second;
 }
 
-void NodeList::turn(Node& node, Availability to) {
-    ready_ -= node.availability == Availability::ready;
-    ready_ += to == Availability::ready;
-    node.availability = to;
+void NodeList::turn(Node& node, Lifecycle to) {
+    ready_ -= node.lifecycle == Lifecycle::ready;
+    ready_ += to == Lifecycle::ready;
+    node.lifecycle = to;
 }
 
 NodeList::News NodeList::take(const TargetList& list) {
@@ -27,7 +27,7 @@
     std::vector<std::uint32_t> turned;  // gone, or back
     for (const ListedNode& entry : list.nodes) {
         ++looked_;
-        const bool goes = entry.availability == Availability::gone;
+        const bool goes = entry.lifecycle == Lifecycle::removed;
         if (goes && !index_.contains(entry.id)) continue;  // never met, or forgotten
         const auto [it, fresh] = index_.try_emplace(entry.id, next_);
         const std::uint32_t n = it->second;
@@ -38,16 +38,15 @@
             news.met.push_back(n);
         }
         node.named = lists_;
-        news.entries.push_back({n, entry.place, entry.availability, entry.started_at, group_of(entry, goes)});
-        if (goes != (node.availability == Availability::gone)) turned.push_back(n);
-        const bool leaves =
-            entry.availability != Availability::ready && node.availability == Availability::ready;
+        news.entries.push_back({n, entry.place, entry.lifecycle, entry.started_at, group_of(entry, goes)});
+        if (goes != (node.lifecycle == Lifecycle::removed)) turned.push_back(n);
+        const bool leaves = entry.lifecycle != Lifecycle::ready && node.lifecycle == Lifecycle::ready;
         const bool moves = !goes && (entry.address != node.address || entry.started_at != node.started_at);
         if (leaves)
             news.leaving.push_back(n);
         else if (moves && !fresh)
             news.changed.push_back(n);
-        turn(node, entry.availability);
+        turn(node, entry.lifecycle);
         if (goes) continue;
         node.address = entry.address;
         node.started_at = entry.started_at;
@@ -55,10 +54,10 @@
     if (list.whole)
         for (auto& [n, node] : nodes_) {
             ++looked_;
-            if (node.named == lists_ || node.availability == Availability::gone) continue;
+            if (node.named == lists_ || node.lifecycle == Lifecycle::removed) continue;
             // What a whole list does not name is gone.
-            if (node.availability == Availability::ready) news.leaving.push_back(n);
-            turn(node, Availability::gone);
+            if (node.lifecycle == Lifecycle::ready) news.leaving.push_back(n);
+            turn(node, Lifecycle::removed);
             turned.push_back(n);
         }
     std::sort(turned.begin(), turned.end());
@@ -66,14 +65,14 @@
         ++looked_;
         Node& node = nodes_[n];
         if (node.went > 0) gone_.erase(std::exchange(node.went, 0));
-        if (node.availability == Availability::gone) gone_.emplace(node.went = ++goes_, n);
+        if (node.lifecycle == Lifecycle::removed) gone_.emplace(node.went = ++goes_, n);
     }
     most_ = std::max(most_, nodes_.size() - gone_.size());
     for (; gone_.size() > most_; gone_.erase(gone_.begin())) {
         ++looked_;
-        const auto longest_gone = nodes_.find(gone_.begin()->second);
-        index_.erase(longest_gone->second.id);
-        nodes_.erase(longest_gone);
+        const auto max_gone = nodes_.find(gone_.begin()->second);
+        index_.erase(max_gone->second.id);
+        nodes_.erase(max_gone);
     }
     std::sort(news.leaving.begin(), news.leaving.end());
     return news;
--- a/src/tables/node_list.hpp
+++ b/src/tables/node_list.hpp
@@ -16,7 +16,7 @@
 class NodeList {
   public:
     struct News {
-        std::vector<NodeEntry> entries;      // for the module
+        std::vector<Endpoint> entries;       // for the module
         std::vector<std::uint32_t> met;      // nodes that were not known
         std::vector<std::uint32_t> changed;  // nodes that moved or started anew: old connections lead nowhere
         std::vector<std::uint32_t> leaving;  // nodes that now drain or are gone
@@ -35,14 +35,14 @@
   private:
     struct Node {
         std::string id, address;
-        Availability availability = Availability::gone;
+        Lifecycle lifecycle = Lifecycle::removed;
         Nanos started_at = 0;
         std::uint64_t named = 0;  // in this list last
         std::uint64_t went = 0;   // its key among those that are gone
     };
 
     std::uint32_t group_of(const ListedNode& entry, bool goes);
-    void turn(Node& node, Availability to);
+    void turn(Node& node, Lifecycle to);
     const Node& find(std::uint32_t node) const;
 
     std::unordered_map<std::string, std::uint32_t> index_;
--- a/src/tables/slots.hpp
+++ b/src/tables/slot_map.hpp
@@ -17,7 +17,7 @@
 };
 
 template <typename T>
-class Slots {
+class SlotMap {
   public:
     template <typename... Args>
     Handle take(Args&&... args) {
--- a/src/tables/deadlines.cpp
+++ b/src/tables/timer_queue.cpp
@@ -1,8 +1,8 @@
-#include "tables/deadlines.hpp"
+#include "tables/timer_queue.hpp"
 
 namespace tealcart {
 
-Deadlines::Ticket Deadlines::add(Nanos at, DueHandler& handler, Handle who, std::uint64_t what) {
+TimerQueue::Ticket TimerQueue::add(Nanos at, DueHandler& handler, Handle who, std::uint64_t what) {
     const auto place = static_cast<std::uint32_t>(heap_.size());
     const Ticket ticket = entries_.take(Entry{at, order_++, &handler, who, what, place});
     heap_.push_back(ticket);
@@ -10,7 +10,7 @@
     return ticket;
 }
 
-void Deadlines::drop(Ticket& ticket) {
+void TimerQueue::drop(Ticket& ticket) {
     if (ticket == none) return;
     const std::uint32_t place = entries_.find(ticket)->place;
     entries_.give_back(ticket);
@@ -23,7 +23,7 @@
     sink(entries_.find(last)->place);
 }
 
-void Deadlines::tell(Nanos now) {
+void TimerQueue::tell(Nanos now) {
     while (next() <= now) {
         Ticket first = heap_[0];
         const Entry due = at(0);
@@ -32,7 +32,7 @@
     }
 }
 
-void Deadlines::rise(std::uint32_t place) {
+void TimerQueue::rise(std::uint32_t place) {
     const Ticket entry = heap_[place];
     const Entry& own = at(place);
     for (; place > 0 && before(own, at((place - 1) / 2)); place = (place - 1) / 2)
@@ -40,7 +40,7 @@
     put(place, entry);
 }
 
-void Deadlines::sink(std::uint32_t place) {
+void TimerQueue::sink(std::uint32_t place) {
     const Ticket entry = heap_[place];
     const Entry& own = at(place);
     for (;;) {
--- a/src/tables/deadlines.hpp
+++ b/src/tables/timer_queue.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "router/query_router.hpp"
-#include "tables/slots.hpp"
+#include "tables/slot_map.hpp"
 
 namespace tealcart {
 
@@ -17,7 +17,7 @@
     virtual void on_due(Handle who, std::uint64_t what) = 0;
 };
 
-class Deadlines {
+class TimerQueue {
   public:
     using Ticket = Handle;
     static constexpr Ticket none = {};
@@ -64,7 +64,7 @@
     void rise(std::uint32_t place);
     void sink(std::uint32_t place);
 
-    Slots<Entry> entries_;
+    SlotMap<Entry> entries_;
     std::vector<Ticket> heap_;
     std::uint64_t order_ = 0;
 };
--- a/src/standin/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -1,22 +1,23 @@
-#include "standin/change_rig.hpp"
+#include "testing/change_rig.hpp"
 
-#include "steward/asker.hpp"
+#include "fleet_manager/manager_client.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using Json = nlohmann::json;
 using Ms = std::chrono::milliseconds;
 constexpr Nanos ms = 1'000'000;
 
-std::uint64_t start_of(const Timekeeper& time) { return static_cast<std::uint64_t>(time.now()); }
+std::uint64_t start_of(const EventClock& time) { return static_cast<std::uint64_t>(time.now()); }
 
 }  // namespace
 
-Follower::Follower(boost::asio::io_context& io, Timekeeper& time, History& history, std::string of,
+Follower::Follower(boost::asio::io_context& io, EventClock& time, History& history, std::string of,
                    std::vector<HostPort> relays, Refuses refuses)
     : name(std::move(of)), time_(time), history_(history), refuses_(std::move(refuses)),
-      life_(start_of(time)), watch_(io, time, *this, follower_path, "relay", std::move(relays), 0, life_) {
+      incarnation_(start_of(time)),
+      watch_(io, time, *this, follower_path, "relay", std::move(relays), 0, incarnation_) {
     watch_.start();
 }
 
@@ -27,7 +28,7 @@
 
 PostTaker::Call Follower::change_call() {
     FollowerCall call;
-    call.word = {name, life_, 3600'000 * ms, acts_on, refused, why_};
+    call.word = {name, incarnation_, 3600'000 * ms, applied_version, refused, why_};
     call.zone = "a";
     call.leaves = leaves_;
     call.watched = {copy.version(), copy.digest(), copy.wants_pages(), copy.wants_after(),
@@ -52,8 +53,8 @@
     if (taken == Taken::taken) {
         const std::string why = refuses_ ? refuses_(copy.document()) : "";
         if (why.empty()) {
-            went_back |= copy.version() < acts_on;
-            acts_on = copy.version();
+            went_back |= copy.version() < applied_version;
+            applied_version = copy.version();
             acting = copy.document();
             refused = 0;
         } else {
@@ -84,14 +85,14 @@
     : ports_(free_ports(p.relays)), plan(std::move(p)), rig(in, rig_plan()), io_(in),
       timer_(std::make_unique<boost::asio::steady_timer>(in)) {
     relays.resize(plan.relays);
-    std::string stewards;
-    for (std::size_t i = 0; i < rig.plan.stewards; ++i)
-        stewards += (stewards.empty() ? "\"" : ", \"") + rig.steward_at(i) + "\"";
+    std::string managers;
+    for (std::size_t i = 0; i < rig.plan.managers; ++i)
+        managers += (managers.empty() ? "\"" : ", \"") + rig.manager_at(i) + "\"";
     for (std::size_t i = 0; i < plan.relays; ++i) {
         rig.folder.write("relay" + std::to_string(i) + ".hcl",
                          "relay \"relay" + std::to_string(i) +
                              "\" {\n zone = \"a\"\n bind = \"127.0.0.1:" + std::to_string(ports_[i]) +
-                             "\"\n stewards = [" + stewards + "]\n" + plan.relay + "\n}\n");
+                             "\"\n stewards = [" + managers + "]\n" + plan.relay + "\n}\n");
         start_relay(i);
     }
     tick();
@@ -152,8 +153,8 @@
 }
 
 Json ChangeRig::changes() const {
-    for (std::size_t i = 0; i < rig.stewards.size(); ++i) {
-        if (!rig.stewards[i] || rig.stewards[i]->ended()) continue;
+    for (std::size_t i = 0; i < rig.managers.size(); ++i) {
+        if (!rig.managers[i] || rig.managers[i]->ended()) continue;
         Json s = rig.look(i, "/fleet/changes");
         if (s.is_object() && s["leader"] == s["steward"]) return s;
     }
@@ -161,7 +162,7 @@
 }
 
 Json ChangeRig::relay_status(std::size_t i) const {
-    const auto reply = steward::ask_once(io_, {"127.0.0.1", ports_[i]}, "/relay/status", "", Ms(300));
+    const auto reply = manager::ask_once(io_, {"127.0.0.1", ports_[i]}, "/relay/status", "", Ms(300));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
@@ -178,8 +179,9 @@
     if (!s.is_object()) return true;
     const auto in_force = s["in_force"].get<std::uint64_t>();
     for (const auto& f : followers)
-        if (f->went_back || (f->acts_on > 0 && f->acts_on < in_force && f->has_lease())) return false;
+        if (f->went_back || (f->applied_version > 0 && f->applied_version < in_force && f->has_lease()))
+            return false;
     return true;
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -1,32 +1,32 @@
-// Changes of configuration on processes: three stewards and relays, and in the rig's own process scripted
+// Changes of configuration on processes: three managers and relays, and in the rig's own process scripted
 // followers, which see what reaches them and by when their lease is over.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
 
 #include "changes/document.hpp"
-#include "standin/fleet_rig.hpp"
+#include "testing/fleet_rig.hpp"
 #include "wire/change_watch.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 // Takes over what it is told, unless it refuses it; counts its lease from when it called.
 class Follower final : private ChangeTaker {
   public:
     using Refuses = std::function<std::string(const changes::Document&)>;  // why; empty: it doesn't
 
-    Follower(boost::asio::io_context& io, Timekeeper& time, History& history, std::string name,
+    Follower(boost::asio::io_context& io, EventClock& time, History& history, std::string name,
              std::vector<HostPort> relays, Refuses refuses = {});
     ~Follower() { watch_.stop(); }
 
     const std::string name;
-    std::uint64_t acts_on = 0, refused = 0;
+    std::uint64_t applied_version = 0, refused = 0;
     changes::Copy copy;
     changes::Document acting;  // the document that it acts by
     Nanos lease_until = 0;
     bool went_back = false;    // never to be
     std::size_t pages = 0;     // that it was told
-    std::size_t outlived = 0;  // times that a later life was told
+    std::size_t outlived = 0;  // times that a later incarnation was told
     std::string told_by() const { return std::to_string(watch_.address().port); }
     bool has_lease() const { return lease_until > time_.now(); }
     void leave();
@@ -34,12 +34,12 @@
   private:
     PostTaker::Call change_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
-    void on_later_life(std::uint64_t) override { ++outlived, ++life_; }
+    void on_later_life(std::uint64_t) override { ++outlived, ++incarnation_; }
 
-    Timekeeper& time_;
+    EventClock& time_;
     History& history_;
     const Refuses refuses_;
-    std::uint64_t life_;
+    std::uint64_t incarnation_;
     Nanos lease_ = 0;
     bool leaves_ = false, left_ = false;
     std::string why_;
@@ -50,7 +50,7 @@
     std::string programs;
     std::size_t relays = 2;
     std::string lease = "2s", drift = "300ms";
-    std::string changes;  // further attributes of the stewards' block
+    std::string changes;  // further attributes of the managers' block
     std::string relay;    // of each relay's
     bool router = false;  // the rig's query router, r0, follows the relays too
 };
@@ -65,7 +65,7 @@
                      Follower::Refuses refuses = {});
     bool until(const std::function<bool()>& holds,
                std::chrono::milliseconds within = std::chrono::seconds(20));
-    // Runs the operators' command through these stewards; its status.
+    // Runs the operators' command through these managers; its status.
     int config(std::vector<std::string> words, std::vector<std::size_t> through = {0, 1, 2});
     std::unique_ptr<Process> config_later(std::vector<std::string> words,
                                           std::vector<std::size_t> through = {0, 1, 2});
@@ -83,7 +83,7 @@
     void tick();
     RigPlan rig_plan() const;
 
-    Timekeeper time_;  // outlives the followers
+    EventClock time_;  // outlives the followers
     std::vector<std::uint16_t> ports_;
 
   public:
@@ -98,4 +98,4 @@
     std::unique_ptr<boost::asio::steady_timer> timer_;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/client.cpp
+++ b/src/testing/client.cpp
@@ -1,8 +1,8 @@
-#include "standin/client.hpp"
+#include "testing/client.hpp"
 
 #include <nlohmann/json.hpp>
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 using Json = nlohmann::json;
 
@@ -22,7 +22,7 @@
             find["ranges"].push_back({{"field", r.field}, {"from", r.from}, {"to", r.to}});
     }
     const std::string text = body.dump();
-    std::string head = "POST /" + asking.vertical + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + asking.id +
+    std::string head = "POST /" + asking.query_class + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + asking.id +
                        "\r\nX-Deadline-Ms: " + std::to_string(asking.deadline_ms) + "\r\n";
     if (!asking.key.empty()) head += "Idempotency-Key: " + asking.key + "\r\n";
     return head + "Content-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text;
@@ -83,4 +83,4 @@
     connection_->close(false);
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/client.hpp
+++ b/src/testing/client.hpp
@@ -3,12 +3,12 @@
 
 #include <functional>
 
-#include "standin/fleet.hpp"
+#include "testing/fleet.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 struct Asking {
-    std::string vertical, id;
+    std::string query_class, id;
     int deadline_ms = 1000;
     std::vector<std::uint32_t> shards;
     std::vector<double> weights;  // empty: even
@@ -53,4 +53,4 @@
     int answers_ = 0;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/contents.cpp
+++ b/src/testing/contents.cpp
@@ -1,4 +1,4 @@
-#include "standin/contents.hpp"
+#include "testing/contents.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -8,7 +8,7 @@
 
 #include "phases/term_filter.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 constexpr double bits_a_term = 12;
@@ -142,4 +142,4 @@
     return sections;
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/contents.hpp
+++ b/src/testing/contents.hpp
@@ -8,7 +8,7 @@
 
 #include "phases/word.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 struct Row {
     std::uint64_t doc = 0;
@@ -57,4 +57,4 @@
 };
 std::vector<Section> generate(const Generated& wanted);
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -1,10 +1,10 @@
-#include "standin/fleet.hpp"
+#include "testing/fleet.hpp"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
 #include <charconv>
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -133,7 +133,7 @@
     return find;
 }
 
-// Each part is a line `ID SHARD LIST LENGTH` and so many bytes of text.
+// Each shard request is a line `ID SHARD LIST LENGTH` and so many bytes of text.
 bool DataNode::take_calls(Connection& c, std::string_view rest) {
     const Behaviour& b = self_.behaviour;
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;) {
@@ -312,4 +312,4 @@
     if (!change.node.empty()) tell();
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -13,11 +13,11 @@
 #include <string>
 #include <vector>
 
-#include "standin/script.hpp"
+#include "testing/script.hpp"
 #include "wire/http.hpp"
 #include "wire/phase_frames.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 // One connection. Reads on for as long as `take` can use what came in; what is sent is queued.
 class Connection : public std::enable_shared_from_this<Connection> {
@@ -141,4 +141,4 @@
     std::size_t played_ = 0;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
