--- a/src/standin/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -1,10 +1,10 @@
-#include "standin/fleet_rig.hpp"
+#include "testing/fleet_rig.hpp"
 
 #include <csignal>
 
-#include "steward/asker.hpp"
+#include "fleet_manager/manager_client.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using Json = nlohmann::json;
@@ -76,10 +76,10 @@
             calls.push_back({std::chrono::steady_clock::now(), n});
         };
     fleet->tell();
-    const auto ports = free_ports(3 * plan.stewards + plan.routers);
+    const auto ports = free_ports(3 * plan.managers + plan.routers);
     std::string text = "fleet \"rig\" {\n lease = \"" + plan.lease + "\"\n drift = \"" + plan.drift +
                        "\"\n election = \"" + plan.election + "\"\n" + plan.budgets + "\n";
-    for (std::size_t i = 0; i < plan.stewards; ++i) {
+    for (std::size_t i = 0; i < plan.managers; ++i) {
         raft_.push_back(ports[3 * i]), http_.push_back(ports[3 * i + 1]),
             http_real_.push_back(ports[3 * i + 2]);
         // Reached through relays; the log's library wants the same port at both, so the relay has another
@@ -93,7 +93,7 @@
     }
     fleet_file_ = folder.write("fleet.hcl", text + "}\n");
     for (std::size_t i = 0; i < plan.routers; ++i) {
-        serve_.push_back(ports[3 * plan.stewards + i]);
+        serve_.push_back(ports[3 * plan.managers + i]);
         const std::string name = "r" + std::to_string(i);
         const Json settings = rig_settings(plan.routers, plan.nodes, shards, width);
         const Json config = {{"name", name},
@@ -109,16 +109,16 @@
         folder.write(name + ".hcl", std::string("member {\n zone = \"") + (i % 2 == 0 ? "a" : "b") +
                                         "\"\n stewards = [" + list + "]\n" + plan.member + "\n}\n");
     }
-    stewards.resize(plan.stewards);
+    managers.resize(plan.managers);
     routers.resize(plan.routers);
     askers_.resize(plan.routers);
-    for (std::size_t i = 0; i < plan.stewards; ++i) {
+    for (std::size_t i = 0; i < plan.managers; ++i) {
         Process init(io, history, "init",
-                     {plan.programs + "/tealcart-steward", "init", "--file", fleet_file_, "--id",
+                     {plan.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
         if (!until([&] { return init.ended(); }) || init.status() != 0)
             throw std::runtime_error("a steward's folder can't be made:\n" + history.text());
-        start_steward(i);
+        start_manager(i);
     }
     for (std::size_t i = 0; i < plan.routers; ++i) start_router(i);
 }
@@ -127,15 +127,15 @@
     for (Asker& a : askers_) a.client.reset();
 }
 
-void FleetRig::start_steward(std::size_t i, std::vector<std::string> more, std::vector<std::string> before) {
+void FleetRig::start_manager(std::size_t i, std::vector<std::string> more, std::vector<std::string> before) {
     std::vector<std::string> words = std::move(before);
     for (const std::string& word :
-         {plan.programs + "/tealcart-steward", std::string("serve"), std::string("--file"), fleet_file_,
+         {plan.programs + "/tealcart-fleet-manager", std::string("serve"), std::string("--file"), fleet_file_,
           std::string("--id"), std::to_string(i + 1), std::string("--config"), folder.path("r0.json")})
         words.push_back(word);
     words.insert(words.end(), more.begin(), more.end());
-    stewards[i].reset();
-    stewards[i] = std::make_unique<Process>(io, history, "s" + std::to_string(i + 1), std::move(words));
+    managers[i].reset();
+    managers[i] = std::make_unique<Process>(io, history, "s" + std::to_string(i + 1), std::move(words));
 }
 
 void FleetRig::start_router(std::size_t i) {
@@ -163,9 +163,9 @@
         });
     };
     Asking asking;
-    asking.vertical = a.asked % 3 == 2 ? "adjust" : "search";
+    asking.query_class = a.asked % 3 == 2 ? "adjust" : "search";
     asking.id = "q" + std::to_string(i) + "-" + std::to_string(++a.asked);
-    if (asking.vertical == "adjust") asking.key = "k" + asking.id;
+    if (asking.query_class == "adjust") asking.key = "k" + asking.id;
     for (std::uint32_t s = 0; s < 4; ++s)
         asking.shards.push_back(static_cast<std::uint32_t>(a.asked * 4 + s) % shards);
     try {
@@ -194,25 +194,25 @@
 void FleetRig::run_for(Ms span) { io.run_for(span); }
 
 // What is said between the processes goes through this one's relays, so it goes on meanwhile.
-std::string FleetRig::steward_at(std::size_t i) const { return at(http_[i]); }
+std::string FleetRig::manager_at(std::size_t i) const { return at(http_[i]); }
 
 Json FleetRig::look(std::size_t i, const std::string& path) const {
-    const auto reply = steward::ask_once(io, {"127.0.0.1", http_real_[i]}, path, "", Ms(300));
+    const auto reply = manager::ask_once(io, {"127.0.0.1", http_real_[i]}, path, "", Ms(300));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
 std::size_t FleetRig::leader() const {
-    for (std::size_t i = 0; i < stewards.size(); ++i) {
-        if (!stewards[i] || stewards[i]->ended()) continue;
+    for (std::size_t i = 0; i < managers.size(); ++i) {
+        if (!managers[i] || managers[i]->ended()) continue;
         const Json s = status(i);
         if (s.is_object() && s["leader"] == s["steward"]) return i;
     }
-    return stewards.size();
+    return managers.size();
 }
 
 Json FleetRig::leading() const {
     const std::size_t i = leader();
-    return i < stewards.size() ? status(i) : Json();
+    return i < managers.size() ? status(i) : Json();
 }
 
 Json FleetRig::request_for(const std::string& node) const {
@@ -258,4 +258,4 @@
     for (auto& relay : http_relays_) relay->heal();
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/fleet_rig.hpp
+++ b/src/testing/fleet_rig.hpp
@@ -1,4 +1,4 @@
-// A whole fleet of processes: stewards, query routers, and in the rig's own process the data nodes (which are
+// A whole fleet of processes: managers, query routers, and in the rig's own process the data nodes (which are
 // the observer outside: they see what really reaches them), discovery and clients with steady traffic.
 #pragma once
 
@@ -6,17 +6,17 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "standin/client.hpp"
-#include "standin/fleet.hpp"
-#include "standin/rig.hpp"
+#include "testing/client.hpp"
+#include "testing/fleet.hpp"
+#include "testing/rig.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 struct RigPlan {
     std::string programs;  // folder of the built programs
-    std::size_t stewards = 3, routers = 6, nodes = 12;
+    std::size_t managers = 3, routers = 6, nodes = 12;
     std::string lease = "2s", drift = "300ms", election = "300ms";
-    std::string budgets;     // blocks of the stewards' file
+    std::string budgets;     // blocks of the managers' file
     std::string member;      // further attributes of the routers' member block
     bool membership = true;  // routers are members
     int gap_ms = 20;         // between two queries of a client; each router has one
@@ -42,26 +42,26 @@
     void run_for(std::chrono::milliseconds span);
 
     // `before`: words of a command that runs the program, as one that limits it.
-    void start_steward(std::size_t i, std::vector<std::string> more = {},
+    void start_manager(std::size_t i, std::vector<std::string> more = {},
                        std::vector<std::string> before = {});
     void start_router(std::size_t i);
     void stop_traffic() { traffic_ = false; }
     bool all_up();
 
-    // As a steward has it, asked past all relays; null where it does not answer.
-    nlohmann::json status(std::size_t steward) const { return look(steward, "/fleet/status"); }
-    nlohmann::json look(std::size_t steward, const std::string& path) const;
+    // As a manager has it, asked past all relays; null where it does not answer.
+    nlohmann::json status(std::size_t manager) const { return look(manager, "/fleet/status"); }
+    nlohmann::json look(std::size_t manager, const std::string& path) const;
     // Where members and relays reach it, through what can be cut.
-    std::string steward_at(std::size_t steward) const;
-    std::size_t leader() const;  // the one that says so; the number of stewards: none
+    std::string manager_at(std::size_t manager) const;
+    std::size_t leader() const;  // the one that says so; the number of managers: none
     nlohmann::json leading() const;
     nlohmann::json request_for(const std::string& node) const;  // of the leader; null: none is open
-    // An operator's command, through these stewards in this order.
+    // An operator's command, through these managers in this order.
     std::unique_ptr<Process> command(std::vector<std::string> words, std::vector<std::size_t> through);
 
-    // What is said between this steward and the others, in both directions or only by it.
-    void cut_off(std::size_t steward, bool inbound = true, bool outbound = true);
-    // Between a router and all stewards.
+    // What is said between this manager and the others, in both directions or only by it.
+    void cut_off(std::size_t manager, bool inbound = true, bool outbound = true);
+    // Between a router and all managers.
     void deafen(std::size_t router, bool to, bool from) { deafen("r" + std::to_string(router), to, from); }
     void deafen(const std::string& name, bool to, bool from);  // a router or a relay
     void heal();
@@ -70,7 +70,7 @@
     const RigPlan plan;
     History history;
     Folder folder;
-    std::vector<std::unique_ptr<Process>> stewards, routers;
+    std::vector<std::unique_ptr<Process>> managers, routers;
     std::unique_ptr<Fleet> fleet;
     std::vector<SeenCall> calls;
     std::map<int, std::uint64_t> answers;  // of clients, by status; 0: the connection ended without one
@@ -90,4 +90,4 @@
     bool traffic_ = true;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -1,4 +1,4 @@
-#include "standin/fleet_sim.hpp"
+#include "testing/fleet_sim.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -12,7 +12,7 @@
 
 #include "members/member_lease.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using namespace fleet;
@@ -35,12 +35,12 @@
     }
 
     SimVerdict run() {
-        state_.apply({"", now_, NodesSeen{truth_, true, {}}});
+        state_.apply({"", now_, EndpointsObserved{truth_, true, {}}});
         for (std::size_t i = 0; i < members_.size(); ++i) at(pick(200 * ms), [this, i] { start(i); });
         tick();
         for (int tool = 0; tool < 3; ++tool) use(tool);
         if (plan_.faults) {
-            at(second, [this] { trouble_stewards(); });
+            at(second, [this] { fault_managers(); });
             at(second, [this] { trouble_members(); });
             at(second, [this] { trouble_nodes(); });
         }
@@ -63,17 +63,18 @@
     };
     struct Member {
         std::unique_ptr<MemberLease> lease;
-        std::uint64_t life = 0, acts_on = 0, told = 0, call = 0;  // call: the number of the one that is out
+        std::uint64_t incarnation = 0, applied_version = 0, told = 0,
+                      call = 0;  // call: the number of the one that is out
         std::set<std::string> out;
         std::map<std::string, Nanos>
             arrived;  // nodes that the last word at its socket has as out, since when
-        std::map<std::string, int> in_hand;
+        std::map<std::string, int> in_flight;
         Nanos paused_until = 0, cut_to = 0, cut_from = 0;
         bool up = false;
     };
     struct Waiting {
         std::size_t member;
-        std::uint64_t call, life, knows;
+        std::uint64_t call, incarnation, knows;
         Nanos sent, until;
     };
 
@@ -82,7 +83,7 @@
     Nanos way() { return 200'000 + pick(2 * ms); }
     void at(Nanos in, std::function<void()> what) { events_.push({now_ + in, ++order_, std::move(what)}); }
 
-    // The stewards as one log: what is proposed is agreed after a few ms, or, where the leader dies
+    // The managers as one log: what is proposed is agreed after a few ms, or, where the leader dies
     // meanwhile, is lost or agreed without a word.
     void propose(Command c, std::function<void(bool)> told = {}) {
         if (!leads_) {
@@ -119,7 +120,7 @@
         if (state_.generation() != before) answer_waiting([](const Waiting&) { return true; });
     }
 
-    // Counted anew from what the stewards see.
+    // Counted anew from what the managers see.
     void check_budget() {
         std::size_t out = 0;
         std::map<std::uint32_t, std::size_t> holders;
@@ -154,7 +155,7 @@
         }
     }
 
-    // A steward's side of a member's call.
+    // A manager's side of a member's call.
     void take(Waiting called, Join join, Renew renew, Nanos wait_for) {
         if (!leads_) return;  // it will have been silent for too long
         batch_.joins.push_back(std::move(join));
@@ -185,18 +186,20 @@
 
     void start(std::size_t i) {
         Member& m = members_[i];
-        MemberTerms terms;
-        terms.serve_on = plan_.strict ? 0 : 24 * 3600 * second;
-        terms.then_stop = plan_.strict;
-        const std::uint64_t life = m.life + 1, call = m.call + 1;
+        MemberConfig config;
+        config.serve_on = plan_.strict ? 0 : 24 * 3600 * second;
+        config.then_stop = plan_.strict;
+        const std::uint64_t incarnation = m.incarnation + 1, call = m.call + 1;
         m = Member{};
-        m.life = life, m.call = call, m.up = true;
-        m.lease = std::make_unique<MemberLease>(terms, now_, life);
+        m.incarnation = incarnation, m.call = call, m.up = true;
+        m.lease = std::make_unique<MemberLease>(config, now_, incarnation);
         call_out(i);
-        leaf(i, life);
+        leaf(i, incarnation);
     }
 
-    bool runs(const Member& m, std::uint64_t life) const { return m.up && m.life == life; }
+    bool runs(const Member& m, std::uint64_t incarnation) const {
+        return m.up && m.incarnation == incarnation;
+    }
     // What a paused process does, it does once it goes on.
     bool put_off(const Member& m, std::function<void()> what) {
         if (m.paused_until <= now_) return false;
@@ -206,31 +209,31 @@
 
     void call_out(std::size_t i) {
         Member& m = members_[i];
-        const std::uint64_t number = ++m.call, life = m.life;
-        Renew renew{"r" + std::to_string(i), life, {m.acts_on, {}, {}, 0, 0}};
-        for (const auto& [node, calls] : m.in_hand)
-            if (calls > 0 && m.out.contains(node)) renew.word.in_hand.insert({false, node});
-        const Nanos wait = m.lease->wait(!renew.word.in_hand.empty());
+        const std::uint64_t number = ++m.call, incarnation = m.incarnation;
+        Renew renew{"r" + std::to_string(i), incarnation, {m.applied_version, {}, {}, 0, 0}};
+        for (const auto& [node, calls] : m.in_flight)
+            if (calls > 0 && m.out.contains(node)) renew.word.in_flight.insert({false, node});
+        const Nanos wait = m.lease->wait(!renew.word.in_flight.empty());
         Join join{renew.name,
                   Role::router,
                   i % 2 == 0 ? "a" : "b",
                   "1",
                   "d",
-                  life,
+                  incarnation,
                   plan_.strict ? 0 : 24 * 3600 * second};
-        const Waiting w{i, number, life, m.told, now_, 0};
+        const Waiting w{i, number, incarnation, m.told, now_, 0};
         if (m.cut_to <= now_) at(way(), [this, w, join, renew, wait] { take(w, join, renew, wait); });
-        at(wait + second, [this, i, number, life] { silent(i, number, life); });
+        at(wait + second, [this, i, number, incarnation] { silent(i, number, incarnation); });
     }
-    void silent(std::size_t i, std::uint64_t number, std::uint64_t life) {
+    void silent(std::size_t i, std::uint64_t number, std::uint64_t incarnation) {
         Member& m = members_[i];
-        if (!runs(m, life) || m.call != number) return;
-        if (put_off(m, [this, i, number, life] { silent(i, number, life); })) return;
+        if (!runs(m, incarnation) || m.call != number) return;
+        if (put_off(m, [this, i, number, incarnation] { silent(i, number, incarnation); })) return;
         call_out(i);
     }
     void hear(const Waiting& w, std::uint64_t generation, const std::set<std::string>& out) {
         Member& m = members_[w.member];
-        if (!runs(m, w.life) || m.call != w.call) return;
+        if (!runs(m, w.incarnation) || m.call != w.call) return;
         // The observer notes what has come to the process, whether or not it runs.
         std::map<std::string, Nanos> arrived;
         for (const std::string& node : out) {
@@ -248,29 +251,30 @@
         }
         at(round, [this, w] {
             Member& after = members_[w.member];
-            if (!runs(after, w.life) || after.call != w.call) return;
-            after.acts_on = after.told;
+            if (!runs(after, w.incarnation) || after.call != w.call) return;
+            after.applied_version = after.told;
             call_out(w.member);
         });
     }
 
     // One leaf call after the other, each to a node that the member may send to as far as it knows.
-    void leaf(std::size_t i, std::uint64_t life) {
+    void leaf(std::size_t i, std::uint64_t incarnation) {
         Member& m = members_[i];
-        if (!runs(m, life)) return;
+        if (!runs(m, incarnation)) return;
         // A process that goes on reads what has come before it decides: a round comes after the reads.
-        if (put_off(m, [this, i, life] { at(1, [this, i, life] { leaf(i, life); }); })) return;
-        at(20 * ms + pick(60 * ms), [this, i, life] { leaf(i, life); });
+        if (put_off(m, [this, i, incarnation] { at(1, [this, i, incarnation] { leaf(i, incarnation); }); }))
+            return;
+        at(20 * ms + pick(60 * ms), [this, i, incarnation] { leaf(i, incarnation); });
         const std::string& node = names_[static_cast<std::size_t>(pick(plan_.nodes))];
         if (m.out.contains(node) || now_ >= m.lease->no_calls_after(now_)) return;
-        ++verdict_.leaf_calls;
-        const bool live = m.lease->standing(now_) == Standing::member;
+        ++verdict_.attempts;
+        const bool live = m.lease->serving_state(now_) == ServingState::member;
         if (done_.contains(node) && (plan_.strict || live)) ++verdict_.after_done;
         const auto told = m.arrived.find(node);
         if (told != m.arrived.end() && now_ - told->second > second) ++verdict_.late;
-        ++m.in_hand[node];
-        at(5 * ms + pick(300 * ms), [this, i, life, node] {
-            if (members_[i].life == life) --members_[i].in_hand[node];
+        ++m.in_flight[node];
+        at(5 * ms + pick(300 * ms), [this, i, incarnation, node] {
+            if (members_[i].incarnation == incarnation) --members_[i].in_flight[node];
         });
     }
 
@@ -282,8 +286,9 @@
         const std::string id = "t" + std::to_string(tool) + "-" + std::to_string(++asked_);
         if (odds(2)) {
             // Said twice now and then, as by one who got no answer.
-            propose({id, 0, Ask{"t", {false, node}}});
-            if (odds(3)) at(50 * ms, [this, id, node] { propose({id, 0, Ask{"t", {false, node}}}); });
+            propose({id, 0, RequestRemoval{"t", {false, node}}});
+            if (odds(3))
+                at(50 * ms, [this, id, node] { propose({id, 0, RequestRemoval{"t", {false, node}}}); });
         } else if (!state_.requests().empty()) {
             const auto n = static_cast<std::ptrdiff_t>(pick(static_cast<Nanos>(state_.requests().size())));
             propose({id, 0, Undo{std::next(state_.requests().begin(), n)->first}});
@@ -306,7 +311,7 @@
         });
     }
 
-    void trouble_stewards() {
+    void fault_managers() {
         ++epoch_;
         leads_ = false;
         waiting_.clear();
@@ -318,7 +323,7 @@
             ++epoch_;
             skew_ = pick(4 * second) - 2 * second;
         });
-        at(3 * second + pick(8 * second), [this] { trouble_stewards(); });
+        at(3 * second + pick(8 * second), [this] { fault_managers(); });
     }
 
     void trouble_members() {
@@ -362,7 +367,7 @@
         at(200 * ms + pick(second), [this, node] { see(node); });
     }
     void see(const std::string& node) {
-        propose({"", 0, NodesSeen{{{node, truth_[node]}}, false, {}}}, [this, node](bool agreed) {
+        propose({"", 0, EndpointsObserved{{{node, truth_[node]}}, false, {}}}, [this, node](bool agreed) {
             if (!agreed) at(200 * ms, [this, node] { see(node); });
         });
     }
@@ -378,7 +383,7 @@
     std::vector<std::string> names_;
     std::vector<Member> members_;
     std::vector<Waiting> waiting_;
-    Words batch_;
+    ReportBatch batch_;
     std::vector<std::pair<Waiting, Nanos>> batch_calls_;
     std::map<std::uint64_t, Nanos> granted_at_;
     std::set<std::string> done_, alone_out_;
@@ -389,4 +394,4 @@
 
 SimVerdict play(const SimPlan& plan) { return Sim(plan).run(); }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/fleet_sim.hpp
+++ b/src/testing/fleet_sim.hpp
@@ -1,4 +1,4 @@
-// A fleet on a virtual clock: the real state machine and the real leases, with members, stewards, tools and
+// A fleet on a virtual clock: the real state machine and the real leases, with members, managers, tools and
 // data nodes around them that are slow, cut off, paused and killed by a seeded plan. The same plan gives the
 // same run.
 #pragma once
@@ -8,7 +8,7 @@
 
 #include "fleet/fleet_state.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 struct SimPlan {
     std::uint64_t seed = 1;
@@ -26,10 +26,10 @@
     std::uint64_t after_done =
         0;                   // leaf calls to a node of which "done" was said; strict members' and live ones'
     std::uint64_t late = 0;  // leaf calls to a node later than 1 s after its member was told
-    std::uint64_t leaf_calls = 0, deaths = 0, pauses = 0, cuts = 0, new_leaders = 0;
+    std::uint64_t attempts = 0, deaths = 0, pauses = 0, cuts = 0, new_leaders = 0;
     std::vector<fleet::Nanos> grant_to_done;
 };
 
 SimVerdict play(const SimPlan& plan);
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -1,4 +1,4 @@
-#include "standin/hollow.hpp"
+#include "testing/hollow.hpp"
 
 #include <sys/resource.h>
 
@@ -9,7 +9,7 @@
 
 #include "service/log.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -22,20 +22,20 @@
 
 constexpr std::size_t memory = 256 << 20;  // of a router, as the plan has it
 
-Terms settled(const HollowTerms& terms) {
-    Terms t;
-    t.places = static_cast<int>(terms.places);
-    t.width = static_cast<int>(hollow_width);
+RouterConfig settled(const HollowConfig& config) {
+    RouterConfig t;
+    t.places = static_cast<int>(config.places);
+    t.replicas_per_shard = static_cast<int>(hollow_width);
     return t;
 }
 
-Launch launch_of(const HollowTerms& terms, std::size_t number) {
-    Launch launch;
+StartupConfig launch_of(const HollowConfig& config, std::size_t number) {
+    StartupConfig launch;
     launch.name = "r" + std::to_string(number);
     launch.operators.member.on = true;
-    launch.operators.member.zone = terms.zone;
-    launch.operators.member.stewards = terms.stewards;
-    launch.agreed_bound = bound_of_agreed(settled(terms), memory);
+    launch.operators.member.zone = config.zone;
+    launch.operators.member.managers = config.managers;
+    launch.agreed_bound = bound_of_agreed(settled(config), memory);
     return launch;
 }
 
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-std::uint32_t hollow_places(std::uint32_t nodes) { return std::max(least_places, nodes / hollow_width); }
+std::uint32_t hollow_places(std::uint32_t nodes) { return std::max(min_places, nodes / hollow_width); }
 
 ListedNode hollow_node(std::uint32_t n, std::uint32_t places, const std::string& address) {
     return {"n" + std::to_string(n),
@@ -63,11 +63,11 @@
             "z" + std::to_string(n % hollow_zones),
             "m" + std::to_string(n % 3),
             n % places,
-            Availability::ready,
+            Lifecycle::ready,
             0};
 }
 
-std::vector<std::string> write_hollow(const HollowTerms& t) {
+std::vector<std::string> write_hollow(const HollowConfig& t) {
     std::vector<std::string> words = {"--hollow",
                                       std::to_string(t.from),
                                       std::to_string(t.count),
@@ -79,13 +79,13 @@
                                       std::to_string(t.places),
                                       std::to_string(t.seeded),
                                       t.whole ? "whole" : "deltas"};
-    for (const HostPort& s : t.stewards) words.push_back(text_of(s));
+    for (const HostPort& s : t.managers) words.push_back(text_of(s));
     return words;
 }
 
-HollowTerms read_hollow(const std::vector<std::string>& w) {
+HollowConfig read_hollow(const std::vector<std::string>& w) {
     if (w.size() < 12) throw std::runtime_error("too few words for a hollow process");
-    HollowTerms t;
+    HollowConfig t;
     t.from = std::stoull(w[1]), t.count = std::stoull(w[2]);
     t.control = static_cast<std::uint16_t>(std::stoul(w[3]));
     t.discovery = address_of(w[4]);
@@ -94,19 +94,19 @@
     t.places = static_cast<std::uint32_t>(std::stoul(w[8]));
     t.seeded = static_cast<std::uint32_t>(std::stoul(w[9]));
     t.whole = w[10] == "whole";
-    for (std::size_t i = 11; i < w.size(); ++i) t.stewards.push_back(address_of(w[i]));
+    for (std::size_t i = 11; i < w.size(); ++i) t.managers.push_back(address_of(w[i]));
     return t;
 }
 
-HollowRouter::HollowRouter(boost::asio::io_context& io, Timekeeper& time, const HollowTerms& terms,
+HollowRouter::HollowRouter(boost::asio::io_context& io, EventClock& time, const HollowConfig& config,
                            std::size_t number)
-    : time_(time), generation_(terms.whole ? 0 : terms.generation),
-      member_(io, time, launch_of(terms, number), *this),
-      watch_(io, time, member_, terms.discovery, Discovery::push, terms.places, number,
-             bound_of_list(settled(terms), memory)) {
-    TargetList seeded{terms.generation, true, {}, 0};
-    for (std::uint32_t n = 0; n < terms.seeded; ++n)
-        seeded.nodes.push_back(hollow_node(n, terms.places, terms.address));
+    : time_(time), generation_(config.whole ? 0 : config.generation),
+      member_(io, time, launch_of(config, number), *this),
+      watch_(io, time, member_, config.discovery, Discovery::push, config.places, number,
+             bound_of_list(settled(config), memory)) {
+    TargetList seeded{config.generation, true, {}, 0};
+    for (std::uint32_t n = 0; n < config.seeded; ++n)
+        seeded.nodes.push_back(hollow_node(n, config.places, config.address));
     member_.on_list(seeded);
 }
 
@@ -126,16 +126,16 @@
 void HollowRouter::on_list(const TargetList& list) {
     const NodeList::News news = nodes_.take(list);
     arrived_.insert(arrived_.end(), news.entries.begin(), news.entries.end());
-    if (round_ == Deadlines::none) round_ = time_.due.add(last_round_ + step, *this, Handle{});
+    if (round_ == TimerQueue::none) round_ = time_.due.add(last_round_ + step, *this, Handle{});
 }
 
 Nanos HollowRouter::next_round() const {
-    return round_ == Deadlines::none ? Deadlines::never : last_round_ + step;
+    return round_ == TimerQueue::none ? TimerQueue::never : last_round_ + step;
 }
 
 // What the module would be told ends here.
 void HollowRouter::on_due(Handle, std::uint64_t) {
-    round_ = Deadlines::none;
+    round_ = TimerQueue::none;
     member_.look();
     time_.due.drop(round_);
     last_round_ = time_.now();
@@ -145,24 +145,24 @@
 }
 
 // Called with each renewal, so that a lease that was over for however short a time is seen.
-void HollowRouter::take_standing(StandingBy, const MemberStanding&) {
+void HollowRouter::set_serving_state(ServingStateSource, const MemberServingState&) {
     const Nanos until = member_.lease().lease_until();
     if (until == lease_until_) return;
     lapses_ += lease_until_ > 0 && time_.now() > lease_until_;
     lease_until_ = until;
 }
 
-HollowProcess::HollowProcess(boost::asio::io_context& io, HollowTerms terms)
-    : io_(io), terms_(std::move(terms)),
-      reader_(io, time_, *this, terms_.discovery, Discovery::push, terms_.places, terms_.from,
-              bound_of_list(settled(terms_), memory)),
+HollowProcess::HollowProcess(boost::asio::io_context& io, HollowConfig config)
+    : io_(io), config_(std::move(config)),
+      reader_(io, time_, *this, config_.discovery, Discovery::push, config_.places, config_.from,
+              bound_of_list(settled(config_), memory)),
       control_(io) {
     start_log({LogForm::text, LogLevel::error});
-    routers_.resize(terms_.count);
-    start(0, terms_.count);
+    routers_.resize(config_.count);
+    start(0, config_.count);
     reader_.start(0);
-    control_.connect({boost::asio::ip::address_v4::loopback(), terms_.control});
-    boost::asio::write(control_, boost::asio::buffer("hello " + std::to_string(terms_.from) + "\n"));
+    control_.connect({boost::asio::ip::address_v4::loopback(), config_.control});
+    boost::asio::write(control_, boost::asio::buffer("hello " + std::to_string(config_.from) + "\n"));
     read();
 }
 
@@ -170,12 +170,12 @@
     for (std::size_t i = first; i < std::min(first + count, routers_.size()); ++i) {
         if (routers_[i]) {
             lapses_before_ += routers_[i]->lapses();
-            add(steward_before_, routers_[i]->member().wire());
+            add(manager_before_, routers_[i]->member().wire());
             add(discovery_before_, routers_[i]->discovery().wire());
             routers_[i]->stop();
             ended_.push_back(std::move(routers_[i]));
         }
-        routers_[i] = std::make_unique<HollowRouter>(io_, time_, terms_, terms_.from + i);
+        routers_[i] = std::make_unique<HollowRouter>(io_, time_, config_, config_.from + i);
         routers_[i]->start();
     }
 }
@@ -184,7 +184,7 @@
 
 void HollowProcess::run() {
     boost::asio::steady_timer timer(io_);
-    Nanos looked = 0, set_to = Deadlines::never;
+    Nanos looked = 0, set_to = TimerQueue::never;
     while (!over_) {
         // Set anew only for an earlier time: one that is put off would wake the loop for nothing.
         const Nanos at = std::max(time_.now(), std::min(time_.due.next(), looked + heartbeat));
@@ -192,7 +192,7 @@
             set_to = at;
             timer.expires_at(time_.steady(at));
             timer.async_wait([&set_to](const error_code& ec) {
-                if (!ec) set_to = Deadlines::never;
+                if (!ec) set_to = TimerQueue::never;
             });
         }
         io_.run_one();
@@ -236,14 +236,14 @@
 std::string HollowProcess::report() const {
     std::size_t holding = 0, known = nodes_.size();
     std::uint64_t lapses = lapses_before_, entries = 0, least = UINT64_MAX, most = 0;
-    WireCount steward = steward_before_, discovery = discovery_before_;
+    WireCount manager = manager_before_, discovery = discovery_before_;
     for (const auto& r : routers_) {
         holding += r->holds();
         lapses += r->lapses();
         entries += r->entries();
-        least = std::min(least, r->member().acts_on());
-        most = std::max(most, r->member().acts_on());
-        add(steward, r->member().wire());
+        least = std::min(least, r->member().applied_generation());
+        most = std::max(most, r->member().applied_generation());
+        add(manager, r->member().wire());
         add(discovery, r->discovery().wire());
     }
     rusage used{};
@@ -251,7 +251,7 @@
     const auto seconds = [](const timeval& t) {
         return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
     };
-    return Json{{"from", terms_.from},
+    return Json{{"from", config_.from},
                 {"routers", routers_.size()},
                 {"holding", holding},
                 {"lapses", lapses},
@@ -259,10 +259,10 @@
                 {"acts_on_least", least},
                 {"acts_on_most", most},
                 {"reader_nodes", known},
-                {"steward", written(steward)},
+                {"steward", written(manager)},
                 {"discovery", written(discovery)},
                 {"cpu_s", seconds(used.ru_utime) + seconds(used.ru_stime)}}
         .dump();
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -18,32 +18,33 @@
 #include "tables/node_list.hpp"
 #include "wire/discovery_watch.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 // A hollow fleet has a cell for each three data nodes, and a shard for each cell, which lies at three cells.
-constexpr std::uint32_t hollow_zones = 12, hollow_width = 3, least_places = 74;
+constexpr std::uint32_t hollow_zones = 12, hollow_width = 3, min_places = 74;
 std::uint32_t hollow_places(std::uint32_t nodes);
 // Its n-th data node.
 ListedNode hollow_node(std::uint32_t n, std::uint32_t places, const std::string& address);
 
-struct HollowTerms {
+struct HollowConfig {
     std::size_t from = 0, count = 0;  // routers r<from> to r<from + count - 1>
     std::uint16_t control = 0;        // where whoever started the process takes its reports
     HostPort discovery;
-    std::vector<HostPort> stewards;
+    std::vector<HostPort> managers;
     std::string zone, address;  // address: of each data node
     std::uint64_t generation = 0;
-    std::uint32_t places = least_places, seeded = 0;  // seeded: the first so many data nodes
+    std::uint32_t places = min_places, seeded = 0;  // seeded: the first so many data nodes
     bool whole = false;  // each router reads the whole list, in place of the reader alone
 };
 
 // As words of a command line and back; throws std::runtime_error on noise.
-std::vector<std::string> write_hollow(const HollowTerms& terms);
-HollowTerms read_hollow(const std::vector<std::string>& words);
+std::vector<std::string> write_hollow(const HollowConfig& config);
+HollowConfig read_hollow(const std::vector<std::string>& words);
 
 class HollowRouter final : private MemberHost, private DueHandler {
   public:
-    HollowRouter(boost::asio::io_context& io, Timekeeper& time, const HollowTerms& terms, std::size_t number);
+    HollowRouter(boost::asio::io_context& io, EventClock& time, const HollowConfig& config,
+                 std::size_t number);
     ~HollowRouter() override { stop(); }
 
     void start();
@@ -52,25 +53,25 @@
 
     const Membership& member() const { return member_; }
     const DiscoveryWatch& discovery() const { return watch_; }
-    bool holds() const { return member_.lease().standing(time_.now()) == Standing::member; }
+    bool holds() const { return member_.lease().serving_state(time_.now()) == ServingState::member; }
     std::uint64_t lapses() const { return lapses_; }    // leases that were over before they were renewed
     std::uint64_t entries() const { return entries_; }  // of lists, that came to the module's door
 
   private:
     void on_list(const TargetList& list) override;
     void watch_outcomes(OutcomeTaker*) override {}
-    void take_standing(StandingBy by, const MemberStanding& standing) override;
+    void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) override;
     Nanos next_round() const override;
     std::size_t held() const override { return 0; }
     bool any_call_to(const std::function<bool(const std::string&)>&) const override { return false; }
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
     void on_due(Handle, std::uint64_t what) override;
 
-    Timekeeper& time_;
+    EventClock& time_;
     NodeList nodes_;
-    std::vector<NodeEntry> arrived_;
+    std::vector<Endpoint> arrived_;
     Nanos last_round_ = 0, lease_until_ = 0;
-    Deadlines::Ticket round_ = Deadlines::none;
+    TimerQueue::Ticket round_ = TimerQueue::none;
     std::uint64_t lapses_ = 0, entries_ = 0;
     const std::uint64_t generation_;
     Membership member_;
@@ -82,7 +83,7 @@
 // Runs until the control connection ends.
 class HollowProcess final : private ListTaker {
   public:
-    HollowProcess(boost::asio::io_context& io, HollowTerms terms);
+    HollowProcess(boost::asio::io_context& io, HollowConfig config);
 
     void run();
 
@@ -94,18 +95,18 @@
     void start(std::size_t first, std::size_t count);
 
     boost::asio::io_context& io_;
-    const HollowTerms terms_;
-    Timekeeper time_;
+    const HollowConfig config_;
+    EventClock time_;
     std::vector<std::unique_ptr<HollowRouter>> routers_;
     std::vector<std::unique_ptr<HollowRouter>> ended_;  // what completes for them is still on its way
     NodeList nodes_;
     DiscoveryWatch reader_;
     std::uint64_t lapses_before_ = 0;  // of routers that were started anew
-    WireCount steward_before_, discovery_before_;
+    WireCount manager_before_, discovery_before_;
     boost::asio::ip::tcp::socket control_;
     std::array<char, 256> buffer_;
     std::string in_;
     bool over_ = false;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/hollow_discovery.cpp
+++ b/src/testing/hollow_discovery.cpp
@@ -1,26 +1,26 @@
-#include "standin/hollow_discovery.hpp"
+#include "testing/hollow_discovery.hpp"
 
 #include <array>
 #include <boost/asio/write.hpp>
 #include <charconv>
 
-#include "standin/hollow.hpp"
+#include "testing/hollow.hpp"
 #include "wire/http.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t most_changes = 200'000;
+constexpr std::size_t max_changes = 200'000;
 constexpr Nanos ms = 1'000'000;
 
 void append(std::string& out, const ListedNode& n) {
     static const char* const words[] = {"removed", "draining", "up"};
-    const char* word = n.availability == Availability::ready      ? words[2]
-                       : n.availability == Availability::draining ? words[1]
-                                                                  : words[0];
+    const char* word = n.lifecycle == Lifecycle::ready      ? words[2]
+                       : n.lifecycle == Lifecycle::draining ? words[1]
+                                                            : words[0];
     out.append("{\"instanceId\":\"").append(n.id).append("\",\"hostPort\":\"").append(n.address);
     out.append("\",\"zone\":\"").append(n.zone).append("\",\"machineType\":\"").append(n.kind);
     out.append("\",\"cell\":").append(std::to_string(n.place)).append(",\"lifecycle\":\"").append(word);
@@ -93,7 +93,7 @@
 // A caller asks anew only once it was answered.
 bool HollowDiscovery::take(const std::shared_ptr<Caller>& c) {
     const auto end = c->in.find("\r\n\r\n");
-    if (end == c->in.npos) return c->in.size() < longest_head;
+    if (end == c->in.npos) return c->in.size() < max_head;
     const std::string target = c->in.substr(0, c->in.find("\r\n"));
     c->in.erase(0, end + 4);
     ++counts_.calls;
@@ -125,7 +125,7 @@
     };
     if (whole) {
         for (const ListedNode& n : nodes_)
-            if (n.availability != Availability::gone) add(n);
+            if (n.lifecycle != Lifecycle::removed) add(n);
     } else {
         std::set<std::uint32_t> changed;
         for (auto it = changes_.rbegin(); it != changes_.rend() && it->generation > after; ++it)
@@ -145,8 +145,8 @@
                              [c, text = c->out](const error_code&, std::size_t) {});
 }
 
-void HollowDiscovery::set(std::uint32_t node, Availability availability, Nanos started_at) {
-    nodes_[node].availability = availability;
+void HollowDiscovery::set(std::uint32_t node, Lifecycle lifecycle, Nanos started_at) {
+    nodes_[node].lifecycle = lifecycle;
     if (started_at > 0) nodes_[node].started_at = started_at;
     changing_.insert(node);
 }
@@ -157,7 +157,7 @@
     ++counts_.told;
     for (const std::uint32_t n : changing_) changes_.push_back({generation_, n});
     changing_.clear();
-    for (; changes_.size() > most_changes; changes_.pop_front()) forgotten_ = changes_.front().generation;
+    for (; changes_.size() > max_changes; changes_.pop_front()) forgotten_ = changes_.front().generation;
     deltas_.clear();
     whole_.reset();
     for (const auto& [raw, c] : std::exchange(waiting_, {})) {
@@ -168,4 +168,4 @@
 
 std::size_t HollowDiscovery::whole_bytes() { return text(0, true)->size(); }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/hollow_discovery.hpp
+++ b/src/testing/hollow_discovery.hpp
@@ -15,7 +15,7 @@
 
 #include "wire/bodies.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 class HollowDiscovery {
   public:
@@ -29,7 +29,7 @@
     std::size_t nodes() const { return nodes_.size(); }
     const ListedNode& node(std::uint32_t n) const { return nodes_[n]; }
     // Takes effect with the next `tell`, which is one generation.
-    void set(std::uint32_t node, Availability availability, Nanos started_at = 0);
+    void set(std::uint32_t node, Lifecycle lifecycle, Nanos started_at = 0);
     void tell();
     std::size_t whole_bytes();
 
@@ -64,4 +64,4 @@
     Counts counts_;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -1,4 +1,4 @@
-#include "standin/hollow_follower.hpp"
+#include "testing/hollow_follower.hpp"
 
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
@@ -8,29 +8,29 @@
 #include <stdexcept>
 
 #include "service/log.hpp"
-#include "standin/socket_bytes.hpp"
+#include "testing/socket_bytes.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using boost::system::error_code;
 using Json = nlohmann::json;
 
-constexpr Nanos ms = 1'000'000, longest_turn = 100 * ms;
+constexpr Nanos ms = 1'000'000, max_turn = 100 * ms;
 constexpr int handlers_a_turn = 4096;
 constexpr std::size_t words_before_relays = 5;
 // As the program's follower has them (service/follower.cpp).
-constexpr int most_without_lease = 3;
-constexpr Nanos least_pause = 200 * ms;
+constexpr int max_without_lease = 3;
+constexpr Nanos min_pause = 200 * ms;
 
 Nanos steady_now() { return std::chrono::steady_clock::now().time_since_epoch().count(); }
 
-MemberTerms terms_of(const FollowerTerms& terms, std::size_t number) {
-    MemberTerms t;
+MemberConfig router_config_of(const FollowerConfig& config, std::size_t number) {
+    MemberConfig t;
     t.on = true;
     t.name = "r" + std::to_string(number);
-    t.zone = terms.zone;
-    t.relays = terms.relays;
+    t.zone = config.zone;
+    t.relays = config.relays;
     t.first_word = t.config_first_word;
     return t;
 }
@@ -43,16 +43,16 @@
     return value;
 }
 
-std::vector<std::string> write_followers(const FollowerTerms& t) {
+std::vector<std::string> write_followers(const FollowerConfig& t) {
     std::vector<std::string> words = {"--followers", std::to_string(t.from), std::to_string(t.count),
                                       std::to_string(t.control), t.zone};
     for (const HostPort& r : t.relays) words.push_back(r.host + ":" + std::to_string(r.port));
     return words;
 }
 
-FollowerTerms read_followers(const std::vector<std::string>& w) {
+FollowerConfig read_followers(const std::vector<std::string>& w) {
     if (w.size() <= words_before_relays) throw std::runtime_error("too few words for a followers' process");
-    FollowerTerms t;
+    FollowerConfig t;
     t.from = std::stoull(w[1]), t.count = std::stoull(w[2]);
     t.control = static_cast<std::uint16_t>(std::stoul(w[3]));
     t.zone = w[4];
@@ -64,11 +64,11 @@
     return t;
 }
 
-HollowFollower::HollowFollower(boost::asio::io_context& io, Timekeeper& time, const FollowerTerms& terms,
+HollowFollower::HollowFollower(boost::asio::io_context& io, EventClock& time, const FollowerConfig& config,
                                std::size_t number, Acted& acted)
-    : time_(time), terms_(terms_of(terms, number)), acted_(acted),
-      lease_(terms_, time.now(), static_cast<std::uint64_t>(time.now())),
-      watch_(io, time, *this, follower_path, "relay", terms.relays, number, number + 1) {
+    : time_(time), config_(router_config_of(config, number)), acted_(acted),
+      lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
+      watch_(io, time, *this, follower_path, "relay", config.relays, number, number + 1) {
     watch_.start();
 }
 
@@ -80,8 +80,8 @@
 PostTaker::Call HollowFollower::change_call() {
     ++calls_;
     FollowerCall call;
-    call.word = {terms_.name, lease_.life(), terms_.serve_on, copy_.version(), 0, ""};
-    call.zone = terms_.zone;
+    call.word = {config_.name, lease_.incarnation(), config_.serve_on, copy_.version(), 0, ""};
+    call.zone = config_.zone;
     wait_ = lease_.wait(false);
     call.watched = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), wait_};
     return {write_follower_call(call), wait_};
@@ -118,7 +118,7 @@
     }
     without_lease_ = answer.lease > 0 || now < lease_.lease_until() ? 0 : without_lease_ + 1;
     const bool further = before != std::tuple(copy_.version(), copy_.wants_pages(), copy_.wants_after());
-    const Nanos earliest = sent + std::max(wait_, least_pause);
+    const Nanos earliest = sent + std::max(wait_, min_pause);
     if (!further && time_.now() < earliest)
         time_.due.move(pause_, earliest, *this, Handle{}, 0);
     else
@@ -126,37 +126,37 @@
 }
 
 void HollowFollower::on_due(Handle, std::uint64_t) {
-    pause_ = Deadlines::none;
+    pause_ = TimerQueue::none;
     go_on();
 }
 
 void HollowFollower::go_on() {
-    if (without_lease_ < most_without_lease || terms_.relays.size() == 1) return watch_.next();
+    if (without_lease_ < max_without_lease || config_.relays.size() == 1) return watch_.next();
     without_lease_ = 0;
     watch_.pass_over("it grants no lease");
 }
 
-FollowerProcess::FollowerProcess(boost::asio::io_context& io, FollowerTerms terms)
-    : io_(io), terms_(std::move(terms)), control_(io) {
+FollowerProcess::FollowerProcess(boost::asio::io_context& io, FollowerConfig config)
+    : io_(io), config_(std::move(config)), control_(io) {
     start_log({LogForm::text, LogLevel::error});
-    for (std::size_t i = 0; i < terms_.count; ++i)
-        followers_.push_back(std::make_unique<HollowFollower>(io_, time_, terms_, terms_.from + i, acted_));
-    control_.connect({boost::asio::ip::address_v4::loopback(), terms_.control});
-    boost::asio::write(control_, boost::asio::buffer("hello " + std::to_string(terms_.from) + "\n"));
+    for (std::size_t i = 0; i < config_.count; ++i)
+        followers_.push_back(std::make_unique<HollowFollower>(io_, time_, config_, config_.from + i, acted_));
+    control_.connect({boost::asio::ip::address_v4::loopback(), config_.control});
+    boost::asio::write(control_, boost::asio::buffer("hello " + std::to_string(config_.from) + "\n"));
     read();
 }
 
 void FollowerProcess::run() {
     boost::asio::steady_timer timer(io_);
-    Nanos set_to = Deadlines::never;
+    Nanos set_to = TimerQueue::never;
     while (!over_) {
         // Set anew only for an earlier time: one that is put off would wake the loop for nothing.
-        const Nanos at = std::max(time_.now(), std::min(time_.due.next(), time_.now() + longest_turn));
+        const Nanos at = std::max(time_.now(), std::min(time_.due.next(), time_.now() + max_turn));
         if (at < set_to) {
             set_to = at;
             timer.expires_at(time_.steady(at));
             timer.async_wait([&set_to](const error_code& ec) {
-                if (!ec) set_to = Deadlines::never;
+                if (!ec) set_to = TimerQueue::never;
             });
         }
         io_.run_one();
@@ -188,14 +188,14 @@
 
 std::string FollowerProcess::report() const {
     std::size_t holding = 0;
-    std::uint64_t lapses = 0, faults = 0, refused = 0, calls = 0, least = UINT64_MAX, least_held = UINT64_MAX;
+    std::uint64_t lapses = 0, faults = 0, refused = 0, calls = 0, least = UINT64_MAX, min_held = UINT64_MAX;
     std::set<std::uint64_t> digests;
     for (const auto& f : followers_) {
         const bool holds = f->holds();
         holding += holds;
         lapses += f->lapses(), faults += f->faults(), refused += f->refused(), calls += f->calls();
-        least = std::min(least, f->acts_on());
-        if (holds && f->acts_on() > 0) least_held = std::min(least_held, f->acts_on());
+        least = std::min(least, f->applied_version());
+        if (holds && f->applied_version() > 0) min_held = std::min(min_held, f->applied_version());
         digests.insert(f->copy().digest());
     }
     return Json{{"followers", followers_.size()},
@@ -205,14 +205,14 @@
                 {"refused", refused},
                 {"calls", calls},
                 {"least", least},
-                {"least_held", least_held},
+                {"least_held", min_held},
                 {"digests", digests}}
         .dump();
 }
 
 std::string FollowerProcess::bytes() const {
     std::vector<std::uint16_t> ports;
-    for (const HostPort& r : terms_.relays) ports.push_back(r.port);
+    for (const HostPort& r : config_.relays) ports.push_back(r.port);
     std::sort(ports.begin(), ports.end());
     const SocketBytes sum = bytes_with(ports.data(), ports.size());
     return Json{{"in", sum.in}, {"out", sum.out}}.dump();
@@ -229,4 +229,4 @@
     return list.dump();
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/hollow_follower.hpp
+++ b/src/testing/hollow_follower.hpp
@@ -15,13 +15,13 @@
 #include "members/member_lease.hpp"
 #include "wire/change_watch.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 // A changed entry's value: its number in the order that it was published in, when that was asked for by the
 // machine's steady clock, and what fills it up to so many bytes.
 std::string numbered_value(std::uint64_t number, Nanos at, std::size_t bytes);
 
-struct FollowerTerms {
+struct FollowerConfig {
     std::size_t from = 0, count = 0;  // routers r<from> to r<from + count - 1>
     std::uint16_t control = 0;        // where whoever started the process takes its reports
     std::string zone;
@@ -29,21 +29,21 @@
 };
 
 // As words of a command line and back; throws std::runtime_error on noise.
-std::vector<std::string> write_followers(const FollowerTerms& terms);
-FollowerTerms read_followers(const std::vector<std::string>& words);
+std::vector<std::string> write_followers(const FollowerConfig& config);
+FollowerConfig read_followers(const std::vector<std::string>& words);
 
 class HollowFollower final : private ChangeTaker, private DueHandler {
   public:
     // By version, when followers first acted on it or a later one: steady clock, in ns.
     using Acted = std::map<std::uint64_t, std::vector<Nanos>>;
 
-    HollowFollower(boost::asio::io_context& io, Timekeeper& time, const FollowerTerms& terms,
+    HollowFollower(boost::asio::io_context& io, EventClock& time, const FollowerConfig& config,
                    std::size_t number, Acted& acted);
     ~HollowFollower() override;
 
     const changes::Copy& copy() const { return copy_; }
-    std::uint64_t acts_on() const { return copy_.version(); }
-    bool holds() const { return lease_.standing(time_.now()) == Standing::member; }
+    std::uint64_t applied_version() const { return copy_.version(); }
+    bool holds() const { return lease_.serving_state(time_.now()) == ServingState::member; }
     std::uint64_t lapses() const { return lapses_; }    // leases that were over before they were renewed
     std::uint64_t faults() const { return faults_; }    // versions or entries that came out of order
     std::uint64_t calls() const { return calls_; }      // to relays
@@ -52,19 +52,19 @@
   private:
     PostTaker::Call change_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
-    void on_later_life(std::uint64_t last_life) override { lease_.outlived(last_life); }
+    void on_later_life(std::uint64_t last_incarnation) override { lease_.outlived(last_incarnation); }
     void on_due(Handle, std::uint64_t what) override;
     void look_at(const changes::Delta& delta);
     void go_on();
 
-    Timekeeper& time_;
-    const MemberTerms terms_;
+    EventClock& time_;
+    const MemberConfig config_;
     Acted& acted_;
     changes::Copy copy_;
     MemberLease lease_;
     ChangeWatch watch_;
     Nanos wait_ = 0;
-    Deadlines::Ticket pause_ = Deadlines::none;
+    TimerQueue::Ticket pause_ = TimerQueue::none;
     int without_lease_ = 0;  // answers in a row
     std::uint64_t last_number_ = 0, lapses_ = 0, faults_ = 0, refused_ = 0, calls_ = 0;
 };
@@ -75,7 +75,7 @@
 // connection ends.
 class FollowerProcess {
   public:
-    FollowerProcess(boost::asio::io_context& io, FollowerTerms terms);
+    FollowerProcess(boost::asio::io_context& io, FollowerConfig config);
 
     void run();
 
@@ -87,8 +87,8 @@
     std::string acted(std::uint64_t from, std::uint64_t to) const;
 
     boost::asio::io_context& io_;
-    const FollowerTerms terms_;
-    Timekeeper time_;
+    const FollowerConfig config_;
+    EventClock time_;
     HollowFollower::Acted acted_;
     std::vector<std::unique_ptr<HollowFollower>> followers_;
     boost::asio::ip::tcp::socket control_;
@@ -97,4 +97,4 @@
     bool over_ = false;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -1,4 +1,4 @@
-#include "standin/hollow_rig.hpp"
+#include "testing/hollow_rig.hpp"
 
 #include <unistd.h>
 
@@ -9,10 +9,10 @@
 #include <random>
 #include <sstream>
 
-#include "standin/fleet_rig.hpp"
-#include "steward/asker.hpp"
+#include "fleet_manager/manager_client.hpp"
+#include "testing/fleet_rig.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using Json = nlohmann::json;
@@ -24,7 +24,7 @@
 
 std::string script_text() {
     std::string text = "fleet {\n shards = " + std::to_string(asked) +
-                       "\n places = " + std::to_string(least_places) +
+                       "\n places = " + std::to_string(min_places) +
                        "\n width = " + std::to_string(hollow_width) + "\n rows = 1\n}\n";
     for (std::size_t n = 0; n < listeners; ++n)
         text += "node \"l" + std::to_string(n) + "\" {\n place = " + std::to_string(n) +
@@ -93,7 +93,7 @@
     fleet = std::make_unique<Fleet>(io, read_script(script_text(), "hollow"));
     std::vector<std::string> addresses;
     for (const DataNode& n : fleet->nodes) addresses.push_back(n.address());
-    const auto ports = quiet_ports(2 * plan.stewards + 2 + plan.witnesses);
+    const auto ports = quiet_ports(2 * plan.managers + 2 + plan.witnesses);
     discovery = std::make_unique<HollowDiscovery>(io, ports[0], plan.nodes, addresses);
     lines_.resize(plan.processes);
     answers_.resize(plan.processes);
@@ -106,7 +106,7 @@
         "fleet \"hollow\" {\n lease = \"" + plan.lease + "\"\n drift = \"" + plan.drift +
         "\"\n election = \"" + plan.election +
         "\"\n data_nodes {\n  share = 0.2\n  least_holders = 1\n }\n routers {\n  share = 0.1\n }\n";
-    for (std::size_t i = 0; i < plan.stewards; ++i) {
+    for (std::size_t i = 0; i < plan.managers; ++i) {
         http_.push_back({"127.0.0.1", ports[2 + 2 * i]});
         text += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" + at(ports[3 + 2 * i]) +
                 "\"\n  http = \"" + at(http_[i].port) + "\"\n  folder = \"" +
@@ -121,47 +121,47 @@
                          {"known", {{"generation", 0}, {"reset", true}, {"instances", Json::array()}}},
                          {"settings", settings_of(plan)}};
     config_file_ = folder.write("config.json", config.dump());
-    stewards.resize(plan.stewards);
+    managers.resize(plan.managers);
     processes.resize(plan.processes);
-    for (std::size_t i = 0; i < plan.stewards; ++i) {
+    for (std::size_t i = 0; i < plan.managers; ++i) {
         Process init(io, history, "init",
-                     {plan.programs + "/tealcart-steward", "init", "--file", fleet_file_, "--id",
+                     {plan.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
         if (!until([&] { return init.ended(); }, Ms(20'000)) || init.status() != 0)
             throw std::runtime_error("a steward's folder can't be made:\n" + history.text());
-        start_steward(i);
+        start_manager(i);
     }
     for (std::size_t i = 0; i < plan.processes; ++i) start_hollow(i);
-    for (std::size_t i = 0; i < plan.witnesses; ++i) start_witness(i, ports[2 * plan.stewards + 2 + i]);
+    for (std::size_t i = 0; i < plan.witnesses; ++i) start_witness(i, ports[2 * plan.managers + 2 + i]);
 }
 
 HollowRig::~HollowRig() {
     for (Asker& a : askers_) a.client.reset();
 }
 
-void HollowRig::start_steward(std::size_t i) {
-    stewards[i].reset();
-    stewards[i] = std::make_unique<Process>(
+void HollowRig::start_manager(std::size_t i) {
+    managers[i].reset();
+    managers[i] = std::make_unique<Process>(
         io, history, "s" + std::to_string(i + 1),
-        std::vector<std::string>{plan.programs + "/tealcart-steward", "serve", "--file", fleet_file_, "--id",
-                                 std::to_string(i + 1), "--config", config_file_});
+        std::vector<std::string>{plan.programs + "/tealcart-fleet-manager", "serve", "--file", fleet_file_,
+                                 "--id", std::to_string(i + 1), "--config", config_file_});
 }
 
-// A zone each. Their calls begin at the stewards in turn, as members' files would name them.
+// A zone each. Their calls begin at the managers in turn, as members' files would name them.
 void HollowRig::start_hollow(std::size_t i) {
-    HollowTerms terms;
-    terms.from = plan.routers * i / plan.processes;
-    terms.count = plan.routers * (i + 1) / plan.processes - terms.from;
-    terms.control = control_->port();
-    terms.discovery = {"127.0.0.1", discovery->port()};
-    for (std::size_t s = 0; s < plan.stewards; ++s) terms.stewards.push_back(http_[(i + s) % plan.stewards]);
-    terms.zone = "z" + std::to_string(i % hollow_zones);
-    terms.address = discovery->node(0).address;
-    terms.generation = discovery->generation();
-    terms.places = hollow_places(plan.nodes);
-    terms.seeded = std::min(plan.seeded, plan.nodes);
-    terms.whole = plan.whole;
-    std::vector<std::string> words = write_hollow(terms);
+    HollowConfig config;
+    config.from = plan.routers * i / plan.processes;
+    config.count = plan.routers * (i + 1) / plan.processes - config.from;
+    config.control = control_->port();
+    config.discovery = {"127.0.0.1", discovery->port()};
+    for (std::size_t s = 0; s < plan.managers; ++s) config.managers.push_back(http_[(i + s) % plan.managers]);
+    config.zone = "z" + std::to_string(i % hollow_zones);
+    config.address = discovery->node(0).address;
+    config.generation = discovery->generation();
+    config.places = hollow_places(plan.nodes);
+    config.seeded = std::min(plan.seeded, plan.nodes);
+    config.whole = plan.whole;
+    std::vector<std::string> words = write_hollow(config);
     words.insert(words.begin(), plan.self);
     lines_[i].reset();
     processes[i].reset();
@@ -197,13 +197,13 @@
 void HollowRig::run_for(Ms span) { io.run_for(span); }
 
 std::size_t HollowRig::leader() const {
-    std::size_t led = plan.stewards;
+    std::size_t led = plan.managers;
     for (const History::Event& e : history.events) {
         const auto words = e.what.find(" leads");
         if (e.who[0] != 's' || words == e.what.npos || e.what.rfind("steward ", 0) != 0) continue;
         led = std::stoull(e.what.substr(8)) - 1;
     }
-    return led < plan.stewards && stewards[led] && !stewards[led]->ended() ? led : plan.stewards;
+    return led < plan.managers && managers[led] && !managers[led]->ended() ? led : plan.managers;
 }
 
 Json HollowRig::say(std::size_t process, const std::string& line) {
@@ -226,7 +226,7 @@
         f.routers = r["routers"], f.holding = r["holding"], f.reader_nodes = r["reader_nodes"];
         f.lapses = r["lapses"], f.entries = r["entries"], f.cpu_s = r["cpu_s"];
         f.acts_on_least = r["acts_on_least"], f.acts_on_most = r["acts_on_most"];
-        for (const auto& [key, of] : {std::pair("steward", &f.steward), std::pair("discovery", &f.discovery)})
+        for (const auto& [key, of] : {std::pair("steward", &f.manager), std::pair("discovery", &f.discovery)})
             *of = {r[key]["calls"], r[key]["in"], r[key]["out"]};
         f.dirty_mb = figures_of(f.pid).dirty_mb;
     }
@@ -271,7 +271,7 @@
     };
     Asker& a = askers_[i];
     Asking asking;
-    asking.vertical = "search";
+    asking.query_class = "search";
     asking.id = "q" + std::to_string(i) + "-" + std::to_string(++a.asked);
     for (std::uint32_t s = 0; s < 4; ++s)
         asking.shards.push_back(static_cast<std::uint32_t>(a.asked * 4 + s) % asked);
@@ -288,7 +288,7 @@
 }
 
 Json HollowRig::status(std::size_t i) {
-    const auto reply = steward::ask_once(io, http_[i], "/fleet/status", "", Ms(30'000));
+    const auto reply = manager::ask_once(io, http_[i], "/fleet/status", "", Ms(30'000));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
@@ -297,8 +297,8 @@
     body["asker"] = "scale";
     for (int tries = 0; tries < 20; ++tries) {
         const std::size_t i = leader();
-        if (i < plan.stewards) {
-            const auto reply = steward::ask_once(io, http_[i], "/fleet/" + what, body.dump(), Ms(5000));
+        if (i < plan.managers) {
+            const auto reply = manager::ask_once(io, http_[i], "/fleet/" + what, body.dump(), Ms(5000));
             if (reply.status == 200) return Json::parse(reply.body, nullptr, false);
             if (reply.status >= 400 && reply.status < 421) return {{"refused", reply.body}};
         }
@@ -307,7 +307,7 @@
     return {};
 }
 
-// When a steward first said so, from this event on.
+// When a manager first said so, from this event on.
 Moment HollowRig::said(std::size_t from, const std::string& words) const {
     for (std::size_t i = from; i < history.events.size(); ++i)
         if (history.events[i].who[0] == 's' && history.events[i].what.rfind(words, 0) == 0)
@@ -335,4 +335,4 @@
     return d;
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/hollow_rig.hpp
+++ b/src/testing/hollow_rig.hpp
@@ -1,5 +1,5 @@
-// Three real stewards as processes, a discovery by script, and processes full of hollow routers
-// (standin/hollow.hpp has what is hollow of them): their figures, and what is done to them.
+// Three real managers as processes, a discovery by script, and processes full of hollow routers
+// (testing/hollow.hpp has what is hollow of them): their figures, and what is done to them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,13 +11,13 @@
 #include <string>
 #include <vector>
 
-#include "standin/client.hpp"
-#include "standin/fleet.hpp"
-#include "standin/hollow.hpp"
-#include "standin/hollow_discovery.hpp"
-#include "standin/rig.hpp"
+#include "testing/client.hpp"
+#include "testing/fleet.hpp"
+#include "testing/hollow.hpp"
+#include "testing/hollow_discovery.hpp"
+#include "testing/rig.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 struct HollowPlan {
     std::string programs;                       // folder of the built programs
@@ -26,7 +26,7 @@
     std::uint32_t nodes = 1000, seeded = 64;
     bool whole = false;  // each hollow router reads the whole list
     std::string lease = "10s", drift = "1s", election = "600ms";
-    std::size_t stewards = 3;
+    std::size_t managers = 3;
     // Real routers beside, each with one client that asks four shards at a time, one query after the other.
     std::size_t witnesses = 0;
     int gap_ms = 20;
@@ -48,7 +48,7 @@
     pid_t pid = -1;  // -1: it does not answer
     std::size_t routers = 0, holding = 0, reader_nodes = 0;
     std::uint64_t lapses = 0, entries = 0, acts_on_least = 0, acts_on_most = 0;
-    WireCount steward, discovery;
+    WireCount manager, discovery;
     double cpu_s = 0, dirty_mb = 0;
 };
 
@@ -60,18 +60,18 @@
     bool until(const std::function<bool()>& holds, std::chrono::milliseconds within);
     void run_for(std::chrono::milliseconds span);
 
-    void start_steward(std::size_t i);
+    void start_manager(std::size_t i);
     void start_hollow(std::size_t process);
-    // The one that last said so and lives; the number of stewards: none.
+    // The one that last said so and lives; the number of managers: none.
     std::size_t leader() const;
-    HostPort steward_at(std::size_t i) const { return http_[i]; }
+    HostPort manager_at(std::size_t i) const { return http_[i]; }
     // A word to a hollow process, and its answer; null where none came within 20 s.
     nlohmann::json say(std::size_t process, const std::string& line);
     std::vector<HollowFigures> hollow();  // by process
     std::size_t holding();                // routers that hold a lease
     bool all_hold() { return holding() == plan.routers; }
-    // As a steward has it; null where it does not answer in time.
-    nlohmann::json status(std::size_t steward);
+    // As a manager has it; null where it does not answer in time.
+    nlohmann::json status(std::size_t manager);
 
     struct Drain {
         bool granted = false, done = false;
@@ -87,7 +87,7 @@
     Folder folder;
     std::unique_ptr<Fleet> fleet;  // what answers at the data nodes' addresses
     std::unique_ptr<HollowDiscovery> discovery;
-    std::vector<std::unique_ptr<Process>> stewards, processes, witnesses;
+    std::vector<std::unique_ptr<Process>> managers, processes, witnesses;
     std::map<int, std::uint64_t> answers;  // of the witnesses' clients, by status
 
   private:
@@ -112,4 +112,4 @@
     std::unique_ptr<Door> control_;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/main.cpp
+++ b/src/testing/main.cpp
@@ -6,12 +6,12 @@
 #include <fstream>
 #include <iterator>
 
-#include "standin/fleet.hpp"
+#include "testing/fleet.hpp"
 
 namespace {
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 
 std::string read(const std::string& path) {
     std::ifstream file(path);
@@ -42,7 +42,7 @@
 int run_discovery(const std::string& path) {
     boost::asio::io_context io(1);
     const Script first = read_script_file(path);
-    standin::Discovery discovery(io, first.discovery_port);
+    testing::Discovery discovery(io, first.discovery_port);
     boost::asio::steady_timer timer(io);
     std::string last;
     std::function<void()> look = [&] {
@@ -98,7 +98,7 @@
         if (node->parsed()) return run_node(script, name);
         return discovery->parsed() ? run_discovery(script) : run_fleet(script);
     } catch (const std::exception& e) {
-        std::fprintf(stderr, "tealcart-standin: %s\n", e.what());
+        std::fprintf(stderr, "tealcart-fake-fleet: %s\n", e.what());
         return 1;
     }
 }
--- a/src/standin/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -1,14 +1,14 @@
-#include "standin/relay_rig.hpp"
+#include "testing/relay_rig.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "standin/fleet_rig.hpp"
-#include "standin/hollow_follower.hpp"
-#include "standin/hollow_rig.hpp"
-#include "steward/asker.hpp"
+#include "fleet_manager/manager_client.hpp"
+#include "testing/fleet_rig.hpp"
+#include "testing/hollow_follower.hpp"
+#include "testing/hollow_rig.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 using Json = nlohmann::json;
@@ -16,14 +16,14 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::uint32_t nodes = 222;  // of discovery's list, which nobody uses here
-constexpr std::size_t longest_answer = 32u << 20;
+constexpr std::size_t max_answer = 32u << 20;
 
 std::string text_of(const HostPort& at) { return at.host + ":" + std::to_string(at.port); }
 
 }  // namespace
 
 RelayRig::RelayRig(boost::asio::io_context& in, RelayPlan p) : io(in), plan(std::move(p)) {
-    const auto ports = quiet_ports(2 * plan.stewards + 2 + plan.relays());
+    const auto ports = quiet_ports(2 * plan.managers + 2 + plan.relays());
     discovery_ =
         std::make_unique<HollowDiscovery>(io, ports[0], nodes, std::vector<std::string>(1, "127.0.0.1:1"));
     lines_.resize(plan.zones);
@@ -39,7 +39,7 @@
                        "\"\n }\n data_nodes {\n  share = 0.2\n  least_holders = 1\n }\n routers {\n"
                        "  share = 0.1\n }\n";
     std::string list;
-    for (std::size_t i = 0; i < plan.stewards; ++i) {
+    for (std::size_t i = 0; i < plan.managers; ++i) {
         http_.push_back({"127.0.0.1", ports[2 + 2 * i]});
         list += (list.empty() ? "\"" : ", \"") + text_of(http_[i]) + "\"";
         text += " steward \"" + std::to_string(i + 1) +
@@ -58,19 +58,19 @@
                          {"settings", rig_settings(plan.followers, static_cast<std::size_t>(places), places,
                                                    static_cast<int>(hollow_width))}};
     config_file_ = folder.write("config.json", config.dump());
-    stewards.resize(plan.stewards);
+    managers.resize(plan.managers);
     relays.resize(plan.relays());
     processes.resize(plan.zones);
-    for (std::size_t i = 0; i < plan.stewards; ++i) {
+    for (std::size_t i = 0; i < plan.managers; ++i) {
         Process init(io, history, "init",
-                     {plan.programs + "/tealcart-steward", "init", "--file", fleet_file_, "--id",
+                     {plan.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
         if (!until([&] { return init.ended(); }, Ms(20'000)) || init.status() != 0)
             throw std::runtime_error("a steward's folder can't be made:\n" + history.text());
-        start_steward(i);
+        start_manager(i);
     }
     for (std::size_t i = 0; i < relays.size(); ++i) {
-        relay_at_.push_back({"127.0.0.1", ports[2 + 2 * plan.stewards + i]});
+        relay_at_.push_back({"127.0.0.1", ports[2 + 2 * plan.managers + i]});
         folder.write("relay" + std::to_string(i) + ".hcl",
                      "relay \"relay" + std::to_string(i) + "\" {\n zone = \"z" +
                          std::to_string(i / plan.relays_a_zone) + "\"\n bind = \"" + text_of(relay_at_[i]) +
@@ -81,12 +81,12 @@
         throw std::runtime_error("the relays don't come up:\n" + history.text());
 }
 
-void RelayRig::start_steward(std::size_t i) {
-    stewards[i].reset();
-    stewards[i] = std::make_unique<Process>(
+void RelayRig::start_manager(std::size_t i) {
+    managers[i].reset();
+    managers[i] = std::make_unique<Process>(
         io, history, "s" + std::to_string(i + 1),
-        std::vector<std::string>{plan.programs + "/tealcart-steward", "serve", "--file", fleet_file_, "--id",
-                                 std::to_string(i + 1), "--config", config_file_});
+        std::vector<std::string>{plan.programs + "/tealcart-fleet-manager", "serve", "--file", fleet_file_,
+                                 "--id", std::to_string(i + 1), "--config", config_file_});
 }
 
 void RelayRig::start_relay(std::size_t i) {
@@ -100,14 +100,14 @@
 void RelayRig::start_followers() {
     for (std::size_t i = 0; i < plan.zones; ++i) {
         if (processes[i]) continue;
-        FollowerTerms terms;
-        terms.from = first_of(i);
-        terms.count = first_of(i + 1) - terms.from;
-        terms.control = control_->port();
-        terms.zone = "z" + std::to_string(i);
+        FollowerConfig config;
+        config.from = first_of(i);
+        config.count = first_of(i + 1) - config.from;
+        config.control = control_->port();
+        config.zone = "z" + std::to_string(i);
         for (std::size_t r = 0; r < plan.relays_a_zone; ++r)
-            terms.relays.push_back(relay_at_[i * plan.relays_a_zone + r]);
-        std::vector<std::string> words = write_followers(terms);
+            config.relays.push_back(relay_at_[i * plan.relays_a_zone + r]);
+        std::vector<std::string> words = write_followers(config);
         words.insert(words.begin(), plan.self);
         processes[i] = std::make_unique<Process>(io, history, "h" + std::to_string(i), std::move(words));
     }
@@ -116,7 +116,7 @@
 bool RelayRig::relays_up() {
     for (std::size_t i = 0; i < relays.size(); ++i) {
         if (!relays[i] || relays[i]->ended()) continue;
-        const auto reply = steward::ask_once(io, relay_at_[i], "/relay/status", "", Ms(2000));
+        const auto reply = manager::ask_once(io, relay_at_[i], "/relay/status", "", Ms(2000));
         const Json s = reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
         if (!s.is_object() || s["lease_left_ms"] <= 0) return false;
     }
@@ -137,7 +137,7 @@
         if (*process == SIZE_MAX) return false;
         lines_[*process] = c.weak_from_this();
     }
-    return c.in.size() < longest_answer;
+    return c.in.size() < max_answer;
 }
 
 bool RelayRig::until(const std::function<bool()>& holds, Ms within) {
@@ -156,20 +156,20 @@
         if (e->who[0] != 's' || e->what.rfind("steward ", 0) != 0 || e->what.find(" leads") == e->what.npos)
             continue;
         const std::size_t led = std::stoull(e->what.substr(8)) - 1;
-        return led < plan.stewards && stewards[led] && !stewards[led]->ended() ? led : plan.stewards;
+        return led < plan.managers && managers[led] && !managers[led]->ended() ? led : plan.managers;
     }
-    return plan.stewards;
+    return plan.managers;
 }
 
-Json RelayRig::changes(std::size_t steward) {
-    if (!stewards[steward] || stewards[steward]->ended()) return {};
-    const auto reply = steward::ask_once(io, http_[steward], "/fleet/changes", "", Ms(5000));
+Json RelayRig::changes(std::size_t manager) {
+    if (!managers[manager] || managers[manager]->ended()) return {};
+    const auto reply = manager::ask_once(io, http_[manager], "/fleet/changes", "", Ms(5000));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
 Json RelayRig::changes() {
     const std::size_t led = leader();
-    Json s = led < plan.stewards ? changes(led) : Json();
+    Json s = led < plan.managers ? changes(led) : Json();
     return s.is_object() && s["leader"] == s["steward"] ? s : Json();
 }
 
@@ -197,7 +197,7 @@
         sum.refused += s["refused"].get<std::uint64_t>();
         sum.calls += s["calls"].get<std::uint64_t>();
         sum.least = std::min(sum.least, s["least"].get<std::uint64_t>());
-        sum.least_held = std::min(sum.least_held, s["least_held"].get<std::uint64_t>());
+        sum.min_held = std::min(sum.min_held, s["least_held"].get<std::uint64_t>());
         for (const Json& d : s["digests"])
             if (std::find(sum.digests.begin(), sum.digests.end(), d) == sum.digests.end())
                 sum.digests.push_back(d.get<std::uint64_t>());
@@ -211,9 +211,9 @@
     Published p;
     p.asked = Clock::now();
     while (Clock::now() - p.asked < within) {
-        if (const std::size_t led = leader(); p.calls == 0 && led < plan.stewards) asks_at_ = led;
+        if (const std::size_t led = leader(); p.calls == 0 && led < plan.managers) asks_at_ = led;
         ++p.calls;
-        const auto reply = steward::ask_once(io, http_[asks_at_], "/fleet/publish", body, Ms(2000));
+        const auto reply = manager::ask_once(io, http_[asks_at_], "/fleet/publish", body, Ms(2000));
         p.answered = Clock::now();
         if (reply.status == 200) {
             const Json said = Json::parse(reply.body, nullptr, false);
@@ -222,10 +222,10 @@
             return p;
         }
         if (reply.status == 400 || reply.status == 404) return p;
-        asks_at_ = (asks_at_ + 1) % plan.stewards;
+        asks_at_ = (asks_at_ + 1) % plan.managers;
         run_for(Ms(50));
     }
     return p;
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/relay_rig.hpp
+++ b/src/testing/relay_rig.hpp
@@ -1,5 +1,5 @@
-// The relay tier as processes on loopback: three real stewards with a `changes` block, two real relays for
-// each of twelve zones, and a process of hollow followers a zone (standin/hollow_follower.hpp has what is
+// The relay tier as processes on loopback: three real managers with a `changes` block, two real relays for
+// each of twelve zones, and a process of hollow followers a zone (testing/hollow_follower.hpp has what is
 // hollow of them): their figures, and what is published to them.
 #pragma once
 
@@ -10,17 +10,17 @@
 #include <string>
 #include <vector>
 
-#include "standin/fleet.hpp"
-#include "standin/hollow_discovery.hpp"
-#include "standin/rig.hpp"
-#include "terms/host_port.hpp"
+#include "config/host_port.hpp"
+#include "testing/fleet.hpp"
+#include "testing/hollow_discovery.hpp"
+#include "testing/rig.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 struct RelayPlan {
     std::string programs;  // folder of the built programs
     std::string self;      // the program that runs a process of followers with `--followers ...`
-    std::size_t followers = 300, zones = 12, relays_a_zone = 2, stewards = 3;
+    std::size_t followers = 300, zones = 12, relays_a_zone = 2, managers = 3;
     std::string lease = "10s", drift = "1s", election = "600ms";
 
     std::size_t relays() const { return zones * relays_a_zone; }
@@ -30,9 +30,9 @@
 struct FollowerFigures {
     std::size_t followers = 0, holding = 0;
     std::uint64_t lapses = 0, faults = 0, refused = 0, calls = 0;
-    std::uint64_t least = UINT64_MAX;       // that any acts on
-    std::uint64_t least_held = UINT64_MAX;  // the same of those that hold a lease
-    std::vector<std::uint64_t> digests;     // that differ
+    std::uint64_t least = UINT64_MAX;     // that any acts on
+    std::uint64_t min_held = UINT64_MAX;  // the same of those that hold a lease
+    std::vector<std::uint64_t> digests;   // that differ
 };
 
 class RelayRig {
@@ -42,14 +42,14 @@
     bool until(const std::function<bool()>& holds, std::chrono::milliseconds within);
     void run_for(std::chrono::milliseconds span);
 
-    void start_steward(std::size_t i);
+    void start_manager(std::size_t i);
     void start_relay(std::size_t i);
     void start_followers();  // those that have none yet
     bool relays_up();        // each that lives has a lease
 
-    std::size_t leader() const;  // the one that last said so and lives; the number of stewards: none
-    // As a steward has the changes; null where it does not answer.
-    nlohmann::json changes(std::size_t steward);
+    std::size_t leader() const;  // the one that last said so and lives; the number of managers: none
+    // As a manager has the changes; null where it does not answer.
+    nlohmann::json changes(std::size_t manager);
     // As the leader has them; null: none.
     nlohmann::json changes();
     // One line to every process of followers, and their answers; null where none came within 20 s.
@@ -61,7 +61,7 @@
         Moment asked, answered;
         int calls = 0;
     };
-    // One version of these entries, under one id at whichever steward takes it.
+    // One version of these entries, under one id at whichever manager takes it.
     Published publish(const std::string& id, const std::map<std::string, std::string>& entries,
                       std::chrono::milliseconds within);
 
@@ -69,7 +69,7 @@
     const RelayPlan plan;
     History history;
     Folder folder;
-    std::vector<std::unique_ptr<Process>> stewards, relays, processes;
+    std::vector<std::unique_ptr<Process>> managers, relays, processes;
 
   private:
     bool take(Connection& c, const std::shared_ptr<std::size_t>& process);
@@ -80,8 +80,8 @@
     std::string fleet_file_, config_file_;
     std::vector<std::weak_ptr<Connection>> lines_;  // to the followers' processes
     std::vector<std::string> answers_;
-    std::size_t asks_at_ = 0;  // the steward that took the last publishing
+    std::size_t asks_at_ = 0;  // the manager that took the last publishing
     std::unique_ptr<Door> control_;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/rig.cpp
+++ b/src/testing/rig.cpp
@@ -1,4 +1,4 @@
-#include "standin/rig.hpp"
+#include "testing/rig.hpp"
 
 #include <fcntl.h>
 #include <spawn.h>
@@ -12,11 +12,11 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "terms/host_port.hpp"
+#include "config/host_port.hpp"
 
 extern char** environ;
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
@@ -77,9 +77,10 @@
         boost::asio::buffer(*buffer_),
         [this, here = here_, keep = output_, bytes = buffer_](const error_code& ec, std::size_t n) {
             if (!*here || ec == boost::asio::error::operation_aborted) return;
-            part_.append(bytes->data(), n);
-            for (std::size_t end = 0; (end = part_.find('\n')) != part_.npos; part_.erase(0, end + 1)) {
-                lines_.push_back(part_.substr(0, end));
+            shard_request_.append(bytes->data(), n);
+            for (std::size_t end = 0; (end = shard_request_.find('\n')) != shard_request_.npos;
+                 shard_request_.erase(0, end + 1)) {
+                lines_.push_back(shard_request_.substr(0, end));
                 history_.note(name_, lines_.back());
             }
             if (!ec) read();
@@ -245,4 +246,4 @@
     return path(name);
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/rig.hpp
+++ b/src/testing/rig.hpp
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 using Moment = std::chrono::steady_clock::time_point;
 
@@ -61,7 +61,7 @@
     std::shared_ptr<std::array<char, 4096>> buffer_;
     std::shared_ptr<bool> here_ =
         std::make_shared<bool>(true);  // what was read may still be on its way to it
-    std::string part_;
+    std::string shard_request_;
     std::vector<std::string> lines_;
 };
 
@@ -99,7 +99,7 @@
     std::vector<std::weak_ptr<Pair>> pairs_;
 };
 
-// The member's or relay's name in a call to a steward; the steward's id in the log's handshake.
+// The member's or relay's name in a call to a manager; the manager's id in the log's handshake.
 std::string member_tag(const std::string& first);
 std::string log_tag(const std::string& first);
 
@@ -118,4 +118,4 @@
     std::string path_;
 };
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/script.cpp
+++ b/src/testing/script.cpp
@@ -1,4 +1,4 @@
-#include "standin/script.hpp"
+#include "testing/script.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,10 +6,10 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "terms/block_reader.hpp"
-#include "terms/terms_text.hpp"
+#include "config/block_reader.hpp"
+#include "config/router_config_reader.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 namespace {
 
 constexpr Nanos hour = 3600'000'000'000;
@@ -177,4 +177,4 @@
         .dump();
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/script.hpp
+++ b/src/testing/script.hpp
@@ -1,20 +1,20 @@
 // The script that a stand-in fleet plays: who is there, what they hold, how they behave and when that
-// changes. docs/standin.md has its form, which is the operators' file's (HCL).
+// changes. docs/testing.md has its form, which is the operators' file's (HCL).
 #pragma once
 
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "standin/contents.hpp"
-#include "terms/hcl.hpp"
+#include "config/hcl.hpp"
+#include "testing/contents.hpp"
 #include "wire/bodies.hpp"
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 enum class Refusal : std::uint8_t { none, words, close };  // of frames in two phases
 
-// How a data node behaves; each figure stays until a later part of the script changes it.
+// How a data node behaves; each figure stays until a later shard request of the script changes it.
 struct Behaviour {
     Refusal refusal = Refusal::none;
     Nanos word_delay = 0, rows_delay = 0, call_delay = 0;  // before answers to P, F and R
@@ -66,4 +66,4 @@
 // The node as discovery tells it.
 std::string entry_of(const NodeScript& node, const std::string& address);
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/socket_bytes.cpp
+++ b/src/testing/socket_bytes.cpp
@@ -1,4 +1,4 @@
-#include "standin/socket_bytes.hpp"
+#include "testing/socket_bytes.hpp"
 
 #include <arpa/inet.h>
 #include <dirent.h>
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 SocketBytes socket_bytes(int descriptor) {
     tcp_info info{};
@@ -36,4 +36,4 @@
     return sum;
 }
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/standin/socket_bytes.hpp
+++ b/src/testing/socket_bytes.hpp
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-namespace tealcart::standin {
+namespace tealcart::testing {
 
 struct SocketBytes {
     std::uint64_t in = 0, out = 0;  // out: acknowledged
@@ -13,4 +13,4 @@
 // Of all connections of this process to these ports of loopback, `ports` sorted.
 SocketBytes bytes_with(const std::uint16_t* ports, std::size_t count);
 
-}  // namespace tealcart::standin
+}  // namespace tealcart::testing
--- a/src/wire/bodies.cpp
+++ b/src/wire/bodies.cpp
@@ -174,13 +174,13 @@
                         text(zone),
                         text(kind),
                         in.has[place] ? static_cast<std::uint32_t>(in.cell) : 0,
-                        Availability::gone,
+                        Lifecycle::removed,
                         0};
         if (in.texts[state] == "removed") return node;
         if (in.texts[state] == "draining")
-            node.availability = Availability::draining;
+            node.lifecycle = Lifecycle::draining;
         else if (in.texts[state] == "up")
-            node.availability = Availability::ready;
+            node.lifecycle = Lifecycle::ready;
         else
             return std::nullopt;
         if (!in.has[place] || !in.has[address] || !read_host_port(node.address) || !in.has[zone] ||
@@ -208,7 +208,7 @@
     });
 }
 
-// Words for what is wrong, or none.
+// ReportBatch for what is wrong, or none.
 const char* read_find_of(const Json& in, Find& find) {
     constexpr std::size_t most = 16;
     const auto rows = index_of(in, "rows", 1 << 20);
@@ -268,19 +268,19 @@
         if (named[*shard]) return fail("a shard is named twice");
         if (!weight) return fail("a 'boost' is missing, negative or no number");
         named[*shard] = true;
-        QueryPart part{*shard, *weight, 0};
+        QueryShardRequest shard_request{*shard, *weight, 0};
         if (member(segment, "work") != nullptr) {
             const auto work = amount_of(segment, "work");
             if (!work) return fail("a 'work' is negative or no number");
-            part.hint = std::llround(std::min(*work, 1e12) * 1e3);
+            shard_request.hint = std::llround(std::min(*work, 1e12) * 1e3);
         }
         if (member(segment, "affinity") != nullptr && !text_of(segment, "affinity"))
             return fail("an 'affinity' is no string");
         sum += *weight;
-        query.parts.push_back(part);
+        query.shard_requests.push_back(shard_request);
     }
     if (!(std::abs(sum - 1) <= sum_slack)) return fail("the parts' 'boost's don't sum to 1");
-    for (QueryPart& part : query.parts) part.weight /= sum;
+    for (QueryShardRequest& shard_request : query.shard_requests) shard_request.weight /= sum;
     return query;
 }
 
--- a/src/wire/bodies.hpp
+++ b/src/wire/bodies.hpp
@@ -7,20 +7,20 @@
 #include <string_view>
 #include <vector>
 
+#include "config/host_port.hpp"
 #include "phases/word.hpp"
 #include "router/query_router.hpp"
-#include "terms/host_port.hpp"
 
 namespace tealcart {
 
-struct QueryPart {
+struct QueryShardRequest {
     std::uint32_t shard = 0;
-    double weight = 0;  // of 1 over all parts
+    double weight = 0;  // of 1 over all shard requests
     Nanos hint = 0;
 };
 
 struct QueryBody {
-    std::vector<QueryPart> parts;
+    std::vector<QueryShardRequest> shard_requests;
     std::string text;
 };
 
@@ -59,7 +59,7 @@
 struct ListedNode {
     std::string id, address, zone, kind;
     std::uint32_t place = 0;
-    Availability availability = Availability::gone;
+    Lifecycle lifecycle = Lifecycle::removed;
     Nanos started_at = 0;  // since the Unix epoch, 0 for long ago
 };
 
--- a/src/wire/change_words.cpp
+++ b/src/wire/change_messages.cpp
@@ -1,4 +1,4 @@
-#include "wire/change_words.hpp"
+#include "wire/change_messages.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -8,13 +8,13 @@
 
 using Json = nlohmann::json;
 using changes::Delta;
-using changes::MemberWord;
+using changes::MemberReport;
 using changes::Page;
 
 constexpr Nanos ms = 1'000'000;
 constexpr std::int64_t year_ms = 365LL * 24 * 3600 * 1000;
-constexpr std::size_t longest_name = 128, longest_key = 1024, longest_value = 1024 * 1024, longest_why = 512;
-constexpr std::size_t most_names = 100'000, most_entries = 100'000;
+constexpr std::size_t max_name = 128, max_key = 1024, max_value = 1024 * 1024, max_why = 512;
+constexpr std::size_t max_names = 100'000, max_entries = 100'000;
 
 const Json* member(const Json& in, const char* key) {
     if (!in.is_object()) return nullptr;
@@ -22,7 +22,7 @@
     return it == in.end() || it->is_null() ? nullptr : &*it;
 }
 
-bool take_name(const Json& in, std::string& to, std::size_t longest = longest_name) {
+bool take_name(const Json& in, std::string& to, std::size_t longest = max_name) {
     if (!in.is_string()) return false;
     to = in.get_ref<const std::string&>();
     return !to.empty() && to.size() <= longest &&
@@ -34,7 +34,7 @@
     return value == nullptr ? !needed : take_name(*value, to);
 }
 
-bool is_key(std::string_view text) { return !text.empty() && text.size() <= longest_key; }
+bool is_key(std::string_view text) { return !text.empty() && text.size() <= max_key; }
 
 bool take_number(const Json& in, const char* key, std::uint64_t& to) {
     const Json* value = member(in, key);
@@ -71,10 +71,10 @@
 // it.
 std::string cut(const std::string& why) {
     std::string text =
-        Json::parse(Json(why.substr(0, longest_why)).dump(-1, ' ', false, Json::error_handler_t::replace))
+        Json::parse(Json(why.substr(0, max_why)).dump(-1, ' ', false, Json::error_handler_t::replace))
             .get<std::string>();
-    if (text.size() <= longest_why) return text;
-    std::size_t end = longest_why;
+    if (text.size() <= max_why) return text;
+    std::size_t end = max_why;
     while (end > 0 && (static_cast<unsigned char>(text[end]) & 0xc0) == 0x80) --end;  // not within a letter
     return text.substr(0, end);
 }
@@ -82,26 +82,27 @@
 std::string written(const Json& out) { return out.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 // What is 0 or empty is left out.
-Json out_of(const MemberWord& w) {
-    Json out = {{"name", w.name}, {"life", w.life}};
+Json out_of(const MemberReport& w) {
+    Json out = {{"name", w.name}, {"life", w.incarnation}};
     if (w.serve_on > 0) out["serve_on_ms"] = w.serve_on / ms;
-    if (w.acts_on > 0) out["acts_on"] = w.acts_on;
+    if (w.applied_version > 0) out["acts_on"] = w.applied_version;
     if (w.refused > 0) out["refused"] = w.refused;
     if (!w.why.empty()) out["why"] = cut(w.why);
     return out;
 }
 
-bool take_member(const Json& in, MemberWord& to, const char*& wrong) {
+bool take_member(const Json& in, MemberReport& to, const char*& wrong) {
     wrong = "'name' is missing or malformed";
     if (!take_name(in, "name", to.name, true)) return false;
     wrong = "'life' is missing or no number above 0";
-    if (!take_number(in, "life", to.life) || to.life == 0) return false;
+    if (!take_number(in, "life", to.incarnation) || to.incarnation == 0) return false;
     wrong = "'acts_on' or 'refused' is no number";
-    if (!take_number(in, "acts_on", to.acts_on) || !take_number(in, "refused", to.refused)) return false;
+    if (!take_number(in, "acts_on", to.applied_version) || !take_number(in, "refused", to.refused))
+        return false;
     wrong = "'serve_on_ms' is no number of ms up to a year";
     if (!take_span(in, "serve_on_ms", to.serve_on)) return false;
     wrong = "'why' is no text of up to 512 bytes";
-    return take_text(in, "why", to.why, longest_why);
+    return take_text(in, "why", to.why, max_why);
 }
 
 void put(Json& out, const Watched& w) {
@@ -118,19 +119,19 @@
     if (!take_span(in, "wait_ms", to.wait)) return false;
     wrong = "'pages_after' is no key";
     to.wants_pages = member(in, "pages_after") != nullptr;
-    return take_text(in, "pages_after", to.after, longest_key);
+    return take_text(in, "pages_after", to.after, max_key);
 }
 
-Json out_of(const std::vector<MemberWord>& all) {
+Json out_of(const std::vector<MemberReport>& all) {
     Json list = Json::array();
-    for (const MemberWord& w : all) list.push_back(out_of(w));
+    for (const MemberReport& w : all) list.push_back(out_of(w));
     return list;
 }
 
-bool take_members(const Json& in, const char* key, std::vector<MemberWord>& to) {
+bool take_members(const Json& in, const char* key, std::vector<MemberReport>& to) {
     const Json* list = member(in, key);
     if (list == nullptr) return true;
-    if (!list->is_array() || list->size() > most_names) return false;
+    if (!list->is_array() || list->size() > max_names) return false;
     const char* wrong = nullptr;
     return std::all_of(list->begin(), list->end(),
                        [&](const Json& one) { return take_member(one, to.emplace_back(), wrong); });
@@ -141,12 +142,12 @@
 bool take_lives(const Json& in, const char* key, Lives& to) {
     const Json* list = member(in, key);
     if (list == nullptr) return true;
-    if (!list->is_array() || list->size() > most_names) return false;
+    if (!list->is_array() || list->size() > max_names) return false;
     return std::all_of(list->begin(), list->end(), [&to](const Json& one) {
-        auto& [name, life] = to.emplace_back();
+        auto& [name, incarnation] = to.emplace_back();
         if (!one.is_array() || one.size() != 2 || !take_name(one[0], name) || !one[1].is_number_unsigned())
             return false;
-        life = one[1].get<std::uint64_t>();
+        incarnation = one[1].get<std::uint64_t>();
         return true;
     });
 }
@@ -154,12 +155,12 @@
 bool take_entries(const Json& in, const char* key, std::map<std::string, std::string>& to) {
     const Json* all = member(in, key);
     if (all == nullptr) return true;
-    if (!all->is_object() || all->size() > most_entries) return false;
+    if (!all->is_object() || all->size() > max_entries) return false;
     for (const auto& [name, value] : all->items()) {
         if (!is_key(name) || !value.is_string()) return false;
         std::string& text = to[name];
         text = value.get_ref<const std::string&>();
-        if (text.size() > longest_value) return false;
+        if (text.size() > max_value) return false;
     }
     return true;
 }
@@ -170,7 +171,7 @@
         return false;
     const Json* removed = member(in, "removed");
     if (removed == nullptr) return true;
-    if (!removed->is_array() || removed->size() > most_entries) return false;
+    if (!removed->is_array() || removed->size() > max_entries) return false;
     for (const Json& one : *removed) {
         if (!one.is_string() || !is_key(one.get_ref<const std::string&>())) return false;
         to.removed.insert(one.get<std::string>());
@@ -180,7 +181,7 @@
 
 bool take_page(const Json& in, Page& to) {
     return in.is_object() && take_number(in, "version", to.version) && take_number(in, "digest", to.digest) &&
-           take_text(in, "after", to.after, longest_key) && take_entries(in, "entries", to.entries) &&
+           take_text(in, "after", to.after, max_key) && take_entries(in, "entries", to.entries) &&
            take_flag(in, "last", to.last);
 }
 
@@ -210,8 +211,8 @@
 }
 
 std::string write_relay_call(const RelayCall& call) {
-    const changes::RelayWord& w = call.word;
-    Json out = {{"relay", w.relay}, {"life", w.life}, {"number", w.number}, {"lowest", w.lowest}};
+    const changes::RelayReport& w = call.word;
+    Json out = {{"relay", w.relay}, {"life", w.incarnation}, {"number", w.number}, {"lowest", w.lowest}};
     put(out, call.watched);
     if (!w.zone.empty()) out["zone"] = w.zone;
     if (w.whole) out["whole"] = true;
@@ -225,7 +226,7 @@
 std::optional<RelayCall> read_relay_call(std::string_view body, std::string& wrong) {
     const Json in = Json::parse(body, nullptr, false);
     RelayCall call;
-    changes::RelayWord& w = call.word;
+    changes::RelayReport& w = call.word;
     const auto fail = [&wrong](const char* words) {
         wrong = words;
         return std::nullopt;
@@ -234,7 +235,7 @@
     if (!in.is_object()) return fail("the body is no JSON object");
     if (!take_name(in, "relay", w.relay, true)) return fail("'relay' is missing or malformed");
     if (!take_name(in, "zone", w.zone, false)) return fail("'zone' is malformed");
-    if (!take_number(in, "life", w.life) || w.life == 0)
+    if (!take_number(in, "life", w.incarnation) || w.incarnation == 0)
         return fail("'life' is missing or no number above 0");
     if (!take_number(in, "number", w.number) || w.number == 0)
         return fail("'number' is missing or no number above 0");
--- a/src/wire/change_words.hpp
+++ b/src/wire/change_messages.hpp
@@ -8,13 +8,13 @@
 #include <string_view>
 
 #include "changes/document.hpp"
-#include "changes/words.hpp"
+#include "changes/reports.hpp"
 #include "router/query_router.hpp"
 
 namespace tealcart {
 
 constexpr std::string_view follower_path = "/fleet/changes";  // a router's, to a relay
-constexpr std::string_view relay_path = "/fleet/relay";       // a relay's, to the stewards
+constexpr std::string_view relay_path = "/fleet/relay";       // a relay's, to the managers
 
 // What the caller's copy has, and how long it may be kept waiting.
 struct Watched {
@@ -25,14 +25,14 @@
 };
 
 struct FollowerCall {
-    changes::MemberWord word;
+    changes::MemberReport word;
     std::string zone;
     bool leaves = false;
     Watched watched;
 };
 
 struct RelayCall {
-    changes::RelayWord word;
+    changes::RelayReport word;
     Watched watched;
 };
 
@@ -41,7 +41,7 @@
     std::uint64_t version = 0;  // the latest that the answerer has
     Nanos lease = 0;            // whole ms, counted from when the call was sent; 0: none could be given
     std::uint64_t taken = 0;    // to relays: the number of the word that was taken
-    bool say_all = false;       // to relays: nothing is known of this life, say all members again
+    bool say_all = false;       // to relays: nothing is known of this incarnation, say all members again
     Nanos drift = 0;            // to relays: whole ms
     std::optional<changes::Delta> delta;
     std::optional<changes::Page> page;
@@ -55,6 +55,6 @@
 std::string write_changes_answer(const ChangesAnswer& answer);
 std::optional<ChangesAnswer> read_changes_answer(std::string_view body);
 
-// 409 (a later life is known) and 421 (ask elsewhere) are as in member_words.hpp.
+// 409 (a later incarnation is known) and 421 (ask elsewhere) are as in member_words.hpp.
 
 }  // namespace tealcart
--- a/src/wire/change_watch.hpp
+++ b/src/wire/change_watch.hpp
@@ -1,12 +1,12 @@
-// A follower's calls to the relays, or a relay's to the stewards: a watch by version, on PostWatch.
+// A follower's calls to the relays, or a relay's to the managers: a watch by version, on PostWatch.
 #pragma once
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "wire/change_words.hpp"
-#include "wire/post_watch.hpp"
+#include "wire/change_messages.hpp"
+#include "wire/long_poll.hpp"
 
 namespace tealcart {
 
@@ -18,15 +18,15 @@
     // The call that was sent at `sent` was answered. ChangeWatch::next is to be called once the news is acted
     // on.
     virtual void on_changes(Nanos sent, const ChangesAnswer& answer) = 0;
-    // A later life of this name is known. The call is made again by itself.
-    virtual void on_later_life(std::uint64_t last_life) = 0;
+    // A later incarnation of this name is known. The call is made again by itself.
+    virtual void on_later_life(std::uint64_t last_incarnation) = 0;
 };
 
 class ChangeWatch final : private PostTaker {
   public:
     // `path`: follower_path or relay_path. `whom`: "relay" or "steward", for the log. Begins at the address
     // of this place, so that followers spread over the relays; `seed`: of the jitter in its pauses.
-    ChangeWatch(boost::asio::io_context& io, Timekeeper& time, ChangeTaker& taker, std::string_view path,
+    ChangeWatch(boost::asio::io_context& io, EventClock& time, ChangeTaker& taker, std::string_view path,
                 std::string_view whom, std::vector<HostPort> addresses, std::size_t first,
                 std::uint64_t seed);
 
@@ -46,7 +46,7 @@
     Call call() override { return taker_.change_call(); }
     bool read(std::string_view body) override;
     void answered(Nanos sent) override;
-    void outlived(std::uint64_t last_life) override { taker_.on_later_life(last_life); }
+    void outlived(std::uint64_t last_incarnation) override { taker_.on_later_life(last_incarnation); }
     void silent(const char* why) override;
     void heard_again() override;
 
--- a/src/wire/discovery_watch.cpp
+++ b/src/wire/discovery_watch.cpp
@@ -14,7 +14,7 @@
 // A change that a silent connection kept from us counts as told 6 s after discovery had it: the longest call
 // and its slack, then two connections that fail in turn (one, where lists are asked for), stay under that.
 // The first call after a failure is short, to show that its connection lives.
-constexpr Nanos longest_wait = 2500 * ms;
+constexpr Nanos max_wait = 2500 * ms;
 constexpr Nanos first_wait = 100 * ms;
 constexpr Nanos late = 500 * ms;  // behind its wait, before its connection is given up
 constexpr Nanos connected_within = 1000 * ms;
@@ -32,14 +32,14 @@
 DiscoveryWatch::Connection::Connection(boost::asio::io_context& io, std::size_t longest)
     : socket(io), reader(longest) {}
 
-DiscoveryWatch::DiscoveryWatch(boost::asio::io_context& io, Timekeeper& time, ListTaker& taker,
+DiscoveryWatch::DiscoveryWatch(boost::asio::io_context& io, EventClock& time, ListTaker& taker,
                                HostPort address, Discovery mode, std::uint32_t places, std::uint64_t seed,
                                ListBound bound)
     : io_(io), time_(time), taker_(taker), address_(std::move(address)), places_(places),
       bound_(std::move(bound)),
-      first_answer_(mode == Discovery::ask ? asked_first_answer : pushed_first_answer),
-      longest_backoff_(mode == Discovery::ask ? asked_longest_backoff : pushed_longest_backoff),
-      chance_(seed), backoff_(first_backoff) {}
+      first_answer_(mode == Discovery::poll ? asked_first_answer : pushed_first_answer),
+      max_backoff_(mode == Discovery::poll ? asked_longest_backoff : pushed_longest_backoff), chance_(seed),
+      backoff_(first_backoff) {}
 
 void DiscoveryWatch::start(std::uint64_t generation) {
     generation_ = generation;
@@ -88,13 +88,13 @@
 
 void DiscoveryWatch::ask() {
     std::string target = "/api/targets";
-    waits_ = sound_ ? longest_wait : first_wait;
+    waits_ = sound_ ? max_wait : first_wait;
     if (!whole_) target += "?index=" + std::to_string(generation_) + "&wait=" + std::to_string(waits_ / ms);
     asked_at_ = time_.now();
     connection_->out = write_get(address_.host + ":" + std::to_string(address_.port), target);
     ++wire_.calls;
     wire_.out += connection_->out.size();
-    const Nanos within = sound_ && !whole_ ? longest_wait + late : first_answer_;
+    const Nanos within = sound_ && !whole_ ? max_wait + late : first_answer_;
     time_.due.move(due_, asked_at_ + within, *this, Handle{}, silent);
     boost::asio::async_write(connection_->socket, boost::asio::buffer(connection_->out),
                              [this, c = connection_](const error_code& e, std::size_t) {
@@ -182,11 +182,11 @@
     end(connection_);
     std::uniform_int_distribution<Nanos> jitter(backoff_ / 2, backoff_);
     time_.due.move(due_, time_.now() + jitter(chance_), *this, Handle{}, again);
-    backoff_ = std::min(2 * backoff_, longest_backoff_);
+    backoff_ = std::min(2 * backoff_, max_backoff_);
 }
 
 void DiscoveryWatch::on_due(Handle, std::uint64_t what) {
-    due_ = Deadlines::none;
+    due_ = TimerQueue::none;
     if (what == again) return connect();
     if (what == next) return ask();
     give_up("silent for longer than a call may wait");
--- a/src/wire/discovery_watch.hpp
+++ b/src/wire/discovery_watch.hpp
@@ -10,8 +10,8 @@
 #include <random>
 #include <string>
 
-#include "tables/slots.hpp"
-#include "tables/timekeeper.hpp"
+#include "tables/event_clock.hpp"
+#include "tables/slot_map.hpp"
 #include "wire/bodies.hpp"
 #include "wire/http.hpp"
 #include "wire/list_bound.hpp"
@@ -26,7 +26,7 @@
 
 class DiscoveryWatch final : public DueHandler {
   public:
-    DiscoveryWatch(boost::asio::io_context& io, Timekeeper& time, ListTaker& taker, HostPort address,
+    DiscoveryWatch(boost::asio::io_context& io, EventClock& time, ListTaker& taker, HostPort address,
                    Discovery mode, std::uint32_t places, std::uint64_t seed, ListBound bound = {});
 
     // Watches for what is newer than `generation`.
@@ -52,12 +52,12 @@
     void give_up(const char* why);
 
     boost::asio::io_context& io_;
-    Timekeeper& time_;
+    EventClock& time_;
     ListTaker& taker_;
     HostPort address_;
     const std::uint32_t places_;
     const ListBound bound_;
-    const Nanos first_answer_, longest_backoff_;  // as discovery is asked
+    const Nanos first_answer_, max_backoff_;  // as discovery is asked
     std::uint64_t generation_ = 0;
     std::knuth_b chance_;
     Nanos asked_at_ = 0, waits_ = 0;     // the call that is out, and for how long it may wait for news
@@ -77,7 +77,7 @@
     };
     WireCount wire_;
     Life connection_, former_;  // former_: at the address before
-    Deadlines::Ticket due_ = Deadlines::none;
+    TimerQueue::Ticket due_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -22,7 +22,7 @@
   public:
     explicit Gatherer(std::size_t longest) {
         this->eager(true);
-        this->header_limit(longest_head);
+        this->header_limit(max_head);
         this->body_limit(longest);
     }
 
--- a/src/wire/http.hpp
+++ b/src/wire/http.hpp
@@ -8,8 +8,8 @@
 
 namespace tealcart {
 
-constexpr std::size_t longest_head = 8 * 1024;
-constexpr std::size_t longest_body = 64 * 1024;  // of the protocol's page
+constexpr std::size_t max_head = 8 * 1024;
+constexpr std::size_t max_body = 64 * 1024;  // of the protocol's page
 
 enum class Reading : std::uint8_t { more, done, bad };
 
@@ -29,7 +29,7 @@
 // Reads requests one after the other; a body is let in up to `longest`.
 class RequestReader {
   public:
-    explicit RequestReader(std::size_t longest = longest_body);
+    explicit RequestReader(std::size_t longest = max_body);
     ~RequestReader();
 
     // Takes what it can from the front of `in`. With `done`, the rest belongs to the next request.
--- a/src/wire/client_front.cpp
+++ b/src/wire/http_server.cpp
@@ -1,4 +1,4 @@
-#include "wire/client_front.hpp"
+#include "wire/http_server.hpp"
 
 #include <boost/asio/write.hpp>
 
@@ -17,16 +17,16 @@
 constexpr Nanos request_timeout = 2750 * ms;
 constexpr Nanos linger = 1000 * ms;       // for the far side to take an answer before its connection ends
 constexpr Nanos accept_pause = 100 * ms;  // after a failed accept
-constexpr std::size_t most_unread = longest_head + longest_body;  // of further requests, while one is out
+constexpr std::size_t max_unread = max_head + max_body;  // of further requests, while one is out
 constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
 
 }  // namespace
 
-ClientFront::ClientFront(boost::asio::io_context& io, Timekeeper& time, RequestTaker& taker, std::size_t most,
-                         Nanos stall, std::size_t longest)
+HttpServer::HttpServer(boost::asio::io_context& io, EventClock& time, RequestHandler& taker, std::size_t most,
+                       Nanos stall, std::size_t longest)
     : io_(io), time_(time), taker_(taker), most_(most), stall_(stall), longest_(longest), acceptor_(io) {}
 
-void ClientFront::listen(const std::string& host, std::uint16_t port) {
+void HttpServer::listen(const std::string& host, std::uint16_t port) {
     const tcp::endpoint at(boost::asio::ip::make_address(host), port);
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -38,7 +38,7 @@
 
 // Where no more connections may be held and none can be ended, clients wait in the backlog for one that is
 // given back.
-void ClientFront::accept() {
+void HttpServer::accept() {
     if (accepting_ || !acceptor_.is_open()) return;
     time_.due.drop(accept_again_);
     accepting_ = true;
@@ -63,7 +63,7 @@
     });
 }
 
-void ClientFront::take(tcp::socket socket) {
+void HttpServer::take(tcp::socket socket) {
     error_code ec;
     socket.set_option(tcp::no_delay(true), ec);
     socket.non_blocking(true, ec);  // for the last reads before it is closed
@@ -74,13 +74,13 @@
 }
 
 // Guards against clients that connect, or ask once, and keep their connection without a word.
-void ClientFront::await_request(Handle h) {
+void HttpServer::await_request(Handle h) {
     Client& c = *clients_.find(h);
     time_.due.move(c.due, c.idle_since + idle_timeout, *this, h);
 }
 
 // Nothing of a next request has come in.
-bool ClientFront::idle(const Client& c) const {
+bool HttpServer::idle(const Client& c) const {
     error_code ec;
     return c.state == State::reading && !c.reader.begun() && c.socket.available(ec) == 0;
 }
@@ -89,12 +89,12 @@
 // for their far side to close, then of idle ones, then of those in the middle of a request; the longest
 // first. One from which more has come in is not ended. Guards against clients that connect by the hundreds
 // and say nothing, or little: those that come to ask need not wait until the others' time is up.
-bool ClientFront::make_room() {
+bool HttpServer::make_room() {
     Handle least;
-    auto rank = std::pair(3, Deadlines::never);
+    auto rank = std::pair(3, TimerQueue::never);
     clients_.each([&](Handle h, const Client& c) {
         error_code ec;
-        auto own = std::pair(3, Deadlines::never);
+        auto own = std::pair(3, TimerQueue::never);
         if (c.state == State::lingering)
             own = {0, c.idle_since};
         else if (c.state == State::reading)
@@ -109,7 +109,7 @@
 // Reads all the time, so that a client that leaves is seen. Of further requests it keeps so much; what goes
 // beyond that is read and left, and the answer that is owed is the last. Guards against sending on for a
 // client that sent much at once and went, whose end stands behind all that it sent.
-void ClientFront::read(Handle h) {
+void HttpServer::read(Handle h) {
     Client& client = *clients_.find(h);
     if (client.reads || client.ended || client.state == State::closed) return;
     client.reads = true;
@@ -123,12 +123,12 @@
             c.ended = static_cast<bool>(ec);
             if (!ec && c.in.empty() && c.state != State::reading) c.ahead_since = time_.now();
             const bool owing = c.state == State::asked || c.state == State::answering;
-            if (owing && c.in.size() + n > most_unread)
+            if (owing && c.in.size() + n > max_unread)
                 c.last = true;
             else if (!ec && c.state != State::lingering)
                 c.in.append(c.buffer.data(), n);
             // Guards against reading at full speed what nobody wants.
-            if (c.state == State::lingering && (c.unwanted += n) > most_unread) close(h);
+            if (c.state == State::lingering && (c.unwanted += n) > max_unread) close(h);
             if (c.state == State::reading) advance(h);
             if (ec && c.state == State::asked) taker_.on_client_gone(h);
             if (ec && c.state != State::answering) close(h);
@@ -138,7 +138,7 @@
         });
 }
 
-void ClientFront::advance(Handle h) {
+void HttpServer::advance(Handle h) {
     Client& c = *clients_.find(h);
     const bool begun = c.reader.begun();
     const Reading reading = c.reader.feed(c.in);
@@ -166,7 +166,7 @@
     taker_.on_request(h, c.reader.request(), c.began);
 }
 
-void ClientFront::answer(Handle h, Answer answer) {
+void HttpServer::answer(Handle h, Answer answer) {
     Client* c = clients_.find(h);
     if (c == nullptr || c->state != State::asked) return;
     c->state = State::answering;
@@ -178,7 +178,7 @@
     write(h);
 }
 
-void ClientFront::write(Handle h) {
+void HttpServer::write(Handle h) {
     Client& c = *clients_.find(h);
     if (c.writes) return;
     c.writes = true;
@@ -202,7 +202,7 @@
     });
 }
 
-void ClientFront::flushed(Handle h) {
+void HttpServer::flushed(Handle h) {
     Client& c = *clients_.find(h);
     time_.due.drop(c.due);
     c.head.clear();
@@ -222,7 +222,7 @@
 // The lingering close: our side ends now, the connection once the client has ended its own, or some time
 // later. What still comes is read and never sent on; a request that crossed the end its client sends again.
 // Closing with bytes unread would reset the connection and could destroy an answer under way.
-void ClientFront::half_close(Handle h) {
+void HttpServer::half_close(Handle h) {
     Client& c = *clients_.find(h);
     error_code ec;
     c.socket.shutdown(tcp::socket::shutdown_send, ec);
@@ -233,13 +233,13 @@
     read(h);
 }
 
-void ClientFront::on_due(Handle h, std::uint64_t) {
+void HttpServer::on_due(Handle h, std::uint64_t) {
     if (h == Handle{}) {
-        accept_again_ = Deadlines::none;
+        accept_again_ = TimerQueue::none;
         return accept();
     }
     Client& c = *clients_.find(h);
-    c.due = Deadlines::none;
+    c.due = TimerQueue::none;
     if (c.state == State::reading && !c.reader.begun()) {
         if (idle(c)) half_close(h);  // else its request is about to be read, which sets a time for it
         return;
@@ -252,18 +252,18 @@
     close(h);
 }
 
-void ClientFront::begin_stop() {
+void HttpServer::begin_stop() {
     stopping_ = true;
     close_idle(time_.now());
 }
 
-void ClientFront::close_idle(Nanos since) {
+void HttpServer::close_idle(Nanos since) {
     clients_.each([this, since](Handle h, Client& c) {
         if (c.idle_since <= since && idle(c)) half_close(h);
     });
 }
 
-bool ClientFront::end_listening() {
+bool HttpServer::end_listening() {
     error_code ec;
     tcp::socket socket(io_);
     acceptor_.accept(socket, ec);
@@ -275,26 +275,26 @@
     return true;
 }
 
-void ClientFront::close_all() {
+void HttpServer::close_all() {
     error_code ec;
     acceptor_.close(ec);
     clients_.each([this](Handle h, Client&) { close(h); });
 }
 
-void ClientFront::close(Handle h) {
+void HttpServer::close(Handle h) {
     Client* c = clients_.find(h);
     if (c == nullptr || c->state == State::closed) return;
     c->state = State::closed;
     time_.due.drop(c->due);
     error_code ec;
     c->socket.shutdown(tcp::socket::shutdown_send, ec);
-    for (std::size_t left = most_unread; !ec && left > 0;)  // unread bytes would make it a reset
+    for (std::size_t left = max_unread; !ec && left > 0;)  // unread bytes would make it a reset
         left -= std::min(left, c->socket.read_some(boost::asio::buffer(c->buffer), ec));
     c->socket.close(ec);
     settle(h);
 }
 
-void ClientFront::settle(Handle h) {
+void HttpServer::settle(Handle h) {
     Client* c = clients_.find(h);
     if (c == nullptr || c->state != State::closed || c->reads || c->writes) return;
     clients_.give_back(h);
--- a/src/wire/client_front.hpp
+++ b/src/wire/http_server.hpp
@@ -7,8 +7,8 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <string>
 
-#include "tables/slots.hpp"
-#include "tables/timekeeper.hpp"
+#include "tables/event_clock.hpp"
+#include "tables/slot_map.hpp"
 #include "wire/http.hpp"
 
 namespace tealcart {
@@ -20,28 +20,28 @@
     std::string_view allow = {};  // the method that would be taken, with 405
 };
 
-// What stands behind the front. Each request is answered exactly once by ClientFront::answer, at once or
+// What stands behind the front. Each request is answered exactly once by HttpServer::answer, at once or
 // later, unless its client has gone.
-class RequestTaker {
+class RequestHandler {
   public:
-    virtual ~RequestTaker() = default;
+    virtual ~RequestHandler() = default;
     virtual void on_request(Handle client, Request& request, Nanos began) = 0;
     virtual void on_client_gone(Handle client) = 0;
 };
 
 // Where answers go.
-class AnswerGiver {
+class ResponseWriter {
   public:
-    virtual ~AnswerGiver() = default;
+    virtual ~ResponseWriter() = default;
     virtual void answer(Handle client, Answer answer) = 0;
 };
 
-class ClientFront final : public AnswerGiver, public DueHandler {
+class HttpServer final : public ResponseWriter, public DueHandler {
   public:
     // At most so many connections; a client that does not take its answer is let go after `stall`. Bodies up
     // to `longest` are let in.
-    ClientFront(boost::asio::io_context& io, Timekeeper& time, RequestTaker& taker, std::size_t most,
-                Nanos stall, std::size_t longest = longest_body);
+    HttpServer(boost::asio::io_context& io, EventClock& time, RequestHandler& taker, std::size_t most,
+               Nanos stall, std::size_t longest = max_body);
 
     // Throws boost::system::system_error where the address can't be had.
     void listen(const std::string& host, std::uint16_t port);
@@ -77,7 +77,7 @@
         std::size_t unwanted = 0;  // read in the lingering close
         Nanos idle_since = 0, began = 0;
         Nanos ahead_since = 0;  // when the next request began to come in while one was out; 0 for not
-        Deadlines::Ticket due = Deadlines::none;
+        TimerQueue::Ticket due = TimerQueue::none;
     };
 
     void accept();
@@ -94,15 +94,15 @@
     bool make_room();
 
     boost::asio::io_context& io_;
-    Timekeeper& time_;
-    RequestTaker& taker_;
+    EventClock& time_;
+    RequestHandler& taker_;
     const std::size_t most_;
     const Nanos stall_;
     const std::size_t longest_;
     boost::asio::ip::tcp::acceptor acceptor_;
-    Slots<Client> clients_;
+    SlotMap<Client> clients_;
     bool accepting_ = false, stopping_ = false;
-    Deadlines::Ticket accept_again_ = Deadlines::none;
+    TimerQueue::Ticket accept_again_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/list_bound.hpp
+++ b/src/wire/list_bound.hpp
@@ -1,4 +1,4 @@
-// How long the answers of discovery and of the stewards may be: by the size of the deployment, as its
+// How long the answers of discovery and of the managers may be: by the size of the deployment, as its
 // settings state it. Nothing is kept free for them.
 #pragma once
 
@@ -16,8 +16,8 @@
 };
 
 // Of a list. `memory` is what the process may have, in bytes; 0 for no bound of its own.
-ListBound bound_of_list(const Terms& terms, std::size_t memory);
-// Of a steward's answer, which names every node that is out, and every router.
-ListBound bound_of_agreed(const Terms& terms, std::size_t memory);
+ListBound bound_of_list(const RouterConfig& config, std::size_t memory);
+// Of a manager's answer, which names every node that is out, and every router.
+ListBound bound_of_agreed(const RouterConfig& config, std::size_t memory);
 
 }  // namespace tealcart
--- a/src/wire/post_watch.cpp
+++ b/src/wire/long_poll.cpp
@@ -1,10 +1,10 @@
-#include "wire/post_watch.hpp"
+#include "wire/long_poll.hpp"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
 
 #include "service/log.hpp"
-#include "wire/member_words.hpp"
+#include "wire/member_messages.hpp"
 
 namespace tealcart {
 namespace {
@@ -24,7 +24,7 @@
 PostWatch::Connection::Connection(boost::asio::io_context& io, std::size_t longest)
     : socket(io), reader(longest) {}
 
-PostWatch::PostWatch(boost::asio::io_context& io, Timekeeper& time, PostTaker& taker, std::string_view path,
+PostWatch::PostWatch(boost::asio::io_context& io, EventClock& time, PostTaker& taker, std::string_view path,
                      std::vector<HostPort> addresses, std::size_t first, std::uint64_t seed, ListBound bound)
     : io_(io), time_(time), taker_(taker), path_(path), addresses_(std::move(addresses)),
       bound_(std::move(bound)), at_(addresses_.empty() ? 0 : first % addresses_.size()), chance_(seed) {}
@@ -158,7 +158,7 @@
 }
 
 void PostWatch::on_due(Handle, std::uint64_t what) {
-    due_ = Deadlines::none;
+    due_ = TimerQueue::none;
     if (what == again) return connect();
     give_up("silent for longer than a call may wait");
 }
--- a/src/wire/post_watch.hpp
+++ b/src/wire/long_poll.hpp
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <vector>
 
-#include "tables/timekeeper.hpp"
-#include "terms/host_port.hpp"
+#include "config/host_port.hpp"
+#include "tables/event_clock.hpp"
 #include "wire/http.hpp"
 #include "wire/list_bound.hpp"
 
@@ -32,7 +32,7 @@
     virtual bool read(std::string_view body) = 0;
     // What was read was the answer to the call that was sent at `sent`.
     virtual void answered(Nanos sent) = 0;
-    virtual void outlived(std::uint64_t last_life) = 0;
+    virtual void outlived(std::uint64_t last_incarnation) = 0;
     // Told once all addresses have failed in a row, and with the first answer after that, before `answered`.
     virtual void silent(const char* why) = 0;
     virtual void heard_again() = 0;
@@ -42,7 +42,7 @@
   public:
     // Begins at the address of this place. `seed`: of the jitter in the pauses between failures, half to one
     // and a half of each; 0 for none. An answer over `bound` is not read, which is logged once.
-    PostWatch(boost::asio::io_context& io, Timekeeper& time, PostTaker& taker, std::string_view path,
+    PostWatch(boost::asio::io_context& io, EventClock& time, PostTaker& taker, std::string_view path,
               std::vector<HostPort> addresses, std::size_t first = 0, std::uint64_t seed = 0,
               ListBound bound = {});
 
@@ -79,7 +79,7 @@
     void end();
 
     boost::asio::io_context& io_;
-    Timekeeper& time_;
+    EventClock& time_;
     PostTaker& taker_;
     const std::string path_;
     const std::vector<HostPort> addresses_;
@@ -91,7 +91,7 @@
     bool owes_next_ = false, told_silent_ = false, told_long_ = false;
     WireCount wire_;
     Life connection_;
-    Deadlines::Ticket due_ = Deadlines::none;
+    TimerQueue::Ticket due_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/steward_watch.hpp
+++ b/src/wire/manager_watch.hpp
@@ -1,5 +1,5 @@
-// A member's calls to the stewards: one after the other on a kept connection, each of which renews the lease
-// and waits for news; made anew, at the next steward, when it breaks or stays silent for longer than it may
+// A member's calls to the managers: one after the other on a kept connection, each of which renews the lease
+// and waits for news; made anew, at the next manager, when it breaks or stays silent for longer than it may
 // wait.
 #pragma once
 
@@ -7,26 +7,26 @@
 #include <vector>
 
 #include "wire/list_bound.hpp"
-#include "wire/member_words.hpp"
-#include "wire/post_watch.hpp"
+#include "wire/long_poll.hpp"
+#include "wire/member_messages.hpp"
 
 namespace tealcart {
 
-class StewardTaker {
+class ManagerObserver {
   public:
-    virtual ~StewardTaker() = default;
+    virtual ~ManagerObserver() = default;
     // What is to be said now.
     virtual MemberCall word() = 0;
-    // The call that was sent at `sent` was granted. StewardWatch::next is to be called once the news is
+    // The call that was sent at `sent` was granted. ManagerWatch::next is to be called once the news is
     // acted on.
     virtual void on_agreed(Nanos sent, const MemberAnswer& answer) = 0;
-    virtual void on_outlived(std::uint64_t last_life) = 0;
+    virtual void on_outlived(std::uint64_t last_incarnation) = 0;
 };
 
-class StewardWatch final : private PostTaker {
+class ManagerWatch final : private PostTaker {
   public:
-    StewardWatch(boost::asio::io_context& io, Timekeeper& time, StewardTaker& taker,
-                 std::vector<HostPort> stewards, ListBound bound = {});
+    ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& taker,
+                 std::vector<HostPort> managers, ListBound bound = {});
 
     void start() { watch_.start(); }
     void stop() { watch_.stop(); }
@@ -40,11 +40,11 @@
     Call call() override;
     bool read(std::string_view body) override;
     void answered(Nanos sent) override;
-    void outlived(std::uint64_t last_life) override { taker_.on_outlived(last_life); }
+    void outlived(std::uint64_t last_incarnation) override { taker_.on_outlived(last_incarnation); }
     void silent(const char* why) override;
     void heard_again() override;
 
-    StewardTaker& taker_;
+    ManagerObserver& taker_;
     PostWatch watch_;
     MemberAnswer answer_;
 };
--- a/src/wire/member_words.cpp
+++ b/src/wire/member_messages.cpp
@@ -1,4 +1,4 @@
-#include "wire/member_words.hpp"
+#include "wire/member_messages.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 using Json = nlohmann::json;
 constexpr Nanos ms = 1'000'000;
 constexpr std::int64_t year_ms = 365LL * 24 * 3600 * 1000;
-constexpr std::size_t longest_name = 128, most_names = 100'000;
+constexpr std::size_t max_name = 128, max_names = 100'000;
 
 const Json* member(const Json& in, const char* key) {
     if (!in.is_object()) return nullptr;
@@ -20,7 +20,7 @@
 bool take_name(const Json& in, std::string& to) {
     if (!in.is_string()) return false;
     to = in.get_ref<const std::string&>();
-    return !to.empty() && to.size() <= longest_name &&
+    return !to.empty() && to.size() <= max_name &&
            std::all_of(to.begin(), to.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
@@ -48,7 +48,7 @@
 bool take_targets(const Json& in, const char* key, std::vector<TargetName>& to) {
     const Json* list = member(in, key);
     if (list == nullptr) return true;
-    if (!list->is_array() || list->size() > most_names) return false;
+    if (!list->is_array() || list->size() > max_names) return false;
     for (const Json& one : *list) {
         TargetName t;
         if (!one.is_array() || one.size() != 2 || !take_name(one[1], t.name)) return false;
@@ -62,7 +62,7 @@
 bool take_names(const Json& in, const char* key, std::vector<std::string>& to) {
     const Json* list = member(in, key);
     if (list == nullptr) return true;
-    if (!list->is_array() || list->size() > most_names) return false;
+    if (!list->is_array() || list->size() > max_names) return false;
     for (const Json& one : *list)
         if (!take_name(one, to.emplace_back())) return false;
     return true;
@@ -77,15 +77,21 @@
 }  // namespace
 
 std::string write_member_call(const MemberCall& c) {
-    Json out = {{"name", c.name},       {"role", c.role},     {"life", c.life},
-                {"acts_on", c.acts_on}, {"knows", c.knows},   {"wait_ms", c.wait / ms},
-                {"queries", c.queries}, {"failed", c.failed}, {"serve_on_ms", c.serve_on / ms}};
+    Json out = {{"name", c.name},
+                {"role", c.role},
+                {"life", c.incarnation},
+                {"acts_on", c.applied_generation},
+                {"knows", c.knows},
+                {"wait_ms", c.wait / ms},
+                {"queries", c.queries},
+                {"failed", c.failed},
+                {"serve_on_ms", c.serve_on / ms}};
     // What is not stated is left out.
     const auto state = [&out](const char* key, const std::string& value) {
         if (!value.empty()) out[key] = value;
     };
     state("zone", c.zone), state("version", c.version), state("digest", c.digest);
-    if (!c.in_hand.empty()) out["in_hand"] = targets(c.in_hand);
+    if (!c.in_flight.empty()) out["in_hand"] = targets(c.in_flight);
     if (!c.silent.empty()) out["silent"] = c.silent;
     if (c.leaves) out["leaves"] = true;
     return out.dump();
@@ -105,14 +111,14 @@
     if (!take_text(in, "zone", c.zone, false) || !take_text(in, "version", c.version, false) ||
         !take_text(in, "digest", c.digest, false))
         return fail("'zone', 'version' or 'digest' is malformed");
-    if (!take_number(in, "life", c.life) || c.life == 0)
+    if (!take_number(in, "life", c.incarnation) || c.incarnation == 0)
         return fail("'life' is missing or no number above 0");
-    if (!take_number(in, "acts_on", c.acts_on) || !take_number(in, "knows", c.knows) ||
+    if (!take_number(in, "acts_on", c.applied_generation) || !take_number(in, "knows", c.knows) ||
         !take_number(in, "queries", c.queries) || !take_number(in, "failed", c.failed))
         return fail("a number is malformed");
     if (!take_span(in, "serve_on_ms", c.serve_on) || !take_span(in, "wait_ms", c.wait))
         return fail("a span is no number of ms up to a year");
-    if (!take_targets(in, "in_hand", c.in_hand)) return fail("'in_hand' is malformed");
+    if (!take_targets(in, "in_hand", c.in_flight)) return fail("'in_hand' is malformed");
     if (!take_names(in, "silent", c.silent)) return fail("'silent' is malformed");
     if (const Json* leaves = member(in, "leaves")) {
         if (!leaves->is_boolean()) return fail("'leaves' is no truth value");
@@ -141,15 +147,15 @@
     return a;
 }
 
-std::string write_outlived(std::uint64_t last_life) {
-    return Json{{"error", "a later life of this name is known"}, {"life", last_life}}.dump();
+std::string write_outlived(std::uint64_t last_incarnation) {
+    return Json{{"error", "a later life of this name is known"}, {"life", last_incarnation}}.dump();
 }
 
 std::optional<std::uint64_t> read_outlived(std::string_view body) {
     const Json in = Json::parse(body, nullptr, false);
-    std::uint64_t life = 0;
-    if (member(in, "life") == nullptr || !take_number(in, "life", life)) return std::nullopt;
-    return life;
+    std::uint64_t incarnation = 0;
+    if (member(in, "life") == nullptr || !take_number(in, "life", incarnation)) return std::nullopt;
+    return incarnation;
 }
 
 std::string write_elsewhere(std::string_view leader) {
--- a/src/wire/node_links.cpp
+++ b/src/wire/node_connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "wire/node_links.hpp"
+#include "wire/node_connection_pool.hpp"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
@@ -13,8 +13,8 @@
 using boost::system::error_code;
 
 constexpr std::size_t frames_a_write = 64;
-constexpr std::size_t most_queued = 4096;
-constexpr std::size_t most_past = 1024;
+constexpr std::size_t max_queued = 4096;
+constexpr std::size_t max_past = 1024;
 constexpr Nanos ms = 1'000'000;
 constexpr std::string_view letters = "YNGT", phase_letters = "SWNGT";  // of frames that come from data nodes
 
@@ -26,11 +26,11 @@
     return static_cast<std::uint32_t>(std::hash<std::string_view>()(query)) + shard + (leg << 24);
 }
 
-std::string line_of(const LeafPiece& piece, Nanos left) {
+std::string line_of(const AttemptMessage& piece, Nanos left) {
     const QueryText& q = *piece.query;
     std::string line;
     if (piece.letter == 'R')
-        write_part_line(line, {q.id, piece.shard, left / ms, q.key, q.text.size()});
+        write_shard_request_line(line, {q.id, piece.shard, left / ms, q.key, q.text.size()});
     else
         write_phase_line(line, {{q.id, piece.shard, piece.leg},
                                 left / ms,
@@ -43,15 +43,16 @@
 
 }  // namespace
 
-NodeLinks::NodeLinks(boost::asio::io_context& io, Timekeeper& time, const LinkTerms& terms, LinkOwner& owner,
-                     std::size_t most)
-    : io_(io), time_(time), connect_timeout_(terms.connect_timeout),
-      idle_(terms.idle_close - terms.idle_close / 10),  // closed before the far side does
-      calls_a_link_(static_cast<std::size_t>(terms.calls_a_link)), most_(most), probing_(terms.probing),
-      owner_(owner) {}
+NodeConnectionPool::NodeConnectionPool(boost::asio::io_context& io, EventClock& time,
+                                       const ConnectionConfig& config, ConnectionObserver& owner,
+                                       std::size_t most)
+    : io_(io), time_(time), connect_timeout_(config.connect_timeout),
+      idle_(config.idle_close - config.idle_close / 10),  // closed before the far side does
+      calls_a_link_(static_cast<std::size_t>(config.max_calls_per_connection)), most_(most),
+      probing_(config.probing), owner_(owner) {}
 
-Handle NodeLinks::send(std::uint32_t node, const std::string& address, std::vector<LeafPiece> pieces,
-                       std::span<const Handle> avoid) {
+Handle NodeConnectionPool::send(std::uint32_t node, const std::string& address,
+                                std::vector<AttemptMessage> pieces, std::span<const Handle> avoid) {
     Handle chosen, fallback;
     int silent_links = 0;
     const bool phased = pieces.front().letter != 'R';
@@ -74,7 +75,7 @@
     }
     if (link->up) time_.due.drop(link->due);  // not idle any more
     ++frames_;
-    for (const LeafPiece& piece : pieces)
+    for (const AttemptMessage& piece : pieces)
         link->carried.push_back({piece.call, frames_, mark_of(piece.query->id, piece.shard, piece.leg)});
     link->queue.push_back({frames_, std::move(pieces), {}});
     write(chosen);
@@ -85,20 +86,20 @@
     return chosen;
 }
 
-std::vector<Handle> NodeLinks::of_node(std::uint32_t node) const {
+std::vector<Handle> NodeConnectionPool::of_node(std::uint32_t node) const {
     const auto found = of_node_.find(node);
     return found == of_node_.end() ? std::vector<Handle>() : found->second;
 }
 
 // Guards against a connection that stays open and falls silent: all that is sent on it would be lost while
 // its node is well. It takes no more while another can be had.
-bool NodeLinks::silent(const Link& link) const {
+bool NodeConnectionPool::silent(const Link& link) const {
     return link.unheard_since > 0 && time_.now() - link.unheard_since > connect_timeout_;
 }
 
-// Asks for a sign of life, once for each silence, where the settings let it. True if that is just done or may
-// still be answered. Guards against taking heavy calls for a broken connection.
-bool NodeLinks::probe(Handle h) {
+// Asks for a sign of incarnation, once for each silence, where the settings let it. True if that is just done
+// or may still be answered. Guards against taking heavy calls for a broken connection.
+bool NodeConnectionPool::probe(Handle h) {
     Link& link = *links_.find(h);
     if (!probing_) return false;
     if (link.probed_at >= link.unheard_since) return time_.now() - link.probed_at <= connect_timeout_;
@@ -108,7 +109,7 @@
 }
 
 // The node has just answered on another link: what is out on silent ones is called off, to be sent again.
-void NodeLinks::end_silent(std::uint32_t node) {
+void NodeConnectionPool::end_silent(std::uint32_t node) {
     for (const Handle h : of_node(node)) {
         const Link* link = links_.find(h);
         if (link == nullptr || !silent(*link) || probe(h)) continue;
@@ -118,9 +119,9 @@
     }
 }
 
-// A frame takes one place, however many parts it holds; the calls of a frame stand side by side. A link on
-// which a frame is in part there takes no more: it may never end.
-bool NodeLinks::room(const Link& link) const {
+// A frame takes one place, however many shard requests it holds; the calls of a frame stand side by side. A
+// link on which a frame is in part there takes no more: it may never end.
+bool NodeConnectionPool::room(const Link& link) const {
     if (link.retired || link.closed || !link.in.empty()) return false;
     if (link.carried.size() < calls_a_link_) return true;
     std::size_t frames = 0;
@@ -132,7 +133,7 @@
 // A link to be opened once one of the descriptors is free for it, in the order in which they are asked for.
 // Until then what it carries waits unwritten, as on one that is being made. Guards against blaming nodes, and
 // using up leaf calls, for want of a descriptor of our own.
-Handle NodeLinks::add_link(std::uint32_t node, std::string address, bool phased) {
+Handle NodeConnectionPool::add_link(std::uint32_t node, std::string address, bool phased) {
     const Handle h = links_.take(io_);
     Link& link = *links_.find(h);
     link.node = node;
@@ -144,7 +145,7 @@
 }
 
 // Opens waiting links while there are descriptors, at need those of idle ones.
-void NodeLinks::open_waiting() {
+void NodeConnectionPool::open_waiting() {
     if (opening_) return;  // a link that is closed here leaves its descriptor to the loop below
     opening_ = true;
     while (!waiting_.empty()) {
@@ -163,7 +164,7 @@
     opening_ = false;
 }
 
-bool NodeLinks::open(Handle h) {
+bool NodeConnectionPool::open(Handle h) {
     Link& link = *links_.find(h);
     const auto to = read_host_port(link.address);
     error_code ec;
@@ -182,7 +183,7 @@
     return true;
 }
 
-void NodeLinks::on_connected(Handle h, const error_code& ec) {
+void NodeConnectionPool::on_connected(Handle h, const error_code& ec) {
     Link& link = *links_.find(h);
     --link.operations;
     if (link.closed) return settle(h);
@@ -194,13 +195,13 @@
     idle_if_empty(h);
 }
 
-void NodeLinks::read(Handle h) {
+void NodeConnectionPool::read(Handle h) {
     Link& link = *links_.find(h);
     ++link.operations;
     link.socket.async_read_some(
         boost::asio::buffer(link.buffer), [this, h](const error_code& ec, std::size_t n) {
             Link& l = *links_.find(h);
-            if (!l.closed && ec) close(h, refused_phases(l) ? Outcome::moot : Outcome::reset);
+            if (!l.closed && ec) close(h, refused_phases(l) ? Outcome::not_sent : Outcome::reset);
             if (!l.closed) {
                 l.in.append(l.buffer.data(), n);
                 l.unheard_since = time_.now();
@@ -213,13 +214,13 @@
 }
 
 // Where the far side ends or refuses a link on which it has never answered in two phases.
-bool NodeLinks::refused_phases(const Link& link) {
+bool NodeConnectionPool::refused_phases(const Link& link) {
     return link.phased && !link.heard && link.unheard_since > 0 && owner_.on_phases_refused(link.node);
 }
 
 // Whether a frame is an answer that belongs here; true: it was good, or is passed over as a late answer or
 // second copy; false: it was ours and spoilt.
-std::optional<bool> NodeLinks::take_answer(Handle h, const Frame& frame) {
+std::optional<bool> NodeConnectionPool::take_answer(Handle h, const Frame& frame) {
     Link& link = *links_.find(h);
     bool ours = false, spoilt = false;
     std::uint32_t mark = 0;
@@ -250,7 +251,7 @@
 
 // False where the framing is lost, what comes answers no call of ours, or the node says that it was on our
 // side.
-bool NodeLinks::take_frames(Handle h) {
+bool NodeConnectionPool::take_frames(Handle h) {
     Link& link = *links_.find(h);
     const std::string bytes = std::exchange(link.in, {});
     const std::string_view known = link.phased ? phase_letters : letters;
@@ -270,7 +271,7 @@
         }
         const bool refused = framing == Framing::frame && frame.letter == 'N';
         if (refused && refused_phases(link)) {
-            close(h, Outcome::moot);
+            close(h, Outcome::not_sent);
             return true;
         }
         if (refused)
@@ -285,7 +286,7 @@
     if (link.carried.empty()) return link.in.empty();
     if (link.in.empty())
         time_.due.drop(link.due);
-    else if (link.due == Deadlines::none)
+    else if (link.due == TimerQueue::none)
         time_.due.move(link.due, time_.now() + connect_timeout_, *this, h);
     return true;
 }
@@ -293,34 +294,34 @@
 // Ends a link on which comes what can't be read. That was the answer to one leaf call: to the oldest that was
 // written, unless it has been `told`. The others are called off, since nothing more comes here. Guards
 // against blaming a node many times for one spoilt answer.
-void NodeLinks::spoil(Handle h, bool told) {
+void NodeConnectionPool::spoil(Handle h, bool told) {
     Link& link = *links_.find(h);
     const auto first = std::find_if(link.carried.begin(), link.carried.end(),
-                                    [&](const Carried& c) { return written(link, c); });
+                                    [&](const InFlightAttempt& c) { return written(link, c); });
     if (!told && first != link.carried.end()) owner_.on_call_lost(Handle(first->call), Outcome::error);
     close(h, Outcome::cancelled);
 }
 
 // Of what is not yet written, loses those pieces that `which` names, as never sent.
 template <typename Which>
-void NodeLinks::lose_unwritten(Link& link, Which which) {
+void NodeConnectionPool::lose_unwritten(Link& link, Which which) {
     std::vector<Handle> lost;
     for (Outgoing& frame : link.queue)
-        std::erase_if(frame.pieces, [&](const LeafPiece& piece) {
+        std::erase_if(frame.pieces, [&](const AttemptMessage& piece) {
             if (!which(piece)) return false;
             lost.push_back(piece.call);
             return true;
         });
     std::erase_if(link.queue,
                   [](const Outgoing& frame) { return frame.number != 0 && frame.pieces.empty(); });
-    for (const Handle call : lost) owner_.on_call_lost(call, Outcome::moot);
+    for (const Handle call : lost) owner_.on_call_lost(call, Outcome::not_sent);
 }
 
-void NodeLinks::write(Handle h) {
+void NodeConnectionPool::write(Handle h) {
     Link& link = *links_.find(h);
     if (!link.up || link.writing || link.closed) return;
     const Nanos now = time_.now();
-    lose_unwritten(link, [now](const LeafPiece& piece) { return now > piece.send_by; });
+    lose_unwritten(link, [now](const AttemptMessage& piece) { return now > piece.send_by; });
     if (link.closed || link.queue.empty()) return;
     std::vector<boost::asio::const_buffer> buffers;
     std::size_t size = 0;
@@ -337,7 +338,7 @@
         }
         std::vector<std::string> lines;
         std::size_t rest = 0;
-        for (const LeafPiece& piece : frame.pieces) {
+        for (const AttemptMessage& piece : frame.pieces) {
             lines.push_back(line_of(piece, std::max<Nanos>(piece.until - now, ms)));
             rest += lines.back().size() + piece.query->text.size();
             if (piece.letter != 'R') rest += piece.query->find.size();
@@ -369,11 +370,11 @@
     });
 }
 
-bool NodeLinks::withdraw(Handle h, Handle call) {
+bool NodeConnectionPool::withdraw(Handle h, Handle call) {
     Link* link = links_.find(h);
     if (link == nullptr || link->closed) return false;
     for (auto frame = link->queue.begin(); frame != link->queue.end(); ++frame) {
-        if (std::erase_if(frame->pieces, [call](const LeafPiece& p) { return p.call == call; }) == 0)
+        if (std::erase_if(frame->pieces, [call](const AttemptMessage& p) { return p.call == call; }) == 0)
             continue;
         if (frame->pieces.empty()) link->queue.erase(frame);
         return true;
@@ -381,46 +382,46 @@
     return false;
 }
 
-void NodeLinks::give_up(Handle h, const QueryText& query, std::uint32_t shard, std::uint8_t leg) {
+void NodeConnectionPool::give_up(Handle h, const QueryText& query, std::uint32_t shard, std::uint8_t leg) {
     Link* link = links_.find(h);
     if (link == nullptr || link->closed) return;
-    if (link->queue.size() >= most_queued) return close(h, Outcome::reset);  // it has long taken nothing
+    if (link->queue.size() >= max_queued) return close(h, Outcome::reset);  // it has long taken nothing
     std::string id;
     if (link->phased)
         write_phase_id(id, {query.id, shard, leg});
     else
-        write_part_id(id, query.id, shard);
+        write_shard_request_id(id, query.id, shard);
     post(h, link->phased ? gives_up_phase : 'A', id);
 }
 
 // Queues a frame that holds no calls.
-void NodeLinks::post(Handle h, char letter, std::string_view rest) {
+void NodeConnectionPool::post(Handle h, char letter, std::string_view rest) {
     std::string& bytes = links_.find(h)->queue.emplace_back().bytes;
     start_frame(bytes, letter, rest.size());
     bytes += rest;
     write(h);
 }
 
-void NodeLinks::done(Handle h, Handle call) {
+void NodeConnectionPool::done(Handle h, Handle call) {
     Link* link = links_.find(h);
     if (link == nullptr || link->closed) return;
     const auto ended =
         std::find_if(link->carried.begin(), link->carried.end(), [call](auto& c) { return c.call == call; });
     if (ended != link->carried.end()) {
-        if (link->past.size() < most_past)
+        if (link->past.size() < max_past)
             link->past.push_back(ended->mark);
         else
-            link->past[link->past_at++ % most_past] = ended->mark;
+            link->past[link->past_at++ % max_past] = ended->mark;
         link->carried.erase(ended);
     }
     idle_if_empty(h);
 }
 
-void NodeLinks::idle_if_empty(Handle h) {
+void NodeConnectionPool::idle_if_empty(Handle h) {
     Link& link = *links_.find(h);
     if (link.closed || !link.carried.empty()) return;
     if (!link.up) {
-        if (std::find(waiting_.begin(), waiting_.end(), h) != waiting_.end()) close(h, Outcome::moot);
+        if (std::find(waiting_.begin(), waiting_.end(), h) != waiting_.end()) close(h, Outcome::not_sent);
         return;
     }
     if (!link.in.empty() || silent(link) || (link.retired && !link.writing && link.queue.empty()))
@@ -430,9 +431,9 @@
     open_waiting();
 }
 
-void NodeLinks::on_due(Handle h, std::uint64_t) {
+void NodeConnectionPool::on_due(Handle h, std::uint64_t) {
     Link& link = *links_.find(h);
-    link.due = Deadlines::none;
+    link.due = TimerQueue::none;
     if (!link.in.empty()) {
         log_spoilt(link.node);
         return spoil(h, false);
@@ -440,22 +441,23 @@
     close(h, Outcome::connect_failed);  // it is idle, or was not made in time
 }
 
-void NodeLinks::retire(std::uint32_t node, bool leaving) {
+void NodeConnectionPool::retire(std::uint32_t node, bool leaving) {
     for (const Handle h : of_node(node)) {
         Link& link = *links_.find(h);
         link.retired = true;
-        if (leaving) lose_unwritten(link, [](const LeafPiece&) { return true; });
+        if (leaving) lose_unwritten(link, [](const AttemptMessage&) { return true; });
         if (links_.find(h) == nullptr) continue;  // it waited, and for nothing now
-        if (!link.closed && link.carried.empty()) link.up ? idle_if_empty(h) : close(h, Outcome::moot);
+        if (!link.closed && link.carried.empty()) link.up ? idle_if_empty(h) : close(h, Outcome::not_sent);
     }
 }
 
-void NodeLinks::close_all() {
+void NodeConnectionPool::close_all() {
     opening_ = true;  // none after these
     links_.each([this](Handle h, Link&) { close(h, Outcome::reset); });
 }
 
-bool NodeLinks::written(const Link& link, const Carried& c, std::size_t bytes_written) const {
+bool NodeConnectionPool::written(const Link& link, const InFlightAttempt& c,
+                                 std::size_t bytes_written) const {
     for (const Outgoing& frame : link.queue)
         if (frame.number == c.frame) return false;
     for (const auto& [frame, end] : link.ends)
@@ -465,7 +467,7 @@
 
 // Ends a link and all leaf calls on it. What was written may have run: that ends as `outcome` says; what was
 // not never has.
-void NodeLinks::close(Handle h, Outcome outcome, std::size_t bytes_written) {
+void NodeConnectionPool::close(Handle h, Outcome outcome, std::size_t bytes_written) {
     Link* link = links_.find(h);
     if (link == nullptr || link->closed) return;
     link->closed = true;
@@ -477,14 +479,14 @@
     if (const auto of = of_node_.find(link->node); std::erase(of->second, h) > 0 && of->second.empty())
         of_node_.erase(of);
     const auto carried = std::exchange(link->carried, {});
-    for (const Carried& c : carried)
+    for (const InFlightAttempt& c : carried)
         owner_.on_call_lost(c.call, written(*link, c, bytes_written) ? outcome : Outcome::connect_failed);
     link->queue.clear();
     settle(h);
     open_waiting();
 }
 
-void NodeLinks::settle(Handle h) {
+void NodeConnectionPool::settle(Handle h) {
     Link* link = links_.find(h);
     if (link != nullptr && link->closed && link->operations == 0) links_.give_back(h);
 }
--- a/src/wire/node_links.hpp
+++ b/src/wire/node_connection_pool.hpp
@@ -12,10 +12,10 @@
 #include <unordered_map>
 #include <vector>
 
+#include "config/router_config_reader.hpp"
 #include "router/query_router.hpp"
-#include "tables/slots.hpp"
-#include "tables/timekeeper.hpp"
-#include "terms/terms_text.hpp"
+#include "tables/event_clock.hpp"
+#include "tables/slot_map.hpp"
 #include "wire/node_frames.hpp"
 #include "wire/phase_frames.hpp"
 
@@ -28,12 +28,12 @@
 };
 
 // A leaf call as it goes into a frame.
-struct LeafPiece {
+struct AttemptMessage {
     Handle call;
     std::shared_ptr<const QueryText> query;
     std::uint32_t shard = 0;
-    Nanos until = 0;                   // when we stop waiting for it
-    Nanos send_by = Deadlines::never;  // it is not to be written later than this
+    Nanos until = 0;                    // when we stop waiting for it
+    Nanos send_by = TimerQueue::never;  // it is not to be written later than this
     // Of a query in two phases; the pieces of one frame have one letter.
     char letter = 'R';
     std::uint8_t leg = 0;
@@ -42,9 +42,9 @@
 };
 
 // Whoever sends leaf calls is told what becomes of them.
-class LinkOwner {
+class ConnectionObserver {
   public:
-    virtual ~LinkOwner() = default;
+    virtual ~ConnectionObserver() = default;
     // False if it belongs to no leaf call that is out on this link.
     virtual bool on_node_answer(Handle link, const NodeAnswer& answer) = 0;
     virtual bool on_phase_answer(Handle link, const PhaseAnswer& answer) = 0;
@@ -55,16 +55,16 @@
 };
 
 // Where leaf calls go.
-class CallSender {
+class AttemptSender {
   public:
-    virtual ~CallSender() = default;
+    virtual ~AttemptSender() = default;
     // Queues one frame for a node, on a connection other than those to avoid; a new one if none has room.
     // Where no descriptor is free it waits for one.
-    virtual Handle send(std::uint32_t node, const std::string& address, std::vector<LeafPiece> pieces,
+    virtual Handle send(std::uint32_t node, const std::string& address, std::vector<AttemptMessage> pieces,
                         std::span<const Handle> avoid) = 0;
     // Takes a leaf call back whose frame has not begun to be written. False: it may have run.
     virtual bool withdraw(Handle link, Handle call) = 0;
-    // Tells the node that a part is given up.
+    // Tells the node that a shard request is given up.
     virtual void give_up(Handle link, const QueryText& query, std::uint32_t shard, std::uint8_t leg) = 0;
     // The leaf call has got its outcome and takes no place on the link any more.
     virtual void done(Handle link, Handle call) = 0;
@@ -73,13 +73,13 @@
     virtual void retire(std::uint32_t node, bool leaving) = 0;
 };
 
-class NodeLinks final : public CallSender, public DueHandler {
+class NodeConnectionPool final : public AttemptSender, public DueHandler {
   public:
     // At most so many connections at a time.
-    NodeLinks(boost::asio::io_context& io, Timekeeper& time, const LinkTerms& terms, LinkOwner& owner,
-              std::size_t most);
+    NodeConnectionPool(boost::asio::io_context& io, EventClock& time, const ConnectionConfig& config,
+                       ConnectionObserver& owner, std::size_t most);
 
-    Handle send(std::uint32_t node, const std::string& address, std::vector<LeafPiece> pieces,
+    Handle send(std::uint32_t node, const std::string& address, std::vector<AttemptMessage> pieces,
                 std::span<const Handle> avoid) override;
     bool withdraw(Handle link, Handle call) override;
     void give_up(Handle link, const QueryText& query, std::uint32_t shard, std::uint8_t leg) override;
@@ -94,13 +94,13 @@
   private:
     struct Outgoing {
         std::uint64_t number = 0;  // of frames with calls; 0 for others
-        std::vector<LeafPiece> pieces;
+        std::vector<AttemptMessage> pieces;
         std::string bytes;  // of a frame without calls
     };
-    struct Carried {
+    struct InFlightAttempt {
         Handle call;
         std::uint64_t frame = 0;
-        std::uint32_t mark = 0;  // of the part's id
+        std::uint32_t mark = 0;  // of the shard request's id
     };
     struct Link {
         explicit Link(boost::asio::io_context& io) : socket(io) {}
@@ -114,7 +114,7 @@
         bool up = false, retired = false, closed = false, writing = false;
         int operations = 0;  // under way on the socket
         std::deque<Outgoing> queue;
-        std::vector<Carried> carried;
+        std::vector<InFlightAttempt> carried;
         std::vector<std::pair<std::uint64_t, std::size_t>> ends;  // frames being written, and where they end
         std::deque<std::string> heads;                            // their bytes, beside the queries' texts
         std::vector<std::shared_ptr<const QueryText>> texts;
@@ -122,10 +122,10 @@
         Nanos unheard_since = 0, probed_at = 0;
         std::string in;
         std::array<char, 8192> buffer;
-        std::vector<std::uint32_t> past;  // marks of parts whose calls have ended, of the last ones
+        std::vector<std::uint32_t> past;  // marks of shard requests whose calls have ended, of the last ones
         std::size_t past_at = 0;
         // While it is made: its time-out; while idle: its end; while a frame is in part there: that one's.
-        Deadlines::Ticket due = Deadlines::none;
+        TimerQueue::Ticket due = TimerQueue::none;
     };
 
     Handle add_link(std::uint32_t node, std::string address, bool phased);
@@ -143,7 +143,8 @@
     bool take_frames(Handle h);
     std::optional<bool> take_answer(Handle h, const Frame& frame);
     bool refused_phases(const Link& link);
-    bool written(const Link& link, const Carried& carried, std::size_t bytes_written = SIZE_MAX) const;
+    bool written(const Link& link, const InFlightAttempt& carried,
+                 std::size_t bytes_written = SIZE_MAX) const;
     void spoil(Handle h, bool told);
     template <typename Which>
     void lose_unwritten(Link& link, Which which);
@@ -152,12 +153,12 @@
     void settle(Handle h);
 
     boost::asio::io_context& io_;
-    Timekeeper& time_;
+    EventClock& time_;
     const Nanos connect_timeout_, idle_;
     const std::size_t calls_a_link_, most_;
     const bool probing_;
-    LinkOwner& owner_;
-    Slots<Link> links_;
+    ConnectionObserver& owner_;
+    SlotMap<Link> links_;
     std::unordered_map<std::uint32_t, std::vector<Handle>> of_node_;  // of nodes that have any
     std::deque<Handle> waiting_;  // for a descriptor; each carries a leaf call
     std::size_t opened_ = 0;      // sockets
--- a/src/wire/node_frames.cpp
+++ b/src/wire/node_frames.cpp
@@ -10,7 +10,7 @@
     if (in.size() < 4) return Framing::more;
     std::uint32_t length = 0;
     for (int i = 3; i >= 0; --i) length = length << 8 | static_cast<unsigned char>(in[i]);
-    if (length == 0 || length > longest_frame) return Framing::lost;
+    if (length == 0 || length > max_frame) return Framing::lost;
     if (in.size() < 4 + std::size_t{length}) return Framing::more;
     frame = {in[4], in.substr(5, length - 1)};
     in.remove_prefix(4 + std::size_t{length});
@@ -23,12 +23,12 @@
     out += letter;
 }
 
-void write_part_id(std::string& out, std::string_view query, std::uint32_t shard) {
+void write_shard_request_id(std::string& out, std::string_view query, std::uint32_t shard) {
     out.append(query).append(1, '.').append(std::to_string(shard));
 }
 
-void write_part_line(std::string& out, const PartLine& line) {
-    write_part_id(out, line.query, line.shard);
+void write_shard_request_line(std::string& out, const PartLine& line) {
+    write_shard_request_id(out, line.query, line.shard);
     out.append(1, ' ').append(std::to_string(line.shard));
     out.append(" d=").append(std::to_string(line.wait_ms));
     if (!line.key.empty()) out.append(",k=").append(line.key);
@@ -58,7 +58,7 @@
         !score.empty() && score.find_first_not_of("0123456789") == score.npos && !line.empty();
     answer.value = rest.substr(end + 1);
     if (how == "OK") answer.outcome = Outcome::ok;
-    if (how == "REJECTED") answer.outcome = Outcome::full;
+    if (how == "REJECTED") answer.outcome = Outcome::overloaded;
     answer.spoilt = !scored || (how != "OK" && how != "REJECTED" && how != "ERROR") ||
                     (answer.outcome == Outcome::ok && !is_utf8(answer.value));
     if (answer.spoilt) answer.outcome = Outcome::error;
--- a/src/wire/phase_frames.cpp
+++ b/src/wire/phase_frames.cpp
@@ -10,7 +10,7 @@
 namespace tealcart {
 namespace {
 
-constexpr std::size_t most_extents = 64, longest_name = 64, longest_term = 256;
+constexpr std::size_t max_extents = 64, max_name = 64, max_term = 256;
 
 std::string_view word_of(std::string_view& line) {
     const auto space = line.find(' ');
@@ -74,14 +74,14 @@
 bool take_name(std::string_view& in, std::string& name) {
     if (in.empty()) return false;
     const auto size = static_cast<std::size_t>(static_cast<unsigned char>(in[0]));
-    if (size == 0 || size > longest_name || in.size() < 1 + size) return false;
+    if (size == 0 || size > max_name || in.size() < 1 + size) return false;
     name = in.substr(1, size);
     in.remove_prefix(1 + size);
     return true;
 }
 
 bool take_ranks(std::string_view& in, std::size_t count, std::vector<double>& ranks) {
-    if (count > static_cast<std::size_t>(most_words_rows)) return false;
+    if (count > static_cast<std::size_t>(max_words_rows)) return false;
     for (std::size_t i = 0; i < count; ++i) {
         double rank = 0;
         if (!take_double(in, rank) || (i > 0 && rank > ranks.back())) return false;
@@ -91,7 +91,7 @@
 }
 
 bool take_filter(std::string_view& in, std::size_t bytes, std::size_t extents, SectionFilter& filter) {
-    if (in.size() < bytes || bytes % 32 != 0 || extents > most_extents) return false;
+    if (in.size() < bytes || bytes % 32 != 0 || extents > max_extents) return false;
     filter.terms.assign(in.begin(), in.begin() + static_cast<std::ptrdiff_t>(bytes));
     in.remove_prefix(bytes);
     for (std::size_t i = 0; i < extents; ++i) {
@@ -129,7 +129,7 @@
 }  // namespace
 
 void write_phase_id(std::string& out, const PhaseId& id) {
-    write_part_id(out, id.query, id.shard);
+    write_shard_request_id(out, id.query, id.shard);
     out.append(1, '.').append(std::to_string(id.leg));
 }
 
@@ -137,11 +137,12 @@
     PhaseId id;
     const auto leg = text.rfind('.');
     if (leg == std::string_view::npos || !read_number(text.substr(leg + 1), id.leg)) return std::nullopt;
-    const std::string_view part = text.substr(0, leg);
-    const auto shard = part.rfind('.');
-    if (shard == std::string_view::npos || shard == 0 || !read_number(part.substr(shard + 1), id.shard))
+    const std::string_view shard_request = text.substr(0, leg);
+    const auto shard = shard_request.rfind('.');
+    if (shard == std::string_view::npos || shard == 0 ||
+        !read_number(shard_request.substr(shard + 1), id.shard))
         return std::nullopt;
-    id.query = part.substr(0, shard);
+    id.query = shard_request.substr(0, shard);
     return id;
 }
 
@@ -162,7 +163,7 @@
         !read_listed(list, 'm', filter) || !read_number(word_of(line), read.text) ||
         !read_number(line, read.find))
         return std::nullopt;
-    if (read.rows < 1 || read.rows > most_words_rows || read.wait_ms < 0) return std::nullopt;
+    if (read.rows < 1 || read.rows > max_words_rows || read.wait_ms < 0) return std::nullopt;
     read.id = *id;
     read.wants_filter = filter == 1;
     return read;
@@ -192,16 +193,16 @@
         bytes.remove_prefix(end + 1);
         const std::string_view kind = word_of(line);
         FieldRange range;
-        if (kind == "t" && !line.empty() && line.size() <= longest_term) {
+        if (kind == "t" && !line.empty() && line.size() <= max_term) {
             find.terms.emplace_back(line);
         } else if (kind == "r" && read_finite(word_of(line), range.from) &&
-                   read_finite(word_of(line), range.to) && !line.empty() && line.size() <= longest_name) {
+                   read_finite(word_of(line), range.to) && !line.empty() && line.size() <= max_name) {
             range.field = line;
             find.ranges.push_back(std::move(range));
         } else {
             return std::nullopt;
         }
-        if (find.terms.size() > longest_find || find.ranges.size() > longest_find) return std::nullopt;
+        if (find.terms.size() > max_find || find.ranges.size() > max_find) return std::nullopt;
     }
     return find;
 }
@@ -216,7 +217,7 @@
     PhaseAnswer answer;
     answer.id = *id;
     if (how == "REJECTED" || how == "ERROR") {
-        if (how == "REJECTED") answer.outcome = Outcome::full;
+        if (how == "REJECTED") answer.outcome = Outcome::overloaded;
         return answer;
     }
     std::size_t ranks = 0;
--- a/src/wire/phase_frames.hpp
+++ b/src/wire/phase_frames.hpp
@@ -1,6 +1,6 @@
-// The frames of queries in two phases, beside those of the platform: docs/wire-two-phase.md. Their parts
-// carry the leg that they belong to, so that what comes late for one leg can't be taken for another's. Pure
-// functions on bytes.
+// The frames of queries in two phases, beside those of the platform: docs/wire-two-phase.md. Their shard
+// requests carry the leg that they belong to, so that what comes late for one leg can't be taken for
+// another's. Pure functions on bytes.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 #include <string_view>
 #include <vector>
 
-#include "phases/phase_terms.hpp"
+#include "phases/two_phase_config.hpp"
 #include "phases/word.hpp"
 #include "wire/node_frames.hpp"
 
 namespace tealcart {
 
-// Letters: P asks for a word, F for rows, U gives a part up; S brings a word, W rows.
+// Letters: P asks for a word, F for rows, U gives a shard request up; S brings a word, W rows.
 constexpr char asks_word = 'P', asks_rows = 'F', gives_up_phase = 'U', brings_word = 'S', brings_rows = 'W';
-constexpr int longest_find = 16;  // terms, and ranges, that a query may look for
+constexpr int max_find = 16;  // terms, and ranges, that a query may look for
 
 struct PhaseId {
     std::string_view query;
@@ -48,22 +48,22 @@
 struct PhaseAnswer {
     PhaseId id;
     Outcome outcome = Outcome::error;
-    bool spoilt = false;  // whose part it is can be told, but not what was said
+    bool spoilt = false;  // whose shard request it is can be told, but not what was said
     SectionWord word;     // of S
     std::uint64_t version = 0;
     std::vector<double> ranks;  // of W: its rows', highest first
     std::string_view value;     // of W
 };
 
-// What follows a letter S or W; none if whose part it is can't be told. Summaries that contradict themselves
-// (a row above the bound, ranks out of order, no numbers) are spoilt.
+// What follows a letter S or W; none if whose shard request it is can't be told. Summaries that contradict
+// themselves (a row above the bound, ranks out of order, no numbers) are spoilt.
 std::optional<PhaseAnswer> read_phase_answer(char letter, std::string_view rest);
 
 // The same, written; for whoever holds sections.
 void write_word(std::string& out, const PhaseId& id, const SectionWord& word);
 void write_rows(std::string& out, const PhaseId& id, std::uint64_t version, const std::vector<double>& ranks,
                 std::string_view value);
-// How a part ended that brings nothing: "REJECTED" or "ERROR".
+// How a shard request ended that brings nothing: "REJECTED" or "ERROR".
 void write_phase_end(std::string& out, char letter, const PhaseId& id, std::string_view end);
 
 }  // namespace tealcart
--- a/src/xds/encode.cpp
+++ b/src/xds/encode.cpp
@@ -85,12 +85,12 @@
     }
     for (auto& [_, locality] : by_zone)
         if (!locality->has_load_balancing_weight()) locality->mutable_load_balancing_weight()->set_value(1);
-    // Shares are as told, whatever part of the pool is healthy.
+    // Shares are as told, whatever shard request of the pool is healthy.
     a.mutable_policy()->mutable_overprovisioning_factor()->set_value(100);
     return packed(a.cluster_name(), version, a, pool);
 }
 
-ResourcePtr XdsEncoder::listener(const VerticalRoute& of, const std::string& version) const {
+ResourcePtr XdsEncoder::listener(const QueryClassRoute& of, const std::string& version) const {
     http::HttpConnectionManager manager;
     manager.set_stat_prefix(of.name);
     set_ads(manager.mutable_rds()->mutable_config_source());
@@ -104,9 +104,11 @@
     return packed(l.name(), version, l);
 }
 
-// A part goes to the pool of its shard's place, which the proxy's client names in a header; a call without
-// one to the first pool. What may run once alone is never tried again, by a policy that retries on nothing.
-ResourcePtr XdsEncoder::route(const VerticalRoute& of, std::size_t pools, const std::string& version) const {
+// A shard request goes to the pool of its shard's place, which the proxy's client names in a header; a call
+// without one to the first pool. What may run once alone is never tried again, by a policy that retries on
+// nothing.
+ResourcePtr XdsEncoder::route(const QueryClassRoute& of, std::size_t pools,
+                              const std::string& version) const {
     envoy::config::route::v3::RouteConfiguration r;
     r.set_name(of.name);
     auto* host = r.add_virtual_hosts();
--- a/src/xds/encode.hpp
+++ b/src/xds/encode.hpp
@@ -12,8 +12,9 @@
 
     ResourcePtr cluster(std::uint32_t pool, std::uint32_t limit, const std::string& version) const override;
     ResourcePtr endpoints(std::uint32_t pool, const Pool& what, const std::string& version) const override;
-    ResourcePtr listener(const VerticalRoute& of, const std::string& version) const override;
-    ResourcePtr route(const VerticalRoute& of, std::size_t pools, const std::string& version) const override;
+    ResourcePtr listener(const QueryClassRoute& of, const std::string& version) const override;
+    ResourcePtr route(const QueryClassRoute& of, std::size_t pools,
+                      const std::string& version) const override;
 
   private:
     Nanos connect_timeout_;
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -6,8 +6,8 @@
 #include <csignal>
 #include <cstdio>
 
-#include "service/launch.hpp"
 #include "service/log.hpp"
+#include "service/startup_config.hpp"
 #include "wire/discovery_watch.hpp"
 #include "xds/server.hpp"
 
@@ -29,12 +29,12 @@
 
 int run(const std::string& config, const std::string& file) {
     std::signal(SIGPIPE, SIG_IGN);
-    const Launch read = [&] {
-        Launch launch = read_launch_file(config);
+    const StartupConfig read = [&] {
+        StartupConfig launch = read_startup_config_file(config);
         follow_operators(launch, read_operator_file(file));
         return launch;
     }();
-    const ControlTerms& control = read.operators.control;
+    const ControlConfig& control = read.operators.control;
     if (!control.on) throw Malformed("the operators' file " + file + " has no 'control' block");
     start_log(read.operators.log);
     boost::asio::io_context io(1);
@@ -42,14 +42,14 @@
     const auto epoch = std::chrono::duration_cast<std::chrono::milliseconds>(
                            std::chrono::system_clock::now().time_since_epoch())
                            .count();
-    XdsServer server(read.terms, read.link_terms.verticals, control, read.link_terms.connect_timeout,
-                     read.seed, static_cast<std::uint64_t>(epoch));
+    XdsServer server(read.config, read.connection_config.query_classes, control,
+                     read.connection_config.connect_timeout, read.seed, static_cast<std::uint64_t>(epoch));
     TargetList known = read.known;
     if (!known.nodes.empty()) server.take_list(known);
-    Timekeeper time;
+    EventClock time;
     Lists lists(server);
-    DiscoveryWatch watch(io, time, lists, read.discovery, read.terms.discovery,
-                         static_cast<std::uint32_t>(read.terms.places), read.seed, read.list_bound);
+    DiscoveryWatch watch(io, time, lists, read.discovery, read.config.discovery,
+                         static_cast<std::uint32_t>(read.config.places), read.seed, read.list_bound);
     const int port = server.start(control.listen);
     watch.start(known.generation);
     log_line("%s hands out decisions at port %d, discovery at %s:%u", read.name.c_str(), port,
--- a/src/xds/recorder.cpp
+++ b/src/xds/recorder.cpp
@@ -21,11 +21,11 @@
 using ReadEndpoints = std::shared_ptr<const std::pair<std::string, Recorder::Endpoints>>;
 
 ReadEndpoints read_endpoints(const std::string& bytes) {
-    constexpr std::size_t most_kept = 4096;
+    constexpr std::size_t max_kept = 4096;
     static std::mutex mutex;
     static std::unordered_map<std::string, ReadEndpoints> kept;
     const std::lock_guard lock(mutex);
-    if (kept.size() >= most_kept) kept.clear();
+    if (kept.size() >= max_kept) kept.clear();
     ReadEndpoints& read = kept[bytes];
     if (read != nullptr) return read;
     envoy::config::endpoint::v3::ClusterLoadAssignment a;
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -23,7 +23,7 @@
 using AdsService = Ads::WithRawCallbackMethod_StreamAggregatedResources<
     Ads::WithRawCallbackMethod_DeltaAggregatedResources<Ads::Service>>;
 
-constexpr int longest_message = 1 << 20;
+constexpr int max_message = 1 << 20;
 
 // The system's clock as it stood at the first look, and the steady one since: it takes no part in clock
 // steps.
@@ -106,10 +106,10 @@
 
 class XdsServer::Impl {
   public:
-    Impl(std::mutex& mutex, const Terms& terms, const std::vector<std::string>& verticals,
-         const ControlTerms& control, Nanos connect_timeout, std::uint64_t seed, std::uint64_t epoch)
+    Impl(std::mutex& mutex, const RouterConfig& config, const std::vector<std::string>& query_classes,
+         const ControlConfig& control, Nanos connect_timeout, std::uint64_t seed, std::uint64_t epoch)
         : mutex_(mutex), encoder_(connect_timeout),
-          controller_(terms, verticals, control, encoder_, seed, epoch), service_(*this) {}
+          controller_(config, query_classes, control, encoder_, seed, epoch), service_(*this) {}
 
     class Stream;
 
@@ -314,10 +314,10 @@
     impl_->wake_.notify_one();
 }
 
-XdsServer::XdsServer(const Terms& terms, const std::vector<std::string>& verticals,
-                     const ControlTerms& control, Nanos connect_timeout, std::uint64_t seed,
+XdsServer::XdsServer(const RouterConfig& config, const std::vector<std::string>& query_classes,
+                     const ControlConfig& control, Nanos connect_timeout, std::uint64_t seed,
                      std::uint64_t epoch)
-    : impl_(std::make_unique<Impl>(mutex_, terms, verticals, control, connect_timeout, seed, epoch)) {}
+    : impl_(std::make_unique<Impl>(mutex_, config, query_classes, control, connect_timeout, seed, epoch)) {}
 
 XdsServer::~XdsServer() { stop(); }
 
@@ -325,7 +325,7 @@
     grpc::ServerBuilder builder;
     int port = 0;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &port);
-    builder.SetMaxReceiveMessageSize(longest_message);
+    builder.SetMaxReceiveMessageSize(max_message);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, 10'000);
     builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, 5'000);
--- a/src/xds/server.hpp
+++ b/src/xds/server.hpp
@@ -12,8 +12,8 @@
 
 class XdsServer {
   public:
-    XdsServer(const Terms& terms, const std::vector<std::string>& verticals, const ControlTerms& control,
-              Nanos connect_timeout, std::uint64_t seed, std::uint64_t epoch);
+    XdsServer(const RouterConfig& config, const std::vector<std::string>& query_classes,
+              const ControlConfig& control, Nanos connect_timeout, std::uint64_t seed, std::uint64_t epoch);
     ~XdsServer();
 
     // Listens from here on; throws std::runtime_error where the address can't be had. Gives the port.
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -57,7 +57,7 @@
 
 TEST_CASE("capacity: what follows from the letter's size") {
     const Load l(our_size());
-    CHECK(l.leaf_calls == Approx(148e6));
+    CHECK(l.attempts == Approx(148e6));
     CHECK(l.router_queries == Approx(555.6).epsilon(1e-3));
     CHECK(l.router_calls == Approx(41'111).epsilon(1e-3));
     CHECK(l.node_calls == Approx(1827.2).epsilon(1e-3));
--- a/tests/change_words_test.cpp
+++ b/tests/change_messages_test.cpp
@@ -1,5 +1,5 @@
 // What is said of changes on the wire, on bytes alone: round trips, bounds, and noise refused with words.
-#include "wire/change_words.hpp"
+#include "wire/change_messages.hpp"
 
 #include <catch2/catch.hpp>
 #include <random>
@@ -19,7 +19,7 @@
 
 RelayCall relay() {
     RelayCall call;
-    call.word.relay = "relay-a1", call.word.zone = "a", call.word.life = 9, call.word.number = 3;
+    call.word.relay = "relay-a1", call.word.zone = "a", call.word.incarnation = 9, call.word.number = 3;
     call.word.whole = true;
     call.word.joined = {{"r1", 7, 1000 * ms, 41, 0, ""}, {"r2", 1, 0, 0, 0, ""}};
     call.word.left = {{"r3", 5}};
@@ -62,7 +62,7 @@
     CHECK_FALSE(read->leaves);
     same(read->watched, call.watched);
     call = {};
-    call.word.name = "r", call.word.life = 1, call.leaves = true;
+    call.word.name = "r", call.word.incarnation = 1, call.leaves = true;
     call.watched.wants_pages = true;  // from the first key
     read = read_follower_call(write_follower_call(call), wrong);
     REQUIRE(read);
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "changes/change_state.hpp"
-#include "changes/gather.hpp"
+#include "changes/report_aggregator.hpp"
 
 using namespace tealcart::changes;
 
@@ -23,14 +23,14 @@
     };
     struct Who {
         std::string name;
-        std::uint64_t life = 0, stated = 0, refused = 0, told = 0;
+        std::uint64_t incarnation = 0, stated = 0, refused = 0, told = 0;
         Nanos serve_on = 0, bound = before_all, ended = before_all;
         bool left = false;
         std::vector<Has> has;
     };
     struct Relay {
         std::string name;
-        std::uint64_t life = 0, number = 0, lowest = 0;
+        std::uint64_t incarnation = 0, number = 0, lowest = 0;
         Nanos lease = before_all;
         bool live = false;
     };
@@ -59,7 +59,7 @@
             if (r.name == name) return &r;
         return nullptr;
     }
-    std::uint64_t acts_on(const Who& w) {
+    std::uint64_t applied_version(const Who& w) {
         std::uint64_t most = w.stated;
         for (const Has& h : w.has)
             if (!h.exception) most = std::max(most, relay(h.relay)->lowest);
@@ -74,7 +74,7 @@
     }
     // The relay has the member no more.
     void drop(Who& w, const std::string& r) {
-        w.stated = acts_on(w);
+        w.stated = applied_version(w);
         const std::size_t had = w.has.size();
         std::erase_if(w.has, [&](const Has& h) { return h.relay == r; });
         if (had > 0 && !w.has.empty() && !named(w)) w.refused = 0;
@@ -90,7 +90,7 @@
     // A refusal of one that several relays have, or none, ends by itself once it acts on the version.
     void mend_refusals() {
         for (Who& w : members)
-            if (lives(w) && w.has.size() != 1 && w.refused <= acts_on(w)) w.refused = 0;
+            if (lives(w) && w.has.size() != 1 && w.refused <= applied_version(w)) w.refused = 0;
     }
 
     void pass(Nanos at) {
@@ -127,34 +127,34 @@
             relays, [&](const Relay& r) { return !r.live && now > r.lease + limits.forget + limits.drift; });
     }
 
-    std::string fault(const RelayWord& w) {
+    std::string fault(const RelayReport& w) {
         const Relay* r = relay(w.relay);
         if (r == nullptr) return w.whole ? "" : "it is not known: all is to be said";
-        if (w.life < r->life) return "an earlier life";
-        if (w.life == r->life && w.number <= r->number) return "overtaken";
+        if (w.incarnation < r->incarnation) return "an earlier life";
+        if (w.incarnation == r->incarnation && w.number <= r->number) return "overtaken";
         if (w.whole) return "";
-        if (w.life > r->life) return "a new life: all is to be said";
+        if (w.incarnation > r->incarnation) return "a new life: all is to be said";
         return r->live ? "" : "its lease was over: all is to be said";
     }
-    void take(const RelayWord& w) {
+    void take(const RelayReport& w) {
         if (const std::string why = fault(w); !why.empty())
             return effects.push_back({Effect::stale, version(), why, {w.relay}});
         Relay* r = relay(w.relay);
-        if (r == nullptr) r = &relays.emplace_back(Relay{w.relay, w.life});
+        if (r == nullptr) r = &relays.emplace_back(Relay{w.relay, w.incarnation});
         if (w.whole) drop_all(*r);
-        if (!r->live || r->life != w.life) r->lease = before_all;
-        r->life = w.life, r->number = w.number, r->live = true;
+        if (!r->live || r->incarnation != w.incarnation) r->lease = before_all;
+        r->incarnation = w.incarnation, r->number = w.number, r->live = true;
         r->lease = std::max(r->lease, now + limits.lease);
-        for (const auto& [name, life] : w.left) {
+        for (const auto& [name, incarnation] : w.left) {
             Who* m = member(name);
-            if (m == nullptr || m->life != life || m->left) continue;
-            m->stated = acts_on(*m);
+            if (m == nullptr || m->incarnation != incarnation || m->left) continue;
+            m->stated = applied_version(*m);
             m->has.clear();
             m->left = true, m->refused = 0, m->ended = now;
         }
-        for (const auto& [name, life] : w.lost) {
+        for (const auto& [name, incarnation] : w.lost) {
             Who* m = member(name);
-            if (m == nullptr || m->life != life) continue;
+            if (m == nullptr || m->incarnation != incarnation) continue;
             if (std::none_of(m->has.begin(), m->has.end(), [&](const Has& h) { return h.relay == w.relay; }))
                 continue;
             drop(*m, w.relay);
@@ -162,32 +162,32 @@
         }
         r->lowest = agreed(w.lowest);
         mend_refusals();
-        for (const MemberWord& j : w.joined) {
+        for (const MemberReport& j : w.joined) {
             Who* m = member(j.name);
-            if (m != nullptr && j.life < m->life) {
+            if (m != nullptr && j.incarnation < m->incarnation) {
                 effects.push_back({Effect::stale, version(), "an earlier life", {j.name}});
                 continue;
             }
             if (m == nullptr) m = &members.emplace_back();
-            if (j.life > m->life) *m = Who{};
-            m->name = j.name, m->life = j.life, m->left = false, m->serve_on = j.serve_on;
-            m->stated = std::max(m->stated, agreed(j.acts_on));
+            if (j.incarnation > m->incarnation) *m = Who{};
+            m->name = j.name, m->incarnation = j.incarnation, m->left = false, m->serve_on = j.serve_on;
+            m->stated = std::max(m->stated, agreed(j.applied_version));
             if (std::none_of(m->has.begin(), m->has.end(), [&](const Has& h) { return h.relay == w.relay; }))
                 m->has.push_back({w.relay, false});
             if (!named(*m)) m->refused = 0;
             mend_refusals();
         }
         std::set<std::string> listed;
-        for (const MemberWord& e : w.exceptions) {
+        for (const MemberReport& e : w.exceptions) {
             Who* m = member(e.name);
-            if (m == nullptr || m->life != e.life) continue;
+            if (m == nullptr || m->incarnation != e.incarnation) continue;
             const auto has =
                 std::find_if(m->has.begin(), m->has.end(), [&](const Has& h) { return h.relay == w.relay; });
             if (has == m->has.end()) continue;
             has->exception = true;
             listed.insert(e.name);
-            m->stated = std::max(m->stated, agreed(e.acts_on));
-            m->refused = agreed(e.refused) > acts_on(*m) ? e.refused : 0;
+            m->stated = std::max(m->stated, agreed(e.applied_version));
+            m->refused = agreed(e.refused) > applied_version(*m) ? e.refused : 0;
             if (m->refused > m->told) {
                 m->told = m->refused;
                 effects.push_back({Effect::member_refuses, m->refused, e.why, {e.name}});
@@ -220,8 +220,8 @@
         for (const std::string& key : c.removed) next.erase(key);
         make(next);
     }
-    void on(const GoBack& c) {
-        if (c.to == 0 || c.to > version() || c.to + limits.most_kept <= version())
+    void on(const Rollback& c) {
+        if (c.to == 0 || c.to > version() || c.to + limits.max_kept <= version())
             return refuse("version " + std::to_string(c.to) + " is not kept");
         make(Document(versions[c.to]));
     }
@@ -230,8 +230,8 @@
         halted_for.clear();
         effects.push_back({Effect::resumed, version(), "", {}});
     }
-    void on(const Words& c) {
-        for (const RelayWord& w : c.words) take(w);
+    void on(const ReportBatch& c) {
+        for (const RelayReport& w : c.words) take(w);
     }
     void on(const Forget& c) {
         const Who* m = member(c.name);
@@ -240,7 +240,7 @@
         std::erase_if(members, [&](const Who& w) { return w.name == c.name; });
         effects.push_back({Effect::forgotten, version(), "", {c.name}});
     }
-    void on(const Allow& c) {
+    void on(const SetLimits& c) {
         limits = c.limits;
         std::vector<Effect> kept = effects;
         const Nanos at = now;
@@ -262,7 +262,7 @@
             if (!lives(w)) continue;
             ++live;
             refusing += w.refused > 0 && w.refused == version();
-            least = std::min(least, acts_on(w));
+            least = std::min(least, applied_version(w));
         }
         if (tripped != version() && refusing > 0 && refusing >= limits.halt_refused_least &&
             static_cast<double>(refusing) > limits.halt_refused * static_cast<double>(live)) {
@@ -288,41 +288,42 @@
     Limits l;
     l.lease = 12 * second, l.drift = second, l.forget = 30 * second;
     l.halt_refused = 0.2, l.halt_refused_least = 1;
-    l.most_kept = 6;
+    l.max_kept = 6;
     return l;
 }
 
 using Random = std::knuth_b;
 int below(Random& random, int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); }
 
-// Words that no Gather would say are among them: what is stated need not fit together.
+// ReportBatch that no ReportAggregator would say are among them: what is stated need not fit together.
 struct Generator {
     explicit Generator(std::uint64_t seed) : random(seed) {}
 
-    MemberWord member_word(std::uint64_t version) {
-        MemberWord w{"m" + std::to_string(below(random, 9)), 1, below(random, 4) * 10 * second, 0, 0, ""};
-        std::uint64_t& life = lives[w.name];
-        if (life == 0 || below(random, 12) == 0) ++life;
-        w.life = below(random, 10) == 0 && life > 1 ? life - 1 : life;
-        w.acts_on = version - std::min<std::uint64_t>(version, static_cast<std::uint64_t>(below(random, 4)));
-        if (below(random, 25) == 0) w.acts_on = version + 3;
+    MemberReport member_word(std::uint64_t version) {
+        MemberReport w{"m" + std::to_string(below(random, 9)), 1, below(random, 4) * 10 * second, 0, 0, ""};
+        std::uint64_t& incarnation = lives[w.name];
+        if (incarnation == 0 || below(random, 12) == 0) ++incarnation;
+        w.incarnation = below(random, 10) == 0 && incarnation > 1 ? incarnation - 1 : incarnation;
+        w.applied_version =
+            version - std::min<std::uint64_t>(version, static_cast<std::uint64_t>(below(random, 4)));
+        if (below(random, 25) == 0) w.applied_version = version + 3;
         if (below(random, 3) == 0) w.refused = version, w.why = "no";
         return w;
     }
-    RelayWord relay_word(std::uint64_t version) {
-        RelayWord w;
+    RelayReport relay_word(std::uint64_t version) {
+        RelayReport w;
         // At any time one of them is silent.
         w.relay = "r" + std::to_string((now / (40 * second) + 1 + below(random, 3)) % 4);
         w.zone = "z";
-        auto& [life, number, first] = relays[w.relay];
-        if (life == 0 || below(random, 25) == 0) ++life, number = 0, first = true;
-        w.life = life;
+        auto& [incarnation, number, first] = relays[w.relay];
+        if (incarnation == 0 || below(random, 25) == 0) ++incarnation, number = 0, first = true;
+        w.incarnation = incarnation;
         w.number = below(random, 12) == 0 ? number : ++number;
         w.whole = std::exchange(first, false) || below(random, 8) == 0;
         for (int i = below(random, 4); i > 0; --i) w.joined.push_back(member_word(version));
         for (int i = below(random, 2); i > 0; --i) {
-            const MemberWord m = member_word(version);
-            (below(random, 3) == 0 ? w.left : w.lost).emplace_back(m.name, m.life);
+            const MemberReport m = member_word(version);
+            (below(random, 3) == 0 ? w.left : w.lost).emplace_back(m.name, m.incarnation);
         }
         const auto behind = static_cast<std::uint64_t>(below(random, 3));
         w.lowest = version - std::min(version, behind);
@@ -346,7 +347,7 @@
                 break;
             }
             case 2:
-                c.what = GoBack{"bob", static_cast<std::uint64_t>(below(random, static_cast<int>(v) + 2))};
+                c.what = Rollback{"bob", static_cast<std::uint64_t>(below(random, static_cast<int>(v) + 2))};
                 break;
             case 3:
                 c.what = Resume{};
@@ -360,7 +361,7 @@
                 l.drift = (1 + below(random, 3)) * second;
                 l.lease = (10 + below(random, 4)) * second;
                 l.forget = (20 + below(random, 20)) * second;
-                c.what = Allow{l};
+                c.what = SetLimits{l};
                 break;
             }
             case 6:
@@ -374,7 +375,7 @@
                 c.at = now;
                 break;
             default: {
-                Words words;
+                ReportBatch words;
                 for (int i = 1 + below(random, 2); i > 0; --i) words.words.push_back(relay_word(v));
                 c.what = std::move(words);
             }
@@ -383,7 +384,7 @@
     }
 
     struct Of {
-        std::uint64_t life = 0, number = 0;
+        std::uint64_t incarnation = 0, number = 0;
         bool first = true;
     };
     Random random;
@@ -400,11 +401,11 @@
     REQUIRE(state.digest() == digest_of(plain.versions.back()));
     REQUIRE(state.members() == plain.members.size());
     for (const std::uint64_t v : {state.version(), state.in_force(), state.in_force() + 1}) {
-        Reach want;
+        RolloutProgress want;
         for (Plain::Who& w : plain.members) {
-            const std::uint64_t acts = plain.acts_on(w);
+            const std::uint64_t acts = plain.applied_version(w);
             if (!plain.lives(w)) {
-                if (acts < v && plain.may_act(w)) want.unheard.push_back(w.name);
+                if (acts < v && plain.may_act(w)) want.unacknowledged.push_back(w.name);
                 continue;
             }
             ++want.live;
@@ -412,19 +413,19 @@
             if (acts < v) want.behind.push_back(w.name);
             if (w.refused > 0) want.refusing.push_back(w.name);
         }
-        const Reach is = state.reach(v, 100);
+        const RolloutProgress is = state.reach(v, 100);
         REQUIRE(is.live == want.live);
         REQUIRE(is.acting == want.acting);
-        for (auto* list : {&want.behind, &want.refusing, &want.unheard})
+        for (auto* list : {&want.behind, &want.refusing, &want.unacknowledged})
             std::sort(list->begin(), list->end());
         REQUIRE(is.behind == want.behind);
         REQUIRE(is.refusing == want.refusing);
-        REQUIRE(is.unheard == want.unheard);
+        REQUIRE(is.unacknowledged == want.unacknowledged);
     }
     // What leads from each version to the latest, as far as it is kept.
     for (std::uint64_t v = 0; v <= state.version(); ++v) {
         const auto delta = state.since(v);
-        REQUIRE(delta.has_value() == (v + state.limits().most_kept >= state.version()));
+        REQUIRE(delta.has_value() == (v + state.limits().max_kept >= state.version()));
         if (!delta) continue;
         Document document = plain.versions[v];
         for (const auto& [key, value] : delta->set) document[key] = value;
@@ -482,7 +483,7 @@
 
 namespace {
 
-// Relays, members and stewards on a virtual clock. Every message may be late, lost, or come twice; each
+// Relays, members and managers on a virtual clock. Every message may be late, lost, or come twice; each
 // process has a clock of its own that runs up to 3% wrong, which with the leases here stays below `drift`.
 struct World {
     static constexpr Nanos step = 100'000'000, lease = 10 * second, drift = second, serve_on = 4 * second;
@@ -490,8 +491,8 @@
 
     struct RelayAt {
         std::string name;
-        std::uint64_t life = 0, knows = 0;  // the version
-        std::optional<Gather> gather;       // none: it is down
+        std::uint64_t incarnation = 0, knows = 0;  // the version
+        std::optional<ReportAggregator> gather;    // none: it is down
         double rate = 1;
         Nanos cut_until = 0, says_at = 0;
         Nanos clock(Nanos now) const { return static_cast<Nanos>(static_cast<double>(now) * rate); }
@@ -499,14 +500,15 @@
     struct MemberAt {
         std::string name;
         bool runs = false;
-        std::uint64_t life = 0, acts_on = 0, refused = 0, turn = 0;
+        std::uint64_t incarnation = 0, applied_version = 0, refused = 0, turn = 0;
         int relay = 0;
         double rate = 1;
         Nanos lease_until = before_all, paused_until = 0, says_at = 0, heard_at = 0, comes_at = 0;
         bool had_lease = false;
         Nanos clock(Nanos now) const { return static_cast<Nanos>(static_cast<double>(now) * rate); }
-        MemberWord word() const {
-            return {name, life, serve_on, acts_on, refused > acts_on ? refused : 0, "no"};
+        MemberReport word() const {
+            return {name, incarnation, serve_on, applied_version, refused > applied_version ? refused : 0,
+                    "no"};
         }
     };
 
@@ -525,12 +527,12 @@
 
     double some_rate() { return 0.97 + 0.06 * below(random, 1001) / 1000.0; }
     void start(RelayAt& r) {
-        r.gather.emplace(r.name, "z", ++r.life, 6, 2);
+        r.gather.emplace(r.name, "z", ++r.incarnation, 6, 2);
         r.rate = some_rate();
         r.knows = 0;
     }
     void start(MemberAt& m) {
-        m = {m.name, true, m.life + 1};
+        m = {m.name, true, m.incarnation + 1};
         m.rate = some_rate();
         m.relay = below(random, all_relays);
         m.turn = ++turns;
@@ -561,26 +563,26 @@
                     to.lease_until = std::max(to.lease_until, sent + grant);
                     to.had_lease = true;
                 }
-                if (latest <= to.acts_on || to.refused == latest) return;
+                if (latest <= to.applied_version || to.refused == latest) return;
                 if (faults && below(random, 25) == 0)
                     to.refused = latest;
                 else if (below(random, 3) != 0)
-                    to.acts_on = latest;
+                    to.applied_version = latest;
             });
         });
     }
     void relay_says(RelayAt& r) {
         r.says_at = now + (5 + below(random, 10)) * step;
-        const RelayWord word = r.gather->word(r.clock(now), drift);
+        const RelayReport word = r.gather->word(r.clock(now), drift);
         if (r.cut_until > now) return;
         const auto at = static_cast<std::size_t>(&r - relays.data());
-        send([this, at, word, sent = r.clock(now), life = r.life] {
+        send([this, at, word, sent = r.clock(now), incarnation = r.incarnation] {
             if (no_leader_until > now) return;
-            apply(Words{{word}});
-            const std::uint64_t last = state.last_number(word.relay, life);
-            send([this, at, life, number = word.number, last, sent, latest = state.version()] {
+            apply(ReportBatch{{word}});
+            const std::uint64_t last = state.last_number(word.relay, incarnation);
+            send([this, at, incarnation, number = word.number, last, sent, latest = state.version()] {
                 RelayAt& to = relays[at];
-                if (!to.gather || to.life != life || to.cut_until > now) return;
+                if (!to.gather || to.incarnation != incarnation || to.cut_until > now) return;
                 if (last >= number)
                     to.gather->taken(number, sent, lease);
                 else
@@ -597,8 +599,8 @@
             if (e.kind != Effect::in_force) continue;
             ++in_force, named += e.names.size();
             for (const MemberAt& m : members) {
-                if (!m.runs || m.acts_on >= e.version || !m.had_lease) continue;
-                CAPTURE(m.name, e.version, m.acts_on);
+                if (!m.runs || m.applied_version >= e.version || !m.had_lease) continue;
+                CAPTURE(m.name, e.version, m.applied_version);
                 REQUIRE(m.clock(now) > m.lease_until);
                 const bool may_act = m.clock(now) <= m.lease_until + serve_on;
                 REQUIRE((!may_act || std::binary_search(e.names.begin(), e.names.end(), m.name)));
@@ -633,8 +635,8 @@
             else
                 apply(Tick{});
         }
-        // Who holds a lease by its own clock lives, as the stewards see it.
-        const Reach reach = state.reach(UINT64_MAX, 1000);
+        // Who holds a lease by its own clock lives, as the managers see it.
+        const RolloutProgress reach = state.reach(UINT64_MAX, 1000);
         for (const MemberAt& m : members) {
             if (!m.runs || m.clock(now) > m.lease_until) continue;
             CAPTURE(m.name);
@@ -665,8 +667,9 @@
                 m.runs = false;
                 m.comes_at = now + below(random, 100) * step;
                 if (below(random, 2) == 0)
-                    send([this, at = static_cast<std::size_t>(m.relay), name = m.name, life = m.life] {
-                        if (relays[at].gather) relays[at].gather->left(name, life);
+                    send([this, at = static_cast<std::size_t>(m.relay), name = m.name,
+                          incarnation = m.incarnation] {
+                        if (relays[at].gather) relays[at].gather->left(name, incarnation);
                     });
             }
         }
