--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "changes/change_state.hpp"
-#include "changes/gather.hpp"
+#include "changes/report_aggregator.hpp"
 
 using namespace tealcart::changes;
 
@@ -29,13 +29,14 @@
     std::vector<Effect> set(const std::string& key, const std::string& value) {
         return tell(Publish{"ann", {{key, value}}, {}, {}});
     }
-    std::vector<Effect> says(RelayWord word) { return tell(Words{{std::move(word)}}); }
+    std::vector<Effect> says(RelayReport word) { return tell(ReportBatch{{std::move(word)}}); }
     // The next word of a relay, of all its members.
-    RelayWord word(const std::string& relay, std::uint64_t lowest, std::vector<MemberWord> exceptions = {}) {
+    RelayReport word(const std::string& relay, std::uint64_t lowest,
+                     std::vector<MemberReport> exceptions = {}) {
         return {relay, "z", 1, ++numbers[relay], false, {}, {}, {}, lowest, std::move(exceptions)};
     }
-    RelayWord first(const std::string& relay, std::vector<MemberWord> joined, std::uint64_t lowest = 0) {
-        RelayWord w = word(relay, lowest);
+    RelayReport first(const std::string& relay, std::vector<MemberReport> joined, std::uint64_t lowest = 0) {
+        RelayReport w = word(relay, lowest);
         w.whole = true;
         w.joined = std::move(joined);
         return w;
@@ -56,11 +57,12 @@
     ChangeState state;
 };
 
-MemberWord member(const std::string& name, std::uint64_t acts_on = 0, std::uint64_t life = 1) {
-    return {name, life, 3600 * second, acts_on, 0, ""};
+MemberReport member(const std::string& name, std::uint64_t applied_version = 0,
+                    std::uint64_t incarnation = 1) {
+    return {name, incarnation, 3600 * second, applied_version, 0, ""};
 }
-MemberWord refuses(const std::string& name, std::uint64_t acts_on, std::uint64_t version) {
-    return {name, 1, 3600 * second, acts_on, version, "it can't"};
+MemberReport refuses(const std::string& name, std::uint64_t applied_version, std::uint64_t version) {
+    return {name, 1, 3600 * second, applied_version, version, "it can't"};
 }
 
 using Kinds = std::vector<Effect::Kind>;
@@ -133,12 +135,13 @@
     c.now += 1;
     CHECK(c.tell(Tick{}) ==
           std::vector<Effect>{{Effect::over, 1, "", {"r2"}}, {Effect::in_force, 1, "", {"m2"}}});
-    CHECK(c.state.reach(1, 10).unheard == Names{"m2"});
-    // Its relay is back, of the same life: it must say all, since nobody knows what it granted in between.
+    CHECK(c.state.reach(1, 10).unacknowledged == Names{"m2"});
+    // Its relay is back, of the same incarnation: it must say all, since nobody knows what it granted in
+    // between.
     CHECK(kinds(c.says(c.word("r2", 1))) == Kinds{Effect::stale});
     CHECK(c.state.last_number("r2", 1) == 0);
     CHECK(c.says(c.first("r2", {member("m2", 1)}, 1)).empty());
-    CHECK(c.state.reach(1, 10).unheard.empty());
+    CHECK(c.state.reach(1, 10).unacknowledged.empty());
 }
 
 TEST_CASE("a refusal is told once, too many halt, and the way back stays open") {
@@ -155,7 +158,7 @@
     CHECK(kinds(halted) == Kinds{Effect::member_refuses, Effect::halted});
     CHECK(halted[1].why == "2 of 4 members refuse version 2");
     CHECK(kinds(c.set("b", "1")) == Kinds{Effect::refused});
-    CHECK(kinds(c.tell(GoBack{"ann", 1})) == Kinds{Effect::published});
+    CHECK(kinds(c.tell(Rollback{"ann", 1})) == Kinds{Effect::published});
     CHECK(c.state.version() == 3);
     CHECK(c.state.document() == Document{{"a", "1"}});
     CHECK(c.state.halted());
@@ -170,20 +173,20 @@
     Changes c;
     c.says(c.first("r1", {member("m1"), member("m2")}));
     c.set("a", "1");
-    RelayWord again = c.first("r1", {member("m1", 1)}, 1);
-    again.life = 2, again.number = 1;
-    RelayWord not_whole = again;
+    RelayReport again = c.first("r1", {member("m1", 1)}, 1);
+    again.incarnation = 2, again.number = 1;
+    RelayReport not_whole = again;
     not_whole.whole = false;
     CHECK(kinds(c.says(not_whole)) == Kinds{Effect::stale});
     CHECK(c.says(again).empty());
     CHECK(c.state.knows_later_life("r1", 1));
     CHECK(c.state.last_number("r1", 2) == 1);
-    CHECK(kinds(c.says(c.word("r1", 1))) == Kinds{Effect::stale});  // of the life before
+    CHECK(kinds(c.says(c.word("r1", 1))) == Kinds{Effect::stale});  // of the incarnation before
     CHECK(c.state.reach(1, 9).behind == Names{"m2"});
-    // m2 does not come back: for a lease and its drift from the old life's last word it may go on.
+    // m2 does not come back: for a lease and its drift from the old incarnation's last word it may go on.
     for (int i = 0; i < 11; ++i) {
         again = c.word("r1", 1);
-        again.life = 2;
+        again.incarnation = 2;
         c.now += second;
         CHECK(c.says(again).empty());
     }
@@ -195,7 +198,7 @@
     Changes c;
     c.says(c.first("r1", {member("m1")}));
     c.set("a", "1");
-    const RelayWord early = c.word("r1", 0), late = c.word("r1", 1);
+    const RelayReport early = c.word("r1", 0), late = c.word("r1", 1);
     CHECK(kinds(c.says(late)) == Kinds{Effect::in_force});
     c.pass(9 * second);
     CHECK(c.says(early) == std::vector<Effect>{{Effect::stale, 1, "overtaken", {"r1"}}});
@@ -208,24 +211,24 @@
     c.says(c.first("r1", {member("m1")}));
     c.says(c.first("r2", {member("m2")}));
     c.set("a", "1");
-    RelayWord joins = c.word("r2", 1);
+    RelayReport joins = c.word("r2", 1);
     joins.joined = {member("m1", 0)};
     joins.exceptions = {member("m1", 0)};
     CHECK(c.says(joins).empty());
     CHECK(c.state.reach(1, 9).behind == Names{"m1"});
     // The new one loses it; the first one has not.
-    RelayWord loses = c.word("r2", 1);
+    RelayReport loses = c.word("r2", 1);
     loses.lost = {{"m1", 1}};
     CHECK(c.says(loses).empty());
     CHECK(c.state.reach(1, 9).live == 2);
     loses = c.word("r1", 1);
-    loses.lost = {{"m1", 2}};  // of another life
+    loses.lost = {{"m1", 2}};  // of another incarnation
     loses.exceptions = {member("m1", 0)};
     CHECK(c.says(loses).empty());
     loses = c.word("r1", 1);
     loses.lost = {{"m1", 1}};
     CHECK(c.says(loses) == std::vector<Effect>{{Effect::in_force, 1, "", {"m1"}}});
-    CHECK(c.state.reach(1, 9).unheard == Names{"m1"});
+    CHECK(c.state.reach(1, 9).unacknowledged == Names{"m1"});
     // A version that either relay says of it is one that it acts on.
     joins = c.word("r1", 0);
     joins.joined = {member("m1", 0)};
@@ -242,23 +245,23 @@
     Changes c;
     c.says(c.first("r1", {member("m1"), member("m2")}));
     c.set("a", "1");
-    RelayWord w = c.word("r1", 1, {member("m1")});
+    RelayReport w = c.word("r1", 1, {member("m1")});
     w.left = {{"m1", 1}};
     CHECK(c.says(w) == std::vector<Effect>{{Effect::in_force, 1, "", {}}});
-    CHECK(c.state.reach(1, 9).unheard.empty());
+    CHECK(c.state.reach(1, 9).unacknowledged.empty());
     w = c.word("r1", 1, {member("m1", 0, 2)});
     w.joined = {member("m1", 0, 2)};
     CHECK(c.says(w).empty());
     CHECK(c.state.reach(1, 9).behind == Names{"m1"});
     CHECK(c.state.in_force() == 1);  // it was, of those that lived
-    RelayWord other = c.first("r2", {member("m1", 1, 1)}, 1);
+    RelayReport other = c.first("r2", {member("m1", 1, 1)}, 1);
     CHECK(c.says(other) == std::vector<Effect>{{Effect::stale, 1, "an earlier life", {"m1"}}});
     CHECK(c.state.reach(1, 9).behind == Names{"m1"});
     CHECK(kinds(c.tell(Forget{"m1"})) == Kinds{Effect::refused});
     w = c.word("r1", 1);
     w.lost = {{"m1", 2}};
     c.says(w);
-    CHECK(c.state.reach(1, 9).unheard == Names{"m1"});
+    CHECK(c.state.reach(1, 9).unacknowledged == Names{"m1"});
     CHECK(kinds(c.tell(Forget{"m1"})) == Kinds{Effect::forgotten});
     CHECK(c.state.members() == 1);
     CHECK(kinds(c.tell(Forget{"m1"})) == Kinds{Effect::refused});
@@ -281,7 +284,7 @@
     Nanos told_at = 0;
     for (int i = 0; i < 24; ++i) {
         c.now += second / 2;
-        for (const RelayWord& w : {c.word("r1", 1), c.word("r2", 1)})
+        for (const RelayReport& w : {c.word("r1", 1), c.word("r2", 1)})
             for (const Effect& e : c.says(w)) told.push_back(e.kind), told_at = c.now;
     }
     CHECK(told == Kinds{Effect::in_force});
@@ -299,7 +302,7 @@
 
 TEST_CASE("a version is gone back to as far as it is kept; versions never go backward nor skip") {
     Limits l = small_limits();
-    l.most_kept = 4;
+    l.max_kept = 4;
     Changes c(l);
     std::vector<Document> all{{}};
     for (int i = 1; i <= 6; ++i) {
@@ -307,11 +310,11 @@
             Publish{"ann", {{"k" + std::to_string(i % 3), std::to_string(i)}}, {i == 5 ? "k1" : "k9"}, {}});
         all.push_back(c.state.document());
     }
-    CHECK(kinds(c.tell(GoBack{"ann", 0})) == Kinds{Effect::refused});
-    CHECK(kinds(c.tell(GoBack{"ann", 2})) == Kinds{Effect::refused});
-    CHECK(kinds(c.tell(GoBack{"ann", 7})) == Kinds{Effect::refused});
-    CHECK(kinds(c.tell(GoBack{"ann", 6})) == Kinds{Effect::refused});  // nothing would change
-    CHECK(c.tell(GoBack{"ann", 3})[0] == Effect{Effect::published, 7, "", {}});
+    CHECK(kinds(c.tell(Rollback{"ann", 0})) == Kinds{Effect::refused});
+    CHECK(kinds(c.tell(Rollback{"ann", 2})) == Kinds{Effect::refused});
+    CHECK(kinds(c.tell(Rollback{"ann", 7})) == Kinds{Effect::refused});
+    CHECK(kinds(c.tell(Rollback{"ann", 6})) == Kinds{Effect::refused});  // nothing would change
+    CHECK(c.tell(Rollback{"ann", 3})[0] == Effect{Effect::published, 7, "", {}});
     CHECK(c.state.document() == all[3]);
     CHECK_FALSE(c.state.since(2).has_value());
     REQUIRE(c.state.since(3).has_value());
@@ -323,17 +326,17 @@
     CHECK(history[0].asker == "ann");
     CHECK(history[0].in_force);
     // Of long deltas fewer are kept, the latest always.
-    l.most_kept_bytes = 1;
-    c.tell(Allow{l});
+    l.max_kept_bytes = 1;
+    c.tell(SetLimits{l});
     CHECK(c.state.history(9).size() == 1);
-    CHECK(kinds(c.tell(GoBack{"ann", 5})) == Kinds{Effect::refused});
+    CHECK(kinds(c.tell(Rollback{"ann", 5})) == Kinds{Effect::refused});
 }
 
 TEST_CASE("too many members, relays or malformed names: the word is not taken") {
     Limits l = small_limits();
-    l.most_members = 2, l.most_relays = 1;
+    l.max_members = 2, l.max_relays = 1;
     Changes c(l);
-    const auto why = [&](const RelayWord& w) {
+    const auto why = [&](const RelayReport& w) {
         const auto effects = c.says(w);
         return effects.empty() ? std::string() : effects[0].why;
     };
@@ -376,7 +379,7 @@
     for (const int relays : {1, 12}) {
         Changes c;
         for (int r = 0; r < relays; ++r) {
-            std::vector<MemberWord> all;
+            std::vector<MemberReport> all;
             for (int m = 0; m < 300; ++m)
                 all.push_back(member("m" + std::to_string(r) + "-" + std::to_string(m)));
             c.says(c.first("r" + std::to_string(r), all));
@@ -405,7 +408,7 @@
         std::knuth_b random(seed);
         const auto below = [&](std::uint64_t n) { return random() % n; };
         Limits l = small_limits();
-        l.most_kept = 8;
+        l.max_kept = 8;
         Changes c(l);
         std::vector<Document> all{{}};
         Copy copy;
@@ -481,14 +484,14 @@
 }
 
 TEST_CASE("a relay grants what is left of its own lease, to members that the stewards know") {
-    Gather g("r1", "z", 1, 10, 2);
+    ReportAggregator g("r1", "z", 1, 10, 2);
     REQUIRE(g.heard(0, member("m1")));
     CHECK(g.grant(0, "m1") == 0);
-    const RelayWord first = g.word(0, second);
+    const RelayReport first = g.word(0, second);
     CHECK(first.whole);
     CHECK(first.joined.size() == 1);
     REQUIRE(g.heard(second, member("m2", 3)));
-    const RelayWord next = g.word(second, second);
+    const RelayReport next = g.word(second, second);
     CHECK(next.number == 2);
     CHECK(next.whole);
     CHECK(next.joined.size() == 2);
@@ -501,14 +504,14 @@
     CHECK(g.grant(5 * second, "m2") == 6 * second);
     CHECK(g.grant(11 * second, "m2") == 0);
     CHECK(g.grant(5 * second, "m3") == 0);
-    const RelayWord plain = g.word(6 * second, second);
+    const RelayReport plain = g.word(6 * second, second);
     CHECK_FALSE(plain.whole);
     CHECK(plain.joined.empty());
     CHECK(plain.number == 3);
-    // The stewards know nothing of it: all is said again, and nothing granted until they took it.
+    // The managers know nothing of it: all is said again, and nothing granted until they took it.
     g.say_all();
     CHECK(g.grant(6 * second, "m1") == 0);
-    const RelayWord all = g.word(6 * second, second);
+    const RelayReport all = g.word(6 * second, second);
     CHECK(all.whole);
     CHECK(all.joined.size() == 2);
     g.taken(3, 6 * second, 10 * second);
@@ -518,30 +521,30 @@
 }
 
 TEST_CASE("a relay says who is lost once what it granted and the drift are over, and who left") {
-    Gather g("r1", "z", 1, 3, 2);
+    ReportAggregator g("r1", "z", 1, 3, 2);
     for (const char* name : {"m1", "m2", "m3"}) REQUIRE(g.heard(0, member(name)));
     CHECK_FALSE(g.heard(0, member("m4")));
     g.taken(g.word(0, second).number, 0, 10 * second);
     for (const char* name : {"m1", "m2", "m3"}) CHECK(g.grant(second, name) == 9 * second);
     g.left("m3", 1);
     REQUIRE(g.heard(5 * second, member("m2")));
-    RelayWord w = g.word(11 * second, second);
+    RelayReport w = g.word(11 * second, second);
     CHECK(w.left == std::vector<std::pair<std::string, std::uint64_t>>{{"m3", 1}});
     CHECK(w.lost.empty());
     w = g.word(11 * second + 1, second);
     CHECK(w.lost == std::vector<std::pair<std::string, std::uint64_t>>{{"m1", 1}});
     CHECK(g.members() == 1);
-    // Back before the stewards took that: then it is not lost but joined.
+    // Back before the managers took that: then it is not lost but joined.
     REQUIRE(g.heard(12 * second, member("m1")));
-    const RelayWord back = g.word(12 * second, second);
+    const RelayReport back = g.word(12 * second, second);
     CHECK(back.lost.empty());
-    CHECK(back.joined == std::vector<MemberWord>{member("m1")});
+    CHECK(back.joined == std::vector<MemberReport>{member("m1")});
     g.taken(w.number, 11 * second, 10 * second);
     CHECK(g.grant(12 * second, "m1") == 0);
     g.taken(back.number, 12 * second, 10 * second);
     CHECK(g.grant(12 * second, "m1") > 0);
     CHECK(g.word(13 * second, second).left.empty());
-    // An earlier life says nothing, a later one is joined anew.
+    // An earlier incarnation says nothing, a later one is joined anew.
     CHECK(g.heard(13 * second, member("m1", 2, 2)));
     CHECK_FALSE(g.heard(13 * second, member("m1", 3, 1)));
     CHECK(g.grant(13 * second, "m1") == 0);
@@ -550,12 +553,12 @@
 }
 
 TEST_CASE("where there are more exceptions than are named, the lowest version holds for those that aren't") {
-    Gather g("r1", "z", 1, 100, 2);
+    ReportAggregator g("r1", "z", 1, 100, 2);
     CHECK(g.lowest() == 0);
     for (std::uint64_t i = 0; i < 6; ++i) REQUIRE(g.heard(0, member("m" + std::to_string(i), i < 4 ? i : 9)));
-    RelayWord w = g.word(0, second);
+    RelayReport w = g.word(0, second);
     CHECK(w.lowest == 2);
-    CHECK(w.exceptions == std::vector<MemberWord>{member("m0", 0), member("m1", 1)});
+    CHECK(w.exceptions == std::vector<MemberReport>{member("m0", 0), member("m1", 1)});
     REQUIRE(g.heard(0, member("m2", 9)));
     REQUIRE(g.heard(0, member("m3", 9)));
     CHECK(g.word(0, second).lowest == 9);
@@ -563,7 +566,7 @@
     REQUIRE(g.heard(0, member("m2", 4)));
     CHECK(g.word(0, second).lowest == 9);
     // Who refuses is named as far as there is room, also where no version is lower.
-    Gather all("r1", "z", 1, 100, 2);
+    ReportAggregator all("r1", "z", 1, 100, 2);
     for (int i = 0; i < 4; ++i) REQUIRE(all.heard(0, refuses("m" + std::to_string(i), 5, 6)));
     w = all.word(0, second);
     CHECK(w.lowest == 5);
@@ -574,7 +577,7 @@
     CHECK(cut("abc", 3) == "abc");
     CHECK(cut("a\xc3\xa4\xc3\xa4", 4) == "a\xc3\xa4");
     CHECK(cut("a\xc3\xa4\xc3\xa4", 3) == "a\xc3\xa4");
-    MemberWord w = refuses("m1", 0, 1);
+    MemberReport w = refuses("m1", 0, 1);
     w.why.clear();
     for (int i = 0; i < 200; ++i) w.why += "\xe2\x82\xac";
     Changes c;
@@ -583,7 +586,7 @@
     const auto told = c.says(c.word("r1", 1, {w}));
     REQUIRE(told.size() >= 1);
     CHECK(told[0].why.size() == 255);
-    Gather g("r1", "z", 1, 10, 2);
+    ReportAggregator g("r1", "z", 1, 10, 2);
     CHECK_FALSE(g.heard(0, member("")));
     CHECK_FALSE(g.heard(0, member(std::string(129, 'm'))));
     REQUIRE(g.heard(0, w));
--- a/tests/follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -8,11 +8,11 @@
 #include "helpers.hpp"
 #include "members/configuration.hpp"
 #include "service/service.hpp"
-#include "standin/client.hpp"
-#include "wire/change_words.hpp"
+#include "testing/client.hpp"
+#include "wire/change_messages.hpp"
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using changes::Document;
 using test::ms;
 using test::Peer;
@@ -20,10 +20,11 @@
 namespace {
 
 Configuration configuration_of(const std::string& file) {
-    const OperatorTerms operators = read_operator_terms(file, "f");
-    const Terms terms = read_terms(test::settings_text);
-    const auto verticals = read_link_terms(test::settings_text).verticals;
-    return {{operators.log, phases_by_vertical(operators, terms, verticals)}, terms, verticals};
+    const OperatorConfig operators = read_operator_config(file, "f");
+    const RouterConfig config = read_router_config(test::settings_text);
+    const auto query_classes = read_connection_config(test::settings_text).query_classes;
+    return {
+        {operators.log, two_phase_by_query_class(operators, config, query_classes)}, config, query_classes};
 }
 
 Configuration::Settings settings_of(const Configuration& c, const Document& document) {
@@ -50,7 +51,7 @@
     CHECK(with.log.form == LogForm::json);
     CHECK(with.phases[0].on);
     CHECK(with.phases[0].share == 0.5);
-    CHECK(with.phases[0].keep == PhaseTerms().keep);
+    CHECK(with.phases[0].keep == TwoPhaseConfig().keep);
     CHECK_FALSE(with.phases[1].on);
     CHECK(settings_of(c, {}).phases[0].keep == 7 * ms);
     CHECK(settings_of(configuration_of(""), {{"two_phase.part", ""}}).phases[0].on);
@@ -83,7 +84,7 @@
     CHECK(refusal_of(c, {{"log", "level = \"info\" } two_phase \"part\" {"}}).rfind("log:1:", 0) == 0);
     Document many;
     for (int i = 0; i < 1000; ++i) many["two_phase.v" + std::to_string(i)] = "";
-    CHECK(refusal_of(c, many).size() == Configuration::longest_why);
+    CHECK(refusal_of(c, many).size() == Configuration::max_why);
 }
 
 TEST_CASE("how many entries changed is counted against the version that was acted on before") {
@@ -105,7 +106,8 @@
     };
 
     explicit ScriptedRelay(boost::asio::io_context& context)
-        : io(context), door(std::make_unique<test::StandIn>(io, [this](Peer& peer) { on_bytes(peer); })) {}
+        : io(context),
+          door(std::make_unique<test::FakeDataNode>(io, [this](Peer& peer) { on_bytes(peer); })) {}
 
     void on_bytes(Peer& peer) {
         auto& reader = readers[&peer];
@@ -172,12 +174,13 @@
         door->close();
     }
     std::uint64_t version() const { return documents.size() - 1; }
-    bool heard(std::uint64_t acts_on, std::uint64_t refused = 0) const {
-        return !calls.empty() && calls.back().word.acts_on == acts_on && calls.back().word.refused == refused;
+    bool heard(std::uint64_t applied_version, std::uint64_t refused = 0) const {
+        return !calls.empty() && calls.back().word.applied_version == applied_version &&
+               calls.back().word.refused == refused;
     }
 
     boost::asio::io_context& io;
-    std::unique_ptr<test::StandIn> door;
+    std::unique_ptr<test::FakeDataNode> door;
     std::map<Peer*, std::unique_ptr<RequestReader>> readers;
     std::vector<Document> documents = {{}};
     std::vector<FollowerCall> calls;
@@ -221,7 +224,7 @@
         client = std::make_unique<Client>(io, service->port(),
                                           [this](Answered a) { answers.push_back(std::move(a)); });
     }
-    Launch launch() {
+    StartupConfig launch() {
         const std::string settings =
             R"({"extra":{"places":4,"ranges":8,"width":2,"floor_by_class":[0.4,1.0],"complete_from":[1.0,1.0],)"
             R"("parts_a_call":8},"limits":{"send_cap":3,"connect_timeout":250.0,"idle_close":30000.0,)"
@@ -232,12 +235,12 @@
             R"(,"services":[{"name":"part","promise":1400.0,"deadline":3000.0,"semantics":"repeatable",)"
             R"("late_worth":0.5},{"name":"keyed","promise":1400.0,"deadline":3000.0,"repeat_window":3000.0,)"
             R"("semantics":"by_key"}]})";
-        Launch made = read_launch(
+        StartupConfig made = read_startup_config(
             R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + fleet.discovery.address() +
             R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
             fleet.entries() + "]},\"settings\":" + settings + "}");
         made.listen.port = 0;
-        if (!operators.empty()) follow_operators(made, read_operator_terms(operators, "operators"));
+        if (!operators.empty()) follow_operators(made, read_operator_config(operators, "operators"));
         return made;
     }
     template <typename Happened>
@@ -263,7 +266,7 @@
     }
     Asking asking(int rows = 5) {
         Asking a;
-        a.vertical = "part";
+        a.query_class = "part";
         a.id = "q" + std::to_string(++asked);
         a.deadline_ms = 3000;
         a.find.terms = {"wanted"};
@@ -283,7 +286,7 @@
         until([&] { return peer->got.find("\r\n\r\n") != std::string::npos; });
         return peer->got.find(" 200 ") != std::string::npos;
     }
-    const Follower& follower() const { return *service->follower(); }
+    const ConfigFollower& follower() const { return *service->follower(); }
     const PhaseCounts& counts() const { return service->bridge().phase_counts(); }
 
     std::string operators, step_;
@@ -300,9 +303,9 @@
     World w(2);
     ScriptedRelay& relay = w.called();
     CHECK(relay.calls[0].word.name == "r");
-    CHECK(relay.calls[0].word.life > 0);
-    CHECK(relay.calls[0].word.acts_on == 0);
-    CHECK(relay.calls[0].word.serve_on == MemberTerms().serve_on);
+    CHECK(relay.calls[0].word.incarnation > 0);
+    CHECK(relay.calls[0].word.applied_version == 0);
+    CHECK(relay.calls[0].word.serve_on == MemberConfig().serve_on);
     w.ask(w.asking());
     CHECK(w.counts().queries == 0);
     relay.publish({{"log", "level = \"warn\""}, {"two_phase.part", "audit = 0"}});
@@ -336,11 +339,11 @@
     w.until([&] { return w.service->bridge().held() > held; });
     relay.publish({{"log", "level = \"info\""}});
     w.until([&] {
-        if (w.service->bridge().calls_out() == out) CHECK(w.follower().acts_on() == 0);
-        return w.follower().acts_on() == 1;
+        if (w.service->bridge().calls_out() == out) CHECK(w.follower().applied_version() == 0);
+        return w.follower().applied_version() == 1;
     });
     CHECK(w.service->bridge().calls_out() > out);
-    for (const FollowerCall& call : relay.calls) CHECK(call.word.acts_on == 0);
+    for (const FollowerCall& call : relay.calls) CHECK(call.word.applied_version == 0);
     w.until([&] { return relay.heard(1); });
 }
 
@@ -353,7 +356,7 @@
     w.until([&] { return w.fleet.work().words == 8; });
     SECTION("sections are audited from now on") {
         relay.publish({{"two_phase.part", "audit = 1"}});
-        w.until([&] { return w.follower().acts_on() == 2; });
+        w.until([&] { return w.follower().applied_version() == 2; });
         REQUIRE(w.answers.empty());
         w.until([&] { return !w.answers.empty(); });
         CHECK(w.answers[0].whole);
@@ -362,7 +365,7 @@
     }
     SECTION("there are no two phases from now on") {
         relay.publish({});
-        w.until([&] { return w.follower().acts_on() == 2; });
+        w.until([&] { return w.follower().applied_version() == 2; });
         REQUIRE(w.answers.empty());
         w.until([&] { return !w.answers.empty(); });
         CHECK(w.answers[0].whole);
@@ -383,7 +386,7 @@
     CHECK(relay.calls.back().word.why.find(
               "block calls holds at the start only; log:1:9: 'level' is none of") == 0);
     w.ask(w.asking());
-    CHECK(w.ask(w.asking()).pruned.sections > 0);  // no part of it was taken over
+    CHECK(w.ask(w.asking()).pruned.sections > 0);  // no part of it was applied
     CHECK(w.counts().queries == 2);
     CHECK(w.ready());
     SECTION("a further version with the old content is taken over") {
@@ -421,7 +424,7 @@
         const std::size_t before = relay.calls.size();
         w.run_for(std::chrono::milliseconds(1000));
         CHECK(relay.calls.size() - before <= 6);
-        CHECK(w.follower().acts_on() == 1);
+        CHECK(w.follower().applied_version() == 1);
         CHECK(w.follower().refused() == 0);
         relay.spoils_pages = false;
         w.until([&] { return relay.heard(2); });
@@ -433,15 +436,15 @@
     ScriptedRelay& first = w.called();
     ScriptedRelay& other = &first == w.relays[0].get() ? *w.relays[1] : *w.relays[0];
     other.documents = {{}, {{"log", "level = \"debug\""}}};
-    const std::uint64_t life = first.calls[0].word.life;
+    const std::uint64_t incarnation = first.calls[0].word.incarnation;
     for (const char* level : {"warn", "error", "info"})
         first.publish({{"log", std::string("level = \"") + level + "\""}});
     w.until([&] { return first.heard(3); });
     first.die();
     w.until([&] { return other.calls.size() >= 3; });
     for (const FollowerCall& call : other.calls) {
-        CHECK(call.word.life == life);
-        CHECK(call.word.acts_on == 3);
+        CHECK(call.word.incarnation == incarnation);
+        CHECK(call.word.applied_version == 3);
         CHECK(call.watched.knows == 3);
     }
     CHECK(w.ready());
@@ -460,7 +463,7 @@
     other.documents = first.documents;
     first.lease = 0;
     w.until([&] { return !other.calls.empty(); });
-    CHECK(other.calls[0].word.acts_on == 1);
+    CHECK(other.calls[0].word.applied_version == 1);
     const std::size_t before = first.calls.size();
     w.until([&] { return other.calls.size() >= 3; });
     CHECK(first.calls.size() == before);
@@ -483,7 +486,7 @@
     if (how != "is silent") relay.answer(relay.calls[0], *relay.door->peers[0]);
     if (how == "spoils") w.until([&] { return relay.calls.size() > 1; });  // and its pages are not answered
     const std::uint64_t version = how == "speaks" || how == "has no lease" ? 1 : 0;
-    w.until([&] { return w.follower().acts_on() == version; });
+    w.until([&] { return w.follower().applied_version() == version; });
     if (how == "speaks") {
         w.until([&] { return w.ready(); });
     } else {
@@ -491,7 +494,7 @@
         w.until([&] { return w.ready(); });
         CHECK(std::chrono::steady_clock::now() - began >= std::chrono::milliseconds(1400));
     }
-    CHECK(w.follower().acts_on() == version);
+    CHECK(w.follower().applied_version() == version);
 }
 
 TEST_CASE("asked to stop it says farewell, and waits for no relay that is silent") {
@@ -507,7 +510,7 @@
     while (w.service->turn()) REQUIRE(std::chrono::steady_clock::now() - began < std::chrono::seconds(20));
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(1500));
     CHECK(relay.calls.back().leaves);
-    CHECK(relay.calls.back().word.acts_on == 1);
+    CHECK(relay.calls.back().word.applied_version == 1);
 }
 
 TEST_CASE("a relay that knows a later life: at the start another is taken, later the router is cut off") {
@@ -517,17 +520,17 @@
     relay.mute = at_start;
     w.start();
     w.until([&] { return at_start ? !relay.calls.empty() : !relay.held.empty(); });
-    const std::uint64_t life = relay.calls[0].word.life;
+    const std::uint64_t incarnation = relay.calls[0].word.incarnation;
     const std::string body = R"({"life":9000000000000000000})";
     relay.mute = false;
     relay.door->peers[0]->send("HTTP/1.1 409 Conflict\r\nContent-Length: " + std::to_string(body.size()) +
                                "\r\n\r\n" + body);
     if (at_start) {
-        w.until([&] { return relay.calls.back().word.life == 9000000000000000001; });
+        w.until([&] { return relay.calls.back().word.incarnation == 9000000000000000001; });
         w.until([&] { return w.ready(); });
     } else {
         w.until([&] { return !w.ready(); });
-        CHECK(relay.calls.back().word.life == life);
+        CHECK(relay.calls.back().word.incarnation == incarnation);
         CHECK(w.ask(w.asking()).status == 503);
     }
 }
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -16,7 +16,7 @@
 constexpr Nanos s = 1000 * ms;
 constexpr Nanos start = 1'000'000 * s;
 
-ListedNode node(int n, std::uint32_t place, Availability a = Availability::ready, Nanos started = 0) {
+ListedNode node(int n, std::uint32_t place, Lifecycle a = Lifecycle::ready, Nanos started = 0) {
     return {"n" + std::to_string(n),
             "127.0.0.1:" + std::to_string(1000 + n),
             "z" + std::to_string(n % 2),
@@ -32,8 +32,8 @@
 
 const std::vector<std::string> names = {"part", "whole"};
 
-ControlTerms control_terms() {
-    ControlTerms c;
+ControlConfig control_config() {
+    ControlConfig c;
     c.on = true;
     c.node_limit = 10;
     return c;
@@ -50,7 +50,7 @@
 }  // namespace
 
 TEST_CASE("pools hold the holders of their shards; a drain is told at once and removed after its grace") {
-    Decider d(test::small_terms(), names, control_terms(), 1);
+    Decider d(test::small_config(), names, control_config(), 1);
     d.take(list_of(1, four()), start);
     Decisions made = d.decide(start);
     REQUIRE(made.pools.size() == 4);
@@ -58,7 +58,7 @@
     CHECK(find(made.pools[3], "n2") == nullptr);
     CHECK(made.pools[0].limit == 30);
     auto nodes = four();
-    nodes[1].availability = Availability::draining;
+    nodes[1].lifecycle = Lifecycle::draining;
     d.take(list_of(2, nodes), start + s);
     made = d.decide(start + s);
     REQUIRE(find(made.pools[1], "n1") != nullptr);
@@ -73,10 +73,10 @@
 }
 
 TEST_CASE("a node that drains, goes and returns within a second returns cold") {
-    Decider d(test::small_terms(), names, control_terms(), 1);
+    Decider d(test::small_config(), names, control_config(), 1);
     d.take(list_of(1, four()), start);
     auto nodes = four();
-    nodes[1].availability = Availability::draining;
+    nodes[1].lifecycle = Lifecycle::draining;
     d.take(list_of(2, nodes), start + 100 * ms);
     nodes.erase(nodes.begin() + 1);
     d.take(list_of(3, nodes), start + 300 * ms);
@@ -91,8 +91,8 @@
 }
 
 TEST_CASE("a cold node's weight and its part of the limit climb with its warmth, and never pass them") {
-    const Terms terms = test::small_terms();
-    Decider d(terms, names, control_terms(), 1);
+    const RouterConfig config = test::small_config();
+    Decider d(config, names, control_config(), 1);
     auto nodes = four();
     nodes[2].started_at = start;
     d.take(list_of(1, nodes), start);
@@ -101,22 +101,24 @@
         const Decisions made = d.decide(start + age);
         const PoolEndpoint* e = find(made.pools[2], "n2");
         REQUIRE(e != nullptr);
-        const double warm = std::min(1.0, terms.cold_from + (1 - terms.cold_from) * static_cast<double>(age) /
-                                                                static_cast<double>(terms.cold));
+        const double warm =
+            std::min(1.0, config.slow_start_min_fraction +
+                              (1 - config.slow_start_min_fraction) * static_cast<double>(age) /
+                                  static_cast<double>(config.slow_start_duration));
         CHECK(e->weight <= 100 * warm);
         CHECK(e->weight >= last);
         CHECK(made.pools[2].limit <= 20 + 10 * warm);
         last = e->weight;
-        if (age > terms.cold) CHECK(e->weight == 100);
-        if (age > terms.cold) CHECK(d.next_change() == INT64_MAX);
+        if (age > config.slow_start_duration) CHECK(e->weight == 100);
+        if (age > config.slow_start_duration) CHECK(d.next_change() == INT64_MAX);
     }
 }
 
 TEST_CASE("a list that loses most of the fleet at once is not believed for a while; drains in it are") {
-    Decider d(test::small_terms(), names, control_terms(), 1);
+    Decider d(test::small_config(), names, control_config(), 1);
     d.take(list_of(1, four()), start);
     auto nodes = four();
-    nodes[0].availability = Availability::draining;
+    nodes[0].lifecycle = Lifecycle::draining;
     nodes.resize(1);
     d.take(list_of(2, nodes), start + s);
     Decisions made = d.decide(start + s);
@@ -140,7 +142,7 @@
 }
 
 TEST_CASE("on silence decisions stand and their age is told; a clock that goes back changes nothing") {
-    Decider d(test::small_terms(), names, control_terms(), 1);
+    Decider d(test::small_config(), names, control_config(), 1);
     auto nodes = four();
     nodes[2].started_at = start;
     d.take(list_of(1, nodes), start + s);
@@ -151,14 +153,15 @@
 }
 
 TEST_CASE("what may run twice, and how long, is the module's word") {
-    Terms terms = test::small_terms(Effect::deduplicated);
-    terms.verticals[1].effect = Effect::side_effecting;
-    Decider d(terms, names, control_terms(), 1);
-    const auto routes = d.decide(start).verticals;
+    RouterConfig config = test::small_config(Effect::idempotent_with_key);
+    config.query_classes[1].effect = Effect::not_idempotent;
+    Decider d(config, names, control_config(), 1);
+    const auto routes = d.decide(start).query_classes;
     CHECK(routes[0].tries == 3);
-    CHECK((routes[0].try_for > 0 && routes[0].try_for < terms.verticals[0].repeat_window));
+    CHECK((routes[0].try_for > 0 && routes[0].try_for < config.query_classes[0].idempotency_window));
     CHECK(routes[1].tries == 1);
-    CHECK(Decider(test::small_terms(), names, control_terms(), 1).decide(start).verticals[0].try_for == 0);
+    CHECK(Decider(test::small_config(), names, control_config(), 1).decide(start).query_classes[0].try_for ==
+          0);
 }
 
 TEST_CASE("limits are divided so that what may be in use never passes a total that stands") {
@@ -218,7 +221,7 @@
                 REQUIRE(shares.in_use(pool) <= totals[pool]);
             }
         }
-        // Quiet: after each has been told and has acknowledged twice, all have their even parts.
+        // Quiet: after each has been told and has acknowledged twice, all have their even shard requests.
         for (int round = 0; round < 2; ++round) {
             now += s;
             shares.pass(now);
@@ -248,10 +251,10 @@
             text += e.id + "=" + std::to_string(e.weight) + (e.state == EndpointState::draining ? "d " : " ");
         return std::make_shared<XdsResource>(XdsResource{pool_name(pool), version, text, "", pool, 0});
     }
-    ResourcePtr listener(const VerticalRoute& of, const std::string& version) const override {
+    ResourcePtr listener(const QueryClassRoute& of, const std::string& version) const override {
         return std::make_shared<XdsResource>(XdsResource{of.name, version, "l" + of.name, "", 0, 0});
     }
-    ResourcePtr route(const VerticalRoute& of, std::size_t, const std::string& version) const override {
+    ResourcePtr route(const QueryClassRoute& of, std::size_t, const std::string& version) const override {
         return std::make_shared<XdsResource>(XdsResource{of.name, version, "r" + of.name, "", 0, 0});
     }
 };
@@ -271,12 +274,12 @@
 };
 
 struct Fleet {
-    explicit Fleet(std::uint64_t seed) : drawn(seed), controller(terms, names, control, encoder, seed, 77) {}
+    explicit Fleet(std::uint64_t seed) : drawn(seed), controller(config, names, control, encoder, seed, 77) {}
 
     std::mt19937_64 drawn;
-    const Terms terms = test::small_terms();
-    const ControlTerms control = [] {
-        ControlTerms c = control_terms();
+    const RouterConfig config = test::small_config();
+    const ControlConfig control = [] {
+        ControlConfig c = control_config();
         c.leave_grace = 200 * ms;
         return c;
     }();
@@ -373,8 +376,7 @@
         ListedNode& n = nodes[below(nodes.size())];
         switch (below(4)) {
             case 0:
-                n.availability =
-                    n.availability == Availability::ready ? Availability::draining : Availability::ready;
+                n.lifecycle = n.lifecycle == Lifecycle::ready ? Lifecycle::draining : Lifecycle::ready;
                 break;
             case 1:
                 n.started_at = now;
@@ -494,7 +496,7 @@
     const std::uint64_t messages = f.messages;
     f.quiet();
     CHECK(f.messages == messages);  // what was rejected is not sent over and over
-    f.nodes[2].availability = Availability::draining;
+    f.nodes[2].lifecycle = Lifecycle::draining;
     f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
     f.quiet();
     CHECK(held.held[1].size() == 4);
@@ -515,7 +517,7 @@
     f.check_limits();
     CHECK(f.proxies[0].held[0].at(pool_name(0))->limit == 15);
     CHECK(f.proxies[1].held[0].at(pool_name(0))->limit == 0);  // nothing says that the other goes by less
-    f.nodes[0].availability = Availability::draining;
+    f.nodes[0].lifecycle = Lifecycle::draining;
     f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
     f.quiet();
     CHECK(f.proxies[0].held[1].at(pool_name(0))->whole.find("n0") == std::string::npos);
@@ -564,7 +566,7 @@
     f.nodes[1].started_at = f.now;
     f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
     f.receive(p);  // the cold node; not yet acknowledged
-    f.nodes[0].availability = Availability::draining;
+    f.nodes[0].lifecycle = Lifecycle::draining;
     f.now -= 3600 * s;  // the clock is set back
     f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
     f.receive(p);
@@ -574,7 +576,7 @@
     f.receive(p);
     CHECK(drains());
     // Told with the acknowledgement lost: after the wait, by the clock as it goes on from where it was.
-    f.nodes[3].availability = Availability::draining;
+    f.nodes[3].lifecycle = Lifecycle::draining;
     p.mute = true;
     f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
     f.now += 3600 * s + 300 * ms;
@@ -606,7 +608,7 @@
     CHECK(hears(id, "", unknown) == Controller::Refusal::unknown_type);
     FromProxy many;
     many.type_url = type_url(XdsType::endpoint);
-    many.names.resize(ProxyStream::most_names + 1, "x");
+    many.names.resize(ProxyStream::max_names + 1, "x");
     CHECK(hears(id, "", many) == Controller::Refusal::too_many);
     // The same node on a new stream ends the old one.
     const auto again = f.controller.open(false, f.now);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -9,9 +9,9 @@
 #include "wire/discovery_watch.hpp"
 
 using namespace tealcart;
+using tealcart::test::FakeDataNode;
 using tealcart::test::ms;
 using tealcart::test::Peer;
-using tealcart::test::StandIn;
 
 namespace {
 
@@ -50,17 +50,17 @@
     ListBound bound{4096, "the test's"};
     boost::asio::io_context io{1};
     Nanos now = 1'000'000 * ms;
-    Timekeeper time{now};
+    EventClock time{now};
     std::uint64_t generation = 0;
     std::vector<std::pair<std::string, std::shared_ptr<Peer>>> heads;
     std::function<void(Peer&, std::size_t)> on_call;  // with its number, from 0
-    StandIn agent{io, [this](Peer& peer) {
-                      const auto end = peer.got.find("\r\n\r\n");
-                      if (end == std::string::npos) return;
-                      heads.emplace_back(peer.got.substr(0, end), peer.shared_from_this());
-                      peer.got.erase(0, end + 4);
-                      if (on_call) on_call(peer, heads.size() - 1);
-                  }};
+    FakeDataNode agent{io, [this](Peer& peer) {
+                           const auto end = peer.got.find("\r\n\r\n");
+                           if (end == std::string::npos) return;
+                           heads.emplace_back(peer.got.substr(0, end), peer.shared_from_this());
+                           peer.got.erase(0, end + 4);
+                           if (on_call) on_call(peer, heads.size() - 1);
+                       }};
     DiscoveryWatch watch{io, time, *this, *read_host_port(agent.address()), mode_, 4, seed_, bound};
 };
 
@@ -133,7 +133,7 @@
     "s") {
     enum Way { silent, reset, refused_status, garbage };
     const Way way = GENERATE(silent, reset, refused_status, garbage);
-    WatchRig rig(GENERATE(1U, 2U, 3U), Discovery::ask);
+    WatchRig rig(GENERATE(1U, 2U, 3U), Discovery::poll);
     Nanos answer_at = 0;
     std::shared_ptr<Peer> waiting;
     rig.on_call = [&](Peer& peer, std::size_t n) {
@@ -168,7 +168,7 @@
     constexpr std::size_t routers = 32;
     boost::asio::io_context io{1};
     Nanos now = 1'000'000 * ms;
-    Timekeeper time{now};
+    EventClock time{now};
     struct Told final : ListTaker {
         void on_list(const TargetList& list) override { generation = list.generation; }
         std::uint64_t generation = 0;
@@ -181,7 +181,7 @@
     std::deque<Due> line;
     Nanos busy_until = 0;
     std::size_t refused = 0;
-    StandIn discovery(io, [&](Peer& peer) {
+    FakeDataNode discovery(io, [&](Peer& peer) {
         const auto end = peer.got.find("\r\n\r\n");
         if (end == std::string::npos) return;
         const bool goes_on = peer.got.find("index=5&") != std::string::npos;  // a watch, which costs nothing
@@ -199,7 +199,7 @@
     std::vector<std::unique_ptr<DiscoveryWatch>> watches;
     for (std::size_t i = 0; i < routers; ++i) {
         watches.push_back(
-            std::make_unique<DiscoveryWatch>(io, time, told[i], address, Discovery::ask, 4, i + 1));
+            std::make_unique<DiscoveryWatch>(io, time, told[i], address, Discovery::poll, 4, i + 1));
         watches.back()->start(4);
     }
     const auto heard = [&] {
@@ -263,16 +263,16 @@
 }
 
 TEST_CASE("a list's bound follows from the deployment's size, between its least and what memory allows") {
-    Terms terms;
-    terms.places = 27'000, terms.width = 3, terms.routers = 3600;
-    CHECK(bound_of_list(terms, 0).bytes == 2UL * 81'000 * 1024);
-    CHECK(bound_of_list(terms, 192'000'000).bytes == 48'000'000);
-    CHECK(bound_of_agreed(terms, 192'000'000).bytes == (2UL * 81'000 + 3600) * 256);
-    CHECK(bound_of_list(terms, 8'000'000).bytes == 8 * 1024 * 1024);
-    CHECK(bound_of_list(terms, 8'000'000).why == "the least bound");
-    terms.places = 10;
-    CHECK(bound_of_list(terms, 192'000'000).bytes == 8 * 1024 * 1024);
-    CHECK(bound_of_agreed(terms, 0).bytes == 8 * 1024 * 1024);
-    terms.places = terms.width = 1'000'000;
-    CHECK(bound_of_list(terms, 192'000'000).bytes == 48'000'000);
+    RouterConfig config;
+    config.places = 27'000, config.replicas_per_shard = 3, config.routers = 3600;
+    CHECK(bound_of_list(config, 0).bytes == 2UL * 81'000 * 1024);
+    CHECK(bound_of_list(config, 192'000'000).bytes == 48'000'000);
+    CHECK(bound_of_agreed(config, 192'000'000).bytes == (2UL * 81'000 + 3600) * 256);
+    CHECK(bound_of_list(config, 8'000'000).bytes == 8 * 1024 * 1024);
+    CHECK(bound_of_list(config, 8'000'000).why == "the least bound");
+    config.places = 10;
+    CHECK(bound_of_list(config, 192'000'000).bytes == 8 * 1024 * 1024);
+    CHECK(bound_of_agreed(config, 0).bytes == 8 * 1024 * 1024);
+    config.places = config.replicas_per_shard = 1'000'000;
+    CHECK(bound_of_list(config, 192'000'000).bytes == 48'000'000);
 }
--- a/tests/drains_test.cpp
+++ b/tests/drains_test.cpp
@@ -1,5 +1,5 @@
 // Drains agreed across a fleet, on several processes of the programs with faults between them: three
-// stewards, six query routers, twelve data nodes, steady traffic. The data nodes are the observer: what
+// managers, six query routers, twelve data nodes, steady traffic. The data nodes are the observer: what
 // reaches them counts, not what a router says of itself.
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -8,10 +8,10 @@
 #include <fstream>
 #include <random>
 
-#include "standin/fleet_rig.hpp"
-#include "standin/fleet_sim.hpp"
+#include "testing/fleet_rig.hpp"
+#include "testing/fleet_sim.hpp"
 
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Ms = std::chrono::milliseconds;
 using Json = nlohmann::json;
 
@@ -160,17 +160,17 @@
     // One router does not hear of it, so that the grant is still open when the leader dies.
     d.rig.deafen(5, true, true);
     auto ask = d.rig.command({"drain", "n4", "--id", "one"}, {leader});
-    REQUIRE(d.rig.until([&] { return d.rig.stewards[leader]->said("granted: request 1 "); }));
-    d.rig.stewards[leader]->signal(SIGKILL);
+    REQUIRE(d.rig.until([&] { return d.rig.managers[leader]->said("granted: request 1 "); }));
+    d.rig.managers[leader]->signal(SIGKILL);
     REQUIRE(d.rig.until([&] { return d.rig.leader() < 3; }));
     CHECK(d.stage("n4", "granted"));
-    // The same call again, through another steward, is the one that it was.
+    // The same call again, through another manager, is the one that it was.
     CHECK(d.run({"drain", "n4", "--id", "one"}, {(leader + 1) % 3, (leader + 2) % 3}) == 0);
     CHECK(d.rig.request_for("n4")["request"] == 1);
     d.rig.heal();
     REQUIRE(d.done("n4"));
     d.nothing_reaches(4);
-    d.rig.start_steward(leader);
+    d.rig.start_manager(leader);
     CHECK(d.rig.until([&] {
         const Json s = d.rig.status(leader);
         return s.is_object() && s["generation"] == d.rig.leading()["generation"];
@@ -185,7 +185,7 @@
     const std::size_t old = d.rig.leader();
     REQUIRE(old < 3);
     if (stopped)
-        d.rig.stewards[old]->signal(SIGSTOP);
+        d.rig.managers[old]->signal(SIGSTOP);
     else
         d.rig.cut_off(old);
     const auto others = std::vector<std::size_t>{(old + 1) % 3, (old + 2) % 3};
@@ -201,7 +201,7 @@
     // An operator who reaches the cut-off one alone gets nothing granted.
     if (!stopped) CHECK(d.run({"drain", "n1", "--within", "1"}, {old}) == 1);
     if (stopped)
-        d.rig.stewards[old]->signal(SIGCONT);
+        d.rig.managers[old]->signal(SIGCONT);
     else
         d.rig.heal();
     REQUIRE(d.done("n7"));
@@ -253,11 +253,11 @@
     CHECK(d.run({"drain", "n5"}, {0, 1, 2}) == 0);
     REQUIRE(d.done("n5"));
     const Json before = d.rig.leading();
-    for (auto& s : d.rig.stewards) s->signal(SIGKILL);
+    for (auto& s : d.rig.managers) s->signal(SIGKILL);
     REQUIRE(d.rig.until([&] { return d.rig.routers[0]->said("its lease is over"); }));
     d.nothing_reaches(5);
     CHECK(d.run({"drain", "n9", "--within", "0.5"}, {0, 1, 2}) == 1);
-    for (std::size_t i = 0; i < 3; ++i) d.rig.start_steward(i);
+    for (std::size_t i = 0; i < 3; ++i) d.rig.start_manager(i);
     REQUIRE(d.rig.until([&] { return d.rig.all_up(); }));
     CHECK(d.rig.leading()["generation"] == before["generation"]);
     CHECK(d.rig.request_for("n5")["fence"] == before["requests"][0]["fence"]);
@@ -271,31 +271,31 @@
     const std::string folder = d.rig.folder.path("s" + std::to_string(i + 1)),
                       kept = d.rig.folder.path("kept");
     const auto stop = [&] {
-        d.rig.stewards[i]->signal(SIGTERM);
-        REQUIRE(d.rig.until([&] { return d.rig.stewards[i]->ended(); }));
-        CHECK(d.rig.stewards[i]->status() == 0);
+        d.rig.managers[i]->signal(SIGTERM);
+        REQUIRE(d.rig.until([&] { return d.rig.managers[i]->ended(); }));
+        CHECK(d.rig.managers[i]->status() == 0);
     };
     stop();
     std::filesystem::copy(folder, kept, std::filesystem::copy_options::recursive);
-    d.rig.start_steward(i);
+    d.rig.start_manager(i);
     CHECK(d.run({"drain", "n10"}, {0, 1, 2}) == 0);
     REQUIRE(d.done("n10"));
     stop();
     std::filesystem::remove_all(folder);
     std::filesystem::copy(kept, folder, std::filesystem::copy_options::recursive);
-    d.rig.start_steward(i);
+    d.rig.start_manager(i);
     CHECK(d.rig.until([&] {
         const Json s = d.rig.status(i);
         return s.is_object() && s["generation"] == d.rig.leading()["generation"];
     }));
     const auto fails_with = [&](const std::string& words) {
-        d.rig.start_steward(i);
-        REQUIRE(d.rig.until([&] { return d.rig.stewards[i]->ended(); }));
-        CHECK(d.rig.until([&] { return !d.rig.stewards[i]->lines().empty(); }));
+        d.rig.start_manager(i);
+        REQUIRE(d.rig.until([&] { return d.rig.managers[i]->ended(); }));
+        CHECK(d.rig.until([&] { return !d.rig.managers[i]->lines().empty(); }));
         INFO(d.rig.history.text(5));
-        CHECK(d.rig.stewards[i]->status() == 1);
-        CHECK(d.rig.stewards[i]->lines().size() == 1);
-        CHECK(d.rig.stewards[i]->said(words));
+        CHECK(d.rig.managers[i]->status() == 1);
+        CHECK(d.rig.managers[i]->lines().size() == 1);
+        CHECK(d.rig.managers[i]->said(words));
     };
     stop();
     const std::string mark = folder + "/steward.json";
@@ -312,18 +312,18 @@
 TEST_CASE("a steward whose files can't grow any more ends with one line, and the others go on") {
     Drains d(plan_of());
     const std::size_t i = (d.rig.leader() + 1) % 3;
-    d.rig.stewards[i]->signal(SIGTERM);
-    REQUIRE(d.rig.until([&] { return d.rig.stewards[i]->ended(); }));
+    d.rig.managers[i]->signal(SIGTERM);
+    REQUIRE(d.rig.until([&] { return d.rig.managers[i]->ended(); }));
     // Not one further segment of the log.
-    d.rig.start_steward(i, {}, {"/bin/sh", "-c", "ulimit -f 100; exec \"$0\" \"$@\""});
-    REQUIRE(d.rig.until([&] { return d.rig.stewards[i]->ended(); }));
+    d.rig.start_manager(i, {}, {"/bin/sh", "-c", "ulimit -f 100; exec \"$0\" \"$@\""});
+    REQUIRE(d.rig.until([&] { return d.rig.managers[i]->ended(); }));
     INFO(d.rig.history.text(20));
-    CHECK(d.rig.stewards[i]->status() == 1);
-    CHECK(d.rig.until([&] { return d.rig.stewards[i]->said("tealcart steward: the log can't be written"); }));
+    CHECK(d.rig.managers[i]->status() == 1);
+    CHECK(d.rig.until([&] { return d.rig.managers[i]->said("tealcart steward: the log can't be written"); }));
     CHECK(d.run({"drain", "n3"}, {0, 1, 2}) == 0);
     REQUIRE(d.done("n3"));
     // With room again it goes on from what it had.
-    d.rig.start_steward(i);
+    d.rig.start_manager(i);
     CHECK(d.rig.until([&] {
         const Json s = d.rig.status(i);
         return s.is_object() && s["generation"] == d.rig.leading()["generation"];
@@ -375,7 +375,7 @@
     for (const DataNode& node : d.rig.fleet->nodes) known.insert(port_of(node.address()));
     std::size_t further = 0;
     for (const std::uint16_t port : sockets.called) further += !known.contains(port);
-    CHECK(further == (member ? 1 : 0));  // the one connection to a steward
+    CHECK(further == (member ? 1 : 0));  // the one connection to a manager
     for (const auto& e : std::filesystem::directory_iterator(proc + "/fd")) {
         std::error_code ec;
         const std::string to = std::filesystem::read_symlink(e.path(), ec).string();
@@ -391,7 +391,7 @@
     plan.seed = seed;
     plan.strict = strict;
     plan.budgets.nodes = {4, 1};
-    plan.budgets.least_holders = 2;
+    plan.budgets.min_holders = 2;
     plan.budgets.lease = 2'000'000'000;
     plan.budgets.drift = 300'000'000;
     const SimVerdict v = play(plan);
@@ -401,7 +401,7 @@
     CHECK(v.late == 0);
     CHECK(v.grants > 0);
     const SimVerdict again = play(plan);
-    CHECK(again.leaf_calls == v.leaf_calls);
+    CHECK(again.attempts == v.attempts);
     CHECK(again.grant_to_done == v.grant_to_done);
 }
 
@@ -410,7 +410,7 @@
     plan.members = GENERATE(300, 10'000);
     plan.faults = false;
     plan.budgets.nodes = {4, 1};
-    plan.budgets.least_holders = 2;
+    plan.budgets.min_holders = 2;
     plan.span = plan.members == 300 ? 20'000'000'000 : 4'000'000'000;
     const SimVerdict v = play(plan);
     REQUIRE(!v.grant_to_done.empty());
@@ -434,13 +434,13 @@
         const std::size_t who = pick(3), router = pick(6), fault = pick(6);
         const std::size_t leader = d.rig.leader();
         REQUIRE(leader < 3);
-        auto& steward = d.rig.stewards[fault == 0 ? leader : who];
-        if (fault == 0) steward->signal(SIGKILL);
-        if (fault == 1) steward->signal(SIGSTOP);
+        auto& manager = d.rig.managers[fault == 0 ? leader : who];
+        if (fault == 0) manager->signal(SIGKILL);
+        if (fault == 1) manager->signal(SIGSTOP);
         if (fault == 2) d.rig.cut_off(who, pick(2) == 0, true);
         if (fault == 3) d.rig.deafen(router, pick(2) == 0, true);
         if (fault == 4) d.rig.routers[router]->signal(SIGSTOP);
-        // Two operators at once, through stewards in another order each.
+        // Two operators at once, through managers in another order each.
         const std::size_t first = pick(12), second = pick(12);
         auto ann = d.rig.command({"drain", "n" + std::to_string(first)}, {who, (who + 1) % 3, (who + 2) % 3});
         auto bob =
@@ -470,8 +470,8 @@
         d.traffic_goes_on(30);
         nothing_reached();
         // The fault ends, and everyone is back.
-        if (fault == 0) d.rig.start_steward(leader);
-        if (fault == 1) steward->signal(SIGCONT);
+        if (fault == 0) d.rig.start_manager(leader);
+        if (fault == 1) manager->signal(SIGCONT);
         if (fault == 2 || fault == 3) d.rig.heal();
         if (fault == 4) d.rig.routers[router]->signal(SIGCONT);
         CHECK(d.rig.until([&] { return d.rig.all_up(); }));
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -30,7 +30,7 @@
 Budgets budgets() {
     Budgets b;
     b.nodes = {2, 1};
-    b.least_holders = 2;
+    b.min_holders = 2;
     b.routers = {1, 1};
     b.lease = 20 * second, b.drift = second, b.forget = 40 * second;
     return b;
@@ -46,10 +46,10 @@
     };
     struct Who {
         std::string name;
-        std::uint64_t life, acts_on;
+        std::uint64_t incarnation, applied_generation;
         Nanos lease_until;
         bool left;
-        std::set<Target> in_hand;
+        std::set<Target> in_flight;
     };
     std::vector<Req> reqs;
     std::vector<Who> members;
@@ -100,13 +100,14 @@
         });
         for (Req& r : reqs)
             if (r.stage == Stage::granted && std::all_of(members.begin(), members.end(), [&](const Who& w) {
-                    return over(w) || (w.acts_on >= r.generation && !w.in_hand.contains(r.target));
+                    return over(w) ||
+                           (w.applied_generation >= r.generation && !w.in_flight.contains(r.target));
                 }))
                 r.stage = Stage::done;
         const auto comes = [&](const Req& r) {
             if (r.target.router) {
                 const Who* w = member(r.target.name);
-                return w != nullptr && !over(*w) && w->acts_on < r.generation;
+                return w != nullptr && !over(*w) && w->applied_generation < r.generation;
             }
             const Health h = health.at(r.target.name);
             return h != Health::gone && h != Health::whole;
@@ -184,20 +185,20 @@
                 node.shards.push_back(static_cast<std::uint32_t>((n + nodes - j) % nodes));
             plain.health[node_name(n)] = Health::whole;
         }
-        state.apply({"", now, NodesSeen{all}});
+        state.apply({"", now, EndpointsObserved{all}});
         plain.now = now;
         std::map<std::string, std::uint64_t> lives;
         for (const Op& op : ops) {
             const std::string router = router_name(op.who), node = node_name(op.who);
             const Target target = op.how == 0 ? Target{true, router} : Target{false, node};
-            const std::uint64_t life = lives[router];
+            const std::uint64_t incarnation = lives[router];
             Command c{"", now, Tick{}};
             Plain::Who* who = plain.member(router);
             switch (op.what) {
                 case 0:
                     c.what = Join{router, Role::router, "a", "1", "d", ++lives[router]};
                     if (who == nullptr) who = &plain.members.emplace_back();
-                    *who = {router, life + 1, 0, now + 20 * second, false, {}};
+                    *who = {router, incarnation + 1, 0, now + 20 * second, false, {}};
                     break;
                 case 1:
                 case 2:
@@ -207,22 +208,23 @@
                         op.how % 2 == 0 || plain.generation == 0 ? plain.generation : plain.generation - 1;
                     const std::set<Target> hand =
                         op.how == 7 ? std::set<Target>{{false, node}} : std::set<Target>{};
-                    c.what = Renew{router, life, {acts, hand, {}, 0, 0}};
+                    c.what = Renew{router, incarnation, {acts, hand, {}, 0, 0}};
                     if (who == nullptr || who->left) break;
                     who->lease_until = now + 20 * second;
-                    if (acts >= who->acts_on) who->acts_on = acts, who->in_hand = hand;
+                    if (acts >= who->applied_generation)
+                        who->applied_generation = acts, who->in_flight = hand;
                     break;
                 }
                 case 4:
-                    c.what = Leave{router, life};
+                    c.what = Leave{router, incarnation};
                     if (who == nullptr) break;
-                    who->left = true, who->in_hand.clear(), who->acts_on = 0;
+                    who->left = true, who->in_flight.clear(), who->applied_generation = 0;
                     who->lease_until = std::min(who->lease_until, now - second - 1);
                     break;
                 case 5:
                 case 6:
                 case 7: {
-                    c.what = Ask{"ann", target};
+                    c.what = RequestRemoval{"ann", target};
                     const bool open = std::any_of(plain.reqs.begin(), plain.reqs.end(),
                                                   [&](const auto& r) { return r.target == target; });
                     if (open || (target.router && who == nullptr)) break;
@@ -240,7 +242,7 @@
                 case 10:
                 case 11:
                     all[node].health = plain.health[node] = static_cast<Health>(op.how % 4);
-                    c.what = NodesSeen{{{node, all[node]}}, false, {}};
+                    c.what = EndpointsObserved{{{node, all[node]}}, false, {}};
                     break;
                 case 12:
                     now += op.how * second / 2;
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -23,10 +23,10 @@
     for (const auto& [name, m] : state.members()) {
         (over(m) ? c.over_ends : c.live_ends).insert({m.lease_until, name});
         if (acting(m)) c.acting_ends.insert({until(m), name});
-        if (over(m) && acting(m)) c.lost_acting.insert({m.word.acts_on, name});
+        if (over(m) && acting(m)) c.lost_acting.insert({m.word.applied_generation, name});
         if (b.wait_for_lost ? acting(m) : !over(m)) {
-            ++c.heard[m.word.acts_on];
-            for (const Target& t : m.word.in_hand) ++c.in_hand[t];
+            ++c.heard[m.word.applied_generation];
+            for (const Target& t : m.word.in_flight) ++c.in_flight[t];
         }
         if (m.role != Role::router) continue;
         const bool is_out = over(m) || out(true, name);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -35,7 +35,7 @@
 
 struct Fleet {
     explicit Fleet(Budgets budgets = small_budgets()) : state(std::move(budgets)) {
-        tell(NodesSeen{nodes});
+        tell(EndpointsObserved{nodes});
         for (const char* r : {"r1", "r2"}) tell(Join{r, Role::router, "a", "1.0", "d1", 1});
     }
     template <typename What>
@@ -44,11 +44,11 @@
     }
     std::vector<Effect> seen(const std::string& node, Health health) {
         nodes[node].health = health;
-        return tell(NodesSeen{nodes});
+        return tell(EndpointsObserved{nodes});
     }
-    std::vector<Effect> says(const char* router, std::uint64_t generation, std::set<Target> in_hand = {},
-                             std::uint64_t life = 1) {
-        return tell(Renew{router, life, {generation, std::move(in_hand), {}, 0, 0}});
+    std::vector<Effect> says(const char* router, std::uint64_t generation, std::set<Target> in_flight = {},
+                             std::uint64_t incarnation = 1) {
+        return tell(Renew{router, incarnation, {generation, std::move(in_flight), {}, 0, 0}});
     }
     // In steps that are no gap in the agreement; both routers renew where asked to.
     void pass(Nanos span, bool r1 = true, bool r2 = true) {
@@ -78,15 +78,15 @@
 TEST_CASE(
     "two operators who drain two holders of one shard: the second waits, with the limit that holds it") {
     Budgets b = small_budgets();
-    b.least_holders = 2;
+    b.min_holders = 2;
     Fleet f(b);
-    const auto first = f.tell(Ask{"ann", {false, "n2"}}, "ann-1");
+    const auto first = f.tell(RequestRemoval{"ann", {false, "n2"}}, "ann-1");
     CHECK(kinds(first) == Kinds{Effect::asked, Effect::granted});
-    const auto second_one = f.tell(Ask{"bob", {false, "n3"}}, "bob-1");
+    const auto second_one = f.tell(RequestRemoval{"bob", {false, "n3"}}, "bob-1");
     CHECK(kinds(second_one) == Kinds{Effect::asked});
     CHECK(f.state.requests().at(2).held_by == "shard 1 would keep 1 whole holders");
-    // The same request through another steward is the one it was.
-    CHECK(f.tell(Ask{"ann", {false, "n2"}}, "ann-1") == first);
+    // The same request through another manager is the one it was.
+    CHECK(f.tell(RequestRemoval{"ann", {false, "n2"}}, "ann-1") == first);
     CHECK(f.state.requests().size() == 2);
     // Once the first is back and whole the second goes out by itself, under a greater fence.
     f.tell(Undo{1});
@@ -98,33 +98,34 @@
 
 TEST_CASE("a drain is done only once every live member goes by it and has nothing in hand there") {
     Fleet f;
-    const auto granted = f.tell(Ask{"ann", {false, "n0"}}).at(1);
+    const auto granted = f.tell(RequestRemoval{"ann", {false, "n0"}}).at(1);
     CHECK(f.says("r1", granted.generation).empty());
     CHECK(f.says("r2", granted.generation - 1).empty());
     CHECK(f.says("r2", granted.generation, {{false, "n0"}}).empty());
     CHECK(f.says("r2", granted.generation - 1).empty());  // late: it says nothing of what is in hand now
     CHECK(kinds(f.says("r2", granted.generation)) == Kinds{Effect::done});
     // One that says nothing is waited for until its lease has ended, and what its clock may drift by.
-    const auto next = f.tell(Ask{"ann", {false, "n3"}}).at(1);
+    const auto next = f.tell(RequestRemoval{"ann", {false, "n3"}}).at(1);
     f.says("r1", next.generation);
     f.pass(11 * second, true, false);
     CHECK(f.state.requests().at(2).stage == Stage::granted);
     f.now += 1;
     CHECK(kinds(f.says("r1", next.generation)) == Kinds{Effect::over, Effect::done});
-    // It may serve on by what it knew: that is told. It joins with a new life, and knows nothing then.
-    CHECK(f.state.requests().at(2).unheard.empty());  // it has said that it acts on no later word at all
+    // It may serve on by what it knew: that is told. It joins with a new incarnation, and knows nothing then.
+    CHECK(
+        f.state.requests().at(2).unacknowledged.empty());  // it has said that it acts on no later word at all
     f.tell(Join{"r2", Role::router, "a", "1.0", "d1", 2});
-    CHECK(f.state.members().at("r2").word.acts_on == 0);
-    CHECK(kinds(f.says("r2", next.generation)) == Kinds{Effect::stale});  // of the life before
+    CHECK(f.state.members().at("r2").word.applied_generation == 0);
+    CHECK(kinds(f.says("r2", next.generation)) == Kinds{Effect::stale});  // of the incarnation before
     // A word for a generation that nobody agreed on is not taken.
     CHECK(kinds(f.says("r2", 99, {}, 2)) == Kinds{Effect::stale});
 }
 
 TEST_CASE("what goes out by itself uses up the budget, and a grant is never freed by time alone") {
     Fleet f;
-    f.tell(Ask{"ann", {false, "n0"}});
+    f.tell(RequestRemoval{"ann", {false, "n0"}});
     f.seen("n3", Health::cold);
-    CHECK(kinds(f.tell(Ask{"bob", {false, "n4"}})) == Kinds{Effect::asked});
+    CHECK(kinds(f.tell(RequestRemoval{"bob", {false, "n4"}})) == Kinds{Effect::asked});
     CHECK(f.state.requests().at(2).held_by == "nodes: 2 of 6 are out, 2 may be");
     f.pass(1800 * second);
     CHECK(f.state.out({false, "n0"}));
@@ -133,7 +134,7 @@
     CHECK(f.state.out({false, "n4"}));
     // Forgotten by discovery while it is out, it stays counted.
     f.nodes.erase("n0");
-    f.tell(NodesSeen{f.nodes});
+    f.tell(EndpointsObserved{f.nodes});
     CHECK(f.state.nodes().at("n0").health == Health::gone);
     CHECK(f.state.out({false, "n0"}));
 }
@@ -141,33 +142,33 @@
 TEST_CASE("what can never be granted is refused with the reason, what is asked twice is told of") {
     Budgets b = small_budgets();
     Fleet f(b);
-    CHECK(f.tell(Ask{"ann", {false, "n9"}}).at(0).why == "no such data node is known");
+    CHECK(f.tell(RequestRemoval{"ann", {false, "n9"}}).at(0).why == "no such data node is known");
     f.nodes = ring(6, 1);
-    f.tell(NodesSeen{f.nodes});
-    CHECK(f.tell(Ask{"ann", {false, "n0"}}).at(0).why == "shard 0 has only 0 other holders");
+    f.tell(EndpointsObserved{f.nodes});
+    CHECK(f.tell(RequestRemoval{"ann", {false, "n0"}}).at(0).why == "shard 0 has only 0 other holders");
     f.nodes = ring();
-    f.tell(NodesSeen{f.nodes});
-    f.tell(Ask{"ann", {false, "n0"}});
-    const auto again = f.tell(Ask{"bob", {false, "n0"}}).at(0);
+    f.tell(EndpointsObserved{f.nodes});
+    f.tell(RequestRemoval{"ann", {false, "n0"}});
+    const auto again = f.tell(RequestRemoval{"bob", {false, "n0"}}).at(0);
     CHECK(again.request == 1);
     CHECK(again.why == "already granted");
     // Budgets lowered below what is out take nothing back, and grant nothing more.
     b.nodes.most = 0;
-    f.tell(Allow{b});
+    f.tell(SetBudgets{b});
     CHECK(f.state.out({false, "n0"}));
-    CHECK(f.tell(Ask{"ann", {false, "n3"}}).at(0).kind == Effect::refused);
+    CHECK(f.tell(RequestRemoval{"ann", {false, "n3"}}).at(0).kind == Effect::refused);
 }
 
 TEST_CASE(
     "the way back is the reverse, one at a time until each is whole; a halt grants nothing and stops no "
     "return") {
     Fleet f;
-    f.tell(Ask{"ann", {false, "n0"}});
-    f.tell(Ask{"ann", {false, "n3"}});
+    f.tell(RequestRemoval{"ann", {false, "n0"}});
+    f.tell(RequestRemoval{"ann", {false, "n3"}});
     f.seen("n0", Health::draining);
     f.seen("n3", Health::draining);
     CHECK(kinds(f.tell(Halt{"queries fail"})) == Kinds{Effect::halted});
-    CHECK(kinds(f.tell(Ask{"ann", {true, "r1"}})) == Kinds{Effect::asked});
+    CHECK(kinds(f.tell(RequestRemoval{"ann", {true, "r1"}})) == Kinds{Effect::asked});
     CHECK(f.state.requests().at(3).held_by == "halted: queries fail");
     f.tell(Undo{1});
     f.tell(Undo{2});
@@ -186,7 +187,7 @@
     CHECK_THROWS_WITH(f.state.load({1, 2, 3}), Catch::StartsWith("a fleet's state that can't be read"));
     CHECK(f.state.nodes().size() == 6);
     // Cut off anywhere, or with more behind it, it is noise.
-    f.tell(Ask{"ann", {false, "n0"}});
+    f.tell(RequestRemoval{"ann", {false, "n0"}});
     f.tell(Renew{"r1", 1, {0, {{false, "n3"}}, {"n4"}, 7, 1}});
     auto cut = f.state.save();
     cut.push_back(0);
@@ -211,7 +212,7 @@
     Fleet f(b);
     f.pass(12 * second, true, false);
     CHECK(f.state.members().at("r2").lost);
-    f.tell(Ask{"ann", {true, "r1"}});
+    f.tell(RequestRemoval{"ann", {true, "r1"}});
     CHECK(f.state.requests().at(1).held_by == "routers: 1 of 2 are out, 1 may be");
     CHECK(f.tell(Forget{"r1"}).at(0).why == "its lease is not over");
     CHECK(f.tell(Forget{"r9"}).at(0).why == "no such member");
@@ -224,7 +225,7 @@
         f.tell(Undo{1});
         f.says("r1", f.state.generation());
         f.tell(Leave{"r2", 2});
-        f.tell(Ask{"ann", {true, "r1"}});
+        f.tell(RequestRemoval{"ann", {true, "r1"}});
         CHECK_FALSE(f.state.out({true, "r1"}));
         CHECK(kinds(f.says("r2", 0, {}, 2)) == Kinds{Effect::stale});
     }
@@ -239,7 +240,7 @@
 TEST_CASE("after a time without agreement leases go on, and nothing is granted until all could speak") {
     Fleet f;
     f.now += 3600 * second;
-    CHECK(f.tell(Ask{"ann", {false, "n0"}}).at(0).kind == Effect::asked);
+    CHECK(f.tell(RequestRemoval{"ann", {false, "n0"}}).at(0).kind == Effect::asked);
     CHECK_FALSE(f.state.members().at("r1").lost);
     CHECK(f.state.requests().at(1).held_by == "agreement was interrupted: members are waited for");
     f.pass(10 * second, true, false);
@@ -261,12 +262,12 @@
     b.wait_for_lost = wait;
     Fleet f(b);
     f.tell(Join{"r2", Role::router, "a", "1.0", "d1", 2, 30 * second});
-    const auto granted = f.tell(Ask{"ann", {false, "n0"}}).at(1);
+    const auto granted = f.tell(RequestRemoval{"ann", {false, "n0"}}).at(1);
     f.says("r1", granted.generation);
     f.pass(12 * second, true, false);
     const Request& r = f.state.requests().at(1);
     CHECK(r.stage == (wait ? Stage::granted : Stage::done));
-    CHECK(r.unheard == (wait ? std::set<std::string>{} : std::set<std::string>{"r2"}));
+    CHECK(r.unacknowledged == (wait ? std::set<std::string>{} : std::set<std::string>{"r2"}));
     CHECK(f.state.waits_for(r) == (wait ? std::vector<std::string>{"r2"} : std::vector<std::string>{}));
     f.pass(30 * second, true, false);
     CHECK(r.stage == Stage::done);
@@ -312,7 +313,7 @@
     f.tell(Renew{"r2", 1, {0, {}, {"n3", "n4"}, 0, 0}});
     CHECK(f.state.counts_as_out({false, "n3"}));
     CHECK_FALSE(f.state.counts_as_out({false, "n4"}));
-    f.tell(Ask{"ann", {false, "n0"}});
+    f.tell(RequestRemoval{"ann", {false, "n0"}});
     CHECK(f.state.requests().at(1).held_by == "nodes: 1 of 6 are out, 1 may be");
 }
 
@@ -334,7 +335,7 @@
     Budgets b;
     b.nodes = {static_cast<std::size_t>(2 + pick(4)), 0.25 + 0.1 * pick(3)};
     b.nodes_a_zone = {static_cast<std::size_t>(1 + pick(3)), 1};
-    b.least_holders = static_cast<std::size_t>(1 + pick(2));
+    b.min_holders = static_cast<std::size_t>(1 + pick(2));
     b.routers = {2, 1};
     b.lease = 16 * second;
     b.drift = second;
@@ -357,19 +358,20 @@
                            {state.generation() - std::min<std::uint64_t>(state.generation(), pick(2)),
                             pick(8) == 0 ? std::set<Target>{{false, node}} : std::set<Target>{},
                             pick(16) == 0 ? std::set<std::string>{node} : std::set<std::string>{}, 0, 0}};
-        if (what == 5 || what == 6) c.what = Ask{"ann", {pick(4) == 0, pick(4) == 0 ? router : node}};
+        if (what == 5 || what == 6)
+            c.what = RequestRemoval{"ann", {pick(4) == 0, pick(4) == 0 ? router : node}};
         if (what == 7 && !state.requests().empty())
             c.what = Undo{std::next(state.requests().begin(), pick(int(state.requests().size())))->first};
         if (what >= 8 && what <= 10) {
             nodes[node].health = pick(8) == 0 ? static_cast<Health>(1 + pick(4)) : Health::whole;
             if (pick(20) == 0) nodes.erase(node);
             if (pick(10) == 0) nodes[node] = ring(12)[node];
-            c.what = NodesSeen{nodes};
+            c.what = EndpointsObserved{nodes};
         }
         if (what == 13) {
-            Words all;
-            for (const auto& [name, life] : lives)
-                all.renewals.push_back({name, life, {state.generation(), {}, {}, 0, 0}});
+            ReportBatch all;
+            for (const auto& [name, incarnation] : lives)
+                all.renewals.push_back({name, incarnation, {state.generation(), {}, {}, 0, 0}});
             c.what = all;
         }
         if (what == 12 && pick(3) == 0) c.what = Leave{router, lives[router]};
@@ -414,7 +416,7 @@
                         state.nodes().at(e.about).health == Health::whole) {
                         CHECK(zone[state.nodes().at(e.about).zone] <= b.nodes_a_zone.most);
                         for (const std::uint32_t s : state.nodes().at(e.about).shards)
-                            CHECK(whole[s] >= b.least_holders);
+                            CHECK(whole[s] >= b.min_holders);
                     }
             }
             CHECK(routers_out <= 2);
@@ -423,7 +425,7 @@
             if (e.kind == Effect::done) {
                 CHECK(done.insert(e.request).second);
                 for (const auto& [name, m] : state.members())
-                    CHECK((m.word.acts_on >= e.generation || m.lease_until + b.drift < now));
+                    CHECK((m.word.applied_generation >= e.generation || m.lease_until + b.drift < now));
             }
         if (pick(20) != 0) continue;
         const auto saved = state.save();
@@ -452,7 +454,7 @@
         b.nodes = {2 + number(5), 0.3 + 0.1 * pick(8)};
         b.nodes_a_zone = {1 + number(4), 1}, b.nodes_a_kind = {2 + number(8), 1};
         b.routers = {1 + number(4), 1}, b.routers_a_zone = {1 + number(3), 1};
-        b.least_holders = number(3);
+        b.min_holders = number(3);
         b.lease = (8 + pick(12)) * second, b.drift = (1 + pick(4)) * second;
         b.forget = (10 + pick(60)) * second;
         b.wait_for_lost = pick(2) == 0;
@@ -471,9 +473,9 @@
     std::map<std::string, std::uint64_t> lives;
     Nanos now = 1000 * second;
     std::map<std::string, Node> nodes = ring(12);
-    state.apply({"", now, NodesSeen{nodes}});
+    state.apply({"", now, EndpointsObserved{nodes}});
     std::map<Effect::Kind, int> came;
-    std::size_t found_silent = 0, short_shards = 0, acting_without_lease = 0, in_hand = 0;
+    std::size_t found_silent = 0, short_shards = 0, acting_without_lease = 0, in_flight = 0;
     std::string mute;  // says nothing for a while
     for (int i = 0; i < 1000; ++i) {
         now += pick(3) == 0 ? pick(3) * second : 0;
@@ -486,11 +488,12 @@
                         "d",    pick(3) == 0 ? lives[router] : ++lives[router], pick(3) * 10 * second};
         };
         const auto word = [&] {
-            Word w{state.generation(), {}, {}, static_cast<std::uint64_t>(pick(100)), 0};
-            if (pick(4) == 0) w.acts_on -= std::min<std::uint64_t>(w.acts_on, number(3));
-            if (pick(40) == 0) w.acts_on += 2;
-            if (pick(6) == 0) w.in_hand.insert({false, node});
-            if (pick(12) == 0) w.in_hand.insert({true, router});
+            MemberReport w{state.generation(), {}, {}, static_cast<std::uint64_t>(pick(100)), 0};
+            if (pick(4) == 0)
+                w.applied_generation -= std::min<std::uint64_t>(w.applied_generation, number(3));
+            if (pick(40) == 0) w.applied_generation += 2;
+            if (pick(6) == 0) w.in_flight.insert({false, node});
+            if (pick(12) == 0) w.in_flight.insert({true, router});
             if (pick(4) == 0) w.silent = {node, "n" + std::to_string(pick(3))};
             if (pick(8) == 0) w.failed = w.queries;
             return w;
@@ -499,31 +502,34 @@
         const int what = pick(20);
         if (what == 0 && router != mute) c.what = join();
         if (what >= 1 && what <= 4 && router != mute) c.what = Renew{router, lives[router], word()};
-        if (what >= 5 && what <= 7) c.what = Ask{"ann", {pick(3) == 0, pick(4) == 0 ? router : node}};
+        if (what >= 5 && what <= 7)
+            c.what = RequestRemoval{"ann", {pick(3) == 0, pick(4) == 0 ? router : node}};
         if (what == 8 && !state.requests().empty())
             c.what = Undo{std::next(state.requests().begin(), pick(int(state.requests().size())))->first};
-        if (what == 9 || what == 10) c.what = NodesSeen{{{node, nodes[node] = node_of(n)}}, false, {}};
+        if (what == 9 || what == 10)
+            c.what = EndpointsObserved{{{node, nodes[node] = node_of(n)}}, false, {}};
         if (what == 11 && pick(3) == 0) nodes.erase(node);
-        if (what == 11) c.what = pick(2) == 0 ? NodesSeen{nodes} : NodesSeen{{}, false, {node}};
+        if (what == 11)
+            c.what = pick(2) == 0 ? EndpointsObserved{nodes} : EndpointsObserved{{}, false, {node}};
         if (what >= 12 && what <= 15) {
-            Words all;
+            ReportBatch all;
             if (pick(4) == 0) all.joins.push_back(join());
-            for (const auto& [name, life] : lives)
-                if (name != mute && pick(8) > 0) all.renewals.push_back({name, life, word()});
+            for (const auto& [name, incarnation] : lives)
+                if (name != mute && pick(8) > 0) all.renewals.push_back({name, incarnation, word()});
             c.what = all;
         }
         if (what == 16)
             c.what = pick(2) == 0 ? decltype(c.what)(Leave{router, lives[router]}) : Forget{router};
         if (what == 17 && pick(3) == 0) c.what = Halt{"a person"};
         if (what == 18) c.what = Resume{};
-        if (what == 19 && pick(10) == 0) c.what = Allow{budgets()};
+        if (what == 19 && pick(10) == 0) c.what = SetBudgets{budgets()};
         const auto effects = state.apply(c);
         CHECK(state.counts() == recount(state));
         CHECK(left_undone(state, effects) == 0);
         for (const Effect& e : effects) ++came[e.kind];
         found_silent += !state.counts().silent.empty(), short_shards += !state.counts().short_shards.empty();
         acting_without_lease += !state.counts().lost_acting.empty();
-        in_hand += !state.counts().in_hand.empty();
+        in_flight += !state.counts().in_flight.empty();
         if (pick(50) != 0) continue;
         FleetState anew({});
         anew.load(state.save());
@@ -533,7 +539,7 @@
     // The runs go through all of it.
     for (const auto kind : {Effect::granted, Effect::done, Effect::returned, Effect::halted, Effect::over})
         CHECK(came[kind] > 0);
-    CHECK(std::min({found_silent, short_shards, acting_without_lease, in_hand}) > 0);
+    CHECK(std::min({found_silent, short_shards, acting_without_lease, in_flight}) > 0);
 }
 
 namespace {
@@ -555,32 +561,32 @@
     };
     const auto router = [&](int r) { return "r" + std::to_string(r % routers); };
     const auto all = ring(nodes);
-    tell(NodesSeen{all});
-    Words joins;
+    tell(EndpointsObserved{all});
+    ReportBatch joins;
     for (int r = 0; r < routers; ++r)
         joins.joins.push_back({router(r), Role::router, r % 2 == 0 ? "a" : "b", "1", "d", 1, 0});
     tell(joins);
     int next = 0;
     const auto batch = [&] {
-        Words words;
+        ReportBatch words;
         for (int i = 0; i < 6; ++i)
             words.renewals.push_back({router(next++), 1, {state.generation(), {}, {}, 0, 0}});
         return tell(words);
     };
     Looked looked;
     for (int i = 0; i < 20; ++i) looked.words = std::max(looked.words, batch());
-    looked.asked = tell(Ask{"ann", {false, "n0"}});
+    looked.asked = tell(RequestRemoval{"ann", {false, "n0"}});
     REQUIRE(state.out({false, "n0"}));
     while (state.requests().at(1).stage != Stage::done)
         looked.last_word = std::max(looked.last_word, batch());
-    tell(Ask{"ann", {false, "n100"}});
-    looked.asked = std::max(looked.asked, tell(Ask{"ann", {false, "n200"}}));
+    tell(RequestRemoval{"ann", {false, "n100"}});
+    looked.asked = std::max(looked.asked, tell(RequestRemoval{"ann", {false, "n200"}}));
     CHECK(state.requests().at(3).held_by == "nodes: 2 of " + std::to_string(nodes) + " are out, 2 may be");
     for (int i = 0; i < 20; ++i)
         looked.words_while_one_waits = std::max(looked.words_while_one_waits, batch());
     Node cold = all.at("n300");
     cold.health = Health::cold;
-    looked.news = tell(NodesSeen{{{"n300", cold}}, false, {}});
+    looked.news = tell(EndpointsObserved{{{"n300", cold}}, false, {}});
     looked.undone = tell(Undo{1});
     return looked;
 }
--- a/tests/follow_fleet_test.cpp
+++ b/tests/follow_fleet_test.cpp
@@ -1,12 +1,12 @@
-// Query routers that follow changes of configuration, on several processes of the programs: three stewards,
+// Query routers that follow changes of configuration, on several processes of the programs: three managers,
 // two relays, routers with steady traffic.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <csignal>
 
-#include "standin/change_rig.hpp"
+#include "testing/change_rig.hpp"
 
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Json = nlohmann::json;
 
 namespace {
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -1,12 +1,12 @@
 // The operators' files: what is read, and that every mistake is told with its place.
-#include "terms/hcl.hpp"
+#include "config/hcl.hpp"
 
 #include <catch2/catch.hpp>
 
+#include "config/block_reader.hpp"
+#include "config/migration.hpp"
+#include "config/operator_config.hpp"
 #include "helpers.hpp"
-#include "terms/block_reader.hpp"
-#include "terms/migration.hpp"
-#include "terms/operator_terms.hpp"
 
 using namespace tealcart;
 
@@ -14,7 +14,7 @@
 
 std::string wrong_in(const std::string& text) {
     try {
-        read_operator_terms(text, "f");
+        read_operator_config(text, "f");
     } catch (const HclMistakes& e) {
         return e.what();
     }
@@ -67,7 +67,7 @@
 
 TEST_CASE("depth, size and bytes that are no text are bounded") {
     CHECK(wrong_in("a = " + std::string(5000, '[')).find("too deep") != std::string::npos);
-    CHECK(wrong_in(std::string(longest_hcl + 1, ' ')).find("over 1 MiB") != std::string::npos);
+    CHECK(wrong_in(std::string(max_hcl + 1, ' ')).find("over 1 MiB") != std::string::npos);
     CHECK(wrong_in(std::string("a = 1\0", 6)).find("zero byte") != std::string::npos);
 }
 
@@ -106,11 +106,11 @@
 }
 
 TEST_CASE("only verticals that are repeatable can be put in two phases") {
-    const Terms terms = read_terms(test::settings_text);
-    const auto verticals = read_link_terms(test::settings_text).verticals;
+    const RouterConfig config = read_router_config(test::settings_text);
+    const auto query_classes = read_connection_config(test::settings_text).query_classes;
     const auto told = [&](const std::string& text) -> std::string {
         try {
-            phases_by_vertical(read_operator_terms(text, "f"), terms, verticals);
+            two_phase_by_query_class(read_operator_config(text, "f"), config, query_classes);
         } catch (const HclMistakes& e) {
             return e.what();
         }
@@ -120,8 +120,8 @@
     CHECK(told("\ntwo_phase \"keyed\" {}\n two_phase \"other\" {}") ==
           "f:2:1: 'keyed' is not repeatable and can't be put in two phases\n"
           "f:3:2: the settings name no vertical 'other'");
-    const auto stated = phases_by_vertical(read_operator_terms("two_phase \"part\" { least = \"7ms\" }", "f"),
-                                           terms, verticals);
+    const auto stated = two_phase_by_query_class(
+        read_operator_config("two_phase \"part\" { least = \"7ms\" }", "f"), config, query_classes);
     CHECK(stated[0].on);
     CHECK(stated[0].least == 7 * test::ms);
     CHECK_FALSE(stated[1].on);
@@ -152,9 +152,9 @@
     CHECK(m.left[1].at.line == 10);
     CHECK(m.left[1].words.find("not repeatable") != std::string::npos);
     // What is written reads back, with the left blocks as comments and the rest as it was.
-    const OperatorTerms back = read_operator_terms(m.text, "new.hcl");
+    const OperatorConfig back = read_operator_config(m.text, "new.hcl");
     REQUIRE(back.phases.size() == 1);
-    CHECK(back.phases[0].vertical == "part");
+    CHECK(back.phases[0].query_class == "part");
     CHECK(back.memory.bytes == 8u << 20);
     CHECK(m.text.find("# two_phase \"gone\" {") != std::string::npos);
     CHECK(m.text.find("# Not carried over: the new deployment has no vertical 'gone'.") != std::string::npos);
@@ -168,31 +168,31 @@
 }
 
 TEST_CASE("a call's own cost and its most parts come from the settings, checked, and default to none") {
-    const Terms plain = read_terms(test::settings_text);
-    CHECK(plain.parts_a_call == 2);
-    CHECK(plain.call_cost == 0);
+    const RouterConfig plain = read_router_config(test::settings_text);
+    CHECK(plain.max_requests_per_call == 2);
+    CHECK(plain.call_overhead == 0);
     std::string costly = test::settings_text;
     costly.replace(costly.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 8, \"call_cost\": 45.0");
-    const Terms t = read_terms(costly);
-    CHECK(t.parts_a_call == 8);
-    CHECK(t.call_cost == 45 * test::ms);
+    const RouterConfig t = read_router_config(costly);
+    CHECK(t.max_requests_per_call == 8);
+    CHECK(t.call_overhead == 45 * test::ms);
     std::string wrong = test::settings_text;
     wrong.replace(wrong.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 0.5");
-    CHECK_THROWS_AS(read_terms(wrong), Malformed);
+    CHECK_THROWS_AS(read_router_config(wrong), Malformed);
 }
 
 TEST_CASE("the operators may state what a call carries; a wrong value is told by line and column") {
-    const OperatorTerms stated = read_operator_terms("calls {\n  parts = 8\n  cost = \"45ms\"\n}\n", "f");
-    Terms terms = read_terms(test::settings_text);
-    LinkTerms link = read_link_terms(test::settings_text);
-    follow_calls(stated.calls, terms, link);
-    CHECK(terms.parts_a_call == 8);
-    CHECK(link.parts_a_call == 8);
-    CHECK(terms.call_cost == 45 * test::ms);
+    const OperatorConfig stated = read_operator_config("calls {\n  parts = 8\n  cost = \"45ms\"\n}\n", "f");
+    RouterConfig config = read_router_config(test::settings_text);
+    ConnectionConfig link = read_connection_config(test::settings_text);
+    follow_calls(stated.calls, config, link);
+    CHECK(config.max_requests_per_call == 8);
+    CHECK(link.max_requests_per_call == 8);
+    CHECK(config.call_overhead == 45 * test::ms);
     // Not stated: the settings stand.
-    Terms plain = read_terms(test::settings_text);
-    follow_calls(read_operator_terms("", "f").calls, plain, link);
-    CHECK(plain.parts_a_call == 2);
+    RouterConfig plain = read_router_config(test::settings_text);
+    follow_calls(read_operator_config("", "f").calls, plain, link);
+    CHECK(plain.max_requests_per_call == 2);
     CHECK(wrong_in("calls {\n  parts = 0\n}\n").find("f:2:") == 0);
     CHECK(wrong_in("calls {\n  cost = 45\n}\n").find("f:2:") == 0);
 }
@@ -203,22 +203,22 @@
     const Migration m = migrate("log { level = \"warn\" }\n", "old.hcl", costly);
     CHECK(m.text.find("#   parts = 8") != std::string::npos);
     CHECK(m.text.find("#   cost  = \"45ms\"") != std::string::npos);
-    CHECK(read_operator_terms(m.text, "new.hcl").calls.stated == false);
+    CHECK(read_operator_config(m.text, "new.hcl").calls.stated == false);
 }
 
 TEST_CASE("the member block names relays, with stewards or without; mistakes are told by place") {
-    const MemberTerms t =
-        read_operator_terms("member {\n relays = [\"127.0.0.1:7\", \"127.0.0.1:8\"]\n}", "f").member;
+    const MemberConfig t =
+        read_operator_config("member {\n relays = [\"127.0.0.1:7\", \"127.0.0.1:8\"]\n}", "f").member;
     CHECK_FALSE(t.on);
     CHECK(t.relays.size() == 2);
     CHECK(t.relays.at(1).port == 8);
     CHECK(t.config_first_word == 2000 * test::ms);
-    CHECK(read_operator_terms("member {\n stewards = [\"127.0.0.1:7\"]\n}", "f").member.relays.empty());
-    const MemberTerms both = read_operator_terms(
-                                 "member {\n stewards = [\"127.0.0.1:7\"]\n"
-                                 " relays = [\"127.0.0.1:8\"]\n config_first_word = \"1s\"\n}",
-                                 "f")
-                                 .member;
+    CHECK(read_operator_config("member {\n stewards = [\"127.0.0.1:7\"]\n}", "f").member.relays.empty());
+    const MemberConfig both = read_operator_config(
+                                  "member {\n stewards = [\"127.0.0.1:7\"]\n"
+                                  " relays = [\"127.0.0.1:8\"]\n config_first_word = \"1s\"\n}",
+                                  "f")
+                                  .member;
     CHECK(both.on);
     CHECK(both.config_first_word == 1000 * test::ms);
     CHECK(wrong_in("member {}") == "f:1:1: 'stewards' and 'relays' name none");
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -20,27 +20,31 @@
 std::size_t held_bytes();  // by all that was made with new and not yet deleted
 
 struct Sent {
-    enum Kind { deliver, cancel, answer, reject, abort, wake, listen, log } kind;
+    enum Kind { send_attempt, cancel, answer, reject, fail_query, set_timer, watch_endpoints, log } kind;
     std::uint32_t id = 0, node = 0;
     bool whole = false;
     Nanos span = 0;
 };
 
-class Kept final : public DecisionWriter {
+class Kept final : public DecisionSink {
   public:
     std::vector<Sent> sent;
 
-    void deliver(std::uint32_t part, std::uint32_t node, Nanos patience) override {
-        sent.push_back({Sent::deliver, part, node, false, patience});
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
+        sent.push_back({Sent::send_attempt, shard_request, node, false, patience});
+    }
+    void cancel(std::uint32_t shard_request, std::uint8_t) override {
+        sent.push_back({Sent::cancel, shard_request});
     }
-    void cancel(std::uint32_t part, std::uint8_t) override { sent.push_back({Sent::cancel, part}); }
     void answer(std::uint32_t query, bool whole) override { sent.push_back({Sent::answer, query, 0, whole}); }
     void reject(std::uint32_t query, Nanos after) override {
         sent.push_back({Sent::reject, query, 0, false, after});
     }
-    void abort(std::uint32_t query) override { sent.push_back({Sent::abort, query}); }
-    void wake(std::uint64_t, Nanos wait) override { sent.push_back({Sent::wake, 0, 0, false, wait}); }
-    void listen() override { sent.push_back({Sent::listen}); }
+    void fail_query(std::uint32_t query) override { sent.push_back({Sent::fail_query, query}); }
+    void set_timer(std::uint64_t, Nanos wait) override {
+        sent.push_back({Sent::set_timer, 0, 0, false, wait});
+    }
+    void watch_endpoints() override { sent.push_back({Sent::watch_endpoints}); }
     void log(const std::string&) override { sent.push_back({Sent::log}); }
 
     std::vector<Sent> of(Sent::Kind kind) const {
@@ -51,12 +55,12 @@
     }
 };
 
-using Records = std::function<void(ArrivalHandler&)>;
+using Records = std::function<void(RoundEventHandler&)>;
 
-class Played final : public Arrivals {
+class Played final : public RoundEvents {
   public:
     explicit Played(Records records) : records_(std::move(records)) {}
-    void play(ArrivalHandler& handler) override { records_(handler); }
+    void play(RoundEventHandler& handler) override { records_(handler); }
 
   private:
     Records records_;
@@ -69,48 +73,49 @@
     return writer;
 }
 
-// Vertical 0 may be answered in part, vertical 1 needs every part. Shard s is held by places s, s + 1 and s
+// QueryClass 0 may be answered in part, query class 1 needs every shard request. Shard s is held by places s,
+// s + 1 and s
 // + 2.
-inline Terms small_terms(Effect effect = Effect::repeatable, int places = 4) {
-    Terms t;
-    VerticalTerms partial{effect, 2000 * ms, 5000 * ms, 1000 * ms, 0.3, 0.5};
-    VerticalTerms whole = partial;
-    whole.floor = 1;
-    t.verticals = {partial, whole};
+inline RouterConfig small_config(Effect effect = Effect::idempotent, int places = 4) {
+    RouterConfig t;
+    QueryClassConfig partial{effect, 2000 * ms, 5000 * ms, 1000 * ms, 0.3, 0.5};
+    QueryClassConfig whole = partial;
+    whole.min_answer_weight = 1;
+    t.query_classes = {partial, whole};
     t.routers = 2;
-    t.step = 5 * ms;
+    t.round_interval = 5 * ms;
     t.places = t.shards = places;
-    t.width = t.call_cap = 3;
-    t.may_cancel = t.second_copies = t.retry_after = true;
+    t.replicas_per_shard = t.max_attempts = 3;
+    t.may_cancel = t.may_hedge = t.retry_after = true;
     t.max_retry_after = 1000 * ms;
     t.drain_grace = 500 * ms;
-    t.cold_from = 0.2;
-    t.cold = 10'000 * ms;
-    t.tip_multiple = 3;
-    t.fall = 2000 * ms;
+    t.slow_start_min_fraction = 0.2;
+    t.slow_start_duration = 10'000 * ms;
+    t.overload_multiple = 3;
+    t.overload_window = 2000 * ms;
     return t;
 }
 
 // One node at each place, its id 100 + place.
-inline std::vector<NodeEntry> small_list(int places = 4) {
-    std::vector<NodeEntry> list;
+inline std::vector<Endpoint> small_list(int places = 4) {
+    std::vector<Endpoint> list;
     for (int p = 0; p < places; ++p)
-        list.push_back(
-            {100U + static_cast<unsigned>(p), static_cast<std::uint16_t>(p), Availability::ready, 0});
+        list.push_back({100U + static_cast<unsigned>(p), static_cast<std::uint16_t>(p), Lifecycle::ready, 0});
     return list;
 }
 
-// A query with parts of these weights at shards `first`, `first` + 1, ...; part ids follow the query's.
-inline void arrive(ArrivalHandler& h, std::uint32_t id, std::uint16_t vertical, Nanos give_up_at,
+// A query with shard requests of these weights at shards `first`, `first` + 1, ...; shard request ids follow
+// the query's.
+inline void arrive(RoundEventHandler& h, std::uint32_t id, std::uint16_t query_class, Nanos deadline_at,
                    const std::vector<double>& weights, std::uint32_t shards = 4, std::uint32_t first = 0,
                    bool again = false) {
-    h.on_query({id, id, vertical, 0, give_up_at, again});
+    h.on_query({id, id, query_class, 0, deadline_at, again});
     for (std::uint32_t i = 0; i < weights.size(); ++i)
-        h.on_part({id + 1 + i, id, (first + i) % shards, weights[i], 0});
+        h.on_shard_request({id + 1 + i, id, (first + i) % shards, weights[i], 0});
 }
 
-// Settings as they are stated, of two places and four shards; vertical "part" may be answered in part,
-// "keyed" is deduplicated and needs every part.
+// Settings as they are stated, of two places and four shards; query class "part" may be answered in part,
+// "keyed" is idempotent_with_key and needs every shard request.
 inline const std::string settings_text =
     R"({"extra": {"places": 2, "ranges": 4, "width": 2, "floor_by_class": [0.5, 1.0],
  "complete_from": [1.0, 1.0], "parts_a_call": 2},
@@ -159,9 +164,9 @@
 };
 
 // A listening stand-in on a free port of loopback; `seen` is called whenever one of its connections has news.
-class StandIn {
+class FakeDataNode {
   public:
-    StandIn(boost::asio::io_context& io, Peer::Seen seen)
+    FakeDataNode(boost::asio::io_context& io, Peer::Seen seen)
         : acceptor_(io, {boost::asio::ip::address_v4::loopback(), 0}), seen_(std::move(seen)) {
         accept();
     }
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -39,14 +39,14 @@
     const Json* cell = member(in, "cell");
     const bool placed = cell != nullptr && cell->is_number_unsigned() && cell->get<std::uint64_t>() < places;
     if (!id || id->empty() || !state) return std::nullopt;
-    ListedNode node{*id, address.value_or(""), zone.value_or(""), kind.value_or(""), 0, Availability::gone,
+    ListedNode node{*id, address.value_or(""), zone.value_or(""), kind.value_or(""), 0, Lifecycle::removed,
                     0};
     if (placed) node.place = cell->get<std::uint32_t>();
     if (*state == "removed") return node;
     if (*state == "draining")
-        node.availability = Availability::draining;
+        node.lifecycle = Lifecycle::draining;
     else if (*state == "up")
-        node.availability = Availability::ready;
+        node.lifecycle = Lifecycle::ready;
     else
         return std::nullopt;
     if (!placed || !address || !read_host_port(*address) || !zone || !kind) return std::nullopt;
@@ -78,7 +78,7 @@
 struct NodeList {
     struct Node {
         std::string id, address;
-        Availability availability = Availability::gone;
+        Lifecycle lifecycle = Lifecycle::removed;
         Nanos started_at = 0;
         bool named = false;
     };
@@ -95,7 +95,7 @@
     }
     std::size_t ready() const {
         return static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), [](const auto& item) {
-            return item.second.availability == Availability::ready;
+            return item.second.lifecycle == Lifecycle::ready;
         }));
     }
 
@@ -104,7 +104,7 @@
         std::set<std::uint32_t> turned;
         for (auto& [n, node] : nodes) node.named = false;
         for (const ListedNode& entry : list.nodes) {
-            const bool goes = entry.availability == Availability::gone;
+            const bool goes = entry.lifecycle == Lifecycle::removed;
             const auto known = number_of(entry.id);
             if (goes && !known) continue;
             const std::uint32_t n = known ? *known : next++;
@@ -116,26 +116,26 @@
             const auto at = std::find(groups.begin(), groups.end(), group) - groups.begin();
             if (!goes && at == static_cast<std::ptrdiff_t>(groups.size())) groups.push_back(group);
             news.entries.push_back(
-                {n, entry.place, entry.availability, entry.started_at, static_cast<std::uint32_t>(at)});
-            if (goes != (node.availability == Availability::gone)) turned.insert(n);
-            if (entry.availability != Availability::ready && node.availability == Availability::ready)
+                {n, entry.place, entry.lifecycle, entry.started_at, static_cast<std::uint32_t>(at)});
+            if (goes != (node.lifecycle == Lifecycle::removed)) turned.insert(n);
+            if (entry.lifecycle != Lifecycle::ready && node.lifecycle == Lifecycle::ready)
                 news.leaving.push_back(n);
             else if (!goes && known && (entry.address != node.address || entry.started_at != node.started_at))
                 news.changed.push_back(n);
-            node.availability = entry.availability;
+            node.lifecycle = entry.lifecycle;
             if (goes) continue;
             node.address = entry.address;
             node.started_at = entry.started_at;
         }
         for (auto& [n, node] : nodes) {
-            if (!list.whole || node.named || node.availability == Availability::gone) continue;
-            if (node.availability == Availability::ready) news.leaving.push_back(n);
-            node.availability = Availability::gone;
+            if (!list.whole || node.named || node.lifecycle == Lifecycle::removed) continue;
+            if (node.lifecycle == Lifecycle::ready) news.leaving.push_back(n);
+            node.lifecycle = Lifecycle::removed;
             turned.insert(n);
         }
         for (const std::uint32_t n : turned) {
             std::erase(gone, n);
-            if (nodes[n].availability == Availability::gone) gone.push_back(n);
+            if (nodes[n].lifecycle == Lifecycle::removed) gone.push_back(n);
         }
         most = std::max(most, nodes.size() - gone.size());
         for (; gone.size() > most; gone.pop_front()) nodes.erase(gone.front());
@@ -147,7 +147,7 @@
 }  // namespace plain
 
 auto of(const ListedNode& n) {
-    return std::tuple(n.id, n.address, n.zone, n.kind, n.place, n.availability, n.started_at);
+    return std::tuple(n.id, n.address, n.zone, n.kind, n.place, n.lifecycle, n.started_at);
 }
 
 void check_same(const std::optional<TargetList>& got, const std::optional<TargetList>& want) {
@@ -241,7 +241,7 @@
     return text;
 }
 
-ListedNode listed(int n, Availability a, int how = 0) {
+ListedNode listed(int n, Lifecycle a, int how = 0) {
     return {"node " + std::to_string(n),
             "h:" + std::to_string(1 + how % 2),
             "z" + std::to_string(n % 3),
@@ -253,7 +253,7 @@
 
 TargetList everything(int nodes) {
     TargetList list{1, true, {}, 0};
-    for (int n = 0; n < nodes; ++n) list.nodes.push_back(listed(n, Availability::ready));
+    for (int n = 0; n < nodes; ++n) list.nodes.push_back(listed(n, Lifecycle::ready));
     return list;
 }
 
@@ -284,14 +284,14 @@
         for (int i = 0; i < lists; ++i) {
             TargetList list{static_cast<std::uint64_t>(i), *rc::gen::inRange(0, 5) == 0, {}, 0};
             const int zone = *rc::gen::inRange(0, 6);
-            const auto turn = static_cast<Availability>(*rc::gen::inRange(0, 3));
+            const auto turn = static_cast<Lifecycle>(*rc::gen::inRange(0, 3));
             if (zone < 3) {  // all of a zone turn at once
                 for (int n = zone; n < most; n += 3) list.nodes.push_back(listed(n, turn));
             } else {
                 const int named = *rc::gen::inRange(0, 6);
                 for (int j = 0; j < named; ++j)  // also one twice, and ever new ones
                     list.nodes.push_back(listed(*rc::gen::inRange(0, 2 * most + i / 4),
-                                                static_cast<Availability>(*rc::gen::inRange(0, 3)),
+                                                static_cast<Lifecycle>(*rc::gen::inRange(0, 3)),
                                                 *rc::gen::inRange(0, 8)));
             }
             const auto got = nodes.take(list), want = model.take(list);
@@ -302,7 +302,7 @@
             for (std::size_t e = 0; e < got.entries.size(); ++e) {
                 RC_ASSERT(got.entries[e].node == want.entries[e].node);
                 RC_ASSERT(got.entries[e].place == want.entries[e].place);
-                RC_ASSERT(got.entries[e].availability == want.entries[e].availability);
+                RC_ASSERT(got.entries[e].lifecycle == want.entries[e].lifecycle);
                 RC_ASSERT(got.entries[e].started_at == want.entries[e].started_at);
                 RC_ASSERT(got.entries[e].group == want.entries[e].group);
             }
@@ -335,14 +335,14 @@
         };
         nodes.take(everything(most));
         list.discovered(everything(most));
-        for (const Availability a : {Availability::draining, Availability::gone, Availability::ready}) {
+        for (const Lifecycle a : {Lifecycle::draining, Lifecycle::removed, Lifecycle::ready}) {
             take({2, false, {listed(7, a)}, 0});
             count([&] { list.discovered({2, false, {listed(7, a)}, 0}); });
         }
         TargetList zone{3, false, {}, 0};
-        for (int n = 0; n < 80; ++n) zone.nodes.push_back(listed(n, Availability::gone));
+        for (int n = 0; n < 80; ++n) zone.nodes.push_back(listed(n, Lifecycle::removed));
         take(zone);
-        for (ListedNode& n : zone.nodes) n.availability = Availability::ready;
+        for (ListedNode& n : zone.nodes) n.lifecycle = Lifecycle::ready;
         take(zone);
         count([&] { list.agreed({"node 7", "node 9"}); });
         count([&] { list.agreed({"node 7", "node 9", "never met"}); });
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -1,18 +1,18 @@
 // A router's side of a fleet's agreement: its lease, discovery's list joined with what is agreed, what it
-// reports, what it and the stewards say; and the stewards' file and view of the data nodes.
+// reports, what it and the managers say; and the managers' file and view of the data nodes.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 #include <random>
 
+#include "fleet_manager/endpoint_view.hpp"
+#include "fleet_manager/fleet_manager_config.hpp"
+#include "fleet_manager/operator_requests.hpp"
 #include "helpers.hpp"
 #include "members/agreed_list.hpp"
 #include "members/member_lease.hpp"
 #include "members/outcome_watch.hpp"
 #include "service/membership.hpp"
-#include "steward/node_view.hpp"
-#include "steward/requests.hpp"
-#include "steward/steward_terms.hpp"
-#include "wire/member_words.hpp"
+#include "wire/member_messages.hpp"
 
 using namespace tealcart;
 
@@ -20,26 +20,26 @@
 
 constexpr Nanos second = 1'000'000'000;
 
-MemberTerms terms_of(Nanos serve_on, bool stop) {
-    MemberTerms t;
+MemberConfig router_config_of(Nanos serve_on, bool stop) {
+    MemberConfig t;
     t.serve_on = serve_on;
     t.then_stop = stop;
     t.first_word = 5 * second;
     return t;
 }
 
-ListedNode listed(const std::string& id, Availability a = Availability::ready, std::uint32_t place = 0) {
+ListedNode listed(const std::string& id, Lifecycle a = Lifecycle::ready, std::uint32_t place = 0) {
     ListedNode n;
-    n.id = id, n.address = "127.0.0.1:1", n.zone = "a", n.place = place, n.availability = a;
+    n.id = id, n.address = "127.0.0.1:1", n.zone = "a", n.place = place, n.lifecycle = a;
     return n;
 }
 
-std::map<std::string, Availability> told(const TargetList& list) {
-    std::map<std::string, Availability> all;
-    for (const ListedNode& n : list.nodes) all[n.id] = n.availability;
+std::map<std::string, Lifecycle> told(const TargetList& list) {
+    std::map<std::string, Lifecycle> all;
+    for (const ListedNode& n : list.nodes) all[n.id] = n.lifecycle;
     return all;
 }
-using Told = std::map<std::string, Availability>;
+using Told = std::map<std::string, Lifecycle>;
 
 }  // namespace
 
@@ -48,14 +48,14 @@
 // A router without queries: keeps what reaches its module.
 class Host final : public MemberHost {
   public:
-    std::map<std::string, Availability> nodes;
+    std::map<std::string, Lifecycle> nodes;
 
     void on_list(const TargetList& list) override {
-        for (const ListedNode& n : list.nodes) nodes[n.id] = n.availability;
+        for (const ListedNode& n : list.nodes) nodes[n.id] = n.lifecycle;
     }
     void watch_outcomes(OutcomeTaker*) override {}
-    void take_standing(StandingBy, const MemberStanding&) override {}
-    Nanos next_round() const override { return Deadlines::never; }
+    void set_serving_state(ServingStateSource, const MemberServingState&) override {}
+    Nanos next_round() const override { return TimerQueue::never; }
     std::size_t held() const override { return 0; }
     bool any_call_to(const std::function<bool(const std::string&)>&) const override { return false; }
     const std::string& node_name(std::uint32_t) const override { return none_; }
@@ -68,19 +68,19 @@
 
 TEST_CASE("a node that only the list at the start names goes out by agreement too") {
     boost::asio::io_context io(1);
-    Timekeeper time;
-    test::StandIn steward(io, [](test::Peer& peer) {
+    EventClock time;
+    test::FakeDataNode manager(io, [](test::Peer& peer) {
         if (peer.got.find("\r\n\r\n") == std::string::npos || peer.got.back() != '}') return;
         peer.got.clear();
         const std::string body = write_member_answer({1, 10 * second, {{false, "n0"}}, false});
         peer.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     });
-    Launch launch = read_launch(
+    StartupConfig launch = read_startup_config(
         R"({"name":"r","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"00ff","limits":{"sockets":256},)"
         R"("settings":)" +
         test::settings_text + "}");
     launch.operators.member.on = true;
-    launch.operators.member.stewards = {*read_host_port(steward.address())};
+    launch.operators.member.managers = {*read_host_port(manager.address())};
     Host host;
     Membership member(io, time, launch, host);
     const TargetList known{1, true, {listed("n0"), listed("n1")}, 0};
@@ -88,12 +88,12 @@
     member.know(known);
     member.start();
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (member.acts_on() != 1 && std::chrono::steady_clock::now() < end) {
+    while (member.applied_generation() != 1 && std::chrono::steady_clock::now() < end) {
         io.run_one_for(std::chrono::milliseconds(10));
         time.due.tell(time.now());
     }
-    CHECK(member.acts_on() == 1);
-    CHECK(host.nodes == Told{{"n0", Availability::draining}, {"n1", Availability::ready}});
+    CHECK(member.applied_generation() == 1);
+    CHECK(host.nodes == Told{{"n0", Lifecycle::draining}, {"n1", Lifecycle::ready}});
     member.stop();
     io.poll();
 }
@@ -101,17 +101,17 @@
 TEST_CASE(
     "a lease counts from when the answered call was sent, and what is allowed after it is the operators'") {
     const bool stop = GENERATE(false, true);
-    MemberLease lease(terms_of(3 * second, stop), 100 * second, 7);
-    CHECK(lease.standing(100 * second) == Standing::unheard);
+    MemberLease lease(router_config_of(3 * second, stop), 100 * second, 7);
+    CHECK(lease.serving_state(100 * second) == ServingState::unheard);
     CHECK_FALSE(lease.ready(100 * second));
-    CHECK(lease.admits(100 * second) == !stop);  // the stewards may hold it to be a member already
+    CHECK(lease.admits(100 * second) == !stop);  // the managers may hold it to be a member already
     lease.renewed(101 * second, 10 * second);
     lease.renewed(100 * second, 10 * second);  // an answer to an earlier call takes nothing back
     CHECK(lease.lease_until() == 111 * second);
-    CHECK(lease.standing(111 * second - 1) == Standing::member);
-    CHECK(lease.standing(111 * second) == Standing::alone);
+    CHECK(lease.serving_state(111 * second - 1) == ServingState::member);
+    CHECK(lease.serving_state(111 * second) == ServingState::alone);
     CHECK(lease.ready(113 * second));
-    CHECK(lease.standing(114 * second) == Standing::cut);
+    CHECK(lease.serving_state(114 * second) == ServingState::cut);
     CHECK_FALSE(lease.ready(114 * second));
     CHECK(lease.admits(114 * second) == !stop);
     CHECK(lease.no_calls_after(102 * second) == (stop ? 114 * second : INT64_MAX));
@@ -119,30 +119,30 @@
     CHECK(lease.next_change(111 * second) == 114 * second);
     CHECK(lease.next_change(114 * second) == INT64_MAX);
     lease.renewed(120 * second, 10 * second);
-    CHECK(lease.standing(121 * second) == Standing::member);
+    CHECK(lease.serving_state(121 * second) == ServingState::member);
     CHECK(lease.wait(false) == 2 * second);
     CHECK(lease.wait(true) < second / 10);
 }
 
 TEST_CASE("one that no steward ever answered counts from its start; spans without end don't overflow") {
-    MemberLease strict(terms_of(0, true), 100 * second, 7);
+    MemberLease strict(router_config_of(0, true), 100 * second, 7);
     CHECK(strict.no_calls_after(101 * second) == 0);
-    CHECK(strict.standing(105 * second) == Standing::cut);
-    MemberLease easy(terms_of(INT64_MAX, false), 100 * second, 7);
-    CHECK(easy.standing(105 * second) == Standing::alone);
+    CHECK(strict.serving_state(105 * second) == ServingState::cut);
+    MemberLease easy(router_config_of(INT64_MAX, false), 100 * second, 7);
+    CHECK(easy.serving_state(105 * second) == ServingState::alone);
     CHECK(easy.ready(1'000'000 * second));
 }
 
 TEST_CASE(
     "a later life of its name: at the start it takes one beyond, later it has been followed and is cut") {
-    MemberLease lease(terms_of(3600 * second, false), 100 * second, 7);
+    MemberLease lease(router_config_of(3600 * second, false), 100 * second, 7);
     lease.outlived(50);
-    CHECK(lease.life() == 51);
-    CHECK(lease.standing(101 * second) == Standing::unheard);
+    CHECK(lease.incarnation() == 51);
+    CHECK(lease.serving_state(101 * second) == ServingState::unheard);
     lease.renewed(101 * second, 10 * second);
     lease.outlived(90);
-    CHECK(lease.life() == 51);
-    CHECK(lease.standing(102 * second) == Standing::cut);
+    CHECK(lease.incarnation() == 51);
+    CHECK(lease.serving_state(102 * second) == ServingState::cut);
     CHECK_FALSE(lease.admits(102 * second));
     CHECK(lease.no_calls_after(102 * second) == 0);
 }
@@ -152,7 +152,7 @@
     const auto pick = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
     AgreedList list;
     // The plain model: all that discovery last said, who is out, and what the module was told.
-    std::map<std::string, Availability> discovery, module;
+    std::map<std::string, Lifecycle> discovery, module;
     std::set<std::string> out;
     bool cut = false;
     for (int i = 0; i < 600; ++i) {
@@ -163,9 +163,9 @@
                 if (news.whole) discovery.clear();
                 for (int n = 0; n < 6; ++n) {
                     if (pick(3) != 0) continue;
-                    const auto a = static_cast<Availability>(pick(3));
+                    const auto a = static_cast<Lifecycle>(pick(3));
                     news.nodes.push_back(listed("n" + std::to_string(n), a));
-                    if (a == Availability::gone)
+                    if (a == Lifecycle::removed)
                         discovery.erase(news.nodes.back().id);
                     else
                         discovery[news.nodes.back().id] = a;
@@ -184,26 +184,26 @@
         }
         if (to_module.whole) module.clear();
         for (const ListedNode& n : to_module.nodes) {
-            if (n.availability == Availability::gone)
+            if (n.lifecycle == Lifecycle::removed)
                 module.erase(n.id);
             else
-                module[n.id] = n.availability;
+                module[n.id] = n.lifecycle;
         }
         Told want = discovery;
         for (auto& [id, a] : want)
-            if (cut || out.contains(id)) a = Availability::draining;
+            if (cut || out.contains(id)) a = Lifecycle::draining;
         CHECK(module == want);
     }
 }
 
 TEST_CASE("what changes nothing is not told again") {
     AgreedList list;
-    list.discovered({1, true, {listed("n0"), listed("n1", Availability::draining)}, 0});
-    CHECK(told(list.agreed({"n0", "n1", "n9"})) == Told{{"n0", Availability::draining}});
+    list.discovered({1, true, {listed("n0"), listed("n1", Lifecycle::draining)}, 0});
+    CHECK(told(list.agreed({"n0", "n1", "n9"})) == Told{{"n0", Lifecycle::draining}});
     CHECK(told(list.agreed({"n0", "n1"})).empty());
     CHECK(told(list.cut(true)).empty());
     CHECK(told(list.cut(false)).empty());
-    CHECK(told(list.agreed({})) == Told{{"n0", Availability::ready}});
+    CHECK(told(list.agreed({})) == Told{{"n0", Lifecycle::ready}});
 }
 
 TEST_CASE("a member reports the last ten seconds, and nodes that were silent several times in a row") {
@@ -217,9 +217,9 @@
     CHECK(watch.counts(now + 60 * second).queries == 0);
     for (int i = 0; i < 5; ++i) watch.call_ended(now + i * second, 3, Outcome::timeout);
     for (int i = 0; i < 9; ++i) watch.call_ended(now, 4, Outcome::reset);  // all at once: one break
-    for (int i = 0; i < 9; ++i) watch.call_ended(now + i * second, 5, Outcome::full);  // it speaks
+    for (int i = 0; i < 9; ++i) watch.call_ended(now + i * second, 5, Outcome::overloaded);  // it speaks
     CHECK(watch.silent(now + 5 * second) == std::set<std::uint32_t>{3});
-    watch.call_ended(now + 5 * second, 3, Outcome::moot);
+    watch.call_ended(now + 5 * second, 3, Outcome::not_sent);
     CHECK(watch.silent(now + 5 * second).size() == 1);
     CHECK(watch.silent(now + 60 * second).empty());
     watch.call_ended(now + 6 * second, 3, Outcome::ok);
@@ -234,7 +234,7 @@
     const auto read = read_member_call(write_member_call(call), wrong);
     REQUIRE(read);
     CHECK(write_member_call(*read) == write_member_call(call));
-    CHECK(read->in_hand == call.in_hand);
+    CHECK(read->in_flight == call.in_flight);
     CHECK(read->leaves);
     const std::string bad[] = {"",
                                "[]",
@@ -265,7 +265,7 @@
 }
 
 TEST_CASE("an operator's call is read, or told what is wrong with it") {
-    using namespace tealcart::steward;
+    using namespace tealcart::manager;
     std::string wrong;
     const auto call =
         read_operator_call(R"({"id":"x","asker":"ann","targets":[["node","n1"],["router","r1"]]})", wrong);
@@ -280,19 +280,19 @@
 }
 
 TEST_CASE("the stewards' file: what it states, and every mistake with its line and column") {
-    using namespace tealcart::steward;
-    const StewardTerms t = read_steward_file("deploy/fleet.hcl");
+    using namespace tealcart::manager;
+    const FleetManagerConfig t = read_fleet_manager_file("deploy/fleet.hcl");
     CHECK(t.fleet == "example");
-    CHECK(t.stewards.size() == 3);
-    CHECK(t.stewards.at(2).http.port == 7202);
-    CHECK(t.stewards.at(2).http_bind == t.stewards.at(2).http);
+    CHECK(t.managers.size() == 3);
+    CHECK(t.managers.at(2).http.port == 7202);
+    CHECK(t.managers.at(2).http_bind == t.managers.at(2).http);
     CHECK(t.budgets.nodes.most == 1);
     CHECK(t.budgets.nodes_a_zone.share == 0.5);
     CHECK(t.budgets.halt_holders == 1);
     CHECK(t.budgets.lease == 10 * second);
     const auto mistakes = [](const char* text) {
         try {
-            read_steward_terms(text, "f");
+            read_fleet_manager_config(text, "f");
         } catch (const HclMistakes& e) {
             return std::string(e.what());
         }
@@ -309,16 +309,17 @@
 }
 
 TEST_CASE("the stewards' view: shards by place, cold until warm, gone, and nothing known in silence") {
-    using namespace tealcart::steward;
-    Terms terms;
-    terms.places = 4, terms.width = 2, terms.shards = 8, terms.cold = 10 * second;
-    NodeView view(terms);
+    using namespace tealcart::manager;
+    RouterConfig config;
+    config.places = 4, config.replicas_per_shard = 2, config.shards = 8,
+    config.slow_start_duration = 10 * second;
+    NodeView view(config);
     fleet::FleetState state({});
     const Nanos now = 1000 * second;
     CHECK_FALSE(view.news(state, now));  // nothing is known yet, which is no news of nobody
-    ListedNode fresh = listed("n1", Availability::ready, 1);
+    ListedNode fresh = listed("n1", Lifecycle::ready, 1);
     fresh.started_at = now - 4 * second;
-    view.take({1, true, {listed("n0"), fresh, listed("n2", Availability::draining, 2)}, 0}, now);
+    view.take({1, true, {listed("n0"), fresh, listed("n2", Lifecycle::draining, 2)}, 0}, now);
     auto news = view.news(state, now);
     REQUIRE(news);
     CHECK(news->nodes.at("n0").shards == std::vector<std::uint32_t>{0, 3, 4, 7});
@@ -330,7 +331,7 @@
     REQUIRE(news);
     CHECK(news->nodes.size() == 1);
     CHECK(news->nodes.at("n1").health == fleet::Health::whole);
-    view.take({2, false, {listed("n0", Availability::gone)}, 0}, now + second);
+    view.take({2, false, {listed("n0", Lifecycle::removed)}, 0}, now + second);
     news = view.news(state, now + second);
     REQUIRE(news);
     CHECK(news->gone == std::set<std::string>{"n0"});
@@ -340,14 +341,15 @@
 }
 
 TEST_CASE("the stewards' view looks at what changed, and finds what a look at all nodes finds") {
-    using namespace tealcart::steward;
+    using namespace tealcart::manager;
     const auto seed = GENERATE(range(1U, 9U));
     std::knuth_b chance(seed);
     const auto pick = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
-    Terms terms;
-    terms.places = 5, terms.width = 2, terms.shards = 13, terms.cold = 10 * second;
+    RouterConfig config;
+    config.places = 5, config.replicas_per_shard = 2, config.shards = 13,
+    config.slow_start_duration = 10 * second;
     const auto name_of = [](int n) { return "n" + std::to_string(n); };
-    NodeView view(terms);
+    NodeView view(config);
     fleet::FleetState state({});
     std::map<std::string, ListedNode> all;
     Nanos now = 1000 * second, heard = 0;
@@ -358,14 +360,14 @@
         if (pick(3) > 0) {
             TargetList list{static_cast<std::uint64_t>(i), pick(100) == 0, {}, 0};
             const std::string name = name_of(pick(30));
-            ListedNode one = listed(name, static_cast<Availability>(pick(3)), std::uint32_t(pick(5)));
+            ListedNode one = listed(name, static_cast<Lifecycle>(pick(3)), std::uint32_t(pick(5)));
             one.started_at = pick(2) == 0 ? now - pick(12) * second : 0;
             if (list.whole) {
                 std::erase_if(all, [&](const auto&) { return pick(4) == 0; });
                 for (const auto& [id, node] : all) list.nodes.push_back(node);
             }
             list.nodes.push_back(one);
-            if (one.availability == Availability::gone)
+            if (one.lifecycle == Lifecycle::removed)
                 all.erase(name);
             else
                 all[name] = one;
@@ -373,14 +375,14 @@
         }
         // Another that led: its last entry is agreed after this one has begun to look.
         if (pick(50) == 0) {
-            fleet::NodesSeen other{{}, pick(4) == 0, {name_of(pick(30))}};
+            fleet::EndpointsObserved other{{}, pick(4) == 0, {name_of(pick(30))}};
             other.nodes[name_of(pick(30))] = {"b", "k", {1}, fleet::Health::draining, 0};
             state.apply({"", now, other});
             view.agreed(other);
         }
-        if (pick(30) == 0) state.apply({"", now, fleet::Ask{"ann", {false, name_of(pick(30))}}});
-        if (heard == 0 || pick(4) == 0) continue;  // another steward leads
-        NodeView anew(terms);
+        if (pick(30) == 0) state.apply({"", now, fleet::RequestRemoval{"ann", {false, name_of(pick(30))}}});
+        if (heard == 0 || pick(4) == 0) continue;  // another manager leads
+        NodeView anew(config);
         TargetList whole{1, true, {}, 0};
         for (const auto& [id, node] : all) whole.nodes.push_back(node);
         anew.take(whole, heard);
@@ -401,15 +403,16 @@
 }
 
 TEST_CASE("one node's news costs the stewards' view a look at one node") {
-    using namespace tealcart::steward;
-    Terms terms;
-    terms.places = 100, terms.width = 2, terms.shards = 200, terms.cold = 10 * second;
-    NodeView view(terms);
+    using namespace tealcart::manager;
+    RouterConfig config;
+    config.places = 100, config.replicas_per_shard = 2, config.shards = 200,
+    config.slow_start_duration = 10 * second;
+    NodeView view(config);
     fleet::FleetState state({});
     Nanos now = 1000 * second;
     TargetList list{1, true, {}, 0};
     for (std::uint32_t n = 0; n < 1000; ++n)
-        list.nodes.push_back(listed("n" + std::to_string(n), Availability::ready, n % 100));
+        list.nodes.push_back(listed("n" + std::to_string(n), Lifecycle::ready, n % 100));
     const auto agree = [&] {
         if (auto news = view.news(state, now)) state.apply({"", now, *news}), view.agreed(*news);
         return view.looked_at();
@@ -418,7 +421,7 @@
     CHECK(agree() == 1000);
     CHECK(agree() == 1000);  // and are found to be agreed
     CHECK(agree() == 0);
-    ListedNode fresh = listed("n7", Availability::ready, 7);
+    ListedNode fresh = listed("n7", Lifecycle::ready, 7);
     fresh.started_at = now;
     view.take({2, false, {fresh}, 0}, now);
     CHECK(agree() == 1);
@@ -438,16 +441,16 @@
 }
 
 TEST_CASE("the status of a great fleet lists what is not as it should be, and counts all by zone") {
-    using namespace tealcart::steward;
+    using namespace tealcart::manager;
     fleet::FleetState state({});
     const Nanos now = 1000 * second;
     const int nodes = GENERATE(200, 201, 2000);
-    fleet::NodesSeen seen;
+    fleet::EndpointsObserved seen;
     for (int n = 0; n < nodes; ++n)
         seen.nodes["n" + std::to_string(n)] = {n % 2 == 0 ? "a" : "b", "k", {}, fleet::Health::whole, 0};
     seen.nodes["n3"].health = fleet::Health::cold;
     state.apply({"", now, seen});
-    fleet::Words words;
+    fleet::ReportBatch words;
     for (int r = 0; r < nodes; ++r)
         words.joins.push_back({"r" + std::to_string(r), fleet::Role::router, "a", "1", "d", 1, 0});
     state.apply({"", now, words});
@@ -466,7 +469,7 @@
     CHECK(status(true)["members_listed"]["listed"] == "all");
     // What is granted makes every member one that does not act on the latest yet; no more than 1000 are
     // listed.
-    state.apply({"", now, fleet::Ask{"ann", {false, "n0"}}});
+    state.apply({"", now, fleet::RequestRemoval{"ann", {false, "n0"}}});
     s = status(false);
     CHECK(s["members"].size() == std::min<std::size_t>(1000, words.joins.size()));
     CHECK(s["members_listed"]["exceptions_left_out"] == std::max(0, nodes - 1000));
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -8,14 +8,14 @@
 #include "helpers.hpp"
 #include "phases/budget.hpp"
 #include "phases/section_memory.hpp"
-#include "phases/speakers.hpp"
 #include "phases/term_filter.hpp"
 #include "phases/two_phase.hpp"
-#include "standin/contents.hpp"
+#include "phases/two_phase_capability.hpp"
+#include "testing/contents.hpp"
 
 using namespace tealcart;
-using standin::ReadRow;
 using test::ms;
+using testing::ReadRow;
 
 namespace {
 
@@ -34,7 +34,7 @@
 TEST_CASE("the first phase's time keeps to what is stated, and leaves the second its least") {
     Drawn drawn(1);
     for (int i = 0; i < 20'000; ++i) {
-        PhaseTerms t;
+        TwoPhaseConfig t;
         t.share = (1 + drawn.below(90)) / 100.0;
         t.least = (1 + drawn.below(50)) * ms;
         t.most = t.least + drawn.below(500) * ms;
@@ -98,9 +98,9 @@
 TEST_CASE("what is remembered rules out only what the current version can't hold, and stays bounded") {
     Drawn drawn(GENERATE(range<std::uint64_t>(1, 9)));
     constexpr std::uint32_t shards = 12;
-    MemoryTerms terms;
+    SectionMemoryConfig terms;
     terms.bytes = 4096;
-    terms.longest_lease = 2000 * ms;
+    terms.max_lease = 2000 * ms;
     SectionMemory memory(terms, shards);
     struct Plain {
         std::uint64_t version = 1, heard = 0;
@@ -177,8 +177,8 @@
 
 TEST_CASE("nodes are one-phase until their entry changes, and distrusted for a while") {
     Speakers speakers(3, 2, 100 * ms);
-    const auto entry = [](std::uint32_t n, std::uint16_t place, Availability a = Availability::ready) {
-        return NodeEntry{n, place, a, 0, 0};
+    const auto entry = [](std::uint32_t n, std::uint16_t place, Lifecycle a = Lifecycle::ready) {
+        return Endpoint{n, place, a, 0, 0};
     };
     speakers.hear_entry(entry(1, 0), true);
     CHECK(speakers.worth_asking(0, 0));
@@ -195,11 +195,11 @@
     CHECK_FALSE(speakers.worth_asking(0, 149 * ms));
     CHECK(speakers.worth_asking(0, 150 * ms));
     CHECK(speakers.is_proved(1));
-    speakers.hear_entry(entry(1, 0, Availability::draining), false);
+    speakers.hear_entry(entry(1, 0, Lifecycle::draining), false);
     CHECK_FALSE(speakers.worth_asking(0, 150 * ms));
     for (std::uint32_t n = 10; n < 2000; ++n) {  // ever new ids
         speakers.hear_entry(entry(n, 1), true);
-        const NodeEntry only = entry(n, 1);
+        const Endpoint only = entry(n, 1);
         speakers.keep_only({&only, 1});
         REQUIRE(speakers.known() == 1);
     }
@@ -214,10 +214,10 @@
     explicit Played(std::uint64_t seed) : drawn(seed) {}
 
     Drawn drawn;
-    std::vector<standin::Section> sections;
+    std::vector<testing::Section> sections;
     Find find{{"wanted"}, {}, 1};
     // As each section was when it gave its word, and when it gave its rows.
-    std::map<std::uint32_t, standin::Section> at_word, at_rows;
+    std::map<std::uint32_t, testing::Section> at_word, at_rows;
     std::set<std::uint32_t> liars;  // sections whose holder tells its rows higher than they are
     bool changes = false, loses = false, lies = false;
     int legs = 0;
@@ -225,22 +225,22 @@
     void maybe_change(std::uint32_t i) {
         if (!changes || !drawn.one_in(4)) return;
         ++sections[i].version;
-        for (standin::Row& row : sections[i].rows) row.rank += drawn.below(400) - 200;
-        standin::sort_rows(sections[i].rows);
+        for (testing::Row& row : sections[i].rows) row.rank += drawn.below(400) - 200;
+        testing::sort_rows(sections[i].rows);
     }
 
     TwoPhase play(std::uint32_t shards) {
-        standin::Generated g;
+        testing::Generated g;
         g.shards = shards;
         g.rows = drawn.below(12);
         g.matching = drawn.below(11) / 10.0;
         g.top = drawn.below(11) / 10.0;
         g.seed = static_cast<std::uint64_t>(drawn.below(1'000'000));
-        sections = standin::generate(g);
+        sections = testing::generate(g);
         find.rows = 1 + drawn.below(12);
         for (std::uint32_t i = 0; lies && i < shards; ++i)
             if (drawn.one_in(4)) liars.insert(i);
-        PhaseTerms terms;
+        TwoPhaseConfig terms;
         terms.on = true;
         std::vector<double> weights(shards, 1.0 / shards);
         TwoPhase machine(terms, find.rows, 3, weights);
@@ -250,11 +250,12 @@
         while (leg.kind != Leg::end) {
             REQUIRE(++legs <= 4);
             check_leg(machine, leg);
-            for (const LegPart& part : leg.parts) {
-                if (part.in || part.spent >= 3 || (loses && drawn.one_in(6))) continue;
-                machine.spend(part.section);
-                maybe_change(part.section);
-                leg.kind == Leg::find ? give_word(machine, part.section) : give_rows(machine, part.section);
+            for (const LegShardRequest& shard_request : leg.shard_requests) {
+                if (shard_request.in || shard_request.spent >= 3 || (loses && drawn.one_in(6))) continue;
+                machine.spend(shard_request.section);
+                maybe_change(shard_request.section);
+                leg.kind == Leg::find ? give_word(machine, shard_request.section)
+                                      : give_rows(machine, shard_request.section);
             }
             now += drawn.below(loses ? 700 : 100) * ms;
             leg = machine.end_leg(Verdict::answer, now, [] { return false; });
@@ -265,16 +266,16 @@
     void check_leg(const TwoPhase& machine, const Leg& leg) const {
         double sum = 0;
         std::set<std::uint32_t> named;
-        for (const LegPart& part : leg.parts) {
-            sum += part.weight;
-            REQUIRE(named.insert(part.section).second);
-            if (leg.kind == Leg::find) REQUIRE(part.spent == 1);  // one call is kept for the rows
+        for (const LegShardRequest& shard_request : leg.shard_requests) {
+            sum += shard_request.weight;
+            REQUIRE(named.insert(shard_request.section).second);
+            if (leg.kind == Leg::find) REQUIRE(shard_request.spent == 1);  // one call is kept for the rows
         }
         REQUIRE(std::abs(sum - 1) < 1e-9);
         REQUIRE(machine.state() != TwoPhase::State::ended);
     }
     void give_word(TwoPhase& machine, std::uint32_t i) {
-        SectionWord word = standin::word_on(sections[i], find, 0, false);
+        SectionWord word = testing::word_on(sections[i], find, 0, false);
         at_word[i] = sections[i];
         if (liars.contains(i)) {
             word.upper += 5000;
@@ -285,7 +286,7 @@
     void give_rows(TwoPhase& machine, std::uint32_t i) {
         if (machine.is_stale(i, sections[i].version)) return;
         std::vector<double> ranks;
-        for (const standin::Row* row : standin::best_of(sections[i], find)) ranks.push_back(row->rank);
+        for (const testing::Row* row : testing::best_of(sections[i], find)) ranks.push_back(row->rank);
         at_rows[i] = sections[i];
         const auto found = machine.take_rows(i, sections[i].version, ranks);
         const bool told_wrong = liars.contains(i) && at_word.contains(i) &&
@@ -302,15 +303,15 @@
         std::vector<ReadRow> given, truth;
         for (std::uint32_t i = 0; i < shards; ++i) {
             if (std::find(missing.begin(), missing.end(), i) != missing.end()) continue;
-            const auto rows_of = [&](const standin::Section& s, std::vector<ReadRow>& to) {
-                for (const standin::Row* row : standin::best_of(s, find)) to.push_back({row->doc, row->rank});
+            const auto rows_of = [&](const testing::Section& s, std::vector<ReadRow>& to) {
+                for (const testing::Row* row : testing::best_of(s, find)) to.push_back({row->doc, row->rank});
             };
             if (at_rows.contains(i))
                 rows_of(at_rows[i], given), rows_of(at_rows[i], truth);
             else
                 rows_of(at_word.at(i), truth);
         }
-        REQUIRE(standin::first_of(given, find.rows) == standin::first_of(truth, find.rows));
+        REQUIRE(testing::first_of(given, find.rows) == testing::first_of(truth, find.rows));
     }
 };
 
@@ -347,9 +348,9 @@
 }
 
 TEST_CASE("a rejection or an abort in any leg ends the query as the module says") {
-    for (const Verdict verdict : {Verdict::reject, Verdict::abort})
+    for (const Verdict verdict : {Verdict::reject, Verdict::fail_query})
         for (int leg = 0; leg < 2; ++leg) {
-            PhaseTerms terms;
+            TwoPhaseConfig terms;
             TwoPhase machine(terms, 2, 3, {0.5, 0.5});
             machine.begin(0, 1000 * ms, {[](auto) { return std::nullopt; }, [](auto) { return true; }});
             if (leg == 1)
@@ -362,7 +363,7 @@
 }
 
 TEST_CASE("sections known to hold nothing need no call at all, and audits ask some that could be pruned") {
-    PhaseTerms terms;
+    TwoPhaseConfig terms;
     TwoPhase known(terms, 2, 3, {0.5, 0.5});
     CHECK(known.begin(0, 1000 * ms, {[](auto) { return 4U; }, [](auto) { return true; }}).kind == Leg::end);
     CHECK(known.whole());
@@ -376,8 +377,8 @@
     audited.hear(1, 8, none);
     int asked = 0;
     const Leg leg = audited.end_leg(Verdict::answer, 10 * ms, [&asked] { return ++asked == 1; });
-    REQUIRE(leg.parts.size() == 1);
-    CHECK(leg.parts[0].weight == 1);
+    REQUIRE(leg.shard_requests.size() == 1);
+    CHECK(leg.shard_requests[0].weight == 1);
     CHECK(audited.take_rows(0, 0, {3.0}) == TwoPhase::Rows::wrong);
     CHECK(audited.take_wrong() == std::vector<std::uint32_t>{9});
 }
--- a/tests/bridge_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -1,6 +1,6 @@
 // The bridge between sockets and decisions, with a given clock and stand-ins for both sides: a plain model of
 // what was asked, sent and answered watches it on generated events.
-#include "service/bridge.hpp"
+#include "service/query_dispatcher.hpp"
 
 #include <catch2/catch.hpp>
 #include <map>
@@ -17,7 +17,7 @@
 struct Asked {
     std::string id;
     bool keyed = false;
-    Nanos give_up_at = 0;
+    Nanos deadline_at = 0;
     std::set<std::uint32_t> shards;
     int answers = 0;
     bool gone = false;
@@ -26,14 +26,14 @@
 };
 
 struct Out {
-    LeafPiece piece;
+    AttemptMessage piece;
     Handle link;
     std::uint32_t node = 0;
     bool written = false;
 };
 
 // Both sides of the bridge: keeps the plain model and checks it at every call.
-class Model final : public AnswerGiver, public CallSender {
+class Model final : public ResponseWriter, public AttemptSender {
   public:
     std::map<std::uint32_t, Asked> asked;  // by the client's slot
     std::vector<Out> out;
@@ -50,10 +50,11 @@
         Asked& q = it->second;
         REQUIRE(++q.answers == 1);
         REQUIRE_FALSE(q.gone);
-        REQUIRE(now <= q.give_up_at);
+        REQUIRE(now <= q.deadline_at);
         if (given.status == 503) REQUIRE_FALSE((q.keyed && q.may_have_run > 0));
         if (given.status != 200) return;
-        // Only values that a data node gave for that very part; all of them where it is marked whole.
+        // Only values that a data node gave for that very shard request; all of them where it is marked
+        // whole.
         std::set<std::uint32_t> shards;
         for (std::size_t at = 0; (at = given.body.find("{\"segment\":", at)) != std::string::npos;) {
             const auto shard = static_cast<std::uint32_t>(std::stoi(given.body.substr(at + 11)));
@@ -65,7 +66,7 @@
         if (given.body.find("\"all_in\":true") != std::string::npos) REQUIRE(shards == q.shards);
         if (q.keyed) REQUIRE(shards == q.shards);
     }
-    Handle send(std::uint32_t node, const std::string& address, std::vector<LeafPiece> pieces,
+    Handle send(std::uint32_t node, const std::string& address, std::vector<AttemptMessage> pieces,
                 std::span<const Handle> avoid) override {
         REQUIRE(address == "10.0.0." + std::to_string(node + 1) + ":1");
         REQUIRE_FALSE(leaving.contains(node));
@@ -73,12 +74,12 @@
         // A link a node, and a new one where that is to be avoided.
         Handle link{node, 1};
         while (std::find(avoid.begin(), avoid.end(), link) != avoid.end()) ++link.life;
-        for (const LeafPiece& piece : pieces) {
+        for (const AttemptMessage& piece : pieces) {
             Asked& q = of(piece);
-            REQUIRE(q.answers == 0);  // no part is sent after the final answer
+            REQUIRE(q.answers == 0);  // no shard request is sent after the final answer
             REQUIRE_FALSE(q.gone);
             REQUIRE(q.shards.contains(piece.shard));
-            REQUIRE(piece.until <= q.give_up_at);
+            REQUIRE(piece.until <= q.deadline_at);
             for (const Out& o : out)
                 REQUIRE_FALSE((o.link == link && o.piece.query->id == q.id && o.piece.shard == piece.shard));
             out.push_back({piece, link, node, false});
@@ -100,7 +101,7 @@
     }
     void retire(std::uint32_t, bool) override {}
 
-    Asked& of(const LeafPiece& piece) {
+    Asked& of(const AttemptMessage& piece) {
         for (auto& [slot, q] : asked)
             if (q.id == piece.query->id) return q;
         FAIL("a part of a query that was not asked");
@@ -110,37 +111,37 @@
     std::vector<std::pair<Handle, std::string>> gave_up;
 };
 
-Launch small_launch() {
-    Launch launch;
-    launch.terms = read_terms(test::settings_text);
-    launch.link_terms = read_link_terms(test::settings_text);
-    launch.phases.resize(launch.link_terms.verticals.size());
+StartupConfig small_launch() {
+    StartupConfig launch;
+    launch.config = read_router_config(test::settings_text);
+    launch.connection_config = read_connection_config(test::settings_text);
+    launch.phases.resize(launch.connection_config.query_classes.size());
     launch.seed = 7;
     return launch;
 }
 
 struct Rig {
     Model model;
-    Timekeeper time{model.now};
-    Bridge bridge{time, small_launch()};
+    EventClock time{model.now};
+    QueryDispatcher bridge{time, small_launch()};
     std::uint32_t clients = 0;
 
     Rig() {
         bridge.connect(model, model);
         bridge.begin();
-        list(0, {Availability::ready, Availability::ready, Availability::ready, Availability::ready});
+        list(0, {Lifecycle::ready, Lifecycle::ready, Lifecycle::ready, Lifecycle::ready});
     }
     // Nodes 0 .. 3, two at each place.
-    void list(std::uint64_t generation, const std::vector<Availability>& states) {
+    void list(std::uint64_t generation, const std::vector<Lifecycle>& states) {
         TargetList list{generation, generation == 0, {}, 0};
         for (std::uint32_t n = 0; n < states.size(); ++n)
             list.nodes.push_back({"s" + std::to_string(n), "10.0.0." + std::to_string(n + 1) + ":1", "z", "k",
                                   n % 2, states[n], 0});
         bridge.on_list(list);
         for (std::uint32_t n = 0; n < states.size(); ++n)
-            states[n] == Availability::ready ? void(model.leaving.erase(n)) : void(model.leaving.insert(n));
+            states[n] == Lifecycle::ready ? void(model.leaving.erase(n)) : void(model.leaving.insert(n));
     }
-    std::uint32_t ask(bool keyed, std::uint32_t parts, int deadline = 900, std::string body = "") {
+    std::uint32_t ask(bool keyed, std::uint32_t shard_requests, int deadline = 900, std::string body = "") {
         const Handle client{++clients, 1};
         Request request{"POST",
                         keyed ? "/keyed" : "/part",
@@ -153,9 +154,11 @@
         Asked q{request.id, keyed, model.now + deadline * ms, {}, 0, false, 0, {}};
         if (request.body.empty()) {
             request.body = R"({"text":"x","segments":[)";
-            for (std::uint32_t s = 0; s < parts; ++s) {
-                request.body += (s > 0 ? "," : "") + std::string("{\"segment\":") + std::to_string(s) +
-                                ",\"boost\":" + std::to_string((1.0 + s) * 2 / (parts * (parts + 1))) + "}";
+            for (std::uint32_t s = 0; s < shard_requests; ++s) {
+                request.body +=
+                    (s > 0 ? "," : "") + std::string("{\"segment\":") + std::to_string(s) +
+                    ",\"boost\":" + std::to_string((1.0 + s) * 2 / (shard_requests * (shard_requests + 1))) +
+                    "}";
                 q.shards.insert(s);
             }
             request.body += "]}";
@@ -176,7 +179,7 @@
         Asked& q = model.of(o.piece);
         const std::string value = "v" + std::to_string(o.node) + "-" + std::to_string(o.piece.shard);
         if (outcome == Outcome::ok) q.given[o.piece.shard].insert(value);
-        q.may_have_run -= outcome == Outcome::full;  // which proves that it never ran
+        q.may_have_run -= outcome == Outcome::overloaded;  // which proves that it never ran
         bridge.on_node_answer(o.link, {o.piece.query->id, o.piece.shard, outcome, value});
         bridge.on_node_answer(o.link,
                               {o.piece.query->id, o.piece.shard, Outcome::ok, "twice"});  // counts nothing
@@ -204,9 +207,9 @@
             rig.ask(pick(2) == 0, static_cast<std::uint32_t>(1 + pick(4)), static_cast<int>(40 + pick(900)));
         if (pick(60) == 0) rig.leave(static_cast<std::uint32_t>(1 + pick(rig.clients + 1)));
         if (pick(100) == 0) {
-            std::vector<Availability> states;
+            std::vector<Lifecycle> states;
             for (int n = 0; n < 4; ++n)
-                states.push_back(pick(4) == 0 ? static_cast<Availability>(pick(3)) : Availability::ready);
+                states.push_back(pick(4) == 0 ? static_cast<Lifecycle>(pick(3)) : Lifecycle::ready);
             rig.list(static_cast<std::uint64_t>(i + 1), states);
         }
         model.none_left = pick(50) == 0;
@@ -220,7 +223,9 @@
             } else if (pick(10) == 0) {
                 rig.bridge.on_call_lost(o.piece.call, Outcome::reset);
             } else {
-                rig.node_says(at, pick(8) == 0 ? Outcome::error : pick(8) == 0 ? Outcome::full : Outcome::ok);
+                rig.node_says(at, pick(8) == 0   ? Outcome::error
+                                  : pick(8) == 0 ? Outcome::overloaded
+                                                 : Outcome::ok);
             }
             rig.bridge.on_call_lost(o.piece.call, Outcome::reset);  // its life is over: counts nothing
         }
@@ -240,9 +245,9 @@
     rig.step();
     REQUIRE(rig.model.out.size() == 2);
     rig.write(0);
-    const LeafPiece written = rig.model.out[0].piece;
+    const AttemptMessage written = rig.model.out[0].piece;
     const Nanos until = written.until;
-    REQUIRE(until < rig.model.asked[1].give_up_at);
+    REQUIRE(until < rig.model.asked[1].deadline_at);
     rig.step(until - rig.model.now - 1);
     CHECK(rig.model.gave_up.empty());
     rig.step(1);
@@ -251,7 +256,7 @@
     CHECK(rig.model.withdrawn == 1);
     CHECK(rig.model.out.empty());
     rig.step();
-    // One part may have run, so the deduplicated query is not called refused.
+    // One shard request may have run, so the idempotent_with_key query is not called refused.
     REQUIRE(rig.model.answers.size() == 1);
     CHECK(rig.model.answers[0].status == 504);
 }
@@ -261,7 +266,7 @@
     Rig rig;
     rig.ask(true, 1);
     rig.step();
-    CHECK(rig.model.out.at(0).piece.send_by == Deadlines::never);
+    CHECK(rig.model.out.at(0).piece.send_by == TimerQueue::never);
     const Nanos first = rig.model.now;
     rig.write(0);
     rig.node_says(0, Outcome::error);
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -1,12 +1,12 @@
-// The parts of relays and stewards for changes that need no process: what stands in the log, the blocks of
-// the operators' files, and what a relay hands on.
+// The shard requests of relays and managers for changes that need no process: what stands in the log, the
+// blocks of the operators' files, and what a relay hands on.
 #include <catch2/catch.hpp>
 
+#include "fleet_manager/change_requests.hpp"
+#include "fleet_manager/fleet_manager_config.hpp"
+#include "fleet_manager/log_entries.hpp"
 #include "relay/history.hpp"
-#include "relay/relay_terms.hpp"
-#include "steward/change_requests.hpp"
-#include "steward/entries.hpp"
-#include "steward/steward_terms.hpp"
+#include "relay/relay_config.hpp"
 
 using namespace tealcart;
 using changes::Delta;
@@ -15,22 +15,22 @@
 
 std::string wrong_relay(const std::string& text) {
     try {
-        relay::read_relay_terms(text, "relay.hcl");
+        relay::read_relay_config(text, "relay.hcl");
     } catch (const HclMistakes& e) {
         return e.what();
     }
     return {};
 }
 
-std::string stewards(const std::string& block) {
+std::string managers(const std::string& block) {
     return "fleet \"x\" {\n steward \"1\" {\n raft = \"127.0.0.1:1\"\n http = \"127.0.0.1:2\"\n folder = "
            "\"/f\"\n }\n" +
            block + "\n}\n";
 }
 
-std::string wrong_stewards(const std::string& block) {
+std::string wrong_managers(const std::string& block) {
     try {
-        steward::read_steward_terms(stewards(block), "fleet.hcl");
+        manager::read_fleet_manager_config(managers(block), "fleet.hcl");
     } catch (const HclMistakes& e) {
         return e.what();
     }
@@ -40,20 +40,20 @@
 }  // namespace
 
 TEST_CASE("a relay's file is read, and each mistake is told with its place") {
-    const auto terms = relay::read_relay_terms(
+    const auto config = relay::read_relay_config(
         "log {\n format = \"json\"\n}\nrelay \"r1\" {\n zone = \"a\"\n bind = \"127.0.0.1:7301\"\n stewards "
         "= "
         "[\"127.0.0.1:1\", \"127.0.0.1:2\"]\n most_followers = 7\n page_bytes = \"8KiB\"\n pages_a_second = "
         "0.5\n}\n",
         "relay.hcl");
-    CHECK(terms.name == "r1");
-    CHECK(terms.zone == "a");
-    CHECK(terms.bind == HostPort{"127.0.0.1", 7301});
-    CHECK(terms.stewards.size() == 2);
-    CHECK(terms.most_followers == 7);
-    CHECK(terms.page_bytes == 8192);
-    CHECK(terms.pages_a_second == 0.5);
-    CHECK(terms.log.form == LogForm::json);
+    CHECK(config.name == "r1");
+    CHECK(config.zone == "a");
+    CHECK(config.bind == HostPort{"127.0.0.1", 7301});
+    CHECK(config.managers.size() == 2);
+    CHECK(config.max_followers == 7);
+    CHECK(config.page_bytes == 8192);
+    CHECK(config.pages_a_second == 0.5);
+    CHECK(config.log.form == LogForm::json);
     CHECK(wrong_relay("") == "relay.hcl:1:1: there is no 'relay' block");
     CHECK(wrong_relay("relay \"r1\" {\n zone = \"a\"\n bind = \"x\"\n stewards = [\"127.0.0.1:1\", "
                       "\"127.0.0.1:1\"]\n pages = 3\n most_followers = 0\n}") ==
@@ -68,18 +68,18 @@
 }
 
 TEST_CASE("the stewards' block of changes is read, and off without it") {
-    CHECK_FALSE(steward::read_steward_terms(stewards(""), "fleet.hcl").takes_changes);
-    const auto terms = steward::read_steward_terms(
-        stewards(
+    CHECK_FALSE(manager::read_fleet_manager_config(managers(""), "fleet.hcl").takes_changes);
+    const auto config = manager::read_fleet_manager_config(
+        managers(
             "changes {\n lease = \"19s\"\n halt_refused = 0.2\n longest_entry = \"1KiB\"\n most_kept = 9\n}"),
         "fleet.hcl");
-    CHECK(terms.takes_changes);
-    CHECK(terms.changes.lease == 19'000'000'000);
-    CHECK(terms.changes.halt_refused == 0.2);
-    CHECK(terms.changes.longest_entry == 1024);
-    CHECK(terms.changes.most_kept == 9);
-    CHECK(terms.changes.drift == changes::Limits{}.drift);
-    CHECK(wrong_stewards("changes {\n lease = \"1s\"\n halt_refused = 2\n most_pages = 1\n}") ==
+    CHECK(config.takes_changes);
+    CHECK(config.changes.lease == 19'000'000'000);
+    CHECK(config.changes.halt_refused == 0.2);
+    CHECK(config.changes.max_entry == 1024);
+    CHECK(config.changes.max_kept == 9);
+    CHECK(config.changes.drift == changes::Limits{}.drift);
+    CHECK(wrong_managers("changes {\n lease = \"1s\"\n halt_refused = 2\n most_pages = 1\n}") ==
           "fleet.hcl:7:1: 'lease' is under two of 'election': no leader could be found within one\n"
           "fleet.hcl:9:17: 'halt_refused' is outside 0 to 1\n"
           "fleet.hcl:10:2: 'most_pages' is not known here");
@@ -87,47 +87,47 @@
 
 TEST_CASE("entries of the log are told apart, and those from before there were changes are the fleet's") {
     const auto fleet = fleet::write_command({"x", 1, fleet::Tick{}});
-    const auto old = steward::read_entry(fleet.data(), fleet.size());
+    const auto old = manager::read_entry(fleet.data(), fleet.size());
     CHECK_FALSE(old.of_changes);
     CHECK(fleet::read_command(old.bytes, old.size).id == "x");
-    const auto entry = steward::entry_of_changes(changes::write_command({"y", 2, changes::Resume{}}));
-    const auto read = steward::read_entry(entry.data(), entry.size());
+    const auto entry = manager::entry_of_changes(changes::write_command({"y", 2, changes::Resume{}}));
+    const auto read = manager::read_entry(entry.data(), entry.size());
     CHECK(read.of_changes);
     CHECK(changes::read_command(read.bytes, read.size).id == "y");
     // A program from before there were changes ends with one line.
     CHECK_THROWS_AS(fleet::read_command(entry.data(), entry.size()), std::runtime_error);
-    CHECK_FALSE(steward::read_entry(nullptr, 0).of_changes);
+    CHECK_FALSE(manager::read_entry(nullptr, 0).of_changes);
 }
 
 TEST_CASE("a snapshot holds both states; an old one is the fleet's alone, another form is refused") {
     fleet::FleetState state{fleet::Budgets{}};
     changes::ChangeState change_state{changes::Limits{}};
     change_state.apply({"x", 1, changes::Publish{"ann", {{"k", "v"}}, {}, {}}});
-    const auto bytes = steward::write_snapshot({state.save(), change_state.save()});
-    const auto read = steward::read_snapshot(bytes);
+    const auto bytes = manager::write_snapshot({state.save(), change_state.save()});
+    const auto read = manager::read_snapshot(bytes);
     CHECK(read.fleet == state.save());
     REQUIRE(read.changes);
     changes::ChangeState loaded{changes::Limits{}};
     loaded.load(*read.changes);
     CHECK(loaded.version() == 1);
-    const auto old = steward::read_snapshot(state.save());
+    const auto old = manager::read_snapshot(state.save());
     CHECK(old.fleet == state.save());
     CHECK_FALSE(old.changes);
     auto later = bytes;
     later[3] = 2;
-    CHECK_THROWS_WITH(steward::read_snapshot(later), "a stewards' snapshot of form 2, this program reads 1");
+    CHECK_THROWS_WITH(manager::read_snapshot(later), "a stewards' snapshot of form 2, this program reads 1");
     CHECK_THROWS_AS(state.load(bytes), std::runtime_error);  // a program from before there were changes
     for (std::size_t n = 3; n < 12; ++n)
-        CHECK_THROWS_WITH(steward::read_snapshot({bytes.begin(), bytes.begin() + static_cast<long>(n)}),
+        CHECK_THROWS_WITH(manager::read_snapshot({bytes.begin(), bytes.begin() + static_cast<long>(n)}),
                           "a stewards' snapshot that is cut off");
-    auto long_part = bytes;
-    long_part[10] = 0xff;
-    CHECK_THROWS_WITH(steward::read_snapshot(long_part), "a stewards' snapshot that is cut off");
+    auto long_shard_request = bytes;
+    long_shard_request[10] = 0xff;
+    CHECK_THROWS_WITH(manager::read_snapshot(long_shard_request), "a stewards' snapshot that is cut off");
 }
 
 TEST_CASE("what operators ask of changes is read, or refused with words") {
     std::string wrong;
-    const auto call = steward::read_change_request(
+    const auto call = manager::read_change_request(
         R"({"id":"x","asker":"ann","set":{"a":"1"},"removed":["b"],"based_on":3})", wrong);
     REQUIRE(call);
     CHECK(call->set.at("a") == "1");
@@ -135,7 +135,7 @@
     CHECK(call->based_on == 3);
     const auto wrong_with = [](const char* body) {
         std::string words;
-        CHECK_FALSE(steward::read_change_request(body, words));
+        CHECK_FALSE(manager::read_change_request(body, words));
         return words;
     };
     CHECK(wrong_with("x") == "the body is no JSON object");
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,26 +1,26 @@
-// Changes of configuration through relays, on several processes with faults between them: three stewards and
+// Changes of configuration through relays, on several processes with faults between them: three managers and
 // two relays; the followers are in the test's own process, and what reaches them counts, not what a relay
 // says of them.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <csignal>
 
-#include "standin/change_rig.hpp"
+#include "testing/change_rig.hpp"
 
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using Json = nlohmann::json;
 
 namespace {
 
 struct Changes {
-    // Further attributes of the stewards' block and of each relay's.
-    explicit Changes(const std::string& stewards = "", const std::string& relay = "", bool router = false)
-        : rig(io, plan_of(stewards, relay, router)) {}
+    // Further attributes of the managers' block and of each relay's.
+    explicit Changes(const std::string& managers = "", const std::string& relay = "", bool router = false)
+        : rig(io, plan_of(managers, relay, router)) {}
 
-    static ChangePlan plan_of(const std::string& stewards, const std::string& relay, bool router) {
+    static ChangePlan plan_of(const std::string& managers, const std::string& relay, bool router) {
         ChangePlan plan;
         plan.programs = PROGRAMS;
-        plan.changes = stewards;
+        plan.changes = managers;
         plan.relay = relay;
         plan.router = router;
         return plan;
@@ -50,7 +50,7 @@
     bool all_act_on(std::uint64_t version) {
         return until([&] {
             return std::all_of(rig.followers.begin(), rig.followers.end(),
-                               [&](const auto& f) { return f->acts_on == version; });
+                               [&](const auto& f) { return f->applied_version == version; });
         });
     }
     bool in_force(std::uint64_t version) {
@@ -124,8 +124,8 @@
     c.first_version();
     c.rig.relays[0]->signal(SIGSTOP);
     REQUIRE(c.config({"set", c.rig.entry("limits", "two")}) == 0);
-    REQUIRE(c.until([&] { return c.rig.followers[2]->acts_on == 2; }));
-    CHECK(c.rig.followers[0]->acts_on == 1);
+    REQUIRE(c.until([&] { return c.rig.followers[2]->applied_version == 2; }));
+    CHECK(c.rig.followers[0]->applied_version == 1);
     c.rig.relays[0]->signal(SIGKILL);
     CHECK(c.in_force(2));
     CHECK(c.all_act_on(2));
@@ -141,7 +141,7 @@
     REQUIRE(c.in_force(2));
     CHECK_FALSE(c.rig.followers[0]->has_lease());
     CHECK(c.named("unheard", "f0"));
-    CHECK(c.rig.followers[1]->acts_on == 2);
+    CHECK(c.rig.followers[1]->applied_version == 2);
     c.rig.relays[0]->signal(SIGCONT);
     CHECK(c.all_act_on(2));
     CHECK(c.all_live(3));
@@ -158,8 +158,9 @@
     c.rig.rig.deafen("relay0", false, true);
     REQUIRE(c.config({"set", c.rig.entry("limits", "two")}) == 0);
     REQUIRE(c.until([&] { return c.rig.relays[0]->said("its lease is over: it hands on version 1"); }));
-    REQUIRE(c.until([&] { return c.rig.followers[1]->acts_on == 2 && !c.rig.followers[0]->has_lease(); }));
-    CHECK(c.rig.followers[0]->acts_on == 1);
+    REQUIRE(c.until(
+        [&] { return c.rig.followers[1]->applied_version == 2 && !c.rig.followers[0]->has_lease(); }));
+    CHECK(c.rig.followers[0]->applied_version == 1);
     const Json s = c.rig.changes();
     REQUIRE(s.is_object());
     CHECK(s["in_force"] == 1);
@@ -198,14 +199,14 @@
     // It takes the call, and can't agree with anybody on it.
     c.rig.rig.cut_off(leader);
     CHECK(c.config({"set", entry, "--id", "x1", "--within", "1"}, {leader}) == 1);
-    c.rig.rig.stewards[leader]->signal(SIGKILL);
-    REQUIRE(c.rig.until([&] { return c.rig.rig.stewards[leader]->ended(); }));
+    c.rig.rig.managers[leader]->signal(SIGKILL);
+    REQUIRE(c.rig.until([&] { return c.rig.rig.managers[leader]->ended(); }));
     c.rig.rig.heal();
     std::vector<std::size_t> others;
     for (std::size_t i = 0; i < 3; ++i)
         if (i != leader) others.push_back(i);
     CHECK(c.config({"set", entry, "--id", "x1", "--wait"}, others) == 0);
-    c.rig.rig.start_steward(leader);
+    c.rig.rig.start_manager(leader);
     CHECK(c.config({"set", entry, "--id", "x1"}, {others[1], leader, others[0]}) == 0);
     CHECK(c.version() == 1);
     CHECK(c.all_act_on(1));
@@ -240,7 +241,7 @@
     c.rig.start_relay(0);
     const std::size_t leader = c.rig.rig.leader();
     REQUIRE(leader < 3);
-    REQUIRE(c.until([&] { return c.rig.rig.stewards[leader]->said("changes: over: version 1: relay0"); }));
+    REQUIRE(c.until([&] { return c.rig.rig.managers[leader]->said("changes: over: version 1: relay0"); }));
     c.rig.rig.heal();
     CHECK(c.until([&] { return c.rig.followers[0]->has_lease(); }));
     CHECK(c.config({"set", c.rig.entry("limits", "two"), "--wait"}) == 0);
@@ -253,8 +254,8 @@
     c.first_version();
     c.rig.relays[0]->signal(SIGSTOP);  // for less than its lease
     REQUIRE(c.config({"set", c.rig.entry("limits", "two")}) == 0);
-    REQUIRE(c.until([&] { return c.rig.followers[1]->acts_on == 2; }));
-    CHECK(c.rig.followers[0]->acts_on == 1);
+    REQUIRE(c.until([&] { return c.rig.followers[1]->applied_version == 2; }));
+    CHECK(c.rig.followers[0]->applied_version == 1);
     const Json s = c.rig.changes();
     REQUIRE(s.is_object());
     CHECK(s["in_force"] == 1);
@@ -285,8 +286,10 @@
     c.first_version();
     REQUIRE(c.config({"set", c.rig.entry("limits", "bad")}) == 0);
     REQUIRE(c.until([&] { return c.named("refusing", "f2"); }));
-    REQUIRE(c.until([&] { return c.rig.followers[0]->acts_on == 2 && c.rig.followers[1]->acts_on == 2; }));
-    CHECK(c.rig.followers[2]->acts_on == 1);
+    REQUIRE(c.until([&] {
+        return c.rig.followers[0]->applied_version == 2 && c.rig.followers[1]->applied_version == 2;
+    }));
+    CHECK(c.rig.followers[2]->applied_version == 1);
     CHECK(c.rig.changes()["in_force"] == 1);
     const auto show = c.rig.config_later({"show"});
     REQUIRE(c.rig.until([&] { return show->ended(); }));
@@ -325,7 +328,7 @@
     CHECK(c.rig.followers[0]->pages >= 8);
     Follower& late = c.follow("late", {0, 1});
     REQUIRE(c.until([&] { return late.pages >= 2; }));
-    CHECK(late.acts_on == 0);  // nothing of it before all of it
+    CHECK(late.applied_version == 0);  // nothing of it before all of it
     CHECK(c.config({"set", c.rig.entry("limits", "two")}) == 0);
     CHECK(c.all_act_on(3));
     CHECK(c.in_force(3));
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -15,42 +15,43 @@
 const Weights steep = {0.05, 0.4, 0.1, 0.2, 0.05, 0.1, 0.05, 0.05};
 const Weights quarters = {0.25, 0.25, 0.25, 0.25};
 
-QueryRouter started(const Terms& terms = small_terms(), const std::vector<NodeEntry>& list = small_list()) {
-    QueryRouter router(terms, 7);
-    play(router, start - 1000 * ms, [&](ArrivalHandler& h) { h.on_nodes(ListKind::cached, list); });
+QueryRouter started(const RouterConfig& config = small_config(),
+                    const std::vector<Endpoint>& list = small_list()) {
+    QueryRouter router(config, 7);
+    play(router, start - 1000 * ms, [&](RoundEventHandler& h) { h.on_nodes(ListKind::cached, list); });
     return router;
 }
 
 // Asks with queries of these weights, ids 20 apart, and tells the leaf calls that follow.
-std::vector<Sent> ask(QueryRouter& router, Nanos now, std::uint32_t id, std::uint16_t vertical,
+std::vector<Sent> ask(QueryRouter& router, Nanos now, std::uint32_t id, std::uint16_t query_class,
                       const Weights& weights, std::uint32_t queries = 1) {
-    const auto come = [&](ArrivalHandler& h) {
+    const auto come = [&](RoundEventHandler& h) {
         for (std::uint32_t i = 0; i < queries; ++i)
-            arrive(h, id + 20 * i, vertical, now + 4000 * ms, weights);
+            arrive(h, id + 20 * i, query_class, now + 4000 * ms, weights);
     };
-    return play(router, now, come).of(Sent::deliver);
+    return play(router, now, come).of(Sent::send_attempt);
 }
 
 // Ends these leaf calls alike, but those to `odd` its own way.
 void end_all(QueryRouter& router, Nanos now, const std::vector<Sent>& calls, Outcome outcome, Nanos took,
              std::uint32_t odd = 0, Outcome odd_outcome = Outcome::ok) {
-    play(router, now, [&](ArrivalHandler& h) {
+    play(router, now, [&](RoundEventHandler& h) {
         for (const Sent& s : calls)
-            h.on_leaf_end({s.id, s.node, 0, s.node == odd ? odd_outcome : outcome, took});
+            h.on_attempt_result({s.id, s.node, 0, s.node == odd ? odd_outcome : outcome, took});
     });
 }
 
-std::vector<Sent> ask_and_end(QueryRouter& router, Nanos now, std::uint32_t id, std::uint16_t vertical,
+std::vector<Sent> ask_and_end(QueryRouter& router, Nanos now, std::uint32_t id, std::uint16_t query_class,
                               const Weights& weights, Outcome outcome, Nanos took) {
-    const auto calls = ask(router, now, id, vertical, weights);
+    const auto calls = ask(router, now, id, query_class, weights);
     end_all(router, now + took, calls, outcome, took);
     return calls;
 }
 
-std::vector<std::uint32_t> parts_of(const std::vector<Sent>& calls) {
-    std::vector<std::uint32_t> parts;
-    for (const Sent& s : calls) parts.push_back(s.id);
-    return parts;
+std::vector<std::uint32_t> shard_requests_of(const std::vector<Sent>& calls) {
+    std::vector<std::uint32_t> shard_requests;
+    for (const Sent& s : calls) shard_requests.push_back(s.id);
+    return shard_requests;
 }
 
 // Rounds of one outcome for two-second spans: full outcomes cut p to the least, good ones bring it back.
@@ -60,23 +61,23 @@
     return now;
 }
 
-const Records nothing = [](ArrivalHandler&) {};
+const Records nothing = [](RoundEventHandler&) {};
 
 }  // namespace
 
 TEST_CASE("without pressure every part is asked, heaviest first") {
     QueryRouter router = started();
-    CHECK(parts_of(ask(router, start, 10, 0, steep)) ==
+    CHECK(shard_requests_of(ask(router, start, 10, 0, steep)) ==
           std::vector<std::uint32_t>{12, 14, 13, 16, 11, 15, 17, 18});
 }
 
 TEST_CASE("full outcomes cut p down to the class floor, and it climbs back without them") {
-    Terms terms = small_terms();
-    terms.call_cap = 1;
-    QueryRouter router = started(terms);
-    const Nanos cut = go_on(router, start, 1000, Outcome::full);
-    // 0.4 alone is under the floor of 0.5: p grows by one part.
-    CHECK(parts_of(ask_and_end(router, cut, 5000, 0, steep, Outcome::ok, 50 * ms)) ==
+    RouterConfig config = small_config();
+    config.max_attempts = 1;
+    QueryRouter router = started(config);
+    const Nanos cut = go_on(router, start, 1000, Outcome::overloaded);
+    // 0.4 alone is under the floor of 0.5: p grows by one shard request.
+    CHECK(shard_requests_of(ask_and_end(router, cut, 5000, 0, steep, Outcome::ok, 50 * ms)) ==
           std::vector<std::uint32_t>{5002, 5004});
     // An eighth of k for each look that finds no pressure: slower than it falls.
     const Nanos half = go_on(router, cut + 100 * ms, 6000, Outcome::ok);
@@ -87,11 +88,11 @@
 
 TEST_CASE("p is at least one part, and three where the top weights are close") {
     QueryRouter router = started();
-    const Nanos now = go_on(router, start, 1000, Outcome::full);
+    const Nanos now = go_on(router, start, 1000, Outcome::overloaded);
     CHECK(ask_and_end(router, now, 5000, 0, {0.9, 0.06, 0.04}, Outcome::ok, 50 * ms).size() == 1);
     CHECK(ask_and_end(router, now, 5100, 0, {0.31, 0.3, 0.2, 0.19}, Outcome::ok, 50 * ms).size() == 3);
     CHECK(ask_and_end(router, now, 5200, 0, {0.51, 0.49}, Outcome::ok, 50 * ms).size() == 1);
-    // A vertical that needs every part is never cut.
+    // A query class that needs every shard request is never cut.
     CHECK(ask_and_end(router, now, 5300, 1, {0.9, 0.06, 0.04}, Outcome::ok, 50 * ms).size() == 3);
 }
 
@@ -105,17 +106,19 @@
 }
 
 TEST_CASE("one bad outcome each at an eighth of the nodes asked is pressure, and holds while little ends") {
-    // Guards wide queries at routers that see few: of a hundred parts at a hundred nodes, twelve that come
-    // back full are the fleet's trouble, and two good parts of the next query don't end it.
+    // Guards wide queries at routers that see few: of a hundred shard requests at a hundred nodes, twelve
+    // that come back full are the fleet's trouble, and two good shard requests of the next query don't end
+    // it.
     const Weights wide(40, 0.025);
-    Terms terms = small_terms(Effect::repeatable, 40);
-    terms.call_cap = 1;
-    QueryRouter router = started(terms, small_list(40));
+    RouterConfig config = small_config(Effect::idempotent, 40);
+    config.max_attempts = 1;
+    QueryRouter router = started(config, small_list(40));
     const auto calls = ask(router, start, 1000, 0, wide);
     REQUIRE(calls.size() == 40);
-    play(router, start + 50 * ms, [&](ArrivalHandler& h) {
+    play(router, start + 50 * ms, [&](RoundEventHandler& h) {
         for (std::size_t i = 0; i < calls.size(); ++i)
-            h.on_leaf_end({calls[i].id, calls[i].node, 0, i % 5 == 0 ? Outcome::full : Outcome::ok, 50 * ms});
+            h.on_attempt_result(
+                {calls[i].id, calls[i].node, 0, i % 5 == 0 ? Outcome::overloaded : Outcome::ok, 50 * ms});
     });
     play(router, start + 1000 * ms, nothing);
     ask_and_end(router, start + 1500 * ms, 2000, 1, {0.5, 0.5}, Outcome::ok, 50 * ms);
@@ -125,36 +128,37 @@
 
 TEST_CASE("a node that fails some of its calls is passed over when its pause is long over") {
     // Guards thin traffic: a pause is over before the next query comes, and what its node did was forgotten.
-    Terms terms = small_terms();
-    terms.call_cap = 1;
-    QueryRouter router = started(terms);
+    RouterConfig config = small_config();
+    config.max_attempts = 1;
+    QueryRouter router = started(config);
     Nanos now = start;
     for (std::uint32_t i = 0; i < 9; ++i, now += 4000 * ms) {
         const Sent call = ask(router, now, 10 + 10 * i, 1, {1}).at(0);
         CHECK((i < 3 || call.node != 101));
-        play(router, now + 50 * ms, [&](ArrivalHandler& h) {
-            h.on_leaf_end({call.id, call.node, 0, call.node == 101 ? Outcome::error : Outcome::ok, 50 * ms});
+        play(router, now + 50 * ms, [&](RoundEventHandler& h) {
+            h.on_attempt_result(
+                {call.id, call.node, 0, call.node == 101 ? Outcome::error : Outcome::ok, 50 * ms});
         });
     }
 }
 
 TEST_CASE("the last part of a query that needs every part is copied under load, that of another is not") {
-    const auto vertical = GENERATE(std::uint16_t{0}, std::uint16_t{1});
+    const auto query_class = GENERATE(std::uint16_t{0}, std::uint16_t{1});
     const Weights tenths(10, 0.1);
-    QueryRouter router = started(small_terms(Effect::repeatable, 10), small_list(10));
+    QueryRouter router = started(small_config(Effect::idempotent, 10), small_list(10));
     // Calls take twenty times what they took at rest.
     for (std::uint32_t i = 0; i < 8; ++i)
         ask_and_end(router, start + i * 500 * ms, 1000 + 100 * i, 1, tenths, Outcome::ok,
                     (i < 3 ? 20 : 400) * ms);
     const Nanos now = start + 4000 * ms;
-    auto calls = ask(router, now, 5000, vertical, tenths);
+    auto calls = ask(router, now, 5000, query_class, tenths);
     REQUIRE(calls.size() == 10);
     calls.erase(calls.begin());  // it is not heard of
     end_all(router, now + 400 * ms, calls, Outcome::ok, 400 * ms);
     std::size_t copies = 0;
     for (Nanos t = now + 450 * ms; t < now + 1800 * ms; t += 50 * ms)
-        copies += play(router, t, nothing).of(Sent::deliver).size();
-    CHECK(copies == (vertical == 1 ? 1 : 0));
+        copies += play(router, t, nothing).of(Sent::send_attempt).size();
+    CHECK(copies == (query_class == 1 ? 1 : 0));
 }
 
 TEST_CASE("replicas take turns") {
@@ -179,9 +183,9 @@
 }
 
 TEST_CASE("a silent node is passed over before any call has timed out") {
-    Terms terms = small_terms();
-    terms.second_copies = false;
-    QueryRouter router = started(terms);
+    RouterConfig config = small_config();
+    config.may_hedge = false;
+    QueryRouter router = started(config);
     for (std::uint32_t i = 0; i < 6; ++i)
         ask_and_end(router, start + i * 100 * ms, 10 + 10 * i, 1, {1}, Outcome::ok, 50 * ms);
     const Sent hung = ask(router, start + 1000 * ms, 500, 1, {1}).at(0);
@@ -202,7 +206,7 @@
     end_all(router, now + 50 * ms, calls, Outcome::ok, 50 * ms);
     std::size_t copies = 0;
     for (Nanos t = now + 100 * ms; t < now + 400 * ms; t += 50 * ms)
-        copies += play(router, t, nothing).of(Sent::deliver).size();
+        copies += play(router, t, nothing).of(Sent::send_attempt).size();
     CHECK((hung == 1) == (copies > 0));
 }
 
@@ -210,9 +214,9 @@
     QueryRouter router = started();
     ask_and_end(router, start, 10, 1, {0.5, 0.5}, Outcome::ok, 50 * ms);
     const Kept kept =
-        play(router, start + 100 * ms, [](ArrivalHandler& h) { arrive(h, 20, 1, start + 600 * ms, {1}); });
+        play(router, start + 100 * ms, [](RoundEventHandler& h) { arrive(h, 20, 1, start + 600 * ms, {1}); });
     CHECK(kept.of(Sent::reject).empty());
-    CHECK(kept.of(Sent::deliver).size() == 1);
+    CHECK(kept.of(Sent::send_attempt).size() == 1);
 }
 
 TEST_CASE("a query whose parts can't be in in time is rejected at once, with advice") {
@@ -220,18 +224,18 @@
     ask_and_end(router, start - 100 * ms, 500, 1, quarters, Outcome::ok, 50 * ms);
     end_all(router, start + 6000 * ms, ask(router, start, 10, 1, quarters, 3), Outcome::ok, 6000 * ms);
     const Kept kept = play(router, start + 6100 * ms,
-                           [](ArrivalHandler& h) { arrive(h, 900, 1, start + 10100 * ms, {1}); });
+                           [](RoundEventHandler& h) { arrive(h, 900, 1, start + 10100 * ms, {1}); });
     CHECK(kept.of(Sent::reject).at(0).span > 0);
-    CHECK(kept.of(Sent::deliver).empty());
+    CHECK(kept.of(Sent::send_attempt).empty());
     // A router that turns all away asks again once what it saw is old.
     CHECK(ask(router, start + 60'000 * ms, 950, 1, quarters).size() == 4);
 }
 
 TEST_CASE("at the SLO time a query is answered from what is in, or given up if late is worth nothing") {
-    Terms terms = small_terms();
-    terms.verticals[1].late_utility = 0;
-    terms.second_copies = false;
-    QueryRouter router = started(terms);
+    RouterConfig config = small_config();
+    config.query_classes[1].late_weight = 0;
+    config.may_hedge = false;
+    QueryRouter router = started(config);
     auto calls = ask(router, start, 10, 0, {0.6, 0.4});
     ask(router, start, 50, 1, {1});
     calls.pop_back();
@@ -244,33 +248,33 @@
 }
 
 TEST_CASE("where lists must be asked for, one subscription is kept") {
-    Terms terms = small_terms();
-    terms.discovery = Discovery::ask;
-    QueryRouter router(terms, 7);
+    RouterConfig config = small_config();
+    config.discovery = Discovery::poll;
+    QueryRouter router(config, 7);
     const auto told = [](ListKind kind) {
-        return [kind](ArrivalHandler& h) { h.on_nodes(kind, small_list()); };
+        return [kind](RoundEventHandler& h) { h.on_nodes(kind, small_list()); };
     };
-    CHECK(play(router, start, told(ListKind::cached)).of(Sent::listen).size() == 1);
-    CHECK(play(router, start + 100 * ms, told(ListKind::failed)).of(Sent::listen).empty());
-    CHECK(play(router, start + 1200 * ms, nothing).of(Sent::listen).size() == 1);
-    CHECK(play(router, start + 1300 * ms, told(ListKind::full)).of(Sent::wake).empty());
-    CHECK(play(router, start + 60'000 * ms, nothing).of(Sent::listen).empty());
+    CHECK(play(router, start, told(ListKind::cached)).of(Sent::watch_endpoints).size() == 1);
+    CHECK(play(router, start + 100 * ms, told(ListKind::failed)).of(Sent::watch_endpoints).empty());
+    CHECK(play(router, start + 1200 * ms, nothing).of(Sent::watch_endpoints).size() == 1);
+    CHECK(play(router, start + 1300 * ms, told(ListKind::full)).of(Sent::set_timer).empty());
+    CHECK(play(router, start + 60'000 * ms, nothing).of(Sent::watch_endpoints).empty());
 }
 
 TEST_CASE("many routers leave a cold node less than rule 4 does, but some") {
-    Terms terms = small_terms();
-    terms.routers = 60;
-    std::vector<NodeEntry> list = small_list();
+    RouterConfig config = small_config();
+    config.routers = 60;
+    std::vector<Endpoint> list = small_list();
     list[1].started_at = start - 100 * ms;
     int cold = 0, warm = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-        QueryRouter router(terms, seed);
-        play(router, start, [&](ArrivalHandler& h) { h.on_nodes(ListKind::cached, list); });
+        QueryRouter router(config, seed);
+        play(router, start, [&](RoundEventHandler& h) { h.on_nodes(ListKind::cached, list); });
         for (const Sent& s : ask(router, start + 10 * ms, 10, 1, quarters, 3))
             ++(s.node == 101 ? cold : warm);
     }
     CHECK(cold > 0);
-    CHECK(cold < terms.tip_multiple * 0.21 * warm / 3);
+    CHECK(cold < config.overload_multiple * 0.21 * warm / 3);
 }
 
 TEST_CASE("what all routers send a cold node stays within rule 4 and chance, whatever becomes of its likes") {
@@ -280,41 +284,41 @@
     enum Others { well, paused, gone };
     const Others others = GENERATE(well, paused, gone);
     const double load = GENERATE(1.0, 1.5);
-    const Nanos call = 100 * ms;  // what a part takes: a node carries ten a second
-    Terms terms = small_terms(Effect::repeatable, 12);
-    terms.routers = routers;
-    std::vector<NodeEntry> list = small_list(12);
+    const Nanos call = 100 * ms;  // what a shard request takes: a node carries ten a second
+    RouterConfig config = small_config(Effect::idempotent, 12);
+    config.routers = routers;
+    std::vector<Endpoint> list = small_list(12);
     const Nanos began = start + 8000 * ms;  // of the cold node, after a while for the routers to learn
     std::knuth_b chance(7);
     std::vector<Nanos> cold_sends;
     for (int r = 0; r < routers; ++r) {
-        QueryRouter router(terms, static_cast<std::uint64_t>(r) + 1);
+        QueryRouter router(config, static_cast<std::uint64_t>(r) + 1);
         std::uint32_t id = 1000;
-        const double each = load * 12 * 10 / routers;  // parts a second
+        const double each = load * 12 * 10 / routers;  // shard requests a second
         std::exponential_distribution<double> gap(each);
         std::vector<std::pair<Nanos, Sent>> out;
-        std::map<std::uint32_t, std::uint8_t> ended;  // calls of a part
+        std::map<std::uint32_t, std::uint8_t> ended;  // calls of a shard request
         Nanos next = start + static_cast<Nanos>(gap(chance) * 1e9);
         bool told = false;
-        // A query of one part for a random shard, whenever one is due; calls come back after `call`.
+        // A query of one shard request for a random shard, whenever one is due; calls come back after `call`.
         for (Nanos now = start; now < began + 4000 * ms; now += 5 * ms) {
-            const Kept kept = play(router, now, [&](ArrivalHandler& h) {
+            const Kept kept = play(router, now, [&](RoundEventHandler& h) {
                 if (now == start) h.on_nodes(ListKind::cached, list);
                 if (!told && now >= began) {
                     told = true;
-                    std::vector<NodeEntry> news = {list[1]};
+                    std::vector<Endpoint> news = {list[1]};
                     news[0].started_at = began;
                     for (const int p : {0, 11, 2, 3})
                         if (others == gone) {
                             news.push_back(list[static_cast<std::size_t>(p)]);
-                            news.back().availability = Availability::draining;
+                            news.back().lifecycle = Lifecycle::draining;
                         }
                     h.on_nodes(ListKind::delta, news);
                 }
                 for (const auto& [at, s] : out)
                     if (now - at >= call && now - at < call + 5 * ms) {
                         const bool fails = others == paused && now >= began && s.node != 101;
-                        h.on_leaf_end(
+                        h.on_attempt_result(
                             {s.id, s.node, ended[s.id]++, fails ? Outcome::error : Outcome::ok, call});
                     }
                 for (; next <= now; next += static_cast<Nanos>(gap(chance) * 1e9), id += 2)
@@ -322,7 +326,7 @@
                 h.on_timer(0);
             });
             std::erase_if(out, [&](auto& o) { return now - o.first > call + 10 * ms; });
-            for (const Sent& s : kept.of(Sent::deliver)) {
+            for (const Sent& s : kept.of(Sent::send_attempt)) {
                 out.emplace_back(now, s);
                 if (s.node == 101 && now >= began) cold_sends.push_back(now);
             }
@@ -330,10 +334,13 @@
     }
     std::sort(cold_sends.begin(), cold_sends.end());
     for (std::size_t from = 0, to = 0; to < cold_sends.size(); ++to) {
-        while (cold_sends[from] <= cold_sends[to] - terms.fall) ++from;
-        const double age = static_cast<double>(cold_sends[to] - terms.fall / 2 - began) / double(terms.cold);
-        const double warm = terms.cold_from + (1 - terms.cold_from) * std::max(0.0, age);
-        const double n = terms.tip_multiple * warm * static_cast<double>(terms.fall) / double(call);
+        while (cold_sends[from] <= cold_sends[to] - config.overload_window) ++from;
+        const double age = static_cast<double>(cold_sends[to] - config.overload_window / 2 - began) /
+                           double(config.slow_start_duration);
+        const double warm =
+            config.slow_start_min_fraction + (1 - config.slow_start_min_fraction) * std::max(0.0, age);
+        const double n =
+            config.overload_multiple * warm * static_cast<double>(config.overload_window) / double(call);
         INFO(routers << " routers, others " << others << ", load " << load << ": " << to - from + 1 << " of "
                      << n);
         REQUIRE(static_cast<double>(to - from + 1) <= n + 2 * std::sqrt(n) + 2);
@@ -344,11 +351,11 @@
 }
 
 TEST_CASE("a tenant within its share is no lesser one where many routers divide it") {
-    Terms terms = small_terms();
-    terms.routers = 60;
-    terms.allowances = {5};
-    terms.over_share_utility = 0.1;
-    QueryRouter router = started(terms);
+    RouterConfig config = small_config();
+    config.routers = 60;
+    config.tenant_quotas = {5};
+    config.over_quota_weight = 0.1;
+    QueryRouter router = started(config);
     for (std::uint32_t i = 0; i < 3; ++i)  // 900 ms fit into 0.65 of the SLO time, not into 0.35
         CHECK(ask_and_end(router, start + i * 10'000 * ms, 10 + 20 * i, 1, quarters, Outcome::ok, 900 * ms)
                   .size() == 4);
@@ -359,12 +366,12 @@
     QueryRouter router = started();
     ask_and_end(router, start, 10, 1, quarters, Outcome::ok, 50 * ms);
     const auto calls = ask(router, start + 100 * ms, 50, 1, quarters);
-    const Kept kept = play(router, start + 1900 * ms, [&](ArrivalHandler& h) {
-        for (const Sent& s : calls) h.on_leaf_end({s.id, s.node, 0, Outcome::ok, 60 * ms});
+    const Kept kept = play(router, start + 1900 * ms, [&](RoundEventHandler& h) {
+        for (const Sent& s : calls) h.on_attempt_result({s.id, s.node, 0, Outcome::ok, 60 * ms});
         arrive(h, 90, 1, start + 5000 * ms, quarters);
     });
     CHECK(kept.of(Sent::answer).at(0).whole);
-    CHECK(kept.of(Sent::deliver).size() == 4);
+    CHECK(kept.of(Sent::send_attempt).size() == 4);
     CHECK(kept.of(Sent::log).empty());  // no node fails
 }
 
@@ -374,20 +381,22 @@
     ask_and_end(router, start, 10, 1, quarters, Outcome::ok, 50 * ms);
     auto calls = ask(router, start + 100 * ms, 50, 1, quarters);
     if (one_back) end_all(router, start + 150 * ms, {calls.back()}, Outcome::ok, 50 * ms), calls.pop_back();
-    const Kept kept = play(router, start + 200 * ms, [&](ArrivalHandler& h) {
-        for (const Sent& s : calls) h.on_leaf_end({s.id, s.node, 0, Outcome::reset, 100 * ms});
+    const Kept kept = play(router, start + 200 * ms, [&](RoundEventHandler& h) {
+        for (const Sent& s : calls) h.on_attempt_result({s.id, s.node, 0, Outcome::reset, 100 * ms});
     });
     CHECK(kept.of(Sent::reject).size() == (one_back ? 0 : 1));
-    CHECK(kept.of(Sent::deliver).size() == (one_back ? 3 : 0));
-    // Its marked repeat goes out part by part until one is back.
-    const auto repeat = [](ArrivalHandler& h) { arrive(h, 70, 1, start + 4000 * ms, quarters, 4, 0, true); };
-    CHECK(play(router, start + 300 * ms, repeat).of(Sent::deliver).size() == 1);
+    CHECK(kept.of(Sent::send_attempt).size() == (one_back ? 3 : 0));
+    // Its marked repeat goes out shard request by shard request until one is back.
+    const auto repeat = [](RoundEventHandler& h) {
+        arrive(h, 70, 1, start + 4000 * ms, quarters, 4, 0, true);
+    };
+    CHECK(play(router, start + 300 * ms, repeat).of(Sent::send_attempt).size() == 1);
 }
 
 TEST_CASE("a node is expected to be as slow as its zone and kind, whatever the rest of the fleet does") {
-    std::vector<NodeEntry> list = small_list(12);
+    std::vector<Endpoint> list = small_list(12);
     for (std::size_t i = 0; i < 12; ++i) list[i].group = i % 3 == 0;
-    QueryRouter router = started(small_terms(Effect::repeatable, 12), list);
+    QueryRouter router = started(small_config(Effect::idempotent, 12), list);
     const auto in_group = [](const Sent& s) { return s.node % 3 == 1; };  // 100, 103 ...
     for (std::uint32_t i = 0; i < 8; ++i) {
         const Nanos now = start + i * 4000 * ms;
@@ -396,32 +405,32 @@
         end_all(router, now + 50 * ms, {calls.begin(), slow}, Outcome::ok, 50 * ms);
         end_all(router, now + 3000 * ms, {slow, calls.end()}, Outcome::ok, 3000 * ms);
     }
-    const auto come = [](ArrivalHandler& h) { arrive(h, 900, 1, start + 36'000 * ms, quarters, 12, 6); };
-    const auto calls = play(router, start + 32'000 * ms, come).of(Sent::deliver);
+    const auto come = [](RoundEventHandler& h) { arrive(h, 900, 1, start + 36'000 * ms, quarters, 12, 6); };
+    const auto calls = play(router, start + 32'000 * ms, come).of(Sent::send_attempt);
     CHECK(calls.size() == 4);
     CHECK(std::none_of(calls.begin(), calls.end(), in_group));
 }
 
 TEST_CASE("ever new nodes, queries and leaf calls leave nothing behind") {
     // Guards against memory that grows with the ids that were ever met; with a budget, against its counts.
-    Terms terms = small_terms();
-    terms.budgeted = true;
-    terms.budget_window = 1000 * ms;
-    QueryRouter router(terms, 7);
+    RouterConfig config = small_config();
+    config.retry_budget_enabled = true;
+    config.retry_budget_window = 1000 * ms;
+    QueryRouter router(config, 7);
     std::size_t held = 0;
     for (std::uint32_t life = 0; life < 1500; ++life) {
-        std::vector<NodeEntry> list = small_list();
-        for (NodeEntry& e : list) e.node += 10 * life, e.started_at = 1 + life;
+        std::vector<Endpoint> list = small_list();
+        for (Endpoint& e : list) e.node += 10 * life, e.started_at = 1 + life;
         const Nanos now = start + life * 100 * ms;
-        play(router, now, [&](ArrivalHandler& h) { h.on_nodes(ListKind::full, list); });
+        play(router, now, [&](RoundEventHandler& h) { h.on_nodes(ListKind::full, list); });
         const auto calls = ask(router, now + 10 * ms, 1 + 20 * life, 1, quarters);
         REQUIRE(calls.size() == 4);
         for (const Sent& s : calls) REQUIRE(s.node >= 100 + 10 * life);
         // Some are still out when their node is gone, and end then.
         if (life % 2 == 1)
-            play(router, now + 20 * ms, [&](ArrivalHandler& h) { h.on_nodes(ListKind::full, {}); });
+            play(router, now + 20 * ms, [&](RoundEventHandler& h) { h.on_nodes(ListKind::full, {}); });
         end_all(router, now + 30 * ms, calls, life % 5 == 0 ? Outcome::reset : Outcome::ok, 20 * ms);
-        play(router, now + 99 * ms, [&](ArrivalHandler& h) { h.on_dropped(1 + 20 * life); });
+        play(router, now + 99 * ms, [&](RoundEventHandler& h) { h.on_query_dropped(1 + 20 * life); });
         if (life == 300) held = held_bytes();
     }
     CHECK(held_bytes() <= held + 10'000);
@@ -429,11 +438,11 @@
 
 TEST_CASE("where a call costs work, parts of a round join the call that goes to a holder already") {
     // Four shards in a row over four places, each held by three: a query needs two calls at the least.
-    Terms terms = small_terms();
-    terms.parts_a_call = 8;
-    terms.call_cost = 40 * ms;
-    QueryRouter joined = started(terms);
-    QueryRouter apart = started();  // without a cost of its own each part goes to the next in turn
+    RouterConfig config = small_config();
+    config.max_requests_per_call = 8;
+    config.call_overhead = 40 * ms;
+    QueryRouter joined = started(config);
+    QueryRouter apart = started();  // without a cost of its own each shard request goes to the next in turn
     std::size_t calls_joined = 0, calls_apart = 0;
     for (std::uint32_t i = 0; i < 6; ++i) {
         std::map<std::uint32_t, int> one, other;
@@ -448,10 +457,10 @@
 }
 
 TEST_CASE("a call that carries one part joins nothing: the choice is that of calls without a cost") {
-    Terms terms = small_terms();
-    terms.parts_a_call = 1;
-    terms.call_cost = 40 * ms;
-    QueryRouter one_a_call = started(terms), plain = started();
+    RouterConfig config = small_config();
+    config.max_requests_per_call = 1;
+    config.call_overhead = 40 * ms;
+    QueryRouter one_a_call = started(config), plain = started();
     for (std::uint32_t i = 0; i < 4; ++i) {
         const Nanos now = start + i * 300 * ms;
         const auto a = ask_and_end(one_a_call, now, 10 + 10 * i, 1, quarters, Outcome::ok, 50 * ms);
@@ -465,26 +474,26 @@
     QueryRouter router = started();
     const auto calls = ask(router, start, 10, 1, quarters);
     REQUIRE(calls.size() == 4);
-    const Kept after = play(router, start + 10 * ms, [&](ArrivalHandler& h) {
-        h.on_leaf_end({calls[0].id, calls[0].node, 0, Outcome::full, 10 * ms});
-        h.on_dropped(calls[0].id);
+    const Kept after = play(router, start + 10 * ms, [&](RoundEventHandler& h) {
+        h.on_attempt_result({calls[0].id, calls[0].node, 0, Outcome::overloaded, 10 * ms});
+        h.on_query_dropped(calls[0].id);
     });
-    CHECK(after.of(Sent::deliver).empty());
-    CHECK(after.of(Sent::reject).size() + after.of(Sent::abort).size() == 1);
-    const Kept later = play(router, start + 20 * ms, [](ArrivalHandler&) {});
-    CHECK(later.of(Sent::deliver).empty());
+    CHECK(after.of(Sent::send_attempt).empty());
+    CHECK(after.of(Sent::reject).size() + after.of(Sent::fail_query).size() == 1);
+    const Kept later = play(router, start + 20 * ms, [](RoundEventHandler&) {});
+    CHECK(later.of(Sent::send_attempt).empty());
 }
 
 TEST_CASE("a part turned away full is asked again only once its node's pause has ended") {
     QueryRouter router = started();
     const auto calls = ask(router, start, 10, 1, {1});
     REQUIRE(calls.size() == 1);
-    const Kept at_once = play(router, start + 10 * ms, [&](ArrivalHandler& h) {
-        h.on_leaf_end({calls[0].id, calls[0].node, 0, Outcome::full, 1 * ms});
+    const Kept at_once = play(router, start + 10 * ms, [&](RoundEventHandler& h) {
+        h.on_attempt_result({calls[0].id, calls[0].node, 0, Outcome::overloaded, 1 * ms});
     });
-    CHECK(at_once.of(Sent::deliver).empty());
-    CHECK(play(router, start + 100 * ms, nothing).of(Sent::deliver).empty());
-    const auto later = play(router, start + 270 * ms, nothing).of(Sent::deliver);
+    CHECK(at_once.of(Sent::send_attempt).empty());
+    CHECK(play(router, start + 100 * ms, nothing).of(Sent::send_attempt).empty());
+    const auto later = play(router, start + 270 * ms, nothing).of(Sent::send_attempt);
     REQUIRE(later.size() == 1);
     CHECK(later[0].id == calls[0].id);
 }
