--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -7,14 +7,14 @@
 #include <filesystem>
 #include <set>
 
+#include "config/migration.hpp"
+#include "config/operator_config.hpp"
 #include "helpers.hpp"
-#include "terms/migration.hpp"
-#include "terms/operator_terms.hpp"
 
 using namespace tealcart;
 using tealcart::test::dial;
+using tealcart::test::FakeDataNode;
 using tealcart::test::Peer;
-using tealcart::test::StandIn;
 
 namespace {
 
@@ -56,7 +56,7 @@
         call.peer->send(frame('Y', call.id + " " + how + " 1 -\n" + value));
     }
 
-    StandIn door;
+    FakeDataNode door;
     std::vector<Call> calls;
     std::vector<std::string> given_up;
     std::function<void(const Call&)> on_call = [](const Call& call) { say(call, "OK", "v" + call.id); };
@@ -82,7 +82,7 @@
                       body);
         }
     };
-    StandIn discovery{io, on_watch}, other_discovery{io, on_watch};
+    FakeDataNode discovery{io, on_watch}, other_discovery{io, on_watch};
     std::unique_ptr<Service> service;
     std::string known, lookout = discovery.address();  // what the configuration says now
     std::size_t sockets;
@@ -99,13 +99,14 @@
         service = std::make_unique<Service>(io, [this] { return ++reads, launch(); });
         if (!silent) until([this] { return service->bridge().begun(); });
     }
-    Launch launch() const {
-        Launch made = read_launch(R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + lookout +
-                                  R"(","seed":"00ff","limits":{"sockets":)" + std::to_string(sockets) +
-                                  R"(},"known":{"generation":4,"reset":true,"instances":[)" + known +
-                                  "]},\"settings\":" + test::settings_text + "}");
+    StartupConfig launch() const {
+        StartupConfig made =
+            read_startup_config(R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + lookout +
+                                R"(","seed":"00ff","limits":{"sockets":)" + std::to_string(sockets) +
+                                R"(},"known":{"generation":4,"reset":true,"instances":[)" + known +
+                                "]},\"settings\":" + test::settings_text + "}");
         made.listen.port = 0;  // a free one
-        if (!operators.empty()) follow_operators(made, read_operator_terms(operators, "f"));
+        if (!operators.empty()) follow_operators(made, read_operator_config(operators, "f"));
         return made;
     }
     std::string entry(int n, const std::string& state) const {
@@ -125,7 +126,7 @@
     std::shared_ptr<Peer> client() { return dial(io, service->port()); }
     // Waits for one whole answer and takes it from what the client got.
     std::pair<int, std::string> answer(Peer& peer) {
-        AnswerReader reader(longest_body);
+        AnswerReader reader(max_body);
         until([&] { return reader.feed(peer.got) != Reading::more || peer.ended; });
         return {reader.status(), reader.body()};
     }
@@ -141,10 +142,10 @@
 }
 
 std::string query(const std::string& id, const std::string& more = "", int deadline = 3000,
-                  const char* vertical = "part") {
+                  const char* query_class = "part") {
     const std::string body =
         R"({"segments":[{"segment":0,"boost":0.7},{"segment":1,"boost":0.3}],"text":"some\ntext"})";
-    return std::string("POST /") + vertical + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id +
+    return std::string("POST /") + query_class + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id +
            "\r\nX-Deadline-Ms: " + std::to_string(deadline) + "\r\nIdempotency-Key: kk\r\n" + more +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -166,7 +167,7 @@
     CHECK(w.answer(*c) == std::pair(200, whole_answer));
     for (const Call& call : w.calls()) {
         CHECK(call.text == "some\ntext");
-        CHECK(call.list.find("k=") == std::string::npos);  // a repeatable vertical carries no key
+        CHECK(call.list.find("k=") == std::string::npos);  // a idempotent query class carries no key
     }
     // Two at once: the second is read from what came with the first.
     c->send(query("B", "", 3000, "keyed") + query("C"));
@@ -408,7 +409,7 @@
 
 namespace {
 
-struct Owner final : LinkOwner {
+struct Owner final : ConnectionObserver {
     std::vector<std::pair<Handle, Outcome>> lost, answered;
     // Call 7 is asked as "q7", for shard 0.
     bool on_node_answer(Handle, const NodeAnswer& answer) override {
@@ -430,27 +431,27 @@
         end(call);
     }
     std::set<std::uint32_t> out;
-    NodeLinks* links = nullptr;
+    NodeConnectionPool* links = nullptr;
     std::vector<Handle> used;
 };
 
 struct LinkRig {
-    explicit LinkRig(bool probing = false) : terms(terms_with(probing)) {}
+    explicit LinkRig(bool probing = false) : config(terms_with(probing)) {}
 
     boost::asio::io_context io{1};
     Nanos now = 1'000'000 * test::ms;
-    Timekeeper time{now};
+    EventClock time{now};
     Owner owner;
-    const LinkTerms terms;
-    NodeLinks links{io, time, terms, owner, 3};
-    StandIn node{io, nullptr};
+    const ConnectionConfig config;
+    NodeConnectionPool links{io, time, config, owner, 3};
+    FakeDataNode node{io, nullptr};
 
-    static LinkTerms terms_with(bool probing) {
-        LinkTerms t = read_link_terms(test::settings_text);
+    static ConnectionConfig terms_with(bool probing) {
+        ConnectionConfig t = read_connection_config(test::settings_text);
         t.probing = probing;
         return t;
     }
-    Handle send(std::uint32_t to, std::uint32_t call, Nanos send_by = Deadlines::never) {
+    Handle send(std::uint32_t to, std::uint32_t call, Nanos send_by = TimerQueue::never) {
         const auto text = std::make_shared<QueryText>(QueryText{"q" + std::to_string(call), "", "", ""});
         owner.links = &links;
         owner.out.insert(call);
@@ -467,8 +468,8 @@
 }  // namespace
 
 TEST_CASE("what waits for a connection past its time is never written") {
-    // Guards the time for repeats: a further leaf call that is decided on in time must not be written after
-    // it.
+    // Guards the time for retry_limits: a further leaf call that is decided on in time must not be written
+    // after it.
     LinkRig rig;
     const Handle link = rig.send(0, 1, rig.now + 1);
     rig.now += 2;
@@ -476,13 +477,13 @@
     rig.until([&] {
         return !rig.owner.lost.empty() && !rig.node.peers.empty() && !rig.node.peers[0]->got.empty();
     });
-    CHECK(rig.owner.lost == std::vector{std::pair(Handle{1, 1}, Outcome::moot)});
+    CHECK(rig.owner.lost == std::vector{std::pair(Handle{1, 1}, Outcome::not_sent)});
     CHECK(rig.node.peers[0]->got == frame('R', "q2.0 0 d=100 0\n"));
 }
 
 TEST_CASE("a leaf call for which there is no descriptor waits for one, and blames no node") {
     // Guards wide queries at routers with fewer descriptors than data nodes: such calls ended as failed
-    // connects, which paused sound nodes and used up the part's calls.
+    // connects, which paused sound nodes and used up the shard request's calls.
     LinkRig rig;  // three connections at most
     for (std::uint32_t node = 0; node < 3; ++node) rig.send(node, node + 1);
     const Handle fourth = rig.send(3, 4), fifth = rig.send(4, 5);
@@ -495,7 +496,7 @@
     CHECK(rig.links.withdraw(fourth, Handle{4, 1}));
     rig.owner.end(Handle{4, 1});
     rig.links.retire(5, true);
-    CHECK(rig.owner.lost == std::vector{std::pair(Handle{6, 1}, Outcome::moot)});
+    CHECK(rig.owner.lost == std::vector{std::pair(Handle{6, 1}, Outcome::not_sent)});
     CHECK(rig.links.waiting() == 1);
     // A connection that carries nothing any more makes room.
     rig.owner.end(Handle{2, 1});
@@ -521,21 +522,21 @@
     // A node that drains gets nothing of what was not yet written.
     rig.links.retire(0, true);
     CHECK(rig.owner.lost.size() == 101);
-    for (const auto& [call, outcome] : rig.owner.lost) CHECK(outcome == Outcome::moot);
+    for (const auto& [call, outcome] : rig.owner.lost) CHECK(outcome == Outcome::not_sent);
     rig.until([&] { return rig.links.open() == 0; });
     // Idle: closed before the far side would, and not used from then on.
     const Handle kept = rig.send(1, 200);
     rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers.back()->got.empty(); });
     rig.owner.end(Handle{200, 1});
-    rig.now += rig.terms.idle_close - 1;
+    rig.now += rig.config.idle_close - 1;
     rig.time.due.tell(rig.now);
     CHECK_FALSE(rig.send(1, 201) == kept);
     rig.until([&] { return rig.links.open() == 1; });
     // A connection that is not made in time has carried nothing.
     rig.owner.lost.clear();
-    rig.now += rig.terms.connect_timeout;
+    rig.now += rig.config.connect_timeout;
     rig.send(2, 300);
-    rig.now += rig.terms.connect_timeout;
+    rig.now += rig.config.connect_timeout;
     rig.time.due.tell(rig.now);
     CHECK(rig.owner.lost.back() == std::pair(Handle{300, 1}, Outcome::connect_failed));
 }
@@ -592,7 +593,7 @@
     LinkRig rig;
     const Handle first = rig.send(0, 1);
     rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->got.empty(); });
-    rig.now += rig.terms.connect_timeout;
+    rig.now += rig.config.connect_timeout;
     CHECK(rig.send(0, 2) == first);
     rig.now += 1;
     const Handle second = rig.send(0, 3);
@@ -608,12 +609,12 @@
     for (const auto& [call, outcome] : rig.owner.lost) CHECK(outcome == Outcome::cancelled);
     CHECK(rig.send(0, 5) == second);
     // With two that are silent it is the node: no third is made. Once nothing is out on one, it is closed.
-    rig.now += rig.terms.connect_timeout + 1;
+    rig.now += rig.config.connect_timeout + 1;
     rig.until([&] { return rig.node.peers[1]->got.size() >= 2 * 20; });
     const Handle third = rig.send(0, 6);
     CHECK_FALSE(third == second);
     rig.until([&] { return rig.node.peers.size() == 3 && !rig.node.peers[2]->got.empty(); });
-    rig.now += rig.terms.connect_timeout + 1;
+    rig.now += rig.config.connect_timeout + 1;
     const Handle fourth = rig.send(0, 7);
     CHECK((fourth == second || fourth == third));
     for (const std::uint32_t call : {5U, 6U, 7U}) rig.owner.end(Handle{call, 1});
@@ -625,7 +626,7 @@
     LinkRig rig{true};
     const Handle first = rig.send(0, 1);
     rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->got.empty(); });
-    rig.now += rig.terms.connect_timeout + 1;
+    rig.now += rig.config.connect_timeout + 1;
     rig.send(0, 2);
     const auto answer_second = [&](int call) {
         const std::size_t answered = rig.owner.answered.size();
@@ -638,7 +639,7 @@
     CHECK(rig.owner.lost.empty());
     rig.until([&] { return rig.node.peers[0]->got == frame('R', "q1.0 0 d=100 0\n") + frame('G', ""); });
     // Unanswered for as long as a connection has to be made, it is given up.
-    rig.now += rig.terms.connect_timeout;
+    rig.now += rig.config.connect_timeout;
     rig.send(0, 3);
     answer_second(3);
     CHECK(rig.owner.lost.empty());
@@ -654,7 +655,7 @@
     const Handle first = rig.send(0, 1);
     CHECK(rig.send(0, 2) == first);
     rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->got.empty(); });
-    rig.now += rig.terms.connect_timeout + 1;
+    rig.now += rig.config.connect_timeout + 1;
     CHECK_FALSE(rig.send(0, 3) == first);
     rig.until([&] { return rig.node.peers[0]->got.ends_with(frame('G', "")); });
     rig.node.peers[0]->send(frame('G', "ERROR") + said(1));
@@ -675,7 +676,7 @@
     rig.until([&] { return rig.time.due.size() == 1; });
     CHECK_FALSE(rig.send(0, 2) == link);
     rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->got.empty(); });
-    rig.now += rig.terms.connect_timeout;
+    rig.now += rig.config.connect_timeout;
     rig.time.due.tell(rig.now);
     CHECK(rig.owner.lost == std::vector{std::pair(Handle{1, 1}, Outcome::error)});
     // One that ends in time is as good as any, and its connection is used again.
@@ -689,7 +690,7 @@
 
 namespace {
 
-struct FrontRig final : RequestTaker {
+struct FrontRig final : RequestHandler {
     explicit FrontRig(std::size_t most) : front(io, time, *this, most, 4000 * test::ms) {
         front.listen("127.0.0.1", 0);
     }
@@ -714,8 +715,8 @@
 
     boost::asio::io_context io{1};
     Nanos now = 1'000'000 * test::ms;
-    Timekeeper time{now};
-    ClientFront front;
+    EventClock time{now};
+    HttpServer front;
     std::vector<std::string> taken;
     Nanos last_began = 0;
     Handle last;
@@ -900,7 +901,7 @@
     FrontRig rig(5);
     const auto c = rig.client("POST /x HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
     rig.until([&] { return c->got.find("HTTP/1.1 413 ") == 0; });
-    const std::string more(longest_head + longest_body + 1, 'x');
+    const std::string more(max_head + max_body + 1, 'x');
     boost::asio::async_write(c->socket, boost::asio::buffer(more), [](auto, auto) {});
     rig.until([&] { return rig.front.open() == 0; });
     CHECK(rig.taken.empty());
@@ -921,12 +922,12 @@
 
 TEST_CASE("a launch that lacks something is told in one plain line") {
     const auto fails = [](const std::string& text, const std::string& words) {
-        CHECK_THROWS_WITH(read_launch(text), Catch::Contains(words));
+        CHECK_THROWS_WITH(read_startup_config(text), Catch::Contains(words));
     };
     const std::string good =
         R"({"name":"r","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"00ff","limits":{"sockets":64},"settings":)" +
         test::settings_text + "}";
-    CHECK_NOTHROW(read_launch(good));
+    CHECK_NOTHROW(read_startup_config(good));
     const auto without = [&](const std::string& what, const std::string& with) {
         std::string text = good;
         return text.replace(text.find(what), what.size(), with);
@@ -961,7 +962,8 @@
         }
         return met.size();
     };
-    // Six queries of two parts: one node each where calls cost work, and more than six nodes met without.
+    // Six queries of two shard requests: one node each where calls cost work, and more than six nodes met
+    // without.
     CHECK(nodes_asked(m.text + "calls {\n  parts = 2\n  cost = \"40ms\"\n}\n") == 6);
     CHECK(nodes_asked(m.text) > 6);
 }
@@ -975,7 +977,7 @@
     CHECK(w.answer(*c).first == 503);
     c->send(query("A"));
     w.until([&] { return w.watches.size() == 1; });
-    w.until([&] { return w.service->bridge().held() == 3; });  // the query and its parts
+    w.until([&] { return w.service->bridge().held() == 3; });  // the query and its shard requests
     w.watches[0].second->send(
         reply(R"({"generation":5,"reset":false,"instances":[)" + w.entry(0, "draining") + "]}"));
     CHECK(w.answer(*c) == std::pair(200, whole_answer));
@@ -1017,7 +1019,7 @@
     w.nodes[1]->on_call = [&](const Call& call) { held.push_back(call); };
     const auto leaver = w.client(), other = w.client();
     leaver->send(query("A"));
-    w.until([&] { return held.size() == 1; });  // the other part's call waits for the dial
+    w.until([&] { return held.size() == 1; });  // the other shard request's call waits for the dial
     leaver->socket.close();
     DataNode::say(held[0], "ERROR", "");
     w.until([&] { return w.service->bridge().held() == 0; });
--- a/tests/tables_test.cpp
+++ b/tests/tables_test.cpp
@@ -4,15 +4,15 @@
 #include <random>
 
 #include "helpers.hpp"
-#include "tables/deadlines.hpp"
 #include "tables/node_list.hpp"
-#include "tables/slots.hpp"
+#include "tables/slot_map.hpp"
+#include "tables/timer_queue.hpp"
 
 using namespace tealcart;
 
 TEST_CASE("a handle of an earlier life finds nothing, others keep what they hold") {
     std::knuth_b chance(GENERATE(range(1U, 6U)));
-    Slots<int> slots;
+    SlotMap<int> slots;
     std::vector<std::pair<Handle, int>> held;
     std::vector<Handle> old;
     for (int i = 0; i < 2000; ++i) {
@@ -43,10 +43,10 @@
 
 TEST_CASE("deadlines are told in their order, and none that was dropped") {
     std::knuth_b chance(GENERATE(range(1U, 11U)));
-    Deadlines due;
+    TimerQueue due;
     Told told;
     std::multimap<Nanos, std::uint64_t> plain;  // keeps the order of adding where times are equal
-    std::map<std::uint64_t, Deadlines::Ticket> tickets;
+    std::map<std::uint64_t, TimerQueue::Ticket> tickets;
     Nanos now = 0;
     for (std::uint64_t i = 0; i < 1500; ++i) {
         if (chance() % 3 > 0) {
@@ -56,10 +56,10 @@
         } else if (!plain.empty() && chance() % 2 == 0) {
             const auto it = std::next(plain.begin(), static_cast<std::ptrdiff_t>(chance() % plain.size()));
             due.drop(tickets[it->second]);
-            REQUIRE(tickets[it->second] == Deadlines::none);
+            REQUIRE(tickets[it->second] == TimerQueue::none);
             plain.erase(it);
         }
-        REQUIRE(due.next() == (plain.empty() ? Deadlines::never : plain.begin()->first));
+        REQUIRE(due.next() == (plain.empty() ? TimerQueue::never : plain.begin()->first));
         if (chance() % 8 != 0) continue;
         now += static_cast<Nanos>(chance() % 40);
         told.all.clear();
@@ -74,10 +74,10 @@
 
 TEST_CASE("the list of nodes keeps its numbers, and tells who leaves or moves") {
     NodeList nodes;
-    const auto node = [](std::string id, std::string address, Availability a, Nanos started = 0) {
+    const auto node = [](std::string id, std::string address, Lifecycle a, Nanos started = 0) {
         return ListedNode{std::move(id), std::move(address), "z", "k", 1, a, started};
     };
-    using enum Availability;
+    using enum Lifecycle;
     auto news = nodes.take({1, true, {node("a", "h:1", ready), node("b", "h:2", ready)}, 0});
     CHECK(news.entries.size() == 2);
     CHECK(news.changed.empty());
@@ -90,8 +90,8 @@
     CHECK(news.changed == std::vector<std::uint32_t>{0, 1});
     CHECK(news.leaving.empty());
     CHECK(nodes.address(0) == "h:9");
-    news = nodes.take({4, false, {node("a", "", gone)}, 0});
-    CHECK(news.entries[0].availability == gone);
+    news = nodes.take({4, false, {node("a", "", removed)}, 0});
+    CHECK(news.entries[0].lifecycle == removed);
     CHECK(news.leaving == std::vector<std::uint32_t>{0});
     CHECK(nodes.address(0) == "h:9");
     // What a whole list does not name is gone; the next new node gets a number of its own.
@@ -100,12 +100,12 @@
     CHECK(news.leaving == std::vector<std::uint32_t>{1});
     CHECK(nodes.ready() == 1);
     // Two at a time were the most, so of those that are gone the last two are remembered.
-    news = nodes.take({6, false, {node("b", "h:2", ready, 5), node("never met", "", gone)}, 0});
+    news = nodes.take({6, false, {node("b", "h:2", ready, 5), node("never met", "", removed)}, 0});
     CHECK(news.met.empty());
     CHECK(news.entries.size() == 1);
     CHECK(nodes.size() == 3);
-    nodes.take({7, false, {node("d", "h:4", ready), node("b", "", gone), node("c", "", gone)}, 0});
-    news = nodes.take({8, false, {node("a", "h:1", ready), node("d", "", gone)}, 0});
+    nodes.take({7, false, {node("d", "h:4", ready), node("b", "", removed), node("c", "", removed)}, 0});
+    news = nodes.take({8, false, {node("a", "h:1", ready), node("d", "", removed)}, 0});
     CHECK(news.met == std::vector<std::uint32_t>{4});  // a, forgotten meanwhile
 }
 
@@ -113,12 +113,12 @@
     NodeList nodes;
     std::size_t held = 0;
     for (std::uint64_t life = 0; life < 2000; ++life) {
-        const auto named = [&](std::uint64_t n, Availability a) {
+        const auto named = [&](std::uint64_t n, Lifecycle a) {
             return ListedNode{"node " + std::to_string(n), "h:1", "z", "k", 0, a, 0};
         };
-        std::vector<ListedNode> list = {named(life, Availability::ready)};
+        std::vector<ListedNode> list = {named(life, Lifecycle::ready)};
         const bool whole = life % 3 == 0;  // which does not name the one before
-        if (life > 0 && !whole) list.push_back(named(life - 1, Availability::gone));
+        if (life > 0 && !whole) list.push_back(named(life - 1, Lifecycle::removed));
         nodes.take({life, whole, list, 0});
         REQUIRE(nodes.size() <= 4);
         if (life == 100) held = test::held_bytes();
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -7,11 +7,11 @@
 #include "helpers.hpp"
 #include "phases/term_filter.hpp"
 #include "service/service.hpp"
-#include "standin/client.hpp"
+#include "testing/client.hpp"
 #include "wire/phase_frames.hpp"
 
 using namespace tealcart;
-using namespace tealcart::standin;
+using namespace tealcart::testing;
 using test::ms;
 
 namespace {
@@ -49,12 +49,12 @@
                 R"("safety":{"drain_grace":500.0,"cold_from":0.2,"cold":2000.0,"tip_multiple":3.0,"fall":500.0},"step":5.0,)"
                 R"("services":[{"name":"part","promise":400.0,"deadline":3000.0,"semantics":"repeatable","late_worth":0.5},)"
                 R"({"name":"keyed","promise":400.0,"deadline":3000.0,"repeat_window":3000.0,"semantics":"by_key"}]})";
-            Launch made = read_launch(
+            StartupConfig made = read_startup_config(
                 R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + fleet.discovery.address() +
                 R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
                 fleet.entries() + "]},\"settings\":" + settings + "}");
             made.listen.port = 0;
-            follow_operators(made, read_operator_terms(operators, "operators"));
+            follow_operators(made, read_operator_config(operators, "operators"));
             return made;
         });
         connect();
@@ -73,7 +73,7 @@
     }
     Asking asking(const std::string& term = "wanted", int rows = 5) {
         Asking a;
-        a.vertical = "part";
+        a.query_class = "part";
         a.id = "q" + std::to_string(++asked);
         a.deadline_ms = 3000;
         a.find.terms = {term};
@@ -127,7 +127,7 @@
     CHECK(w.ask(plain).whole);
     CHECK(w.ask(w.asking("wanted", 9)).whole);
     Asking keyed = w.asking();
-    keyed.vertical = "keyed", keyed.key = "k";
+    keyed.query_class = "keyed", keyed.key = "k";
     CHECK(w.ask(keyed).whole);
     CHECK(w.fleet.work().words + w.fleet.work().rows == 0);
     CHECK(w.fleet.work().calls == 12);
@@ -241,7 +241,7 @@
 TEST_CASE("a refusal of two phases costs no other call on that node") {
     World w(fleet_text(8, "rows = 4\n", 4, "call_delay = \"40ms\"\nrefuses_phases = \"close\"\n"));
     Asking keyed = w.asking();
-    keyed.vertical = "keyed", keyed.key = "k";
+    keyed.query_class = "keyed", keyed.key = "k";
     w.client->ask(keyed);
     w.until([&] { return w.fleet.work().calls == 8; });
     std::vector<Answered> other;
@@ -318,7 +318,7 @@
     w.until([&] { return w.service->bridge().held() == 0; });
     w.connect();
     Asking keyed = w.asking();
-    keyed.vertical = "keyed", keyed.key = "k";
+    keyed.query_class = "keyed", keyed.key = "k";
     CHECK(w.ask(keyed).whole);
     CHECK(w.fleet.work().rows == 0);
     w.until([&] { return w.service->bridge().calls_out() == 0; });
@@ -392,7 +392,7 @@
     a = w.asking("nowhere-3");
     w.check_true(a, w.ask(a));
     CHECK(w.fleet.work().words - words >= 16);
-    CHECK(w.service->bridge().section_memory().bytes() <= MemoryTerms().bytes);
+    CHECK(w.service->bridge().section_memory().bytes() <= SectionMemoryConfig().bytes);
 }
 
 TEST_CASE("the cap on a section's leaf calls holds over both phases together") {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,7 +1,7 @@
 // What is spoken: HTTP, bodies, lists and frames, on bytes alone; whole, byte by byte, cut off and malformed.
 #include <catch2/catch.hpp>
 
-#include "terms/terms_text.hpp"
+#include "config/router_config_reader.hpp"
 #include "wire/bodies.hpp"
 #include "wire/http.hpp"
 #include "wire/node_frames.hpp"
@@ -134,12 +134,12 @@
         4, wrong);
     REQUIRE(wrong.empty());
     CHECK(q.text == "c4\n");
-    REQUIRE(q.parts.size() == 2);
-    CHECK(q.parts[0].shard == 3);
-    CHECK(q.parts[0].weight == Approx(0.7500015));
-    CHECK(q.parts[0].weight + q.parts[1].weight == Approx(1).epsilon(1e-12));
-    CHECK(q.parts[0].hint == 9'000'000);
-    CHECK(q.parts[1].hint == 0);
+    REQUIRE(q.shard_requests.size() == 2);
+    CHECK(q.shard_requests[0].shard == 3);
+    CHECK(q.shard_requests[0].weight == Approx(0.7500015));
+    CHECK(q.shard_requests[0].weight + q.shard_requests[1].weight == Approx(1).epsilon(1e-12));
+    CHECK(q.shard_requests[0].hint == 9'000'000);
+    CHECK(q.shard_requests[1].hint == 0);
 }
 
 TEST_CASE("a body that is no query's is told what is wrong, and nothing throws") {
@@ -197,9 +197,9 @@
     CHECK(list->generation == 43);
     CHECK_FALSE(list->whole);
     REQUIRE(list->nodes.size() == 2);
-    CHECK(list->nodes[0].availability == Availability::draining);
+    CHECK(list->nodes[0].lifecycle == Lifecycle::draining);
     CHECK(list->nodes[0].started_at == 1'500'000'000);
-    CHECK(list->nodes[1].availability == Availability::gone);
+    CHECK(list->nodes[1].lifecycle == Lifecycle::removed);
     CHECK(list->left_out == 4);
     for (const char* body :
          {"", "[]", R"({"generation":1})", R"({"generation":-1,"reset":true,"instances":[]})",
@@ -212,10 +212,10 @@
 
 TEST_CASE("frames are written as the page shows and taken from pieces of any size") {
     std::string line;
-    write_part_line(line, {"9b1f", 3, 240, "5c0f", 8});
+    write_shard_request_line(line, {"9b1f", 3, 240, "5c0f", 8});
     CHECK(line == "9b1f.3 3 d=240,k=5c0f 8\n");
     line.clear();
-    write_part_line(line, {"9b1f", 3, 240, "", 0});
+    write_shard_request_line(line, {"9b1f", 3, 240, "", 0});
     CHECK(line == "9b1f.3 3 d=240 0\n");
     std::string bytes;
     for (const char* rest :
@@ -242,7 +242,7 @@
         }
         in.erase(0, in.size() - rest.size());
     }
-    CHECK(ends == std::vector{Outcome::ok, Outcome::full, Outcome::error, Outcome::error});
+    CHECK(ends == std::vector{Outcome::ok, Outcome::overloaded, Outcome::error, Outcome::error});
     CHECK(spoilt == 1);  // an end that nobody knows
 }
 
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -20,13 +20,13 @@
     std::vector<ListedNode> list;
     for (int n = 0; n < nodes; ++n)
         list.push_back({"n" + std::to_string(n), "127.0.0.1:" + std::to_string(2000 + n), "z", "m",
-                        static_cast<std::uint32_t>(n % 4), Availability::ready, started});
+                        static_cast<std::uint32_t>(n % 4), Lifecycle::ready, started});
     return list;
 }
 
 struct Control {
-    ControlTerms terms = [] {
-        ControlTerms c;
+    ControlConfig config = [] {
+        ControlConfig c;
         c.on = true;
         c.node_limit = 20;
         c.leave_grace = 100 * ms;
@@ -39,8 +39,8 @@
     std::thread ticker;
 
     explicit Control(std::uint64_t epoch = 1000) {
-        server = std::make_unique<XdsServer>(test::small_terms(), std::vector<std::string>{"part", "whole"},
-                                             terms, 250 * ms, 1, epoch);
+        server = std::make_unique<XdsServer>(test::small_config(), std::vector<std::string>{"part", "whole"},
+                                             config, 250 * ms, 1, epoch);
         port = server->start("127.0.0.1:0");
         ticker = std::thread([this] {
             while (ticking) {
@@ -111,7 +111,7 @@
         CHECK(r->held().retries.at("part") == 2);
     }
     auto nodes = fleet(4);
-    nodes[1].availability = Availability::draining;
+    nodes[1].lifecycle = Lifecycle::draining;
     control.tell(nodes);
     for (Recorder* r : {&whole, &delta}) {
         CHECK(r->until([](const Held& h) { return h.endpoints.at("holders-1").at("n1").draining; }));
@@ -144,7 +144,7 @@
         Recorder r(control.channel(), {.node = "p", .delta = delta});
         r.until([i](const Held& h) { return h.responses > static_cast<std::uint64_t>(i % 5); });
         auto nodes = fleet(8);
-        nodes[static_cast<std::size_t>(i) % 8].availability = Availability::draining;
+        nodes[static_cast<std::size_t>(i) % 8].lifecycle = Lifecycle::draining;
         control.tell(nodes);
         r.cut();
         Recorder again(control.channel(), {.node = "p", .delta = delta});
@@ -174,7 +174,7 @@
     CHECK(sound.until([](const Held& h) { return complete(h, 3); }));
     CHECK(mute.until([](const Held& h) { return complete(h, 3); }));
     auto nodes = fleet(4);
-    nodes[0].availability = Availability::draining;
+    nodes[0].lifecycle = Lifecycle::draining;
     control.tell(nodes);
     const auto drained = [](const Held& h) { return h.endpoints.at("holders-0").at("n0").draining || true; };
     for (Recorder* r : {&mute, &sound, &rejects}) CHECK(r->until(drained));
@@ -227,7 +227,7 @@
               grpc::StatusCode::INVALID_ARGUMENT);  // no node, no type
     }
     auto nodes = fleet(4);
-    nodes[0].availability = Availability::draining;
+    nodes[0].lifecycle = Lifecycle::draining;
     control.tell(nodes);
     CHECK(doubled.until([](const Held& h) { return h.endpoints.at("holders-0").at("n0").draining; }));
 }
