--- a/src/router/id_index.hpp
+++ b/src/router/id_index.hpp
@@ -5,32 +5,27 @@
 #include <unordered_map>
 #include <vector>
 
-namespace tealcart {
+namespace tealcart::router {
 
 class IdIndex {
   public:
     static constexpr std::uint32_t none = UINT32_MAX;
 
+    // The index of `id`, or `none`.
     std::uint32_t find(std::uint64_t id) const {
         const auto it = index_.find(id);
         return it == index_.end() ? none : it->second;
     }
 
     // The index of `id`, taken anew where the id is not known yet.
-    std::uint32_t put(std::uint64_t id) {
-        const auto [it, fresh] = index_.try_emplace(id, 0);
-        if (fresh) {
-            if (free_.empty()) {
-                it->second = size_++;
-            } else {
-                it->second = free_.back();
-                free_.pop_back();
-            }
-        }
+    std::uint32_t insert(std::uint64_t id) {
+        const auto [it, is_new] = index_.try_emplace(id, 0);
+        if (is_new) it->second = take_index();
         return it->second;
     }
 
-    void drop(std::uint64_t id) {
+    // Frees the index of `id`, if it is known.
+    void erase(std::uint64_t id) {
         const auto it = index_.find(id);
         if (it == index_.end()) return;
         free_.push_back(it->second);
@@ -41,9 +36,16 @@
     std::uint32_t size() const { return size_; }
 
   private:
+    std::uint32_t take_index() {
+        if (free_.empty()) return size_++;
+        const std::uint32_t index = free_.back();
+        free_.pop_back();
+        return index;
+    }
+
     std::unordered_map<std::uint64_t, std::uint32_t> index_;
     std::vector<std::uint32_t> free_;
     std::uint32_t size_ = 0;
 };
 
-}  // namespace tealcart
+}  // namespace tealcart::router
--- /dev/null
+++ b/src/router/retry_budget.hpp
@@ -0,0 +1,45 @@
+// The retry budget: retries of a window are held to a share of the queries and shard requests that came in.
+// A round's margin is kept at both ends of the window.
+#pragma once
+
+#include <deque>
+
+#include "router/router_config.hpp"
+
+namespace tealcart::router {
+
+class RetryBudget {
+  public:
+    explicit RetryBudget(const RouterConfig& config)
+        : is_enabled_(config.retry_budget_enabled), free_(config.retry_budget_free),
+          ratio_(config.retry_budget_ratio), window_(config.retry_budget_window),
+          margin_(config.round_interval) {}
+
+    // Forgets what has left the window.
+    void begin_round(Nanos now) {
+        while (!arrived_at_.empty() && arrived_at_.front() <= now - window_ + margin_)
+            arrived_at_.pop_front();
+        while (!retried_at_.empty() && retried_at_.front() < now - window_ - margin_) retried_at_.pop_front();
+    }
+
+    // A query or a shard request arrived.
+    void record_arrival(Nanos now) {
+        if (is_enabled_) arrived_at_.push_back(now);
+    }
+    void record_retry(Nanos now) {
+        if (is_enabled_) retried_at_.push_back(now);
+    }
+
+    bool allows_retry() const {
+        const double max_retries = free_ + ratio_ * static_cast<double>(arrived_at_.size());
+        return !is_enabled_ || retried_at_.size() + 1.0 <= max_retries;
+    }
+
+  private:
+    bool is_enabled_;
+    double free_, ratio_;
+    Nanos window_, margin_;
+    std::deque<Nanos> arrived_at_, retried_at_;
+};
+
+}  // namespace tealcart::router
