--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,5 +1,5 @@
-// What the tests share: a small deployment, rounds made by hand, a writer that keeps what it is told, and
-// stand-ins on loopback for clients, data nodes and discovery.
+// What the tests share: a small deployment, scripted rounds of a QueryRouter and its recorded decisions, and
+// fakes on loopback for clients, data nodes and discovery.
 #pragma once
 
 #include <array>
@@ -19,81 +19,82 @@
 
 std::size_t held_bytes();  // by all that was made with new and not yet deleted
 
-struct Sent {
+struct Decision {
     enum Kind { send_attempt, cancel, answer, reject, fail_query, set_timer, watch_endpoints, log } kind;
     std::uint32_t id = 0, node = 0;
-    bool whole = false;
-    Nanos span = 0;
+    bool complete = false;
+    Nanos wait = 0;  // patience, advice or a timer's time
 };
 
-class Kept final : public DecisionSink {
+class RecordedDecisions final : public DecisionSink {
   public:
-    std::vector<Sent> sent;
+    std::vector<Decision> made;
 
     void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
-        sent.push_back({Sent::send_attempt, shard_request, node, false, patience});
+        made.push_back({Decision::send_attempt, shard_request, node, false, patience});
     }
     void cancel(std::uint32_t shard_request, std::uint8_t) override {
-        sent.push_back({Sent::cancel, shard_request});
+        made.push_back({Decision::cancel, shard_request});
+    }
+    void answer(std::uint32_t query, bool complete) override {
+        made.push_back({Decision::answer, query, 0, complete});
     }
-    void answer(std::uint32_t query, bool whole) override { sent.push_back({Sent::answer, query, 0, whole}); }
     void reject(std::uint32_t query, Nanos after) override {
-        sent.push_back({Sent::reject, query, 0, false, after});
+        made.push_back({Decision::reject, query, 0, false, after});
     }
-    void fail_query(std::uint32_t query) override { sent.push_back({Sent::fail_query, query}); }
+    void fail_query(std::uint32_t query) override { made.push_back({Decision::fail_query, query}); }
     void set_timer(std::uint64_t, Nanos wait) override {
-        sent.push_back({Sent::set_timer, 0, 0, false, wait});
+        made.push_back({Decision::set_timer, 0, 0, false, wait});
     }
-    void watch_endpoints() override { sent.push_back({Sent::watch_endpoints}); }
-    void log(const std::string&) override { sent.push_back({Sent::log}); }
+    void watch_endpoints() override { made.push_back({Decision::watch_endpoints}); }
+    void log(const std::string&) override { made.push_back({Decision::log}); }
 
-    std::vector<Sent> of(Sent::Kind kind) const {
-        std::vector<Sent> found;
-        for (const Sent& s : sent)
-            if (s.kind == kind) found.push_back(s);
+    std::vector<Decision> of(Decision::Kind kind) const {
+        std::vector<Decision> found;
+        for (const Decision& decision : made)
+            if (decision.kind == kind) found.push_back(decision);
         return found;
     }
 };
 
-using Records = std::function<void(RoundEventHandler&)>;
+using EventScript = std::function<void(RoundEventHandler&)>;
 
-class Played final : public RoundEvents {
+class ScriptedEvents final : public RoundEvents {
   public:
-    explicit Played(Records records) : records_(std::move(records)) {}
-    void play(RoundEventHandler& handler) override { records_(handler); }
+    explicit ScriptedEvents(EventScript script) : script_(std::move(script)) {}
+    void play(RoundEventHandler& handler) override { script_(handler); }
 
   private:
-    Records records_;
+    EventScript script_;
 };
 
-inline Kept play(QueryRouter& router, Nanos now, const Records& records) {
-    Played arrivals(records);
-    Kept writer;
-    router.round(now, arrivals, writer);
-    return writer;
+inline RecordedDecisions play(QueryRouter& router, Nanos now, const EventScript& script) {
+    ScriptedEvents events(script);
+    RecordedDecisions decisions;
+    router.round(now, events, decisions);
+    return decisions;
 }
 
-// QueryClass 0 may be answered in part, query class 1 needs every shard request. Shard s is held by places s,
-// s + 1 and s
-// + 2.
+// Query class 0 may be answered in part, query class 1 needs every shard request. Shard s has replicas at
+// places s, s + 1 and s + 2.
 inline RouterConfig small_config(Effect effect = Effect::idempotent, int places = 4) {
-    RouterConfig t;
+    RouterConfig config;
     QueryClassConfig partial{effect, 2000 * ms, 5000 * ms, 1000 * ms, 0.3, 0.5};
-    QueryClassConfig whole = partial;
-    whole.min_answer_weight = 1;
-    t.query_classes = {partial, whole};
-    t.routers = 2;
-    t.round_interval = 5 * ms;
-    t.places = t.shards = places;
-    t.replicas_per_shard = t.max_attempts = 3;
-    t.may_cancel = t.may_hedge = t.retry_after = true;
-    t.max_retry_after = 1000 * ms;
-    t.drain_grace = 500 * ms;
-    t.slow_start_min_fraction = 0.2;
-    t.slow_start_duration = 10'000 * ms;
-    t.overload_multiple = 3;
-    t.overload_window = 2000 * ms;
-    return t;
+    QueryClassConfig complete = partial;
+    complete.min_answer_weight = 1;
+    config.query_classes = {partial, complete};
+    config.routers = 2;
+    config.round_interval = 5 * ms;
+    config.places = config.shards = places;
+    config.replicas_per_shard = config.max_attempts = 3;
+    config.may_cancel = config.may_hedge = config.retry_after = true;
+    config.max_retry_after = 1000 * ms;
+    config.drain_grace = 500 * ms;
+    config.slow_start_min_fraction = 0.2;
+    config.slow_start_duration = 10'000 * ms;
+    config.overload_multiple = 3;
+    config.overload_window = 2000 * ms;
+    return config;
 }
 
 // One node at each place, its id 100 + place.
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -12,147 +12,157 @@
 
 namespace {
 
-constexpr Nanos service = 100 * ms;  // what a leaf call takes a warm node, in these days
+constexpr Nanos service = 100 * ms;  // what an attempt takes at a warm node, in these days
 
-struct ModelCall {
+struct ModelAttempt {
     std::uint32_t node;
     Nanos sent_at;
-    bool out = true, may_have_run = true;
+    bool in_flight = true, may_have_run = true;
 };
 struct ModelShardRequest {
     std::uint32_t query = 0, shard = 0;
     double weight = 0;
-    std::vector<ModelCall> calls = {};
-    bool in = false;
+    std::vector<ModelAttempt> attempts = {};
+    bool answered = false;
     int step = 1;
 };
 struct ModelQuery {
     std::uint16_t query_class = 0;
     Nanos deadline_at = 0;
     int step = 1, ends = 0;
-    bool first_whole = false;
-    double in[3] = {0, 0, 0};
-    int shard_requests[3] = {0, 0, 0}, shard_requests_in[3] = {0, 0, 0};
+    bool first_step_complete = false;
+    double answered[3] = {0, 0, 0};
+    int shard_requests[3] = {0, 0, 0}, shard_requests_answered[3] = {0, 0, 0};
 };
 
-// Checks every decision of one router against the rules, and keeps the books they need.
+// Checks every decision of one router against the rules, and keeps the accounts they need.
 class RulesModel {
   public:
-    explicit RulesModel(const RouterConfig& config) : t_(config) {}
+    explicit RulesModel(const RouterConfig& config) : config_(config) {}
 
     std::map<std::uint32_t, ModelQuery> queries;
     std::map<std::uint32_t, ModelShardRequest> shard_requests;
     std::map<std::uint32_t, Endpoint> nodes;
-    std::map<std::uint32_t, Nanos> barred_at;  // told that it drains or is gone
-    std::vector<std::uint32_t> second_steps;   // queries whose first step was closed just now
+    std::map<std::uint32_t, Nanos> unavailable_since;  // notified that it drains or is removed
+    std::vector<std::uint32_t> second_steps_due;       // queries whose first step was closed just now
 
-    void told(Nanos now, const Endpoint& e) {
+    void endpoint_told(Nanos now, const Endpoint& e) {
         nodes[e.node] = e;
         if (e.lifecycle == Lifecycle::ready)
-            barred_at.erase(e.node);
+            unavailable_since.erase(e.node);
         else
-            barred_at.try_emplace(e.node, now);
+            unavailable_since.try_emplace(e.node, now);
     }
-    void taken(Nanos now) { taken_.push_back(now); }
-    void check(Nanos now, const Kept& kept) {
-        second_steps.clear();
-        for (const Sent& s : kept.sent) {
-            if (s.kind == Sent::send_attempt) check_deliver(now, s);
-            if (s.kind == Sent::answer) check_answer(now, s);
-            if (s.kind == Sent::reject || s.kind == Sent::fail_query) check_end(now, s);
+    void request_arrived(Nanos now) { arrivals_.push_back(now); }
+    void check(Nanos now, const RecordedDecisions& decisions) {
+        second_steps_due.clear();
+        for (const Decision& s : decisions.made) {
+            if (s.kind == Decision::send_attempt) check_attempt(now, s);
+            if (s.kind == Decision::answer) check_answer(now, s);
+            if (s.kind == Decision::reject || s.kind == Decision::fail_query) check_end(now, s);
         }
         const auto lost = [now](const auto& entry) {
             return entry.second.ends == 0 && now > entry.second.deadline_at;
         };
         REQUIRE(std::none_of(queries.begin(), queries.end(), lost));
     }
-    void ended(std::uint32_t shard_request, std::uint8_t attempt, Outcome outcome) {
+    void attempt_ended(std::uint32_t shard_request, std::uint8_t attempt, Outcome outcome) {
         ModelShardRequest& p = shard_requests.at(shard_request);
-        p.calls.at(attempt).out = false;
+        p.attempts.at(attempt).in_flight = false;
         if (outcome == Outcome::overloaded || outcome == Outcome::connect_failed ||
             outcome == Outcome::not_sent)
-            p.calls[attempt].may_have_run = false;
+            p.attempts[attempt].may_have_run = false;
         ModelQuery& q = queries.at(p.query);
-        if (outcome != Outcome::ok || p.in || q.ends > 0 || q.step != p.step) return;
-        p.in = true;
-        q.in[p.step] += p.weight;
-        ++q.shard_requests_in[p.step];
+        if (outcome != Outcome::ok || p.answered || q.ends > 0 || q.step != p.step) return;
+        p.answered = true;
+        q.answered[p.step] += p.weight;
+        ++q.shard_requests_answered[p.step];
     }
 
   private:
-    void check_deliver(Nanos now, const Sent& s) {
+    static double complete_weight(const QueryClassConfig& query_class, int step) {
+        return step == 1 ? query_class.complete_weight : 1;
+    }
+    void check_attempt(Nanos now, const Decision& s) {
         const auto within = [now](const std::vector<Nanos>& times, Nanos window) {
             return double(
                 std::count_if(times.begin(), times.end(), [&](Nanos at) { return at > now - window; }));
         };
         ModelShardRequest& p = shard_requests.at(s.id);
         const ModelQuery& q = queries.at(p.query);
-        const QueryClassConfig& v = t_.query_classes[q.query_class];
+        const QueryClassConfig& query_class = config_.query_classes[q.query_class];
         REQUIRE(q.ends == 0);
         REQUIRE(q.step == p.step);
-        REQUIRE(!p.in);
-        REQUIRE(static_cast<int>(p.calls.size()) < t_.max_attempts);
+        REQUIRE(!p.answered);
+        REQUIRE(static_cast<int>(p.attempts.size()) < config_.max_attempts);
         const Endpoint& node = nodes.at(s.node);
-        const int apart = (node.place - static_cast<int>(p.shard) % t_.places + t_.places) % t_.places;
-        REQUIRE(apart < t_.replicas_per_shard);
-        if (barred_at.contains(s.node)) REQUIRE(now <= barred_at[s.node] + t_.drain_grace);
-        for (const ModelCall& c : p.calls) {
-            if (c.out) REQUIRE(t_.may_hedge);
-            if (!c.may_have_run || v.effect == Effect::idempotent) continue;
-            REQUIRE(v.effect == Effect::idempotent_with_key);
-            REQUIRE(now <= c.sent_at + v.idempotency_window);
+        const int distance =
+            (node.place - static_cast<int>(p.shard) % config_.places + config_.places) % config_.places;
+        REQUIRE(distance < config_.replicas_per_shard);
+        if (unavailable_since.contains(s.node))
+            REQUIRE(now <= unavailable_since[s.node] + config_.drain_grace);
+        for (const ModelAttempt& c : p.attempts) {
+            if (c.in_flight) REQUIRE(config_.may_hedge);
+            if (!c.may_have_run || query_class.effect == Effect::idempotent) continue;
+            REQUIRE(query_class.effect == Effect::idempotent_with_key);
+            REQUIRE(now <= c.sent_at + query_class.idempotency_window);
         }
-        if (!p.calls.empty() && t_.retry_budget_enabled) {
-            further_.push_back(now);
-            REQUIRE(within(further_, t_.retry_budget_window) <=
-                    t_.retry_budget_free + t_.retry_budget_ratio * within(taken_, t_.retry_budget_window));
+        if (!p.attempts.empty() && config_.retry_budget_enabled) {
+            retries_.push_back(now);
+            REQUIRE(within(retries_, config_.retry_budget_window) <=
+                    config_.retry_budget_free +
+                        config_.retry_budget_ratio * within(arrivals_, config_.retry_budget_window));
         }
-        p.calls.push_back({s.node, now});
-        if (node.started_at == 0 || now >= node.started_at + t_.slow_start_duration) return;
-        auto& cold = cold_sent_[s.node];
+        p.attempts.push_back({s.node, now});
+        if (node.started_at == 0 || now >= node.started_at + config_.slow_start_duration) return;
+        auto& cold = sent_while_warming_[s.node];
         cold.push_back(now);
         const double age =
-            static_cast<double>(now - node.started_at) / static_cast<double>(t_.slow_start_duration);
+            static_cast<double>(now - node.started_at) / static_cast<double>(config_.slow_start_duration);
         const double share =
-            t_.slow_start_min_fraction + (1 - t_.slow_start_min_fraction) * std::max(0.0, age);
-        const double most =
-            t_.overload_multiple * share * static_cast<double>(t_.overload_window) / double(service);
-        REQUIRE(within(cold, t_.overload_window) * t_.routers <= std::max(most, double(t_.routers)));
+            config_.slow_start_min_fraction + (1 - config_.slow_start_min_fraction) * std::max(0.0, age);
+        const double most = config_.overload_multiple * share * static_cast<double>(config_.overload_window) /
+                            double(service);
+        REQUIRE(within(cold, config_.overload_window) * config_.routers <=
+                std::max(most, double(config_.routers)));
     }
-    void check_answer(Nanos now, const Sent& s) {
+    void check_answer(Nanos now, const Decision& s) {
         ModelQuery& q = queries.at(s.id);
-        const QueryClassConfig& v = t_.query_classes[q.query_class];
+        const QueryClassConfig& query_class = config_.query_classes[q.query_class];
         REQUIRE(q.ends == 0);
         REQUIRE(now <= q.deadline_at);
-        const double floor = v.min_answer_weight < v.complete_weight ? v.min_answer_weight
-                             : q.step == 1                           ? v.complete_weight
-                                                                     : 1;
-        REQUIRE(q.in[q.step] >= floor - 1e-4);
-        const bool all = q.shard_requests_in[q.step] == q.shard_requests[q.step];
-        if (s.whole) REQUIRE((q.step == 1 ? q.in[1] >= v.complete_weight - 1e-4 : all && q.first_whole));
-        if (q.step == 1 && v.second_step_requests > 0) {
-            q.first_whole = s.whole;
+        const double needed = query_class.min_answer_weight < query_class.complete_weight
+                                  ? query_class.min_answer_weight
+                                  : complete_weight(query_class, q.step);
+        REQUIRE(q.answered[q.step] >= needed - 1e-4);
+        const bool all = q.shard_requests_answered[q.step] == q.shard_requests[q.step];
+        if (s.complete)
+            REQUIRE((q.step == 1 ? q.answered[1] >= query_class.complete_weight - 1e-4
+                                 : all && q.first_step_complete));
+        if (q.step == 1 && query_class.second_step_requests > 0) {
+            q.first_step_complete = s.complete;
             q.step = 2;
-            second_steps.push_back(s.id);
+            second_steps_due.push_back(s.id);
         } else {
             ++q.ends;
         }
     }
-    void check_end(Nanos now, const Sent& s) {
+    void check_end(Nanos now, const Decision& s) {
         ModelQuery& q = queries.at(s.id);
         REQUIRE(q.ends == 0);
         REQUIRE(now <= q.deadline_at);
         ++q.ends;
-        if (s.kind == Sent::fail_query || t_.query_classes[q.query_class].effect != Effect::not_idempotent)
+        if (s.kind == Decision::fail_query ||
+            config_.query_classes[q.query_class].effect != Effect::not_idempotent)
             return;
         for (const auto& [id, p] : shard_requests)
             if (p.query == s.id)
-                for (const ModelCall& c : p.calls) REQUIRE(!c.may_have_run);
+                for (const ModelAttempt& c : p.attempts) REQUIRE(!c.may_have_run);
     }
 
-    const RouterConfig& t_;
-    std::vector<Nanos> taken_, further_;
-    std::map<std::uint32_t, std::vector<Nanos>> cold_sent_;
+    const RouterConfig& config_;
+    std::vector<Nanos> arrivals_, retries_;
+    std::map<std::uint32_t, std::vector<Nanos>> sent_while_warming_;
 };
 
 // A generated day: queries, outcomes and list changes drawn by chance, with no thought for what a fleet could
@@ -163,18 +173,18 @@
     std::multimap<Nanos, AttemptResult> due;
     std::uint32_t next_id = 1;
     int answers = 0;
-    std::size_t decided = 0;
+    std::size_t digest = 0;
     Nanos now = 1'000'000 * ms;
     for (int life = 0; life < 2; ++life) {  // a restart, with only the cached list
         QueryRouter router(config, seed + static_cast<std::uint64_t>(life));
         RulesModel model(config);
         due.clear();
         std::vector<Endpoint> list = small_list(config.places);
-        for (Endpoint& e : list) model.told(now, e);
+        for (Endpoint& e : list) model.endpoint_told(now, e);
         bool listed = false;
         std::vector<std::uint32_t> second;
         for (const Nanos stop = now + 12'000 * ms; now < stop + 6000 * ms; now += config.round_interval) {
-            const Kept kept = play(router, now, [&](RoundEventHandler& h) {
+            const RecordedDecisions decisions = play(router, now, [&](RoundEventHandler& h) {
                 if (!listed) h.on_nodes(ListKind::cached, list);
                 listed = true;
                 if (draw(100) == 0) {
@@ -183,11 +193,11 @@
                     e.lifecycle = static_cast<Lifecycle>(draw(3));
                     if (was != Lifecycle::ready && e.lifecycle == Lifecycle::ready)
                         e.started_at = now - 500 * ms;
-                    model.told(now, e);
+                    model.endpoint_told(now, e);
                     h.on_nodes(ListKind::delta, {&e, 1});
                 }
                 for (auto it = due.begin(); it != due.end() && it->first <= now; it = due.erase(it)) {
-                    model.ended(it->second.shard_request, it->second.attempt, it->second.outcome);
+                    model.attempt_ended(it->second.shard_request, it->second.attempt, it->second.outcome);
                     h.on_attempt_result(it->second);
                 }
                 const auto add_shard_requests = [&](std::uint32_t query, std::uint32_t n, int step) {
@@ -196,7 +206,7 @@
                         const double weight = n == 1 ? 1 : i == 0 ? 0.5 : 0.5 / (n - 1);
                         model.shard_requests[next_id] = {query, shard, weight, {}, false, step};
                         ++model.queries[query].shard_requests[step];
-                        model.taken(now);
+                        model.request_arrived(now);
                         h.on_shard_request({next_id, query, shard, weight, 0});
                     }
                 };
@@ -208,39 +218,39 @@
                     q.query_class = static_cast<std::uint16_t>(
                         draw(static_cast<std::uint32_t>(config.query_classes.size())));
                     q.deadline_at = now + static_cast<Nanos>(500 + draw(4500)) * ms;
-                    model.taken(now);
+                    model.request_arrived(now);
                     h.on_query({id, id, q.query_class, 0, q.deadline_at, draw(4) == 0});
                     add_shard_requests(id, 1 + draw(6), 1);
                 }
                 if (draw(200) == 0 && next_id > 5) {
                     const std::uint32_t id = next_id - 1 - draw(std::min(next_id - 1, 20U));
                     if (auto q = model.queries.find(id); q != model.queries.end() && q->second.ends == 0) {
-                        q->second.ends = 1;  // its client went away
+                        q->second.ends = 1;  // its client disconnected
                         h.on_query_dropped(id);
                     }
                 }
             });
-            model.check(now, kept);
-            for (const Sent& d : kept.sent)
-                decided = decided * 31 + d.id + d.node + static_cast<std::size_t>(d.kind);
-            second = model.second_steps;
-            answers += static_cast<int>(kept.of(Sent::answer).size());
-            for (const Sent& s : kept.of(Sent::send_attempt)) {
+            model.check(now, decisions);
+            for (const Decision& d : decisions.made)
+                digest = digest * 31 + d.id + d.node + static_cast<std::size_t>(d.kind);
+            second = model.second_steps_due;
+            answers += static_cast<int>(decisions.of(Decision::answer).size());
+            for (const Decision& s : decisions.of(Decision::send_attempt)) {
                 static constexpr Outcome bad[] = {Outcome::error,   Outcome::overloaded,
                                                   Outcome::timeout, Outcome::connect_failed,
                                                   Outcome::reset,   Outcome::not_sent};
                 const Outcome outcome = draw(10) < 7 ? Outcome::ok : bad[draw(6)];
-                const Nanos took = outcome == Outcome::ok ? service + draw(50) * ms : draw(2500) * ms;
+                const Nanos latency = outcome == Outcome::ok ? service + draw(50) * ms : draw(2500) * ms;
                 const auto attempt =
-                    static_cast<std::uint8_t>(model.shard_requests.at(s.id).calls.size() - 1);
-                due.emplace(now + config.round_interval + took,
-                            AttemptResult{s.id, s.node, attempt, outcome, took});
+                    static_cast<std::uint8_t>(model.shard_requests.at(s.id).attempts.size() - 1);
+                due.emplace(now + config.round_interval + latency,
+                            AttemptResult{s.id, s.node, attempt, outcome, latency});
             }
         }
         for (const auto& [id, q] : model.queries) REQUIRE(q.ends == 1);
     }
     CHECK(answers > 50);
-    return decided;
+    return digest;
 }
 
 }  // namespace
@@ -260,6 +270,6 @@
     }
     if (variant == 3)
         config.query_classes[0].second_step_requests = config.query_classes[1].second_step_requests = 2;
-    const std::size_t decided = generated_day(config, static_cast<std::uint64_t>(seed));
-    CHECK(generated_day(config, static_cast<std::uint64_t>(seed)) == decided);
+    const std::size_t digest = generated_day(config, static_cast<std::uint64_t>(seed));
+    CHECK(generated_day(config, static_cast<std::uint64_t>(seed)) == digest);
 }
