--- a/measure/capacity/tables.cpp
+++ b/measure/capacity/tables.cpp
@@ -211,7 +211,7 @@
     rows.row({"core: list", core(l.list_changes * m.one_change_ms() / 1e3),
               core(l.list_changes * m.peak * m.one_change_ms() / 1e3),
               core(zone_s * m.one_change_ms() / 1e3) + " one by one", "as mean",
-              span(m.whole_ms() / 1e3) + " in one piece", "`NodeList`, `AgreedList`, module"});
+              span(m.whole_ms() / 1e3) + " in one piece", "`NodeList`, `EndpointOverlay`, module"});
     rows.row({"core: words", core(m.words_core(1)), core(m.words_core(m.peak)), "as mean", "less", "as mean",
               "`member_words`"});
     const auto bytes_of = [&](double times) {
@@ -232,7 +232,7 @@
     const double kept = m.at("router.agreed_memory", m.nodes) + m.at("router.list_memory", m.nodes) +
                         m.at("router.module_memory", m.nodes);
     rows.row({"memory", mb(kept), mb(kept), mb(kept), mb(kept),
-              mb(kept + m.at("router.list_read_memory", m.nodes)), "`AgreedList`, `NodeList`, module"});
+              mb(kept + m.at("router.list_read_memory", m.nodes)), "`EndpointOverlay`, `NodeList`, module"});
     rows.row({"descriptors", "2", "2", "2", "2", "2", "two watches"});
     rows.row({"disk", "none", "none", "none", "none", "none", "nothing durable"});
     return rows.done();
@@ -486,7 +486,7 @@
              both(silent_kb / m.of("body_kb")), "**none**: 413, and the lease ends"),
         need("a node that fell silent, told in " + in_force,
              span(silent_s) + ": " + figure(m.of("silent_calls")) + " calls in a row",
-             both(silent_s / m.told_s), "`OutcomeWatch`; second copies meanwhile"),
+             both(silent_s / m.told_s), "`OutcomeStats`; second copies meanwhile"),
     };
     std::stable_sort(all.begin(), all.end(), [](const Need& a, const Need& b) {
         const auto key = [](double v) { return std::isnan(v) ? 1.0 : v; };
--- a/measure/follower_cost.cpp
+++ b/measure/follower_cost.cpp
@@ -10,7 +10,7 @@
 #include <cstdio>
 
 #include "changes/document.hpp"
-#include "members/configuration.hpp"
+#include "members/config_overlay.hpp"
 #include "wire/change_messages.hpp"
 
 namespace {
@@ -35,8 +35,8 @@
             config.query_classes.emplace_back().effect = Effect::idempotent;
             query_classes.push_back("vertical-" + std::to_string(i));
         }
-        configuration = std::make_unique<Configuration>(
-            Configuration::Settings{{}, std::vector<TwoPhaseConfig>(query_classes.size())}, config,
+        configuration = std::make_unique<ConfigOverlay>(
+            ConfigOverlay::Settings{{}, std::vector<TwoPhaseConfig>(query_classes.size())}, config,
             query_classes);
         changes::Delta first{0, 1, {}, {}, 0};
         for (int i = 0; i < entries; ++i) first.set[key_of(i)] = value_of(i, 0);
@@ -46,11 +46,11 @@
     void take(const changes::Delta& delta) {
         if (copy.take(delta) != changes::Copy::Taken::taken) std::abort();
         auto read = configuration->read(copy.document());
-        if (auto* settings = std::get_if<Configuration::Settings>(&read))
+        if (auto* settings = std::get_if<ConfigOverlay::Settings>(&read))
             applied_version = std::move(*settings);
         else
             std::abort();
-        changed += configuration->acted_on(copy.document());
+        changed += configuration->on_applied(copy.document());
     }
     // The answer that a relay gives for the next version, of one entry.
     std::string answer() {
@@ -68,8 +68,8 @@
 
     const int entries;
     changes::Copy copy;
-    std::unique_ptr<Configuration> configuration;
-    Configuration::Settings applied_version;
+    std::unique_ptr<ConfigOverlay> configuration;
+    ConfigOverlay::Settings applied_version;
     std::size_t changed = 0;
 };
 
--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -32,13 +32,13 @@
         call.queries = 5560;
         return call;
     }
-    void on_agreed(Nanos sent, const MemberAnswer& answer) override {
+    void on_grant(Nanos sent, const MemberAnswer& answer) override {
         if (until > 0 && time.now() > until) ++lapses;
         lease = answer.lease, until = sent + lease, known = answer.generation;
         ++answers;
         watch.next();
     }
-    void on_outlived(std::uint64_t) override { ++lapses; }
+    void on_superseded(std::uint64_t) override { ++lapses; }
 
     EventClock& time;
     const std::string name;
--- a/measure/list_cost.cpp
+++ b/measure/list_cost.cpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <set>
 
-#include "members/agreed_list.hpp"
+#include "members/endpoint_overlay.hpp"
 #include "tables/node_list.hpp"
 #include "wire/bodies.hpp"
 
@@ -163,7 +163,7 @@
     news.entries.resize(1);
     const double module_one = mean(changes, tell);
 
-    AgreedList agreed;
+    EndpointOverlay agreed;
     const double joined = least(
         times, [](int) { return 0; }, [&](int) { agreed.discovered(*list); });
     const double joined_one = mean(changes, [&](int i) { agreed.discovered(change(i)); });
@@ -197,9 +197,9 @@
     std::printf("  NodeList a zone of %zu gone %.2f ms, back %.2f ms\n", zone.nodes.size(), zone_gone,
                 zone_back);
     std::printf("  the module's round with a whole list %.2f ms, with one change %.5f\n", module, module_one);
-    std::printf("  AgreedList whole %.2f ms, one change %.5f; one name of %zu out %.5f, none %.5f\n", joined,
+    std::printf("  EndpointOverlay whole %.2f ms, one change %.5f; one name of %zu out %.5f, none %.5f\n", joined,
                 joined_one, out.size(), agreed_one, agreed_same);
-    std::printf("  AgreedList cut %.2f ms, cut that is so already %.5f\n", cuts, same);
+    std::printf("  EndpointOverlay cut %.2f ms, cut that is so already %.5f\n", cuts, same);
     return true;
 }
 
--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -19,7 +19,7 @@
 #include "fleet/fleet_state.hpp"
 #include "fleet_manager/endpoint_view.hpp"
 #include "fleet_manager/operator_requests.hpp"
-#include "members/agreed_list.hpp"
+#include "members/endpoint_overlay.hpp"
 #include "tables/node_list.hpp"
 #include "testing/fleet.hpp"
 #include "wire/http_server.hpp"
@@ -84,7 +84,6 @@
 }
 
 void words() {
-    std::string wrong;
     std::size_t sink = 0;
     point("wire.head", 1, static_cast<double>(write_answer_head({200, 1000}).size()));
     for (const std::size_t named : {0, 100, 1000}) {
@@ -93,7 +92,7 @@
         point("member.call_bytes", named, static_cast<double>(bytes.size()));
         point("member.call_write", named, cost(2000, [&] { sink += write_member_call(call).size(); }));
         point("steward.call_read", named,
-              cost(2000, [&] { sink += read_member_call(bytes, wrong)->name.size(); }));
+              cost(2000, [&] { sink += read_member_call(bytes)->name.size(); }));
     }
     for (const std::size_t out : {0, 100, 1000, 7050}) {
         MemberAnswer answer{1'234'567, 10'000 * ms, {}, false};
@@ -207,7 +206,7 @@
         if (last > 100) break;
         RouterConfig config;
         config.places = config.shards = static_cast<int>(nodes / 3);
-        manager::NodeView seen(config);
+        manager::EndpointView seen(config);
         TargetList list{1, true, {}, 0};
         for (std::size_t i = 0; i < nodes / 3 * 3; ++i)
             list.nodes.push_back({node_name(i), "10.0.0.1:7300", "r1z1", "kind-1",
@@ -245,7 +244,7 @@
         auto known = std::make_unique<NodeList>();
         known->take(list);
         const double of_nodes = heap_bytes();
-        auto agreed = std::make_unique<AgreedList>();
+        auto agreed = std::make_unique<EndpointOverlay>();
         agreed->discovered(list);
         point("router.list_bytes", nodes, static_cast<double>(bytes) / 1e6);
         point("router.list_memory", nodes, (of_nodes - before) / 1e6);
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -81,8 +81,8 @@
     if (t.managers.empty() && t.relays.empty()) in.wrong(block.at, "'stewards' and 'relays' name none");
     t.serve_on = in.span("serve_on", t.serve_on, 0, 365 * 24 * 3600 * second);
     t.then_stop = in.choice("then", 0, {"leave", "stop"}) == 1;
-    t.first_word = in.span("first_word", t.first_word, 0, 3600 * second);
-    t.config_first_word = in.span("config_first_word", t.config_first_word, 0, 3600 * second);
+    t.startup_wait = in.span("first_word", t.startup_wait, 0, 3600 * second);
+    t.config_startup_wait = in.span("config_first_word", t.config_startup_wait, 0, 3600 * second);
     in.finish();
     return t;
 }
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -134,7 +134,7 @@
     return written({{"version", state.version()}, {"key", key}, {"value", it->second}});
 }
 
-void put_news(const changes::ChangeState& state, const Watched& watched, ChangesAnswer& answer) {
+void put_news(const changes::ChangeState& state, const WatchPosition& watched, ChangesAnswer& answer) {
     answer.version = state.version();
     if (watched.knows >= state.version()) return;
     if (!watched.wants_pages) {
--- a/src/fleet_manager/change_requests.hpp
+++ b/src/fleet_manager/change_requests.hpp
@@ -36,6 +36,6 @@
 const char* word_of(changes::Effect::Kind kind);
 
 // What a relay with this copy is to be told of the document: pages where one delta would be too long.
-void put_news(const changes::ChangeState& state, const Watched& watched, ChangesAnswer& answer);
+void put_news(const changes::ChangeState& state, const WatchPosition& watched, ChangesAnswer& answer);
 
 }  // namespace tealcart::manager
--- a/src/fleet_manager/command_main.cpp
+++ b/src/fleet_manager/command_main.cpp
@@ -107,7 +107,7 @@
     boost::asio::io_context io(1);
     Json found;
     for (const HostPort& at : managers) {
-        const Reply reply = ask_once(io, at, path, "", one_look);
+        const Reply reply = query_manager(io, at, path, "", one_look);
         Json state = Json::parse(reply.body, nullptr, false);
         if (reply.status != 200 || !state.is_object()) continue;
         if (state["leader"] == state["steward"]) return state;
@@ -116,7 +116,7 @@
     // The one that leads may not be among those that were named.
     if (found.is_object())
         if (const auto leader = read_host_port(found["leader_at"].get<std::string>())) {
-            const Reply reply = ask_once(io, *leader, path, "", one_look);
+            const Reply reply = query_manager(io, *leader, path, "", one_look);
             Json state = Json::parse(reply.body, nullptr, false);
             if (reply.status == 200 && state.is_object()) return state;
         }
--- a/src/fleet_manager/data_directory.cpp
+++ b/src/fleet_manager/data_directory.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void mark_folder(const std::string& folder, const std::string& fleet, std::uint64_t id) {
+void create_data_directory(const std::string& folder, const std::string& fleet, std::uint64_t id) {
     std::error_code ec;
     std::filesystem::create_directories(folder, ec);
     if (ec) fail(folder, "can't be made: " + ec.message());
@@ -32,7 +32,7 @@
     if (!out.flush()) fail(folder, "can't be written");
 }
 
-void check_folder(const std::string& folder, const std::string& fleet, std::uint64_t id) {
+void check_data_directory(const std::string& folder, const std::string& fleet, std::uint64_t id) {
     std::ifstream in(mark_of(folder));
     if (!in) fail(folder, "is no steward's: 'tealcart steward init' makes one");
     const std::string text{std::istreambuf_iterator<char>(in), {}};
--- a/src/fleet_manager/data_directory.hpp
+++ b/src/fleet_manager/data_directory.hpp
@@ -8,8 +8,8 @@
 
 // Makes the folder where it is not there, and marks it. Throws std::runtime_error in one line where it is
 // somebody's already, or can't be written.
-void mark_folder(const std::string& folder, const std::string& fleet, std::uint64_t id);
+void create_data_directory(const std::string& folder, const std::string& fleet, std::uint64_t id);
 // Throws std::runtime_error in one line where the folder is not this manager's.
-void check_folder(const std::string& folder, const std::string& fleet, std::uint64_t id);
+void check_data_directory(const std::string& folder, const std::string& fleet, std::uint64_t id);
 
 }  // namespace tealcart::manager
--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void NodeView::take(const TargetList& list, Nanos now) {
+void EndpointView::take(const TargetList& list, Nanos now) {
     if (list.whole) {
         nodes_.clear();
         cold_ends_.clear();
@@ -30,21 +30,21 @@
 }
 
 // A manager that does not lead takes nothing out of the list: it is not to grow by names that are long gone.
-void NodeView::look_at(const std::string& name) {
+void EndpointView::look_at(const std::string& name) {
     if (all_) return;
     look_at_.insert(name);
     if (look_at_.size() > nodes_.size() + 1000) all_ = true;
 }
 
-void NodeView::agreed(const fleet::EndpointsObserved& seen) {
+void EndpointView::agreed(const fleet::EndpointsObserved& seen) {
     if (seen.whole) return look_at_all();
     for (const auto& [name, node] : seen.nodes) look_at(name);
     for (const std::string& name : seen.gone) look_at(name);
 }
 
-bool NodeView::stale(Nanos now) const { return heard_at_ > 0 && now - heard_at_ > stale_after; }
+bool EndpointView::stale(Nanos now) const { return heard_at_ > 0 && now - heard_at_ > stale_after; }
 
-fleet::Node NodeView::node_of(const ListedNode& listed, Nanos now) const {
+fleet::Node EndpointView::node_of(const ListedNode& listed, Nanos now) const {
     fleet::Node node{listed.zone, listed.kind, {}, fleet::Health::whole, listed.started_at};
     // Shard s lies at places (s + j) mod all, for j below the width.
     const int place = static_cast<int>(listed.place);
@@ -61,7 +61,7 @@
     return node;
 }
 
-std::optional<fleet::EndpointsObserved> NodeView::news(const fleet::FleetState& state, Nanos now) {
+std::optional<fleet::EndpointsObserved> EndpointView::news(const fleet::FleetState& state, Nanos now) {
     looked_at_ = 0;
     if (heard_at_ == 0) return std::nullopt;
     if (stale(now) != was_stale_) {
--- a/src/fleet_manager/endpoint_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -12,10 +12,10 @@
 
 namespace tealcart::manager {
 
-class NodeView {
+class EndpointView {
   public:
     // Of the deployment's config it needs where shards lie and how long a node is cold.
-    explicit NodeView(const RouterConfig& config)
+    explicit EndpointView(const RouterConfig& config)
         : places_(config.places), width_(config.replicas_per_shard), shards_(config.shards),
           cold_(config.slow_start_duration) {}
 
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -44,7 +44,7 @@
              config.election},
             *this),
       timer_(io) {
-    const OneManager& self = config_.managers.at(id);
+    const ManagerAddresses& self = config_.managers.at(id);
     raft_.start();
     front_.listen(self.http_bind.host, self.http_bind.port);
     watch_.start(0);  // its view begins with nothing, whatever the configuration knows
@@ -99,7 +99,7 @@
 void FleetManager::send_elsewhere(Handle client) {
     const std::string leader = leader_address();
     if (leader.empty() || raft_.leader() == id_) return refuse(client, 503, "no steward leads now");
-    front_.answer(client, {421, write_elsewhere(leader), 0});
+    front_.answer(client, {421, write_not_leader(leader), 0});
 }
 
 void FleetManager::on_client_gone(Handle client) {
@@ -142,13 +142,12 @@
 
 // ReportBatch that come within a few ms go into the log as one entry.
 void FleetManager::on_member(Handle client, const std::string& body) {
-    std::string wrong;
-    auto call = read_member_call(body, wrong);
-    if (!call) return refuse(client, 400, wrong);
+    auto call = read_member_call(body);
+    if (!call) return refuse(client, 400, call.error().reason);
     if (!raft_.leads()) return send_elsewhere(client);
     const auto known = state_.members().find(call->name);
     if (known != state_.members().end() && known->second.incarnation > call->incarnation)
-        return front_.answer(client, {409, write_outlived(known->second.incarnation), 0});
+        return front_.answer(client, {409, write_superseded(known->second.incarnation), 0});
     if (call->leaves) {
         propose({{"", 0, fleet::Leave{call->name, call->incarnation}}}, [this, client](bool agreed, auto) {
             if (!agreed) return refuse(client, 503, "not agreed");
@@ -191,7 +190,7 @@
             }
             const auto known = state_.members().find(call.name);
             if (known != state_.members().end() && known->second.incarnation > call.incarnation)
-                front_.answer(client, {409, write_outlived(known->second.incarnation), 0});
+                front_.answer(client, {409, write_superseded(known->second.incarnation), 0});
             else
                 waiting_[client.slot] = {client, {call.knows, time_.now() + call.wait, true}};
         }
@@ -216,13 +215,12 @@
 }
 
 void FleetManager::on_relay(Handle client, const std::string& body) {
-    std::string wrong;
-    auto call = read_relay_call(body, wrong);
-    if (!call) return refuse(client, 400, wrong);
+    auto call = read_relay_call(body);
+    if (!call) return refuse(client, 400, call.error().reason);
     if (!raft_.leads()) return send_elsewhere(client);
-    if (changes_.knows_later_life(call->word.relay, call->word.incarnation))
-        return front_.answer(client, {409, write_outlived(changes_.last_incarnation(call->word.relay)), 0});
-    relay_batch_.words.words.push_back(call->word);
+    if (changes_.knows_later_life(call->report.relay, call->report.incarnation))
+        return front_.answer(client, {409, write_superseded(changes_.last_incarnation(call->report.relay)), 0});
+    relay_batch_.words.words.push_back(call->report);
     relay_batch_.calls.emplace_back(client, std::move(*call));
     if (relay_batch_.calls.size() >= max_words) return flush_relays();
     if (flush_relays_due_ == TimerQueue::none)
@@ -236,14 +234,14 @@
     auto calls = std::make_shared<decltype(batch.calls)>(std::move(batch.calls));
     propose_change(changes::Command{"", 0, std::move(batch.words)}, [this, calls](bool agreed, auto effects) {
         for (const auto& [client, call] : *calls) {
-            const changes::RelayReport& word = call.word;
+            const changes::RelayReport& word = call.report;
             if (!agreed) {
                 send_elsewhere(client);
             } else if (changes_.knows_later_life(word.relay, word.incarnation)) {
-                front_.answer(client, {409, write_outlived(changes_.last_incarnation(word.relay)), 0});
+                front_.answer(client, {409, write_superseded(changes_.last_incarnation(word.relay)), 0});
             } else if (changes_.last_number(word.relay, word.incarnation) >= word.number) {
-                relays_waiting_[client.slot] = {client, call.watched, word.number,
-                                                time_.now() + call.watched.wait};
+                relays_waiting_[client.slot] = {client, call.position, word.number,
+                                                time_.now() + call.position.wait};
             } else if (const std::string why = refusal_of(effects, word.relay); !why.empty()) {
                 refuse(client, 503, why);
             } else {  // its lease was over, or it is new to them; a whole word may have been taken before
@@ -263,7 +261,7 @@
     answer.lease = changes_.limits().lease;
     answer.taken = w.number;
     answer.drift = changes_.limits().drift;
-    put_news(changes_, w.watched, answer);
+    put_news(changes_, w.position, answer);
     front_.answer(w.client, {200, write_changes_answer(answer), 0});
 }
 
@@ -271,7 +269,7 @@
     const Nanos now = time_.now();
     for (auto it = relays_waiting_.begin(); it != relays_waiting_.end();) {
         // What a relay knows may also be of a manager that was ahead: then it waits its time.
-        if (changes_.version() <= it->second.watched.knows && now < it->second.until) {
+        if (changes_.version() <= it->second.position.knows && now < it->second.until) {
             ++it;
             continue;
         }
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -21,7 +21,7 @@
 
 namespace tealcart::manager {
 
-class FleetManager final : private RequestHandler, private ListTaker, private DueHandler, private LogMachine {
+class FleetManager final : private RequestHandler, private ListTaker, private DueHandler, private StateMachine {
   public:
     // `clock_error` is added to the clock that commands carry: for tests of clocks that run apart.
     FleetManager(boost::asio::io_context& io, const FleetManagerConfig& config, std::uint64_t id,
@@ -39,7 +39,7 @@
     // A relay's call that waits for a later version.
     struct RelayWaiting {
         Handle client;
-        Watched watched;
+        WatchPosition position;
         std::uint64_t number = 0;  // of its word, which was taken
         Nanos until = 0;
     };
@@ -90,7 +90,7 @@
     EventClock time_;
     fleet::FleetState state_;
     changes::ChangeState changes_;
-    NodeView view_;
+    EndpointView view_;
     HttpServer front_;
     DiscoveryWatch watch_;
     RaftNode raft_;
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -33,7 +33,7 @@
     const auto [end, ec] = std::from_chars(label.data(), label.data() + label.size(), id);
     if (ec != std::errc() || end != label.data() + label.size() || id == 0)
         in.wrong(block.at, "a steward's id is a whole number above 0");
-    OneManager s;
+    ManagerAddresses s;
     const auto address = [&](const char* name, bool needed) {
         const std::string text = in.text(name, "");
         const auto at = read_host_port(text);
--- a/src/fleet_manager/fleet_manager_config.hpp
+++ b/src/fleet_manager/fleet_manager_config.hpp
@@ -13,7 +13,7 @@
 
 namespace tealcart::manager {
 
-struct OneManager {
+struct ManagerAddresses {
     std::string raft, bind, folder;  // where the others reach it; where it listens, if elsewhere
     HostPort http, http_bind;        // where members and operators reach it; where it listens
 };
@@ -21,7 +21,7 @@
 struct FleetManagerConfig {
     std::string source, fleet;  // fleet: its name
     Nanos election = 600'000'000;
-    std::map<std::uint64_t, OneManager> managers;  // by id
+    std::map<std::uint64_t, ManagerAddresses> managers;  // by id
     fleet::Budgets budgets;
     bool takes_changes = false;  // a `changes` block is stated: without one, none are agreed
     changes::Limits changes;
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -22,7 +22,7 @@
     std::int64_t clock_error_ms = 0;
 };
 
-const OneManager& self_of(const FleetManagerConfig& config, std::uint64_t id) {
+const ManagerAddresses& self_of(const FleetManagerConfig& config, std::uint64_t id) {
     const auto it = config.managers.find(id);
     if (it == config.managers.end())
         throw Malformed(config.source + " names no steward " + std::to_string(id));
@@ -31,8 +31,8 @@
 
 int init(const Asked& asked) {
     const FleetManagerConfig config = read_fleet_manager_file(asked.file);
-    const OneManager& self = self_of(config, asked.id);
-    mark_folder(self.folder, config.fleet, asked.id);
+    const ManagerAddresses& self = self_of(config, asked.id);
+    create_data_directory(self.folder, config.fleet, asked.id);
     std::vector<RaftServer> servers;
     for (const auto& [id, s] : config.managers) servers.push_back({id, s.raft});
     try {
@@ -51,10 +51,10 @@
     std::signal(SIGPIPE, SIG_IGN);
     std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is told as a disk that is full is
     const FleetManagerConfig config = read_fleet_manager_file(asked.file);
-    const OneManager& self = self_of(config, asked.id);
+    const ManagerAddresses& self = self_of(config, asked.id);
     start_log(config.log);
     const StartupConfig launch = read_startup_config_file(asked.config);
-    check_folder(self.folder, config.fleet, asked.id);
+    check_data_directory(self.folder, config.fleet, asked.id);
     boost::asio::io_context io(1);
     FleetManager manager(io, config, asked.id, launch, asked.clock_error_ms * 1'000'000);
     manager.run();
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-Reply ask_once(boost::asio::io_context& io, const HostPort& at, const std::string& path,
+Reply query_manager(boost::asio::io_context& io, const HostPort& at, const std::string& path,
                const std::string& body, std::chrono::milliseconds within) {
     const auto until = Clock::now() + within;
     const auto a = std::make_shared<Asking>(io);
@@ -80,11 +80,11 @@
         const HostPort to = leader ? *leader : managers[at];
         if (!leader) at = (at + 1) % managers.size();
         leader.reset();
-        const Reply reply = ask_once(io, to, path, body, std::min(left, one_try));
+        const Reply reply = query_manager(io, to, path, body, std::min(left, one_try));
         if (reply.status == 200 || (reply.status >= 400 && reply.status < 410)) return reply;
         if (reply.status != 0) last = reply;
         if (reply.status == 421)
-            if (const auto named = read_elsewhere(reply.body)) leader = read_host_port(*named);
+            if (const auto named = read_not_leader(reply.body)) leader = read_host_port(*named);
         if (!leader) std::this_thread::sleep_for(pause);
     }
     return {0, last.body};
--- a/src/fleet_manager/manager_client.hpp
+++ b/src/fleet_manager/manager_client.hpp
@@ -24,7 +24,7 @@
 
 // One call to one address; status 0 where it does not answer in time. What else is the io_context's goes on
 // meanwhile.
-Reply ask_once(boost::asio::io_context& io, const HostPort& at, const std::string& path,
+Reply query_manager(boost::asio::io_context& io, const HostPort& at, const std::string& path,
                const std::string& body, std::chrono::milliseconds within);
 
 }  // namespace tealcart::manager
--- a/src/fleet_manager/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -58,7 +58,7 @@
     Changed changed;
 };
 
-RaftNode::RaftNode(boost::asio::io_context& io, const RaftConfig& config, LogMachine& machine)
+RaftNode::RaftNode(boost::asio::io_context& io, const RaftConfig& config, StateMachine& machine)
     : io_(io), machine_(machine) {
     open(config);
 }
@@ -151,7 +151,7 @@
 }
 
 void RaftNode::bootstrap(const RaftConfig& config, const std::vector<RaftServer>& servers) {
-    struct Nothing final : LogMachine {
+    struct Nothing final : StateMachine {
         void apply(const std::uint8_t*, std::size_t) override {}
         std::vector<std::uint8_t> save() const override { return {}; }
         void load(const std::vector<std::uint8_t>&) override {}
--- a/src/fleet_manager/raft_node.hpp
+++ b/src/fleet_manager/raft_node.hpp
@@ -31,9 +31,9 @@
 };
 
 // What the log is for. Throws std::runtime_error on what it can't read: the node then ends.
-class LogMachine {
+class StateMachine {
   public:
-    virtual ~LogMachine() = default;
+    virtual ~StateMachine() = default;
     virtual void apply(const std::uint8_t* bytes, std::size_t size) = 0;
     virtual std::vector<std::uint8_t> save() const = 0;
     virtual void load(const std::vector<std::uint8_t>& bytes) = 0;
@@ -48,7 +48,7 @@
 class RaftNode {
   public:
     // Throws std::runtime_error, in one line, where the folder can't be used or holds what can't be read.
-    RaftNode(boost::asio::io_context& io, const RaftConfig& config, LogMachine& machine);
+    RaftNode(boost::asio::io_context& io, const RaftConfig& config, StateMachine& machine);
     ~RaftNode();
 
     // An empty folder becomes one of these servers.
@@ -83,7 +83,7 @@
     void open(const RaftConfig& config);
 
     boost::asio::io_context& io_;
-    LogMachine& machine_;
+    StateMachine& machine_;
     uv_loop_t loop_;
     raft_uv_transport transport_{};
     raft_io raft_io_{};
--- a/src/members/configuration.cpp
+++ b/src/members/config_overlay.cpp
@@ -1,4 +1,4 @@
-#include "members/configuration.hpp"
+#include "members/config_overlay.hpp"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::variant<Configuration::Settings, Configuration::Refusal> Configuration::read(
+std::variant<ConfigOverlay::Settings, ConfigOverlay::Rejection> ConfigOverlay::read(
     const changes::Document& document) const {
     Settings settings = started_;
     std::string why;
@@ -44,10 +44,10 @@
     }
     if (why.empty()) return settings;
     if (why.size() > max_why) why.resize(max_why);
-    return Refusal{std::move(why)};
+    return Rejection{std::move(why)};
 }
 
-std::size_t Configuration::acted_on(const changes::Document& document) {
+std::size_t ConfigOverlay::on_applied(const changes::Document& document) {
     std::size_t changed = 0;
     std::map<std::string, std::uint64_t> digests;
     for (const auto& [key, value] : document) {
--- a/src/members/configuration.hpp
+++ b/src/members/config_overlay.hpp
@@ -16,29 +16,29 @@
 
 namespace tealcart {
 
-class Configuration {
+class ConfigOverlay {
   public:
     // What may change while the router runs.
     struct Settings {
         LogConfig log;
         std::vector<TwoPhaseConfig> phases;  // by query class
     };
-    struct Refusal {
+    struct Rejection {
         std::string why;  // every mistake as `KEY:LINE:COLUMN: WORDS`, cut at `max_why` bytes
     };
     static constexpr std::size_t max_why = 480;
 
     // `started`: what the file says. `config`, `query classes`: the deployment, which documents are held
     // against.
-    Configuration(Settings started, RouterConfig config, std::vector<std::string> query_classes)
+    ConfigOverlay(Settings started, RouterConfig config, std::vector<std::string> query_classes)
         : started_(std::move(started)), config_(std::move(config)), query_classes_(std::move(query_classes)) {
     }
 
     // All of it, or why not; changes nothing here.
-    std::variant<Settings, Refusal> read(const changes::Document& document) const;
+    std::variant<Settings, Rejection> read(const changes::Document& document) const;
 
     // The document is acted on from now on: how many entries came, went or changed since the one before.
-    std::size_t acted_on(const changes::Document& document);
+    std::size_t on_applied(const changes::Document& document);
 
   private:
     const Settings started_;
--- a/src/members/agreed_list.cpp
+++ b/src/members/endpoint_overlay.cpp
@@ -1,4 +1,4 @@
-#include "members/agreed_list.hpp"
+#include "members/endpoint_overlay.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -6,12 +6,12 @@
 
 namespace tealcart {
 
-ListedNode AgreedList::joined(ListedNode node) const {
+ListedNode EndpointOverlay::joined(ListedNode node) const {
     if (node.lifecycle == Lifecycle::ready && is_out(node.id)) node.lifecycle = Lifecycle::draining;
     return node;
 }
 
-TargetList AgreedList::discovered(const TargetList& news) {
+TargetList EndpointOverlay::discovered(const TargetList& news) {
     if (news.whole) nodes_.clear();
     generation_ = news.generation;
     TargetList list = news;
@@ -26,7 +26,7 @@
     return list;
 }
 
-TargetList AgreedList::agreed(std::set<std::string> out) {
+TargetList EndpointOverlay::agreed(std::set<std::string> out) {
     std::vector<std::string> changed;
     std::set_symmetric_difference(out_.begin(), out_.end(), out.begin(), out.end(),
                                   std::back_inserter(changed));
@@ -41,7 +41,7 @@
     return list;
 }
 
-TargetList AgreedList::cut(bool cut) {
+TargetList EndpointOverlay::cut(bool cut) {
     TargetList list{generation_, false, {}, 0};
     if (std::exchange(cut_, cut) == cut) return list;
     for (const auto& [name, node] : nodes_) {
--- a/src/members/agreed_list.hpp
+++ b/src/members/endpoint_overlay.hpp
@@ -10,7 +10,7 @@
 
 namespace tealcart {
 
-class AgreedList {
+class EndpointOverlay {
   public:
     // News of discovery, as it is to reach the module.
     TargetList discovered(const TargetList& news);
--- a/src/members/member_config.hpp
+++ b/src/members/member_config.hpp
@@ -21,8 +21,8 @@
     // ... and then leaves the front (not ready, what comes is still served), or stops: takes nothing new and
     // begins no leaf call.
     bool then_stop = false;
-    Nanos first_word = 5'000'000'000;         // not ready before the managers' first word, or this long
-    Nanos config_first_word = 2'000'000'000;  // the same of the relays' first word
+    Nanos startup_wait = 5'000'000'000;         // not ready before the managers' first word, or this long
+    Nanos config_startup_wait = 2'000'000'000;  // the same of the relays' first word
 };
 
 }  // namespace tealcart
--- a/src/members/member_host.hpp
+++ b/src/members/member_host.hpp
@@ -13,27 +13,27 @@
 enum class ServingStateSource : std::uint8_t { agreement, configuration };
 struct MemberServingState {
     bool ready = true, admits = true;
-    Nanos no_calls_after = TimerQueue::never;
+    Nanos attempts_until = TimerQueue::never;
 };
 
 // Told how queries and leaf calls end.
-class OutcomeTaker {
+class OutcomeObserver {
   public:
-    virtual ~OutcomeTaker() = default;
+    virtual ~OutcomeObserver() = default;
     virtual void on_query_end(int status) = 0;
-    virtual void on_call_end(std::uint32_t node, Outcome outcome) = 0;
+    virtual void on_attempt_end(std::uint32_t node, Outcome outcome) = 0;
 };
 
 // Takes the list as it is to reach the module.
 class MemberHost : public ListTaker {
   public:
-    virtual void watch_outcomes(OutcomeTaker* taker) = 0;
+    virtual void observe_outcomes(OutcomeObserver* taker) = 0;
     virtual void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) = 0;
     // When the next round is due; never while nothing has come in.
     virtual Nanos next_round() const = 0;
     virtual std::size_t held() const = 0;
     // Whether a leaf call is out to a node whose name is one of these.
-    virtual bool any_call_to(const std::function<bool(const std::string& name)>& which) const = 0;
+    virtual bool any_attempt_to(const std::function<bool(const std::string& name)>& which) const = 0;
     // Empty for a node that is forgotten.
     virtual const std::string& node_name(std::uint32_t node) const = 0;
 };
--- a/src/members/member_lease.cpp
+++ b/src/members/member_lease.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 MemberLease::MemberLease(const MemberConfig& config, Nanos started, std::uint64_t incarnation)
-    : started_(started), serve_on_(config.serve_on), first_word_(config.first_word),
+    : started_(started), serve_on_(config.serve_on), startup_wait_(config.startup_wait),
       then_stop_(config.then_stop), incarnation_(incarnation) {}
 
 void MemberLease::renewed(Nanos sent, Nanos lease) {
@@ -20,7 +20,7 @@
     lease_until_ = std::max(lease_until_, sent + lease);
 }
 
-void MemberLease::outlived(std::uint64_t last_incarnation) {
+void MemberLease::superseded(std::uint64_t last_incarnation) {
     if (lease_until_ > 0)
         followed_ = true;
     else
@@ -36,7 +36,7 @@
 ServingState MemberLease::serving_state(Nanos now) const {
     if (followed_) return ServingState::cut;
     if (lease_until_ > 0 && now < lease_until_) return ServingState::member;
-    if (lease_until_ == 0 && now < started_ + first_word_) return ServingState::unheard;
+    if (lease_until_ == 0 && now < started_ + startup_wait_) return ServingState::unheard;
     return now >= alone_until() ? ServingState::cut : ServingState::alone;
 }
 
@@ -45,9 +45,9 @@
     return s == ServingState::member || s == ServingState::alone;
 }
 
-bool MemberLease::admits(Nanos now) const { return !followed_ && now < no_calls_after(now); }
+bool MemberLease::admits(Nanos now) const { return !followed_ && now < attempts_until(now); }
 
-Nanos MemberLease::no_calls_after(Nanos now) const {
+Nanos MemberLease::attempts_until(Nanos now) const {
     if (followed_) return 0;
     if (!then_stop_) return never;
     return serving_state(now) == ServingState::unheard ? 0 : alone_until();
@@ -55,7 +55,7 @@
 
 Nanos MemberLease::next_change(Nanos now) const {
     Nanos next = never;
-    const Nanos lease_end = lease_until_ > 0 ? lease_until_ : started_ + first_word_;
+    const Nanos lease_end = lease_until_ > 0 ? lease_until_ : started_ + startup_wait_;
     for (const Nanos at : {lease_end, alone_until()})
         if (at > now) next = std::min(next, at);
     return followed_ ? never : next;
--- a/src/members/member_lease.hpp
+++ b/src/members/member_lease.hpp
@@ -25,14 +25,14 @@
     void renewed(Nanos sent, Nanos lease);
     // The managers know a later incarnation of this name. One that was a member once has been followed by
     // another process, and is cut for good; else an earlier process had a clock that was ahead.
-    void outlived(std::uint64_t last_incarnation);
+    void superseded(std::uint64_t last_incarnation);
 
     ServingState serving_state(Nanos now) const;
     // Whether a front is to send it queries; whether it takes what comes.
     bool ready(Nanos now) const;
     bool admits(Nanos now) const;
     // No leaf call is written after this; INT64_MAX: none such.
-    Nanos no_calls_after(Nanos now) const;
+    Nanos attempts_until(Nanos now) const;
     // When what the above tell may change next without any word; INT64_MAX: never.
     Nanos next_change(Nanos now) const;
 
@@ -45,7 +45,7 @@
   private:
     Nanos alone_until() const;
 
-    const Nanos started_, serve_on_, first_word_;
+    const Nanos started_, serve_on_, startup_wait_;
     const bool then_stop_;
     std::uint64_t incarnation_;
     Nanos lease_ = 0, lease_until_ = 0;  // 0: none yet
--- a/src/members/outcome_watch.cpp
+++ b/src/members/outcome_stats.cpp
@@ -1,4 +1,4 @@
-#include "members/outcome_watch.hpp"
+#include "members/outcome_stats.hpp"
 
 namespace tealcart {
 namespace {
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void OutcomeWatch::query_ended(Nanos now, bool failed) {
+void OutcomeStats::record_query(Nanos now, bool failed) {
     const std::int64_t at = now / second;
     Second& s = seconds_[static_cast<std::size_t>(at) % seconds_.size()];
     if (s.at != at) s = {at, {}};
@@ -18,7 +18,7 @@
     s.counts.failed += failed;
 }
 
-void OutcomeWatch::call_ended(Nanos now, std::uint32_t node, Outcome outcome) {
+void OutcomeStats::record_attempt(Nanos now, std::uint32_t node, Outcome outcome) {
     if (outcome == Outcome::not_sent || outcome == Outcome::cancelled) return;
     const bool bad =
         outcome == Outcome::timeout || outcome == Outcome::connect_failed || outcome == Outcome::reset;
@@ -29,7 +29,7 @@
     n.last = now;
 }
 
-OutcomeWatch::Counts OutcomeWatch::counts(Nanos now) const {
+OutcomeStats::Counts OutcomeStats::counts(Nanos now) const {
     Counts sum;
     for (const Second& s : seconds_) {
         if (s.at < 0 || now / second - s.at >= static_cast<std::int64_t>(seconds_.size())) continue;
@@ -39,7 +39,7 @@
     return sum;
 }
 
-std::set<std::uint32_t> OutcomeWatch::silent(Nanos now) const {
+std::set<std::uint32_t> OutcomeStats::silent(Nanos now) const {
     std::set<std::uint32_t> found;
     for (const auto& [node, n] : nodes_)
         if (n.bad >= silent_calls && n.last - n.since >= silent_for && now - n.last <= stale)
--- a/src/members/outcome_watch.hpp
+++ b/src/members/outcome_stats.hpp
@@ -11,16 +11,16 @@
 
 namespace tealcart {
 
-class OutcomeWatch {
+class OutcomeStats {
   public:
     struct Counts {
         std::uint64_t queries = 0, failed = 0;
     };
 
     // A query that the router took has ended; failed: in anything but an answer.
-    void query_ended(Nanos now, bool failed);
+    void record_query(Nanos now, bool failed);
     // A leaf call to a node has ended.
-    void call_ended(Nanos now, std::uint32_t node, Outcome outcome);
+    void record_attempt(Nanos now, std::uint32_t node, Outcome outcome);
     void forget(std::uint32_t node) { nodes_.erase(node); }
 
     Counts counts(Nanos now) const;  // of the last ten seconds
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -96,13 +96,12 @@
 }
 
 void Relay::on_follower(Handle client, const std::string& body) {
-    std::string wrong;
-    const auto call = read_follower_call(body, wrong);
-    if (!call) return refuse(client, 400, wrong);
-    const changes::MemberReport& word = call->word;
+    const auto call = read_follower_call(body);
+    if (!call) return refuse(client, 400, call.error().reason);
+    const changes::MemberReport& word = call->report;
     const auto known = heard_.find(word.name);
     if (known != heard_.end() && known->second.incarnation > word.incarnation)
-        return front_.answer(client, {409, write_outlived(known->second.incarnation), 0});
+        return front_.answer(client, {409, write_superseded(known->second.incarnation), 0});
     const Nanos now = time_.now();
     if (call->leaves) {
         gather_.left(word.name, word.incarnation);
@@ -125,7 +124,7 @@
             waiting_.erase(it);
             break;
         }
-    waiting_[client.slot] = {client, word.name, call->watched, now + call->watched.wait, owed};
+    waiting_[client.slot] = {client, word.name, call->position, now + call->position.wait, owed};
     news_ = true;
 }
 
@@ -139,11 +138,11 @@
 std::optional<ChangesAnswer> Relay::answer_for(const Waiting& w) {
     ChangesAnswer answer;
     answer.version = copy_.version();
-    if (w.watched.knows >= copy_.version()) return answer;
-    if (!w.watched.wants_pages) {
+    if (w.position.knows >= copy_.version()) return answer;
+    if (!w.position.wants_pages) {
         if (deltas_.size() >= max_at_hand) deltas_.clear();
-        const auto [it, is_new] = deltas_.try_emplace(w.watched.knows);
-        if (is_new) it->second = history_.since(w.watched.knows);
+        const auto [it, is_new] = deltas_.try_emplace(w.position.knows);
+        if (is_new) it->second = history_.since(w.position.knows);
         if (it->second && bytes_of(*it->second) <= max_delta) {
             answer.delta = it->second;
             return answer;
@@ -151,7 +150,7 @@
     }
     if (!may_page(time_.now())) return std::nullopt;
     pages_left_ -= 1;
-    answer.page = page_of(copy_, w.watched.wants_pages ? w.watched.after : "", config_.page_bytes);
+    answer.page = page_of(copy_, w.position.wants_pages ? w.position.after : "", config_.page_bytes);
     return answer;
 }
 
@@ -164,7 +163,7 @@
     for (auto it = waiting_.begin(); it != waiting_.end();) {
         const Waiting& w = it->second;
         const bool over = now >= w.until;
-        const bool later = w.watched.knows < copy_.version();
+        const bool later = w.position.knows < copy_.version();
         if (!over && !later && !(news && w.owed_grant && gather_.grant(now, w.name) > 0)) {
             ++it;
             continue;
@@ -183,25 +182,25 @@
 }
 
 // The word to the managers.
-PostTaker::Call Relay::change_call() {
+LongPollObserver::Call Relay::next_call() {
     const Nanos now = time_.now();
     spoke_at_ = now;
     RelayCall call;
-    call.word = gather_.word(now, drift_);
-    for (const auto* gone : {&call.word.left, &call.word.lost})
+    call.report = gather_.word(now, drift_);
+    for (const auto* gone : {&call.report.left, &call.report.lost})
         for (const auto& [name, incarnation] : *gone)
             if (const auto it = heard_.find(name);
                 it != heard_.end() && it->second.incarnation <= incarnation)
                 heard_.erase(it);
     exceptions_.clear();
-    for (const changes::MemberReport& w : call.word.exceptions) exceptions_.push_back(w.name);
-    call.watched.knows = copy_.version();
-    call.watched.digest = copy_.digest();
-    call.watched.wants_pages = copy_.wants_pages();
-    call.watched.after = copy_.wants_after();
-    call.watched.wait = lease_ > 0 ? std::max(min_wait, lease_ / 10) : first_wait;
+    for (const changes::MemberReport& w : call.report.exceptions) exceptions_.push_back(w.name);
+    call.position.knows = copy_.version();
+    call.position.digest = copy_.digest();
+    call.position.wants_pages = copy_.wants_pages();
+    call.position.after = copy_.wants_after();
+    call.position.wait = lease_ > 0 ? std::max(min_wait, lease_ / 10) : first_wait;
     time_.due.drop(speak_due_);
-    return {write_relay_call(call), call.watched.wait};
+    return {write_relay_call(call), call.position.wait};
 }
 
 void Relay::on_changes(Nanos sent, const ChangesAnswer& answer) {
@@ -242,7 +241,7 @@
     }
 }
 
-void Relay::on_later_life(std::uint64_t last_incarnation) {
+void Relay::on_superseded(std::uint64_t last_incarnation) {
     if (had_lease_) {
         followed_ = "another process goes by the name of relay " + config_.name;
         return;
@@ -264,7 +263,7 @@
 void Relay::on_due(Handle, std::uint64_t) {
     speak_due_ = TimerQueue::none;
     if (watch_.waits())
-        watch_.say_now();
+        watch_.call_now();
     else
         watch_.next();
 }
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -19,7 +19,7 @@
 
 namespace tealcart::relay {
 
-class Relay final : private RequestHandler, private ChangeTaker, private DueHandler {
+class Relay final : private RequestHandler, private ChangeObserver, private DueHandler {
   public:
     // Listens from here on. Throws boost::system::system_error where the address can't be had.
     Relay(boost::asio::io_context& io, const RelayConfig& config, std::uint64_t seed);
@@ -32,7 +32,7 @@
     struct Waiting {
         Handle client;
         std::string name;
-        Watched watched;
+        WatchPosition position;
         Nanos until = 0;
         bool owed_grant = false;  // the managers had not heard of it when it called
     };
@@ -42,9 +42,9 @@
 
     void on_request(Handle client, Request& request, Nanos began) override;
     void on_client_gone(Handle client) override { waiting_.erase(client.slot); }
-    PostTaker::Call change_call() override;
+    LongPollObserver::Call next_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
-    void on_later_life(std::uint64_t last_incarnation) override;
+    void on_superseded(std::uint64_t last_incarnation) override;
     void on_due(Handle who, std::uint64_t what) override;
 
     void on_follower(Handle client, const std::string& body);
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -18,7 +18,7 @@
                                       "its lease is over; it goes on by the version it has", "cut off"};
 
 MemberConfig lease_config(MemberConfig config) {
-    config.first_word = config.config_first_word;
+    config.startup_wait = config.config_startup_wait;
     return config;
 }
 
@@ -30,12 +30,12 @@
                                QueryDispatcher& bridge)
     : time_(time), config_(lease_config(launch.operators.member)),
       name_(config_.name.empty() ? launch.name : config_.name), bridge_(bridge), log_(launch.operators.log),
-      configuration_({launch.operators.log, launch.phases}, launch.config,
+      overlay_({launch.operators.log, launch.phases}, launch.config,
                      launch.connection_config.query_classes),
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
       watch_(io, time, *this, follower_path, "relay", config_.relays, std::hash<std::string>{}(name_),
              launch.seed | 1),
-      ready_by_(time.now() + config_.first_word) {
+      ready_by_(time.now() + config_.startup_wait) {
     look();
 }
 
@@ -53,7 +53,7 @@
     serving_state_ = serving_state;
     bridge_.set_serving_state(ServingStateSource::configuration,
                               {lease_.ready(now) && (caught_up_ || now >= ready_by_), lease_.admits(now),
-                               lease_.no_calls_after(now)});
+                               lease_.attempts_until(now)});
 }
 
 Nanos ConfigFollower::next_change() const {
@@ -61,28 +61,28 @@
     return caught_up_ || now >= ready_by_ ? next : std::min(next, ready_by_);
 }
 
-PostTaker::Call ConfigFollower::change_call() {
+LongPollObserver::Call ConfigFollower::next_call() {
     FollowerCall call;
-    call.word = {name_, lease_.incarnation(), config_.serve_on, acts_on_, refused_, why_};
+    call.report = {name_, lease_.incarnation(), config_.serve_on, acts_on_, refused_, why_};
     call.zone = config_.zone;
     call.leaves = leaves_;
-    call.watched = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), 0};
-    if (!leaves_) call.watched.wait = lease_.wait(false);
-    wait_ = call.watched.wait;
+    call.position = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), 0};
+    if (!leaves_) call.position.wait = lease_.wait(false);
+    wait_ = call.position.wait;
     return {write_follower_call(call), wait_};
 }
 
 // Guards against a version of which a shard request would hold in one round and the rest in the next:
 // handlers run between rounds, and all of it is handed over in one.
 void ConfigFollower::take_over() {
-    auto read = configuration_.read(copy_.document());
-    if (auto* refusal = std::get_if<Configuration::Refusal>(&read)) {
+    auto read = overlay_.read(copy_.document());
+    if (auto* refusal = std::get_if<ConfigOverlay::Rejection>(&read)) {
         refused_ = copy_.version();
         why_ = std::move(refusal->why);
         return log_about(LogLevel::warn, {}, "configuration version %llu is refused, %llu stands: %s",
                          number(refused_), number(taken_), why_.c_str());
     }
-    auto& settings = std::get<Configuration::Settings>(read);
+    auto& settings = std::get<ConfigOverlay::Settings>(read);
     taken_ = copy_.version();
     refused_ = 0;
     why_.clear();
@@ -91,7 +91,7 @@
     log_ = settings.log;
     if (!quieter) start_log(log_);
     log_line("configuration version %llu: %zu entries, %zu changed", number(taken_), copy_.document().size(),
-             configuration_.acted_on(copy_.document()));
+             overlay_.on_applied(copy_.document()));
     if (quieter) start_log(log_);
     bridge_.take_phases(std::move(settings.phases));
 }
@@ -147,8 +147,8 @@
     watch_.pass_over("it grants no lease");
 }
 
-void ConfigFollower::on_later_life(std::uint64_t last_incarnation) {
-    lease_.outlived(last_incarnation);
+void ConfigFollower::on_superseded(std::uint64_t last_incarnation) {
+    lease_.superseded(last_incarnation);
     look();
 }
 
@@ -159,7 +159,7 @@
         leaves_ = true;
         time_.due.drop(pause_);
         if (serving_state_ != ServingState::member) return true;
-        watch_.say_now();
+        watch_.call_now();
     }
     return left_ || now - farewell_began_ > farewell_within;
 }
--- a/src/service/config_follower.hpp
+++ b/src/service/config_follower.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "changes/document.hpp"
-#include "members/configuration.hpp"
+#include "members/config_overlay.hpp"
 #include "members/member_lease.hpp"
 #include "service/query_dispatcher.hpp"
 #include "service/startup_config.hpp"
@@ -12,7 +12,7 @@
 
 namespace tealcart {
 
-class ConfigFollower final : public DueHandler, private ChangeTaker {
+class ConfigFollower final : public DueHandler, private ChangeObserver {
   public:
     ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
                    QueryDispatcher& bridge);
@@ -34,9 +34,9 @@
     std::uint64_t refused() const { return refused_; }
 
   private:
-    PostTaker::Call change_call() override;
+    LongPollObserver::Call next_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
-    void on_later_life(std::uint64_t last_incarnation) override;
+    void on_superseded(std::uint64_t last_incarnation) override;
     void take_over();
     void go_on();
 
@@ -46,7 +46,7 @@
     QueryDispatcher& bridge_;
     LogConfig log_;  // that it acts on
     changes::Copy copy_;
-    Configuration configuration_;
+    ConfigOverlay overlay_;
     MemberLease lease_;
     ChangeWatch watch_;
     std::uint64_t taken_ = 0, acts_on_ = 0, refused_ = 0;  // versions; taken: by the bridge, before its round
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -33,7 +33,7 @@
       digest_(digest_of(launch)), host_(host),
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
       watch_(io, time, *this, config_.managers, launch.agreed_bound) {
-    host_.watch_outcomes(this);
+    host_.observe_outcomes(this);
     look();
 }
 
@@ -52,11 +52,11 @@
                  static_cast<unsigned long long>(lease_.incarnation()),
                  serving_states[static_cast<int>(serving_state)]);
     serving_state_ = serving_state;
-    const bool cut = now >= lease_.no_calls_after(now);
+    const bool cut = now >= lease_.attempts_until(now);
     if (cut != cut_) hand_on(list_.cut(cut));
     cut_ = cut;
     host_.set_serving_state(ServingStateSource::agreement,
-                            {lease_.ready(now) && !out_, lease_.admits(now), lease_.no_calls_after(now)});
+                            {lease_.ready(now) && !out_, lease_.admits(now), lease_.attempts_until(now)});
 }
 
 void Membership::after_round() {
@@ -68,7 +68,7 @@
 
 bool Membership::anything_in_hand() const {
     if (out_ && host_.held() > 0) return true;
-    return host_.any_call_to([this](const std::string& node) { return list_.out().contains(node); });
+    return host_.any_attempt_to([this](const std::string& node) { return list_.out().contains(node); });
 }
 
 MemberCall Membership::word() {
@@ -84,19 +84,19 @@
     call.knows = told_;
     if (out_ && host_.held() > 0) call.in_flight.push_back({true, name_});
     for (const std::string& node : list_.out())
-        if (host_.any_call_to([&node](const std::string& at) { return at == node; }))
+        if (host_.any_attempt_to([&node](const std::string& at) { return at == node; }))
             call.in_flight.push_back({false, node});
     call.wait = lease_.wait(!call.in_flight.empty() || acts_on_ < told_);
     for (const std::uint32_t node : outcomes_.silent(time_.now()))
         if (const std::string& at = host_.node_name(node); !at.empty()) call.silent.push_back(at);
-    const OutcomeWatch::Counts counts = outcomes_.counts(time_.now());
+    const OutcomeStats::Counts counts = outcomes_.counts(time_.now());
     call.queries = counts.queries;
     call.failed = counts.failed;
     call.leaves = leaves_;
     return call;
 }
 
-void Membership::on_agreed(Nanos sent, const MemberAnswer& answer) {
+void Membership::on_grant(Nanos sent, const MemberAnswer& answer) {
     if (leaves_) {
         left_ = true;
         return;
@@ -123,8 +123,8 @@
     after_round();
 }
 
-void Membership::on_outlived(std::uint64_t last_incarnation) {
-    lease_.outlived(last_incarnation);
+void Membership::on_superseded(std::uint64_t last_incarnation) {
+    lease_.superseded(last_incarnation);
     look();
 }
 
@@ -134,15 +134,15 @@
         farewell_began_ = now;
         leaves_ = true;
         if (serving_state_ != ServingState::member) return true;
-        watch_.say_now();
+        watch_.call_now();
     }
     return left_ || now - farewell_began_ > farewell_within;
 }
 
-void Membership::on_query_end(int status) { outcomes_.query_ended(time_.now(), status != 200); }
+void Membership::on_query_end(int status) { outcomes_.record_query(time_.now(), status != 200); }
 
-void Membership::on_call_end(std::uint32_t node, Outcome outcome) {
-    outcomes_.call_ended(time_.now(), node, outcome);
+void Membership::on_attempt_end(std::uint32_t node, Outcome outcome) {
+    outcomes_.record_attempt(time_.now(), node, outcome);
 }
 
 }  // namespace tealcart
--- a/src/service/membership.hpp
+++ b/src/service/membership.hpp
@@ -3,16 +3,16 @@
 // has a `member` block.
 #pragma once
 
-#include "members/agreed_list.hpp"
+#include "members/endpoint_overlay.hpp"
 #include "members/member_host.hpp"
 #include "members/member_lease.hpp"
-#include "members/outcome_watch.hpp"
+#include "members/outcome_stats.hpp"
 #include "service/startup_config.hpp"
 #include "wire/manager_watch.hpp"
 
 namespace tealcart {
 
-class Membership final : public ListTaker, private ManagerObserver, private OutcomeTaker {
+class Membership final : public ListTaker, private ManagerObserver, private OutcomeObserver {
   public:
     Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch, MemberHost& host);
 
@@ -35,10 +35,10 @@
 
   private:
     MemberCall word() override;
-    void on_agreed(Nanos sent, const MemberAnswer& answer) override;
-    void on_outlived(std::uint64_t last_incarnation) override;
+    void on_grant(Nanos sent, const MemberAnswer& answer) override;
+    void on_superseded(std::uint64_t last_incarnation) override;
     void on_query_end(int status) override;
-    void on_call_end(std::uint32_t node, Outcome outcome) override;
+    void on_attempt_end(std::uint32_t node, Outcome outcome) override;
     void hand_on(const TargetList& list);
     bool anything_in_hand() const;
 
@@ -47,8 +47,8 @@
     const std::string name_, digest_;
     MemberHost& host_;
     MemberLease lease_;
-    AgreedList list_;
-    OutcomeWatch outcomes_;
+    EndpointOverlay list_;
+    OutcomeStats outcomes_;
     ManagerWatch watch_;
     std::uint64_t told_ = 0, acts_on_ = 0;  // generations
     bool out_ = false, cut_ = false, leaves_ = false, left_ = false;
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -52,7 +52,7 @@
 void QueryDispatcher::set_serving_state(ServingStateSource by, const MemberServingState& serving_state) {
     serving_states_[static_cast<std::size_t>(by)] = serving_state;
     const auto& [a, b] = serving_states_;
-    serving_state_ = {a.ready && b.ready, a.admits && b.admits, std::min(a.no_calls_after, b.no_calls_after)};
+    serving_state_ = {a.ready && b.ready, a.admits && b.admits, std::min(a.attempts_until, b.attempts_until)};
 }
 
 void QueryDispatcher::refuse(Handle client, int status, std::string_view words) {
@@ -187,7 +187,7 @@
     const Attempt ended = *call;
     calls_.give_back(h);
     links_->done(ended.link, h);
-    if (outcomes_ != nullptr) outcomes_->on_call_end(ended.node, outcome);
+    if (outcomes_ != nullptr) outcomes_->on_attempt_end(ended.node, outcome);
     Query& q = *queries_.find(ended.query);
     ShardRequest& shard_request = q.shard_requests[ended.shard_request];
     if (outcome == Outcome::ok && !shard_request.in && !q.ended) {
@@ -315,8 +315,8 @@
 // A further leaf call of a idempotent_with_key shard request must not wait for a connection until its repeat
 // would run: the window counts from the first one's send, with a little left for the way.
 Nanos QueryDispatcher::send_by(const Query& q, const ShardRequest& shard_request, const Attempt& call) const {
-    if (!keyed_[q.query_class] || call.attempt == 0) return serving_state_.no_calls_after;
-    return std::min(serving_state_.no_calls_after,
+    if (!keyed_[q.query_class] || call.attempt == 0) return serving_state_.attempts_until;
+    return std::min(serving_state_.attempts_until,
                     shard_request.first_sent_at + idempotency_window_[q.query_class]);
 }
 
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -68,12 +68,12 @@
     bool begun() const { return begun_; }
     void begin_stop() { stopping_ = true; }
     // Of members of a fleet alone.
-    void watch_outcomes(OutcomeTaker* taker) override { outcomes_ = taker; }
+    void observe_outcomes(OutcomeObserver* taker) override { outcomes_ = taker; }
     void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) override;
     // From here on queries begin by these, one for each query class; those in hand end by the config they
     // began with. To be called between two rounds.
     void take_phases(std::vector<TwoPhaseConfig> phases);
-    bool any_call_to(const std::function<bool(const std::string&)>& which) const override {
+    bool any_attempt_to(const std::function<bool(const std::string&)>& which) const override {
         bool any = false;
         calls_.each([&](Handle, const Attempt& call) { any |= which(nodes_.name(call.node)); });
         return any;
@@ -223,7 +223,7 @@
     std::unordered_map<std::uint32_t, Handle> by_client_;  // the query that a client's slot waits for
     std::array<MemberServingState, 2> serving_states_;     // by ServingStateSource
     MemberServingState serving_state_;                     // the stricter of them
-    OutcomeTaker* outcomes_ = nullptr;
+    OutcomeObserver* outcomes_ = nullptr;
     std::size_t held_ = 0;  // queries and shard requests not yet ended
     std::uint32_t last_id_ = 0;
     Nanos last_round_ = 0;
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -23,17 +23,17 @@
 
 void Follower::leave() {
     leaves_ = true;
-    watch_.say_now();
+    watch_.call_now();
 }
 
-PostTaker::Call Follower::change_call() {
+LongPollObserver::Call Follower::next_call() {
     FollowerCall call;
-    call.word = {name, incarnation_, 3600'000 * ms, applied_version, refused, why_};
+    call.report = {name, incarnation_, 3600'000 * ms, applied_version, refused, why_};
     call.zone = "a";
     call.leaves = leaves_;
-    call.watched = {copy.version(), copy.digest(), copy.wants_pages(), copy.wants_after(),
+    call.position = {copy.version(), copy.digest(), copy.wants_pages(), copy.wants_after(),
                     lease_ > 0 ? lease_ / 5 : 200 * ms};
-    return {write_follower_call(call), call.watched.wait};
+    return {write_follower_call(call), call.position.wait};
 }
 
 void Follower::on_changes(Nanos sent, const ChangesAnswer& answer) {
@@ -162,7 +162,7 @@
 }
 
 Json ChangeRig::relay_status(std::size_t i) const {
-    const auto reply = manager::ask_once(io_, {"127.0.0.1", ports_[i]}, "/relay/status", "", Ms(300));
+    const auto reply = manager::query_manager(io_, {"127.0.0.1", ports_[i]}, "/relay/status", "", Ms(300));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
--- a/src/testing/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -11,7 +11,7 @@
 namespace tealcart::testing {
 
 // Takes over what it is told, unless it refuses it; counts its lease from when it called.
-class Follower final : private ChangeTaker {
+class Follower final : private ChangeObserver {
   public:
     using Refuses = std::function<std::string(const changes::Document&)>;  // why; empty: it doesn't
 
@@ -26,15 +26,15 @@
     Nanos lease_until = 0;
     bool went_back = false;    // never to be
     std::size_t pages = 0;     // that it was told
-    std::size_t outlived = 0;  // times that a later incarnation was told
+    std::size_t superseded = 0;  // times that a later incarnation was told
     std::string told_by() const { return std::to_string(watch_.address().port); }
     bool has_lease() const { return lease_until > time_.now(); }
     void leave();
 
   private:
-    PostTaker::Call change_call() override;
+    LongPollObserver::Call next_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
-    void on_later_life(std::uint64_t) override { ++outlived, ++incarnation_; }
+    void on_superseded(std::uint64_t) override { ++superseded, ++incarnation_; }
 
     EventClock& time_;
     History& history_;
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -266,7 +266,7 @@
             return;
         at(20 * ms + pick(60 * ms), [this, i, incarnation] { leaf(i, incarnation); });
         const std::string& node = names_[static_cast<std::size_t>(pick(plan_.nodes))];
-        if (m.out.contains(node) || now_ >= m.lease->no_calls_after(now_)) return;
+        if (m.out.contains(node) || now_ >= m.lease->attempts_until(now_)) return;
         ++verdict_.attempts;
         const bool live = m.lease->serving_state(now_) == ServingState::member;
         if (done_.contains(node) && (plan_.strict || live)) ++verdict_.after_done;
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -59,11 +59,11 @@
 
   private:
     void on_list(const TargetList& list) override;
-    void watch_outcomes(OutcomeTaker*) override {}
+    void observe_outcomes(OutcomeObserver*) override {}
     void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) override;
     Nanos next_round() const override;
     std::size_t held() const override { return 0; }
-    bool any_call_to(const std::function<bool(const std::string&)>&) const override { return false; }
+    bool any_attempt_to(const std::function<bool(const std::string&)>&) const override { return false; }
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
     void on_due(Handle, std::uint64_t what) override;
 
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -31,7 +31,7 @@
     t.name = "r" + std::to_string(number);
     t.zone = config.zone;
     t.relays = config.relays;
-    t.first_word = t.config_first_word;
+    t.startup_wait = t.config_startup_wait;
     return t;
 }
 
@@ -77,13 +77,13 @@
     watch_.stop();
 }
 
-PostTaker::Call HollowFollower::change_call() {
+LongPollObserver::Call HollowFollower::next_call() {
     ++calls_;
     FollowerCall call;
-    call.word = {config_.name, lease_.incarnation(), config_.serve_on, copy_.version(), 0, ""};
+    call.report = {config_.name, lease_.incarnation(), config_.serve_on, copy_.version(), 0, ""};
     call.zone = config_.zone;
     wait_ = lease_.wait(false);
-    call.watched = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), wait_};
+    call.position = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), wait_};
     return {write_follower_call(call), wait_};
 }
 
--- a/src/testing/hollow_follower.hpp
+++ b/src/testing/hollow_follower.hpp
@@ -32,7 +32,7 @@
 std::vector<std::string> write_followers(const FollowerConfig& config);
 FollowerConfig read_followers(const std::vector<std::string>& words);
 
-class HollowFollower final : private ChangeTaker, private DueHandler {
+class HollowFollower final : private ChangeObserver, private DueHandler {
   public:
     // By version, when followers first acted on it or a later one: steady clock, in ns.
     using Acted = std::map<std::uint64_t, std::vector<Nanos>>;
@@ -50,9 +50,9 @@
     std::uint64_t refused() const { return refused_; }  // answers that did not fit the copy
 
   private:
-    PostTaker::Call change_call() override;
+    LongPollObserver::Call next_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
-    void on_later_life(std::uint64_t last_incarnation) override { lease_.outlived(last_incarnation); }
+    void on_superseded(std::uint64_t last_incarnation) override { lease_.superseded(last_incarnation); }
     void on_due(Handle, std::uint64_t what) override;
     void look_at(const changes::Delta& delta);
     void go_on();
--- a/src/wire/change_messages.hpp
+++ b/src/wire/change_messages.hpp
@@ -1,6 +1,6 @@
-// What followers of a fleet's configuration (routers) and relays say, and what they are answered, as JSON
-// bodies over HTTP/1.1: a watch by version, as that of members by generation. Pure functions on bytes;
-// docs/changes.md has the form.
+// The messages by which a fleet's configuration reaches its routers, as JSON bodies over HTTP/1.1: followers
+// (routers) call relays, and relays call the fleet managers. Each call is a long poll for the next version.
+// Pure functions on bytes; docs/changes.md describes the fields.
 #pragma once
 
 #include <optional>
@@ -10,51 +10,51 @@
 #include "changes/document.hpp"
 #include "changes/reports.hpp"
 #include "router/query_router.hpp"
+#include "wire/message_error.hpp"
 
 namespace tealcart {
 
-constexpr std::string_view follower_path = "/fleet/changes";  // a router's, to a relay
-constexpr std::string_view relay_path = "/fleet/relay";       // a relay's, to the managers
+constexpr std::string_view follower_path = "/fleet/changes";  // served by relays
+constexpr std::string_view relay_path = "/fleet/relay";       // served by the fleet managers
 
-// What the caller's copy has, and how long it may be kept waiting.
-struct Watched {
-    std::uint64_t knows = 0, digest = 0;  // of its copy
+// How far the caller's copy of the document has come, and how long the answer may wait for a later version.
+struct WatchPosition {
+    std::uint64_t knows = 0, digest = 0;  // version and digest of the copy
     bool wants_pages = false;
-    std::string after;  // with wants_pages: behind this key
-    Nanos wait = 0;     // whole ms; the answer may wait until there is a later version, or for so long
+    std::string after;  // with wants_pages: the entries behind this key
+    Nanos wait = 0;     // whole milliseconds on the wire
 };
 
 struct FollowerCall {
-    changes::MemberReport word;
+    changes::MemberReport report;
     std::string zone;
     bool leaves = false;
-    Watched watched;
+    WatchPosition position;
 };
 
 struct RelayCall {
-    changes::RelayReport word;
-    Watched watched;
+    changes::RelayReport report;
+    WatchPosition position;
 };
 
-// To both. At most one of delta and page.
+// The answer to both calls. At most one of `delta` and `page` is set.
 struct ChangesAnswer {
-    std::uint64_t version = 0;  // the latest that the answerer has
-    Nanos lease = 0;            // whole ms, counted from when the call was sent; 0: none could be given
-    std::uint64_t taken = 0;    // to relays: the number of the word that was taken
-    bool say_all = false;       // to relays: nothing is known of this incarnation, say all members again
-    Nanos drift = 0;            // to relays: whole ms
+    std::uint64_t version = 0;  // the latest of the process that answers
+    Nanos lease = 0;            // counted from when the call was sent; 0: none is granted
+    std::uint64_t taken = 0;    // to relays: the number of the report that was applied
+    bool say_all = false;       // to relays: this incarnation is unknown, the next report is to be full
+    Nanos drift = 0;            // to relays: how far clocks may run apart within one lease
     std::optional<changes::Delta> delta;
     std::optional<changes::Page> page;
 };
 
 std::string write_follower_call(const FollowerCall& call);
-// None, with `wrong` said, where it is no such call.
-std::optional<FollowerCall> read_follower_call(std::string_view body, std::string& wrong);
+ReadResult<FollowerCall> read_follower_call(std::string_view body);
 std::string write_relay_call(const RelayCall& call);
-std::optional<RelayCall> read_relay_call(std::string_view body, std::string& wrong);
+ReadResult<RelayCall> read_relay_call(std::string_view body);
 std::string write_changes_answer(const ChangesAnswer& answer);
-std::optional<ChangesAnswer> read_changes_answer(std::string_view body);
+ReadResult<ChangesAnswer> read_changes_answer(std::string_view body);
 
-// 409 (a later incarnation is known) and 421 (ask elsewhere) are as in member_words.hpp.
+// The bodies of 409 and 421 are those of member_messages.hpp.
 
 }  // namespace tealcart
--- a/src/wire/change_watch.cpp
+++ b/src/wire/change_watch.cpp
@@ -4,7 +4,7 @@
 
 namespace tealcart {
 
-ChangeWatch::ChangeWatch(boost::asio::io_context& io, EventClock& time, ChangeTaker& taker,
+ChangeWatch::ChangeWatch(boost::asio::io_context& io, EventClock& time, ChangeObserver& taker,
                          std::string_view path, std::string_view whom, std::vector<HostPort> addresses,
                          std::size_t first, std::uint64_t seed)
     : taker_(taker), whom_(whom), watch_(io, time, *this, path, std::move(addresses), first, seed) {}
--- a/src/wire/long_poll.cpp
+++ b/src/wire/long_poll.cpp
@@ -21,27 +21,27 @@
 
 }  // namespace
 
-PostWatch::Connection::Connection(boost::asio::io_context& io, std::size_t longest)
+LongPoll::Connection::Connection(boost::asio::io_context& io, std::size_t longest)
     : socket(io), reader(longest) {}
 
-PostWatch::PostWatch(boost::asio::io_context& io, EventClock& time, PostTaker& taker, std::string_view path,
+LongPoll::LongPoll(boost::asio::io_context& io, EventClock& time, LongPollObserver& taker, std::string_view path,
                      std::vector<HostPort> addresses, std::size_t first, std::uint64_t seed, ListBound bound)
     : io_(io), time_(time), taker_(taker), path_(path), addresses_(std::move(addresses)),
       bound_(std::move(bound)), at_(addresses_.empty() ? 0 : first % addresses_.size()), chance_(seed) {}
 
-void PostWatch::end() {
+void LongPoll::end() {
     error_code ec;
     if (connection_) connection_->socket.close(ec);
     connection_.reset();
     sent_at_ = 0;
 }
 
-void PostWatch::stop() {
+void LongPoll::stop() {
     time_.due.drop(due_);
     end();
 }
 
-void PostWatch::connect() {
+void LongPoll::connect() {
     owes_next_ = false;
     end();
     connection_ = std::make_shared<Connection>(io_, bound_.bytes);
@@ -59,8 +59,8 @@
                                       });
 }
 
-void PostWatch::ask() {
-    const PostTaker::Call call = taker_.call();
+void LongPoll::ask() {
+    const LongPollObserver::Call call = taker_.call();
     connection_->out =
         "POST " + path_ + " HTTP/1.1\r\nHost: " + addresses_[at_].host +
         "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(call.body.size()) +
@@ -76,7 +76,7 @@
     read(connection_);
 }
 
-void PostWatch::read(const Life& life) {
+void LongPoll::read(const Life& life) {
     life->socket.async_read_some(boost::asio::buffer(life->buffer),
                                  [this, c = life](const error_code& e, std::size_t n) {
                                      if (c != connection_) return;
@@ -87,7 +87,7 @@
                                  });
 }
 
-void PostWatch::take_answer(const Life& c) {
+void LongPoll::take_answer(const Life& c) {
     AnswerReader& reader = c->reader;
     const Reading reading = reader.feed(c->in);
     if (reading == Reading::more) return read(c);
@@ -103,7 +103,7 @@
     if (reading == Reading::bad) return give_up("its answer can't be read");
     if (reader.status() == 421) {
         // Only to one that the operators' file names.
-        const auto leader = read_elsewhere(reader.body());
+        const auto leader = read_not_leader(reader.body());
         const auto address = leader ? read_host_port(*leader) : std::nullopt;
         const auto found = std::find(addresses_.begin(), addresses_.end(), address.value_or(HostPort{}));
         if (!address || found == addresses_.end()) return give_up("it does not lead, and names nobody known");
@@ -111,9 +111,9 @@
         return go_to(static_cast<std::size_t>(found - addresses_.begin()), pause);
     }
     if (reader.status() == 409) {
-        const auto life = read_outlived(reader.body());
+        const auto life = read_superseded(reader.body());
         if (!life) return give_up("its answer can't be read");
-        taker_.outlived(*life);
+        taker_.superseded(*life);
         return go_to(at_, again_after << std::min(failed_++, 5));
     }
     if (reader.status() != 200) return give_up("it can't agree now");
@@ -130,7 +130,7 @@
     taker_.answered(sent);
 }
 
-void PostWatch::next() {
+void LongPoll::next() {
     if (!std::exchange(owes_next_, false)) return;
     if (connection_)
         ask();
@@ -138,7 +138,7 @@
         connect();
 }
 
-void PostWatch::give_up(const char* why) {
+void LongPoll::give_up(const char* why) {
     if (failed_ == static_cast<int>(addresses_.size()) && !std::exchange(told_silent_, true))
         taker_.silent(why);
     Nanos pause = std::min(again_most, again_after << std::min(failed_, 6));
@@ -150,14 +150,14 @@
     go_to((at_ + 1) % addresses_.size(), pause);
 }
 
-void PostWatch::go_to(std::size_t address, Nanos pause) {
+void LongPoll::go_to(std::size_t address, Nanos pause) {
     end();
     owes_next_ = false;
     at_ = address;
     time_.due.move(due_, time_.now() + pause, *this, Handle{}, again);
 }
 
-void PostWatch::on_due(Handle, std::uint64_t what) {
+void LongPoll::on_due(Handle, std::uint64_t what) {
     due_ = TimerQueue::none;
     if (what == again) return connect();
     give_up("silent for longer than a call may wait");
--- a/src/wire/long_poll.hpp
+++ b/src/wire/long_poll.hpp
@@ -18,31 +18,31 @@
 
 namespace tealcart {
 
-class PostTaker {
+class LongPollObserver {
   public:
     struct Call {
         std::string body;
         Nanos wait = 0;  // the answer may be kept back for so long
     };
 
-    virtual ~PostTaker() = default;
+    virtual ~LongPollObserver() = default;
     // What is to be said now.
     virtual Call call() = 0;
     // A body that came with 200; false where it can't be read.
     virtual bool read(std::string_view body) = 0;
     // What was read was the answer to the call that was sent at `sent`.
     virtual void answered(Nanos sent) = 0;
-    virtual void outlived(std::uint64_t last_incarnation) = 0;
+    virtual void superseded(std::uint64_t last_incarnation) = 0;
     // Told once all addresses have failed in a row, and with the first answer after that, before `answered`.
     virtual void silent(const char* why) = 0;
     virtual void heard_again() = 0;
 };
 
-class PostWatch final : public DueHandler {
+class LongPoll final : public DueHandler {
   public:
     // Begins at the address of this place. `seed`: of the jitter in the pauses between failures, half to one
     // and a half of each; 0 for none. An answer over `bound` is not read, which is logged once.
-    PostWatch(boost::asio::io_context& io, EventClock& time, PostTaker& taker, std::string_view path,
+    LongPoll(boost::asio::io_context& io, EventClock& time, LongPollObserver& taker, std::string_view path,
               std::vector<HostPort> addresses, std::size_t first = 0, std::uint64_t seed = 0,
               ListBound bound = {});
 
@@ -51,7 +51,7 @@
     // The next call, after an answer.
     void next();
     // Whatever is out is dropped, and a call made anew: something has to be said at once.
-    void say_now() { go_to(at_, 0); }
+    void call_now() { go_to(at_, 0); }
     // In place of `next`: the answers are of no use, the next of the addresses is called.
     void pass_over(const char* why) { give_up(why); }
     // A call is out, and its answer is waited for.
@@ -80,7 +80,7 @@
 
     boost::asio::io_context& io_;
     EventClock& time_;
-    PostTaker& taker_;
+    LongPollObserver& taker_;
     const std::string path_;
     const std::vector<HostPort> addresses_;
     const ListBound bound_;
--- a/src/wire/manager_watch.cpp
+++ b/src/wire/manager_watch.cpp
@@ -8,7 +8,7 @@
                            std::vector<HostPort> managers, ListBound bound)
     : taker_(taker), watch_(io, time, *this, member_path, std::move(managers), 0, 0, std::move(bound)) {}
 
-PostTaker::Call ManagerWatch::call() {
+LongPollObserver::Call ManagerWatch::call() {
     const MemberCall call = taker_.word();
     return {write_member_call(call), call.wait};
 }
@@ -22,7 +22,7 @@
 // A copy: it may be dropped, and another read, while it is acted on.
 void ManagerWatch::answered(Nanos sent) {
     const MemberAnswer answer = std::move(answer_);
-    taker_.on_agreed(sent, answer);
+    taker_.on_grant(sent, answer);
 }
 
 void ManagerWatch::silent(const char* why) {
--- a/src/wire/manager_watch.hpp
+++ b/src/wire/manager_watch.hpp
@@ -19,11 +19,11 @@
     virtual MemberCall word() = 0;
     // The call that was sent at `sent` was granted. ManagerWatch::next is to be called once the news is
     // acted on.
-    virtual void on_agreed(Nanos sent, const MemberAnswer& answer) = 0;
-    virtual void on_outlived(std::uint64_t last_incarnation) = 0;
+    virtual void on_grant(Nanos sent, const MemberAnswer& answer) = 0;
+    virtual void on_superseded(std::uint64_t last_incarnation) = 0;
 };
 
-class ManagerWatch final : private PostTaker {
+class ManagerWatch final : private LongPollObserver {
   public:
     ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& taker,
                  std::vector<HostPort> managers, ListBound bound = {});
@@ -33,19 +33,19 @@
     // The next call, after an answer.
     void next() { watch_.next(); }
     // Whatever is out is dropped, and a call made anew: something has to be said at once.
-    void say_now() { watch_.say_now(); }
+    void call_now() { watch_.call_now(); }
     const WireCount& wire() const { return watch_.wire(); }
 
   private:
     Call call() override;
     bool read(std::string_view body) override;
     void answered(Nanos sent) override;
-    void outlived(std::uint64_t last_incarnation) override { taker_.on_outlived(last_incarnation); }
+    void superseded(std::uint64_t last_incarnation) override { taker_.on_superseded(last_incarnation); }
     void silent(const char* why) override;
     void heard_again() override;
 
     ManagerObserver& taker_;
-    PostWatch watch_;
+    LongPoll watch_;
     MemberAnswer answer_;
 };
 
--- a/src/wire/member_messages.cpp
+++ b/src/wire/member_messages.cpp
@@ -1,171 +1,128 @@
 #include "wire/member_messages.hpp"
 
-#include <algorithm>
-#include <nlohmann/json.hpp>
+#include "wire/json_fields.hpp"
 
 namespace tealcart {
 namespace {
 
 using Json = nlohmann::json;
-constexpr Nanos ms = 1'000'000;
-constexpr std::int64_t year_ms = 365LL * 24 * 3600 * 1000;
-constexpr std::size_t max_name = 128, max_names = 100'000;
-
-const Json* member(const Json& in, const char* key) {
-    if (!in.is_object()) return nullptr;
-    const auto it = in.find(key);
-    return it == in.end() || it->is_null() ? nullptr : &*it;
-}
-
-bool take_name(const Json& in, std::string& to) {
-    if (!in.is_string()) return false;
-    to = in.get_ref<const std::string&>();
-    return !to.empty() && to.size() <= max_name &&
-           std::all_of(to.begin(), to.end(), [](char c) { return c > ' ' && c < 0x7f; });
-}
-
-bool take_number(const Json& in, const char* key, std::uint64_t& to) {
-    const Json* value = member(in, key);
-    if (value == nullptr) return true;  // 0 then
-    if (!value->is_number_unsigned()) return false;
-    to = value->get<std::uint64_t>();
-    return true;
-}
+using Presence = JsonFields::Presence;
 
-bool take_span(const Json& in, const char* key, Nanos& to) {
-    std::uint64_t span = 0;
-    if (!take_number(in, key, span) || span > static_cast<std::uint64_t>(year_ms)) return false;
-    to = static_cast<Nanos>(span) * ms;
-    return true;
-}
+constexpr Nanos millisecond = 1'000'000;
 
-Json targets(const std::vector<TargetName>& all) {
+Json write_targets(const std::vector<TargetName>& targets) {
     Json list = Json::array();
-    for (const TargetName& t : all) list.push_back({t.router ? "router" : "node", t.name});
+    for (const TargetName& target : targets) list.push_back({target.router ? "router" : "node", target.name});
     return list;
 }
 
-bool take_targets(const Json& in, const char* key, std::vector<TargetName>& to) {
-    const Json* list = member(in, key);
-    if (list == nullptr) return true;
-    if (!list->is_array() || list->size() > max_names) return false;
-    for (const Json& one : *list) {
-        TargetName t;
-        if (!one.is_array() || one.size() != 2 || !take_name(one[1], t.name)) return false;
-        t.router = one[0] == "router";
-        if (!t.router && one[0] != "node") return false;
-        to.push_back(std::move(t));
-    }
+bool read_target(const Json& item, TargetName& to) {
+    if (!item.is_array() || item.size() != 2) return false;
+    auto name = name_of(item[1]);
+    if (!name || (item[0] != "router" && item[0] != "node")) return false;
+    to = {item[0] == "router", std::move(*name)};
     return true;
 }
 
-bool take_names(const Json& in, const char* key, std::vector<std::string>& to) {
-    const Json* list = member(in, key);
-    if (list == nullptr) return true;
-    if (!list->is_array() || list->size() > max_names) return false;
-    for (const Json& one : *list)
-        if (!take_name(one, to.emplace_back())) return false;
+bool read_name(const Json& item, std::string& to) {
+    auto name = name_of(item);
+    if (!name) return false;
+    to = std::move(*name);
     return true;
 }
 
-bool take_text(const Json& in, const char* key, std::string& to, bool needed) {
-    const Json* value = member(in, key);
-    if (value == nullptr) return !needed;
-    return take_name(*value, to);
-}
-
 }  // namespace
 
-std::string write_member_call(const MemberCall& c) {
-    Json out = {{"name", c.name},
-                {"role", c.role},
-                {"life", c.incarnation},
-                {"acts_on", c.applied_generation},
-                {"knows", c.knows},
-                {"wait_ms", c.wait / ms},
-                {"queries", c.queries},
-                {"failed", c.failed},
-                {"serve_on_ms", c.serve_on / ms}};
-    // What is not stated is left out.
-    const auto state = [&out](const char* key, const std::string& value) {
-        if (!value.empty()) out[key] = value;
-    };
-    state("zone", c.zone), state("version", c.version), state("digest", c.digest);
-    if (!c.in_flight.empty()) out["in_hand"] = targets(c.in_flight);
-    if (!c.silent.empty()) out["silent"] = c.silent;
-    if (c.leaves) out["leaves"] = true;
+std::string write_member_call(const MemberCall& call) {
+    Json out = {{"name", call.name},
+                {"role", call.role},
+                {"life", call.incarnation},
+                {"acts_on", call.applied_generation},
+                {"knows", call.knows},
+                {"wait_ms", call.wait / millisecond},
+                {"queries", call.queries},
+                {"failed", call.failed},
+                {"serve_on_ms", call.serve_on / millisecond}};
+    // Empty fields are left out.
+    if (!call.zone.empty()) out["zone"] = call.zone;
+    if (!call.version.empty()) out["version"] = call.version;
+    if (!call.digest.empty()) out["digest"] = call.digest;
+    if (!call.in_flight.empty()) out["in_hand"] = write_targets(call.in_flight);
+    if (!call.silent.empty()) out["silent"] = call.silent;
+    if (call.leaves) out["leaves"] = true;
     return out.dump();
 }
 
-std::optional<MemberCall> read_member_call(std::string_view body, std::string& wrong) {
-    const Json in = Json::parse(body, nullptr, false);
-    MemberCall c;
-    const auto fail = [&wrong](const char* words) {
-        wrong = words;
-        return std::nullopt;
-    };
-    if (in.is_discarded() || !in.is_object()) return fail("the body is no JSON object");
-    if (!take_text(in, "name", c.name, true)) return fail("'name' is missing or malformed");
-    if (!take_text(in, "role", c.role, true) || (c.role != "router" && c.role != "control"))
-        return fail("'role' is neither 'router' nor 'control'");
-    if (!take_text(in, "zone", c.zone, false) || !take_text(in, "version", c.version, false) ||
-        !take_text(in, "digest", c.digest, false))
-        return fail("'zone', 'version' or 'digest' is malformed");
-    if (!take_number(in, "life", c.incarnation) || c.incarnation == 0)
-        return fail("'life' is missing or no number above 0");
-    if (!take_number(in, "acts_on", c.applied_generation) || !take_number(in, "knows", c.knows) ||
-        !take_number(in, "queries", c.queries) || !take_number(in, "failed", c.failed))
-        return fail("a number is malformed");
-    if (!take_span(in, "serve_on_ms", c.serve_on) || !take_span(in, "wait_ms", c.wait))
-        return fail("a span is no number of ms up to a year");
-    if (!take_targets(in, "in_hand", c.in_flight)) return fail("'in_hand' is malformed");
-    if (!take_names(in, "silent", c.silent)) return fail("'silent' is malformed");
-    if (const Json* leaves = member(in, "leaves")) {
-        if (!leaves->is_boolean()) return fail("'leaves' is no truth value");
-        c.leaves = leaves->get<bool>();
-    }
-    return c;
-}
-
-std::string write_member_answer(const MemberAnswer& a) {
-    return Json{{"generation", a.generation},
-                {"lease_ms", a.lease / ms},
-                {"out", targets(a.out)},
-                {"halted", a.halted}}
+ReadResult<MemberCall> read_member_call(std::string_view body) {
+    const Json json = Json::parse(body, nullptr, false);
+    JsonFields in(json);
+    MemberCall call;
+    in.name("name", call.name, Presence::required, "'name' is missing or malformed");
+    constexpr const char* bad_role = "'role' is neither 'router' nor 'control'";
+    in.name("role", call.role, Presence::required, bad_role);
+    if (call.role != "router" && call.role != "control") in.fail("role", bad_role);
+    for (const auto& [key, to] :
+         {std::pair("zone", &call.zone), {"version", &call.version}, {"digest", &call.digest}})
+        in.name(key, *to, Presence::optional, "'zone', 'version' or 'digest' is malformed");
+    in.positive_number("life", call.incarnation, "'life' is missing or no number above 0");
+    for (const auto& [key, to] : {std::pair("acts_on", &call.applied_generation),
+                                  {"knows", &call.knows},
+                                  {"queries", &call.queries},
+                                  {"failed", &call.failed}})
+        in.number(key, *to, "a number is malformed");
+    in.duration("serve_on_ms", call.serve_on, "a span is no number of ms up to a year");
+    in.duration("wait_ms", call.wait, "a span is no number of ms up to a year");
+    in.list("in_hand", call.in_flight, read_target, "'in_hand' is malformed");
+    in.list("silent", call.silent, read_name, "'silent' is malformed");
+    in.flag("leaves", call.leaves, "'leaves' is no truth value");
+    return std::move(in).result(std::move(call));
+}
+
+std::string write_member_answer(const MemberAnswer& answer) {
+    return Json{{"generation", answer.generation},
+                {"lease_ms", answer.lease / millisecond},
+                {"out", write_targets(answer.out)},
+                {"halted", answer.halted}}
         .dump();
 }
 
-std::optional<MemberAnswer> read_member_answer(std::string_view body) {
-    const Json in = Json::parse(body, nullptr, false);
-    MemberAnswer a;
-    const Json* halted = member(in, "halted");
-    if (member(in, "generation") == nullptr || !take_number(in, "generation", a.generation) ||
-        !take_span(in, "lease_ms", a.lease) || a.lease <= 0 || member(in, "out") == nullptr ||
-        !take_targets(in, "out", a.out) || halted == nullptr || !halted->is_boolean())
-        return std::nullopt;
-    a.halted = halted->get<bool>();
-    return a;
+ReadResult<MemberAnswer> read_member_answer(std::string_view body) {
+    const Json json = Json::parse(body, nullptr, false);
+    JsonFields in(json);
+    MemberAnswer answer;
+    for (const char* required : {"generation", "out", "halted"})
+        if (in.find(required) == nullptr) in.fail(required, "a field is missing");
+    in.number("generation", answer.generation, "'generation' is no number");
+    in.duration("lease_ms", answer.lease, "'lease_ms' is no number of ms up to a year");
+    if (answer.lease <= 0) in.fail("lease_ms", "'lease_ms' is missing or 0");
+    in.list("out", answer.out, read_target, "'out' is malformed");
+    in.flag("halted", answer.halted, "'halted' is no truth value");
+    return std::move(in).result(std::move(answer));
 }
 
-std::string write_outlived(std::uint64_t last_incarnation) {
+std::string write_superseded(std::uint64_t last_incarnation) {
     return Json{{"error", "a later life of this name is known"}, {"life", last_incarnation}}.dump();
 }
 
-std::optional<std::uint64_t> read_outlived(std::string_view body) {
-    const Json in = Json::parse(body, nullptr, false);
-    std::uint64_t incarnation = 0;
-    if (member(in, "life") == nullptr || !take_number(in, "life", incarnation)) return std::nullopt;
-    return incarnation;
+std::optional<std::uint64_t> read_superseded(std::string_view body) {
+    const Json json = Json::parse(body, nullptr, false);
+    JsonFields in(json);
+    std::uint64_t last_incarnation = 0;
+    in.number("life", last_incarnation, "'life' is no number");
+    if (!in.ok() || in.find("life") == nullptr) return std::nullopt;
+    return last_incarnation;
 }
 
-std::string write_elsewhere(std::string_view leader) {
+std::string write_not_leader(std::string_view leader) {
     return Json{{"error", "another steward leads"}, {"leader", leader}}.dump();
 }
 
-std::optional<std::string> read_elsewhere(std::string_view body) {
-    const Json in = Json::parse(body, nullptr, false);
+std::optional<std::string> read_not_leader(std::string_view body) {
+    const Json json = Json::parse(body, nullptr, false);
+    JsonFields in(json);
     std::string leader;
-    if (!take_text(in, "leader", leader, true)) return std::nullopt;
+    in.name("leader", leader, Presence::required, "'leader' is missing or malformed");
+    if (!in.ok()) return std::nullopt;
     return leader;
 }
 
--- a/tests/change_messages_test.cpp
+++ b/tests/change_messages_test.cpp
@@ -19,18 +19,19 @@
 
 RelayCall relay() {
     RelayCall call;
-    call.word.relay = "relay-a1", call.word.zone = "a", call.word.incarnation = 9, call.word.number = 3;
-    call.word.whole = true;
-    call.word.joined = {{"r1", 7, 1000 * ms, 41, 0, ""}, {"r2", 1, 0, 0, 0, ""}};
-    call.word.left = {{"r3", 5}};
-    call.word.lost = {{"r4", 6}, {"r5", 8}};
-    call.word.lowest = 41;
-    call.word.exceptions = {{"r2", 1, 0, 0, 42, "no"}};
-    call.watched = {42, 17, false, "", 1000 * ms};
+    call.report.relay = "relay-a1", call.report.zone = "a", call.report.incarnation = 9,
+    call.report.number = 3;
+    call.report.whole = true;
+    call.report.joined = {{"r1", 7, 1000 * ms, 41, 0, ""}, {"r2", 1, 0, 0, 0, ""}};
+    call.report.left = {{"r3", 5}};
+    call.report.lost = {{"r4", 6}, {"r5", 8}};
+    call.report.lowest = 41;
+    call.report.exceptions = {{"r2", 1, 0, 0, 42, "no"}};
+    call.position = {42, 17, false, "", 1000 * ms};
     return call;
 }
 
-void same(const Watched& a, const Watched& b) {
+void same(const WatchPosition& a, const WatchPosition& b) {
     CHECK(a.knows == b.knows);
     CHECK(a.digest == b.digest);
     CHECK(a.wants_pages == b.wants_pages);
@@ -39,44 +40,42 @@
 }
 
 std::string wrong_of(const std::string& body) {
-    std::string wrong;
-    CHECK_FALSE(read_follower_call(body, wrong));
-    return wrong;
+    const auto read = read_follower_call(body);
+    REQUIRE_FALSE(read);
+    return read.error().reason;
 }
 
 std::string wrong_of_relay(const std::string& body) {
-    std::string wrong;
-    CHECK_FALSE(read_relay_call(body, wrong));
-    return wrong;
+    const auto read = read_relay_call(body);
+    REQUIRE_FALSE(read);
+    return read.error().reason;
 }
 
 }  // namespace
 
 TEST_CASE("a follower's call comes back as it was written") {
     FollowerCall call = follower();
-    std::string wrong;
-    auto read = read_follower_call(write_follower_call(call), wrong);
+    auto read = read_follower_call(write_follower_call(call));
     REQUIRE(read);
-    CHECK(read->word == call.word);
+    CHECK(read->report == call.report);
     CHECK(read->zone == "a");
     CHECK_FALSE(read->leaves);
-    same(read->watched, call.watched);
+    same(read->position, call.position);
     call = {};
-    call.word.name = "r", call.word.incarnation = 1, call.leaves = true;
-    call.watched.wants_pages = true;  // from the first key
-    read = read_follower_call(write_follower_call(call), wrong);
+    call.report.name = "r", call.report.incarnation = 1, call.leaves = true;
+    call.position.wants_pages = true;  // from the first key
+    read = read_follower_call(write_follower_call(call));
     REQUIRE(read);
     CHECK(read->leaves);
-    same(read->watched, call.watched);
+    same(read->position, call.position);
 }
 
 TEST_CASE("a relay's call comes back as it was written") {
     const RelayCall call = relay();
-    std::string wrong;
-    const auto read = read_relay_call(write_relay_call(call), wrong);
+    const auto read = read_relay_call(write_relay_call(call));
     REQUIRE(read);
-    CHECK(read->word == call.word);
-    same(read->watched, call.watched);
+    CHECK(read->report == call.report);
+    same(read->position, call.position);
 }
 
 TEST_CASE("an answer comes back as it was written, with a delta, a page or neither") {
@@ -103,12 +102,11 @@
 
 TEST_CASE("what a refusal says is cut and never fails to be written") {
     FollowerCall call = follower();
-    call.word.why = "\xff\xfe" + std::string(2000, 'x');
-    std::string wrong;
-    const auto read = read_follower_call(write_follower_call(call), wrong);
-    INFO(wrong);
+    call.report.why = "\xff\xfe" + std::string(2000, 'x');
+    const auto read = read_follower_call(write_follower_call(call));
+    INFO((read ? "" : read.error().reason));
     REQUIRE(read);
-    CHECK(read->word.why.size() <= 512);
+    CHECK(read->report.why.size() <= 512);
 }
 
 TEST_CASE("what is no call is refused with words") {
@@ -143,6 +141,19 @@
     CHECK(wrong_of_relay(good + R"("exceptions":[1]})") == "'exceptions' is malformed");
 }
 
+TEST_CASE("the field at fault is named") {
+    const auto follower_call = read_follower_call(R"({"name":"r","life":1,"refused":"2"})");
+    REQUIRE_FALSE(follower_call);
+    CHECK(follower_call.error().field == "refused");
+    CHECK(follower_call.error().reason == "'acts_on' or 'refused' is no number");
+    const auto relay_call = read_relay_call("[]");
+    REQUIRE_FALSE(relay_call);
+    CHECK(relay_call.error().field.empty());
+    const auto answer = read_changes_answer(R"({"version":1,"lease_ms":1,"delta":{"from":2,"to":1}})");
+    REQUIRE_FALSE(answer);
+    CHECK(answer.error().field == "delta");
+}
+
 TEST_CASE("what is no answer is not read") {
     for (const char* body :
          {"", "[]", R"({"version":1})", R"({"lease_ms":1})", R"({"version":-1,"lease_ms":1})",
@@ -169,10 +180,10 @@
         std::string body = bodies[i % 3];
         for (int n = 0; n < 1 + i % 4; ++n) body[chance() % body.size()] = static_cast<char>(chance());
         if (i % 5 == 0) body.resize(chance() % body.size());
-        std::string wrong;
-        if (!read_follower_call(body, wrong)) CHECK_FALSE(wrong.empty());
-        wrong.clear();
-        if (!read_relay_call(body, wrong)) CHECK_FALSE(wrong.empty());
+        const auto follower_call = read_follower_call(body);
+        if (!follower_call) CHECK_FALSE(follower_call.error().reason.empty());
+        const auto relay_call = read_relay_call(body);
+        if (!relay_call) CHECK_FALSE(relay_call.error().reason.empty());
         read_changes_answer(body);
     }
 }
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "helpers.hpp"
-#include "members/configuration.hpp"
+#include "members/config_overlay.hpp"
 #include "service/service.hpp"
 #include "testing/client.hpp"
 #include "wire/change_messages.hpp"
@@ -19,7 +19,7 @@
 
 namespace {
 
-Configuration configuration_of(const std::string& file) {
+ConfigOverlay configuration_of(const std::string& file) {
     const OperatorConfig operators = read_operator_config(file, "f");
     const RouterConfig config = read_router_config(test::settings_text);
     const auto query_classes = read_connection_config(test::settings_text).query_classes;
@@ -27,22 +27,22 @@
         {operators.log, two_phase_by_query_class(operators, config, query_classes)}, config, query_classes};
 }
 
-Configuration::Settings settings_of(const Configuration& c, const Document& document) {
+ConfigOverlay::Settings settings_of(const ConfigOverlay& c, const Document& document) {
     auto read = c.read(document);
-    if (const auto* refusal = std::get_if<Configuration::Refusal>(&read)) FAIL(refusal->why);
-    return std::get<Configuration::Settings>(read);
+    if (const auto* refusal = std::get_if<ConfigOverlay::Rejection>(&read)) FAIL(refusal->why);
+    return std::get<ConfigOverlay::Settings>(read);
 }
 
-std::string refusal_of(const Configuration& c, const Document& document) {
+std::string refusal_of(const ConfigOverlay& c, const Document& document) {
     const auto read = c.read(document);
-    const auto* refusal = std::get_if<Configuration::Refusal>(&read);
+    const auto* refusal = std::get_if<ConfigOverlay::Rejection>(&read);
     return refusal == nullptr ? "none" : refusal->why;
 }
 
 }  // namespace
 
 TEST_CASE("an entry replaces the file's block of its name, and without it that block holds again") {
-    const Configuration c =
+    const ConfigOverlay c =
         configuration_of("log { level = \"warn\" }\ntwo_phase \"part\" {\n share = 0.4\n keep = \"7ms\"\n}");
     CHECK(settings_of(c, {}).log.level == LogLevel::warn);
     CHECK(settings_of(c, {}).phases[0].share == 0.4);
@@ -59,7 +59,7 @@
 
 TEST_CASE(
     "a document with any mistake is refused as a whole, every mistake named by entry, line and column") {
-    const Configuration c = configuration_of("");
+    const ConfigOverlay c = configuration_of("");
     for (const char* block : {"member", "calls", "section_memory", "control"})
         CHECK(refusal_of(c, {{block, "parts = 2"}}) ==
               "block " + std::string(block) + " holds at the start only");
@@ -84,15 +84,15 @@
     CHECK(refusal_of(c, {{"log", "level = \"info\" } two_phase \"part\" {"}}).rfind("log:1:", 0) == 0);
     Document many;
     for (int i = 0; i < 1000; ++i) many["two_phase.v" + std::to_string(i)] = "";
-    CHECK(refusal_of(c, many).size() == Configuration::max_why);
+    CHECK(refusal_of(c, many).size() == ConfigOverlay::max_why);
 }
 
 TEST_CASE("how many entries changed is counted against the version that was acted on before") {
-    Configuration c = configuration_of("");
-    CHECK(c.acted_on({{"log", ""}, {"two_phase.part", ""}}) == 2);
-    CHECK(c.acted_on({{"log", ""}, {"two_phase.part", "share = 0.5"}}) == 1);
-    CHECK(c.acted_on({{"log", ""}, {"two_phase.part", "share = 0.5"}}) == 0);
-    CHECK(c.acted_on({}) == 2);
+    ConfigOverlay c = configuration_of("");
+    CHECK(c.on_applied({{"log", ""}, {"two_phase.part", ""}}) == 2);
+    CHECK(c.on_applied({{"log", ""}, {"two_phase.part", "share = 0.5"}}) == 1);
+    CHECK(c.on_applied({{"log", ""}, {"two_phase.part", "share = 0.5"}}) == 0);
+    CHECK(c.on_applied({}) == 2);
 }
 
 namespace {
@@ -114,14 +114,13 @@
         if (!reader) reader = std::make_unique<RequestReader>();
         while (reader->feed(peer.got) == Reading::done) {
             CHECK(reader->request().path == follower_path);
-            std::string wrong;
-            auto call = read_follower_call(reader->request().body, wrong);
+            auto call = read_follower_call(reader->request().body);
             INFO(wrong);
             REQUIRE(call);
             reader->next();
             calls.push_back(*call);
             if (mute) continue;
-            if (call->leaves || call->watched.wants_pages || call->watched.knows < version() ||
+            if (call->leaves || call->position.wants_pages || call->position.knows < version() ||
                 calls.size() == 1)
                 answer(*call, peer);
             else
@@ -132,7 +131,7 @@
         const auto h = std::make_shared<Held>();
         h->call = call, h->peer = peer.shared_from_this();
         h->timer =
-            std::make_unique<boost::asio::steady_timer>(io, std::chrono::nanoseconds(call.watched.wait));
+            std::make_unique<boost::asio::steady_timer>(io, std::chrono::nanoseconds(call.position.wait));
         held.push_back(h);
         h->timer->async_wait([this, h](auto ec) {
             if (!ec && std::erase(held, h) > 0) answer(h->call, *h->peer);
@@ -144,18 +143,18 @@
         a.lease = lease;
         const Document& latest = documents.back();
         const std::uint64_t digest = changes::digest_of(latest) + (spoils_pages ? 1 : 0);
-        if (call.watched.wants_pages && version() > 0) {
+        if (call.position.wants_pages && version() > 0) {
             // One entry a page.
-            const auto next = latest.upper_bound(call.watched.after);
-            a.page = changes::Page{version(), digest, call.watched.after, {}, true};
+            const auto next = latest.upper_bound(call.position.after);
+            a.page = changes::Page{version(), digest, call.position.after, {}, true};
             if (next != latest.end()) {
                 a.page->entries.insert(*next);
                 a.page->last = std::next(next) == latest.end();
             }
-        } else if (call.watched.knows < version()) {
-            a.delta = changes::Delta{call.watched.knows, version(), {}, {}, changes::digest_of(latest)};
+        } else if (call.position.knows < version()) {
+            a.delta = changes::Delta{call.position.knows, version(), {}, {}, changes::digest_of(latest)};
             if (spoils_deltas) ++a.delta->digest;
-            const Document& before = documents[call.watched.knows];
+            const Document& before = documents[call.position.knows];
             for (const auto& [key, value] : latest)
                 if (!before.contains(key) || before.at(key) != value) a.delta->set[key] = value;
             for (const auto& [key, value] : before)
@@ -310,8 +309,8 @@
     CHECK(w.counts().queries == 0);
     relay.publish({{"log", "level = \"warn\""}, {"two_phase.part", "audit = 0"}});
     w.until([&] { return relay.heard(1); });
-    CHECK(relay.calls.back().watched.knows == 1);
-    CHECK(relay.calls.back().watched.digest == changes::digest_of(relay.documents[1]));
+    CHECK(relay.calls.back().position.knows == 1);
+    CHECK(relay.calls.back().position.digest == changes::digest_of(relay.documents[1]));
     Answered got = w.ask(w.asking());
     CHECK(got.status == 200);
     CHECK(got.whole);
@@ -343,7 +342,7 @@
         return w.follower().applied_version() == 1;
     });
     CHECK(w.service->bridge().calls_out() > out);
-    for (const FollowerCall& call : relay.calls) CHECK(call.word.applied_version == 0);
+    for (const FollowerCall& call : relay.calls) CHECK(call.report.applied_version == 0);
     w.until([&] { return relay.heard(1); });
 }
 
@@ -382,7 +381,7 @@
     w.until([&] { return relay.heard(1); });
     relay.publish({{"two_phase.part", "audit = 1"}, {"calls", "parts = 2"}, {"log", "level = \"loud\""}});
     w.until([&] { return relay.heard(1, 2); });
-    CHECK(relay.calls.back().watched.knows == 2);
+    CHECK(relay.calls.back().position.knows == 2);
     CHECK(relay.calls.back().word.why.find(
               "block calls holds at the start only; log:1:9: 'level' is none of") == 0);
     w.ask(w.asking());
@@ -412,7 +411,7 @@
         w.until([&] { return relay.heard(2); });
         std::vector<std::string> after;
         for (const FollowerCall& call : relay.calls)
-            if (call.watched.wants_pages) after.push_back(call.watched.after);
+            if (call.position.wants_pages) after.push_back(call.position.after);
         CHECK(after == std::vector<std::string>{"", "log"});
         w.ask(w.asking());
         CHECK(w.counts().queries == 1);
@@ -420,7 +419,7 @@
     SECTION("which don't either: it is not asked again at once") {
         relay.spoils_pages = true;
         relay.publish({{"two_phase.part", "audit = 1"}});
-        w.until([&] { return relay.calls.back().watched.wants_pages; });
+        w.until([&] { return relay.calls.back().position.wants_pages; });
         const std::size_t before = relay.calls.size();
         w.run_for(std::chrono::milliseconds(1000));
         CHECK(relay.calls.size() - before <= 6);
@@ -443,9 +442,9 @@
     first.die();
     w.until([&] { return other.calls.size() >= 3; });
     for (const FollowerCall& call : other.calls) {
-        CHECK(call.word.incarnation == incarnation);
-        CHECK(call.word.applied_version == 3);
-        CHECK(call.watched.knows == 3);
+        CHECK(call.report.incarnation == incarnation);
+        CHECK(call.report.applied_version == 3);
+        CHECK(call.position.knows == 3);
     }
     CHECK(w.ready());
     other.documents = first.documents;
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -212,7 +212,7 @@
     CHECK_FALSE(t.on);
     CHECK(t.relays.size() == 2);
     CHECK(t.relays.at(1).port == 8);
-    CHECK(t.config_first_word == 2000 * test::ms);
+    CHECK(t.config_startup_wait == 2000 * test::ms);
     CHECK(read_operator_config("member {\n stewards = [\"127.0.0.1:7\"]\n}", "f").member.relays.empty());
     const MemberConfig both = read_operator_config(
                                   "member {\n stewards = [\"127.0.0.1:7\"]\n"
@@ -220,7 +220,7 @@
                                   "f")
                                   .member;
     CHECK(both.on);
-    CHECK(both.config_first_word == 1000 * test::ms);
+    CHECK(both.config_startup_wait == 1000 * test::ms);
     CHECK(wrong_in("member {}") == "f:1:1: 'stewards' and 'relays' name none");
     CHECK(wrong_in("\n member {\n relays = [\"here\"]\n config_first_word = 2\n}") ==
           "f:2:2: the relay 'here' is no address with a port\n"
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -8,7 +8,7 @@
 #include <deque>
 #include <nlohmann/json.hpp>
 
-#include "members/agreed_list.hpp"
+#include "members/endpoint_overlay.hpp"
 #include "tables/node_list.hpp"
 #include "wire/bodies.hpp"
 
@@ -322,7 +322,7 @@
         auto& counts = looked[most > 1'000];
         auto& of_agreed = agreed[most > 1'000];
         NodeList nodes;
-        AgreedList list;
+        EndpointOverlay list;
         const auto take = [&](const TargetList& news) {
             const std::uint64_t before = nodes.looked();
             nodes.take(news);
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -8,9 +8,9 @@
 #include "fleet_manager/fleet_manager_config.hpp"
 #include "fleet_manager/operator_requests.hpp"
 #include "helpers.hpp"
-#include "members/agreed_list.hpp"
+#include "members/endpoint_overlay.hpp"
 #include "members/member_lease.hpp"
-#include "members/outcome_watch.hpp"
+#include "members/outcome_stats.hpp"
 #include "service/membership.hpp"
 #include "wire/member_messages.hpp"
 
@@ -24,7 +24,7 @@
     MemberConfig t;
     t.serve_on = serve_on;
     t.then_stop = stop;
-    t.first_word = 5 * second;
+    t.startup_wait = 5 * second;
     return t;
 }
 
@@ -53,11 +53,11 @@
     void on_list(const TargetList& list) override {
         for (const ListedNode& n : list.nodes) nodes[n.id] = n.lifecycle;
     }
-    void watch_outcomes(OutcomeTaker*) override {}
+    void observe_outcomes(OutcomeObserver*) override {}
     void set_serving_state(ServingStateSource, const MemberServingState&) override {}
     Nanos next_round() const override { return TimerQueue::never; }
     std::size_t held() const override { return 0; }
-    bool any_call_to(const std::function<bool(const std::string&)>&) const override { return false; }
+    bool any_attempt_to(const std::function<bool(const std::string&)>&) const override { return false; }
     const std::string& node_name(std::uint32_t) const override { return none_; }
 
   private:
@@ -114,7 +114,7 @@
     CHECK(lease.serving_state(114 * second) == ServingState::cut);
     CHECK_FALSE(lease.ready(114 * second));
     CHECK(lease.admits(114 * second) == !stop);
-    CHECK(lease.no_calls_after(102 * second) == (stop ? 114 * second : INT64_MAX));
+    CHECK(lease.attempts_until(102 * second) == (stop ? 114 * second : INT64_MAX));
     CHECK(lease.next_change(101 * second) == 111 * second);
     CHECK(lease.next_change(111 * second) == 114 * second);
     CHECK(lease.next_change(114 * second) == INT64_MAX);
@@ -126,7 +126,7 @@
 
 TEST_CASE("one that no steward ever answered counts from its start; spans without end don't overflow") {
     MemberLease strict(router_config_of(0, true), 100 * second, 7);
-    CHECK(strict.no_calls_after(101 * second) == 0);
+    CHECK(strict.attempts_until(101 * second) == 0);
     CHECK(strict.serving_state(105 * second) == ServingState::cut);
     MemberLease easy(router_config_of(INT64_MAX, false), 100 * second, 7);
     CHECK(easy.serving_state(105 * second) == ServingState::alone);
@@ -136,21 +136,21 @@
 TEST_CASE(
     "a later life of its name: at the start it takes one beyond, later it has been followed and is cut") {
     MemberLease lease(router_config_of(3600 * second, false), 100 * second, 7);
-    lease.outlived(50);
+    lease.superseded(50);
     CHECK(lease.incarnation() == 51);
     CHECK(lease.serving_state(101 * second) == ServingState::unheard);
     lease.renewed(101 * second, 10 * second);
-    lease.outlived(90);
+    lease.superseded(90);
     CHECK(lease.incarnation() == 51);
     CHECK(lease.serving_state(102 * second) == ServingState::cut);
     CHECK_FALSE(lease.admits(102 * second));
-    CHECK(lease.no_calls_after(102 * second) == 0);
+    CHECK(lease.attempts_until(102 * second) == 0);
 }
 
 TEST_CASE("generated lists and agreements: the module hears of each node what is stricter of both") {
     std::knuth_b chance(GENERATE(range(1U, 9U)));
     const auto pick = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
-    AgreedList list;
+    EndpointOverlay list;
     // The plain model: all that discovery last said, who is out, and what the module was told.
     std::map<std::string, Lifecycle> discovery, module;
     std::set<std::string> out;
@@ -197,7 +197,7 @@
 }
 
 TEST_CASE("what changes nothing is not told again") {
-    AgreedList list;
+    EndpointOverlay list;
     list.discovered({1, true, {listed("n0"), listed("n1", Lifecycle::draining)}, 0});
     CHECK(told(list.agreed({"n0", "n1", "n9"})) == Told{{"n0", Lifecycle::draining}});
     CHECK(told(list.agreed({"n0", "n1"})).empty());
@@ -207,22 +207,22 @@
 }
 
 TEST_CASE("a member reports the last ten seconds, and nodes that were silent several times in a row") {
-    OutcomeWatch watch;
+    OutcomeStats watch;
     Nanos now = 1000 * second;
-    watch.query_ended(now, true);
-    for (int i = 0; i < 9; ++i) watch.query_ended(now += second, false);
+    watch.record_query(now, true);
+    for (int i = 0; i < 9; ++i) watch.record_query(now += second, false);
     CHECK(watch.counts(now).queries == 10);
     CHECK(watch.counts(now).failed == 1);
     CHECK(watch.counts(now + second).failed == 0);
     CHECK(watch.counts(now + 60 * second).queries == 0);
-    for (int i = 0; i < 5; ++i) watch.call_ended(now + i * second, 3, Outcome::timeout);
-    for (int i = 0; i < 9; ++i) watch.call_ended(now, 4, Outcome::reset);  // all at once: one break
-    for (int i = 0; i < 9; ++i) watch.call_ended(now + i * second, 5, Outcome::overloaded);  // it speaks
+    for (int i = 0; i < 5; ++i) watch.record_attempt(now + i * second, 3, Outcome::timeout);
+    for (int i = 0; i < 9; ++i) watch.record_attempt(now, 4, Outcome::reset);  // all at once: one break
+    for (int i = 0; i < 9; ++i) watch.record_attempt(now + i * second, 5, Outcome::overloaded);  // it speaks
     CHECK(watch.silent(now + 5 * second) == std::set<std::uint32_t>{3});
-    watch.call_ended(now + 5 * second, 3, Outcome::not_sent);
+    watch.record_attempt(now + 5 * second, 3, Outcome::not_sent);
     CHECK(watch.silent(now + 5 * second).size() == 1);
     CHECK(watch.silent(now + 60 * second).empty());
-    watch.call_ended(now + 6 * second, 3, Outcome::ok);
+    watch.record_attempt(now + 6 * second, 3, Outcome::ok);
     CHECK(watch.silent(now + 6 * second).empty());
 }
 
@@ -230,8 +230,7 @@
     MemberCall call{
         "r1",   "router", "a", "0.3.0", "d1", 5, 3 * second, 7, 8, second, {{false, "n1"}, {true, "r1"}},
         {"n2"}, 10,       1,   true};
-    std::string wrong;
-    const auto read = read_member_call(write_member_call(call), wrong);
+    const auto read = read_member_call(write_member_call(call));
     REQUIRE(read);
     CHECK(write_member_call(*read) == write_member_call(call));
     CHECK(read->in_flight == call.in_flight);
@@ -248,9 +247,9 @@
                                R"({"name":"r","role":"router","life":1,"in_hand":[["shelf","n1"]]})",
                                R"({"name":"r","role":"router","life":1,"silent":[3]})"};
     for (const std::string& text : bad) {
-        wrong.clear();
-        CHECK_FALSE(read_member_call(text, wrong));
-        CHECK_FALSE(wrong.empty());
+        const auto malformed = read_member_call(text);
+        REQUIRE_FALSE(malformed);
+        CHECK_FALSE(malformed.error().reason.empty());
     }
     const auto answer = read_member_answer(write_member_answer({9, 10 * second, {{false, "n1"}}, true}));
     REQUIRE(answer);
@@ -259,9 +258,9 @@
     CHECK(answer->halted);
     CHECK_FALSE(read_member_answer(R"({"generation":9,"lease_ms":0,"out":[],"halted":false})"));
     CHECK_FALSE(read_member_answer(R"({"generation":9,"lease_ms":5,"halted":false})"));
-    CHECK(read_outlived(write_outlived(7)) == 7);
-    CHECK(read_elsewhere(write_elsewhere("127.0.0.1:1")) == "127.0.0.1:1");
-    CHECK_FALSE(read_elsewhere("{}"));
+    CHECK(read_superseded(write_superseded(7)) == 7);
+    CHECK(read_not_leader(write_not_leader("127.0.0.1:1")) == "127.0.0.1:1");
+    CHECK_FALSE(read_not_leader("{}"));
 }
 
 TEST_CASE("an operator's call is read, or told what is wrong with it") {
@@ -313,7 +312,7 @@
     RouterConfig config;
     config.places = 4, config.replicas_per_shard = 2, config.shards = 8,
     config.slow_start_duration = 10 * second;
-    NodeView view(config);
+    EndpointView view(config);
     fleet::FleetState state({});
     const Nanos now = 1000 * second;
     CHECK_FALSE(view.news(state, now));  // nothing is known yet, which is no news of nobody
@@ -349,7 +348,7 @@
     config.places = 5, config.replicas_per_shard = 2, config.shards = 13,
     config.slow_start_duration = 10 * second;
     const auto name_of = [](int n) { return "n" + std::to_string(n); };
-    NodeView view(config);
+    EndpointView view(config);
     fleet::FleetState state({});
     std::map<std::string, ListedNode> all;
     Nanos now = 1000 * second, heard = 0;
@@ -382,7 +381,7 @@
         }
         if (pick(30) == 0) state.apply({"", now, fleet::RequestRemoval{"ann", {false, name_of(pick(30))}}});
         if (heard == 0 || pick(4) == 0) continue;  // another manager leads
-        NodeView anew(config);
+        EndpointView anew(config);
         TargetList whole{1, true, {}, 0};
         for (const auto& [id, node] : all) whole.nodes.push_back(node);
         anew.take(whole, heard);
@@ -407,7 +406,7 @@
     RouterConfig config;
     config.places = 100, config.replicas_per_shard = 2, config.shards = 200,
     config.slow_start_duration = 10 * second;
-    NodeView view(config);
+    EndpointView view(config);
     fleet::FleetState state({});
     Nanos now = 1000 * second;
     TargetList list{1, true, {}, 0};
--- a/tests/recorded_messages_test.cpp
+++ b/tests/recorded_messages_test.cpp
@@ -22,7 +22,7 @@
     R"({"generation":18,"halted":true,"lease_ms":10000,"out":[["node","n3"],["router","router-a1"]]})";
 constexpr const char* member_answer_least =
     R"({"generation":0,"halted":false,"lease_ms":500,"out":[]})";
-constexpr const char* outlived =
+constexpr const char* superseded =
     R"({"error":"a later life of this name is known","life":1790000000000000456})";
 constexpr const char* elsewhere =
     R"({"error":"another steward leads","leader":"127.0.0.1:7202"})";
@@ -85,22 +85,22 @@
 
 FollowerCall full_follower_call() {
     FollowerCall call;
-    call.word = {"router-a1", 7, 1500 * ms, 41, 42, "line 3: \"x\" is not known \xc3\xbc"};
+    call.report = {"router-a1", 7, 1500 * ms, 41, 42, "line 3: \"x\" is not known \xc3\xbc"};
     call.zone = "a";
     call.leaves = true;
-    call.watched = {41, 0xffff'ffff'ffff'fffe, true, "k/1", 200 * ms};
+    call.position = {41, 0xffff'ffff'ffff'fffe, true, "k/1", 200 * ms};
     return call;
 }
 
 FollowerCall least_follower_call() {
     FollowerCall call;
-    call.word.name = "r", call.word.incarnation = 1;
+    call.report.name = "r", call.report.incarnation = 1;
     return call;
 }
 
 RelayCall full_relay_call() {
     RelayCall call;
-    changes::RelayReport& report = call.word;
+    changes::RelayReport& report = call.report;
     report.relay = "relay-a1", report.zone = "a", report.incarnation = 9, report.number = 3;
     report.whole = true;
     report.joined = {{"r1", 7, 1000 * ms, 41, 0, ""}, {"r2", 1, 0, 0, 0, ""}};
@@ -108,17 +108,17 @@
     report.lost = {{"r4", 6}, {"r5", 8}};
     report.lowest = 41;
     report.exceptions = {{"r2", 1, 0, 0, 42, "no"}};
-    call.watched = {42, 17, true, "k/1", 1000 * ms};
+    call.position = {42, 17, true, "k/1", 1000 * ms};
     return call;
 }
 
 RelayCall least_relay_call() {
     RelayCall call;
-    call.word.relay = "r", call.word.incarnation = 1, call.word.number = 1;
+    call.report.relay = "r", call.report.incarnation = 1, call.report.number = 1;
     return call;
 }
 
-void check_same(const Watched& read, const Watched& expected) {
+void check_same(const WatchPosition& read, const WatchPosition& expected) {
     CHECK(read.knows == expected.knows);
     CHECK(read.digest == expected.digest);
     CHECK(read.wants_pages == expected.wants_pages);
@@ -159,12 +159,11 @@
 }  // namespace
 
 TEST_CASE("recorded member calls and answers: written to the same bytes, read to the same values") {
-    std::string wrong;
     const std::pair<const char*, MemberCall> calls[] = {{member_call_full, full_member_call()},
                                                         {member_call_least, least_member_call()}};
     for (const auto& [bytes, call] : calls) {
         CHECK(write_member_call(call) == bytes);
-        const auto read = read_member_call(bytes, wrong);
+        const auto read = read_member_call(bytes);
         REQUIRE(read);
         check_same(*read, call);
     }
@@ -183,38 +182,36 @@
 }
 
 TEST_CASE("recorded answers with an error: a later incarnation, another leader, and the reason alone") {
-    CHECK(write_outlived(1790000000000000456) == outlived);
-    CHECK(read_outlived(outlived) == 1790000000000000456);
-    CHECK(write_elsewhere("127.0.0.1:7202") == elsewhere);
-    CHECK(read_elsewhere(elsewhere) == "127.0.0.1:7202");
+    CHECK(write_superseded(1790000000000000456) == superseded);
+    CHECK(read_superseded(superseded) == 1790000000000000456);
+    CHECK(write_not_leader("127.0.0.1:7202") == elsewhere);
+    CHECK(read_not_leader(elsewhere) == "127.0.0.1:7202");
     CHECK(write_error("no steward leads now") == error_body);
 }
 
 TEST_CASE("recorded follower calls: written to the same bytes, read to the same values") {
-    std::string wrong;
     const std::pair<const char*, FollowerCall> calls[] = {{follower_call_full, full_follower_call()},
                                                           {follower_call_least, least_follower_call()}};
     for (const auto& [bytes, call] : calls) {
         CHECK(write_follower_call(call) == bytes);
-        const auto read = read_follower_call(bytes, wrong);
+        const auto read = read_follower_call(bytes);
         REQUIRE(read);
-        CHECK(read->word == call.word);
+        CHECK(read->report == call.report);
         CHECK(read->zone == call.zone);
         CHECK(read->leaves == call.leaves);
-        check_same(read->watched, call.watched);
+        check_same(read->position, call.position);
     }
 }
 
 TEST_CASE("recorded relay calls: written to the same bytes, read to the same values") {
-    std::string wrong;
     const std::pair<const char*, RelayCall> calls[] = {{relay_call_full, full_relay_call()},
                                                        {relay_call_least, least_relay_call()}};
     for (const auto& [bytes, call] : calls) {
         CHECK(write_relay_call(call) == bytes);
-        const auto read = read_relay_call(bytes, wrong);
+        const auto read = read_relay_call(bytes);
         REQUIRE(read);
-        CHECK(read->word == call.word);
-        check_same(read->watched, call.watched);
+        CHECK(read->report == call.report);
+        check_same(read->position, call.position);
     }
 }
 
