--- /dev/null
+++ b/tests/stored_data_test.cpp
@@ -0,0 +1,84 @@
+// Logs and snapshots that an earlier release has written: they are read, written back byte for byte, and
+// replayed to the same states. tests/data/stored/README.md has their form.
+#include <catch2/catch.hpp>
+#include <cstdint>
+#include <fstream>
+#include <iterator>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "changes/change_state.hpp"
+#include "fleet/fleet_state.hpp"
+
+namespace {
+
+using Bytes = std::vector<std::uint8_t>;
+
+Bytes stored_file(const std::string& name) {
+    std::ifstream file("tests/data/stored/" + name, std::ios::binary);
+    REQUIRE(file);
+    return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
+}
+
+// The log's entries in order; an empty one marks a snapshot.
+std::vector<Bytes> stored_log(const std::string& name) {
+    constexpr std::size_t length_bytes = 4;
+    const Bytes file = stored_file(name);
+    std::vector<Bytes> entries;
+    for (std::size_t at = 0; at < file.size();) {
+        REQUIRE(at + length_bytes <= file.size());
+        std::size_t length = 0;
+        for (std::size_t i = 0; i < length_bytes; ++i) length = length << 8 | file[at++];
+        REQUIRE(at + length <= file.size());
+        const auto begin = file.begin() + static_cast<std::ptrdiff_t>(at);
+        entries.emplace_back(begin, begin + static_cast<std::ptrdiff_t>(length));
+        at += length;
+    }
+    return entries;
+}
+
+// Replays the log; each snapshot must be what the replayed state saves, and what a state loaded from it
+// saves. A state that was loaded from the last one goes on beside the replayed one, to the same bytes.
+// Returns the kinds of commands seen.
+template <typename State, typename Rules, typename ReadCommand, typename WriteCommand>
+std::set<std::size_t> replay(const std::string& name, std::size_t snapshots, ReadCommand read_command,
+                             WriteCommand write_command) {
+    State replayed{Rules{}};
+    State loaded{Rules{}};
+    std::set<std::size_t> kinds;
+    std::size_t snapshot = 0;
+    for (const Bytes& entry : stored_log(name + "_log.bin")) {
+        if (entry.empty()) {
+            CAPTURE(snapshot);
+            const Bytes stored = stored_file(name + "_snapshot_" + std::to_string(snapshot++) + ".bin");
+            CHECK(replayed.save() == stored);
+            if (snapshot > 1) CHECK(loaded.save() == stored);
+            loaded = State{Rules{}};
+            loaded.load(stored);
+            CHECK(loaded.save() == stored);
+            continue;
+        }
+        const auto command = read_command(entry.data(), entry.size());
+        CHECK(write_command(command) == entry);
+        kinds.insert(command.what.index());
+        const auto effects = replayed.apply(command);
+        if (snapshot > 0) CHECK(loaded.apply(command) == effects);
+    }
+    CHECK(snapshot == snapshots);
+    return kinds;
+}
+
+}  // namespace
+
+TEST_CASE("stored data: the fleet's log and snapshots of an earlier release") {
+    using namespace tealcart::fleet;
+    const auto kinds = replay<FleetState, Budgets>("fleet", 7, read_command, write_command);
+    CHECK(kinds.size() == std::variant_size_v<decltype(Command::what)>);
+}
+
+TEST_CASE("stored data: the changes' log and snapshots of an earlier release") {
+    using namespace tealcart::changes;
+    const auto kinds = replay<ChangeState, Limits>("changes", 6, read_command, write_command);
+    CHECK(kinds.size() == std::variant_size_v<decltype(Command::what)>);
+}
