--- a/measure/changes.cpp
+++ b/measure/changes.cpp
@@ -89,7 +89,8 @@
             ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
             for (int m = 0; m < members; m += 10) g.heard(now, member(r, m, version));
             std::size_t bytes = 0;
-            for (const Effect& e : say(r, mixed, bytes)) in_force += e.kind == Effect::in_force;
+            for (const Effect& effect : say(r, mixed, bytes))
+                in_force += std::holds_alternative<AppliedEverywhere>(effect);
         }
         if (i % 100 != 0) continue;
         for (int r = 0; r < relays; ++r) {
--- a/measure/fleet_cost.cpp
+++ b/measure/fleet_cost.cpp
@@ -46,7 +46,7 @@
         return n;
     }
     template <typename What>
-    std::vector<Effect> tell(What what) {
+    Effects tell(What what) {
         return state.apply({"", now, std::move(what)});
     }
     // The next six members in turn; time goes on so that each renews well within its lease.
--- a/src/changes/change_codec.cpp
+++ b/src/changes/change_codec.cpp
@@ -153,8 +153,10 @@
         relays[name] = {r.zone, r.incarnation, r.number, r.lowest, r.lease_until, r.live};
     for (const std::string& id : came_) {
         json list = json::array();
-        for (const Effect& e : remembered_.at(id))
-            list.push_back({int(e.kind), e.version, e.why, json(e.names)});
+        for (const Effect& effect : remembered_.at(id)) {
+            const EffectRecord e = record_of(effect);
+            list.push_back({int(e.code), e.version, e.reason, json(e.names)});
+        }
         remembered.push_back({id, std::move(list)});
     }
     return json::to_cbor({{"form", state_form},
@@ -206,10 +208,10 @@
             member.held_until = m.at(7), member.ended = m.at(8), member.left = m.at(9);
         }
         for (const json& c : all.at("remembered")) {
-            std::vector<Effect> effects;
+            Effects effects;
             for (const json& e : c.at(1))
-                effects.push_back({static_cast<Effect::Kind>(e.at(0).get<int>()), e.at(1), e.at(2),
-                                   e.at(3).get<std::vector<std::string>>()});
+                effects.push_back(effect_of({static_cast<EffectCode>(e.at(0).get<int>()), e.at(1), e.at(2),
+                                             e.at(3).get<std::vector<std::string>>()}));
             read.came_.push_back(c.at(0));
             read.remembered_[read.came_.back()] = std::move(effects);
         }
--- a/src/changes/change_state.cpp
+++ b/src/changes/change_state.cpp
@@ -36,7 +36,7 @@
     return sum;
 }
 
-std::vector<Effect> ChangeState::apply(const Command& command) {
+Effects ChangeState::apply(const Command& command) {
     looked_at_ = 0;
     if (const auto known = remembered_.find(command.id); known != remembered_.end()) return known->second;
     effects_.clear();
@@ -55,8 +55,12 @@
     return std::exchange(effects_, {});
 }
 
-void ChangeState::tell(Effect::Kind kind, std::string why, std::vector<std::string> names) {
-    effects_.push_back({kind, version_, std::move(why), std::move(names)});
+void ChangeState::reject(std::string reason, std::optional<std::string> member) {
+    emit(CommandRejected{version_, std::move(reason), std::move(member)});
+}
+
+void ChangeState::stale(const std::string& sender, StaleReason reason) {
+    emit(StaleReport{version_, sender, reason});
 }
 
 // A new leader's clock may be behind the last one's: then time stands until it has caught up. Where nothing
@@ -88,7 +92,7 @@
         r.live = false;
         relay_ends_.erase(relay_ends_.begin());
         relays_over_.emplace(r.lease_until, name);
-        tell(Effect::over, {}, {name});
+        emit(RelayLeaseExpired{version_, name});
     }
     while (!member_ends_.empty() && lease_over(member_ends_.begin()->first)) {
         const std::string name = member_ends_.begin()->second;
@@ -231,31 +235,32 @@
     for (const RelayReport& word : c.words) take(word);
 }
 
-// Why a word is not taken; empty: it is.
-std::string ChangeState::fault_of(const RelayReport& w) const {
-    if (!well_formed(w.relay, max_name) || w.zone.size() > max_name) return "malformed";
+// Why a report is not applied; nothing: it is.
+std::optional<StaleReason> ChangeState::stale_reason(const RelayReport& w) const {
+    if (!well_formed(w.relay, max_name) || w.zone.size() > max_name) return StaleReason::malformed;
     std::size_t more = 0;
     for (const MemberReport& m : w.joined) {
-        if (!well_formed(m.name, max_name) || m.serve_on < 0) return "malformed";
+        if (!well_formed(m.name, max_name) || m.serve_on < 0) return StaleReason::malformed;
         more += !members_.contains(m.name);
     }
-    if (members_.size() + more > limits_.max_members) return "no room for so many members";
+    if (members_.size() + more > limits_.max_members) return StaleReason::too_many_members;
     const auto it = relays_.find(w.relay);
     if (it == relays_.end()) {
-        if (!w.whole) return "it is not known: all is to be said";
-        return relays_.size() < limits_.max_relays ? "" : "no room for so many relays";
+        if (!w.whole) return StaleReason::unknown_relay;
+        if (relays_.size() >= limits_.max_relays) return StaleReason::too_many_relays;
+        return std::nullopt;
     }
     const Relay& r = it->second;
-    if (w.incarnation < r.incarnation) return "an earlier life";
-    if (w.incarnation == r.incarnation && w.number <= r.number) return "overtaken";
-    if (!w.whole && w.incarnation > r.incarnation) return "a new life: all is to be said";
-    if (!w.whole && !r.live) return "its lease was over: all is to be said";
-    return "";
+    if (w.incarnation < r.incarnation) return StaleReason::earlier_incarnation;
+    if (w.incarnation == r.incarnation && w.number <= r.number) return StaleReason::overtaken;
+    if (!w.whole && w.incarnation > r.incarnation) return StaleReason::new_incarnation;
+    if (!w.whole && !r.live) return StaleReason::lease_expired;
+    return std::nullopt;
 }
 
 void ChangeState::take(const RelayReport& w) {
     ++looked_at_;
-    if (std::string why = fault_of(w); !why.empty()) return tell(Effect::stale, std::move(why), {w.relay});
+    if (const auto reason = stale_reason(w)) return stale(w.relay, *reason);
     if (w.whole && relays_.contains(w.relay)) dissolve(w.relay);
     Relay& r = relays_[w.relay];
     (r.live ? relay_ends_ : relays_over_).erase({r.lease_until, w.relay});
@@ -316,7 +321,7 @@
 void ChangeState::take_joined(const std::string& relay, const MemberReport& w) {
     ++looked_at_;
     Member& m = members_[w.name];
-    if (w.incarnation < m.incarnation) return tell(Effect::stale, "an earlier life", {w.name});
+    if (w.incarnation < m.incarnation) return stale(w.name, StaleReason::earlier_incarnation);
     take_out(w.name, m);
     if (w.incarnation > m.incarnation) {
         for (const Hold& h : m.holds) relays_.at(h.relay).exceptions.erase(w.name);
@@ -353,7 +358,7 @@
         now.insert(w.name);
         if (m.refused > m.refused_told) {
             m.refused_told = m.refused;
-            effects_.push_back({Effect::member_refuses, m.refused, m.why, {w.name}});
+            emit(MemberRefused{m.refused, w.name, m.why});
         }
     }
     for (const std::string& name : before) {
@@ -370,38 +375,37 @@
 }
 
 void ChangeState::on(const Publish& c) {
-    const auto refuse = [this](std::string why) { tell(Effect::refused, std::move(why)); };
-    if (halted_) return refuse("halted: " + halted_for_);
+    if (halted_) return reject("halted: " + halted_for_);
     if (c.based_on && *c.based_on != version_)
-        return refuse("based on version " + std::to_string(*c.based_on) + ", the latest is " +
+        return reject("based on version " + std::to_string(*c.based_on) + ", the latest is " +
                       std::to_string(version_));
     Change change;
     std::size_t entries = document_.size();
     for (const auto& [key, value] : c.set) {
-        if (!well_formed(key, max_key)) return refuse("a malformed key");
-        if (c.removed.contains(key)) return refuse("both set and removed: " + key);
+        if (!well_formed(key, max_key)) return reject("a malformed key");
+        if (c.removed.contains(key)) return reject("both set and removed: " + key);
         if (key.size() + value.size() > limits_.max_entry)
-            return refuse("longer than " + std::to_string(limits_.max_entry) + " bytes: " + key);
+            return reject("longer than " + std::to_string(limits_.max_entry) + " bytes: " + key);
         const auto it = document_.find(key);
         if (it != document_.end() && it->second == value) continue;
         entries += it == document_.end();
         change.set.emplace(key, value);
     }
     for (const std::string& key : c.removed) {
-        if (!well_formed(key, max_key)) return refuse("a malformed key");
+        if (!well_formed(key, max_key)) return reject("a malformed key");
         if (!document_.contains(key)) continue;
         --entries;
         change.removed.insert(key);
     }
-    if (change.set.empty() && change.removed.empty()) return refuse("nothing would change");
+    if (change.set.empty() && change.removed.empty()) return reject("nothing would change");
     if (entries > limits_.max_entries && entries > document_.size())
-        return refuse("more than " + std::to_string(limits_.max_entries) + " entries");
+        return reject("more than " + std::to_string(limits_.max_entries) + " entries");
     publish(c.asker, change);
 }
 
 void ChangeState::on(const Rollback& c) {
     if (c.to == 0 || c.to > version_ || kept_.empty() || c.to < kept_.front().version)
-        return tell(Effect::refused, "version " + std::to_string(c.to) + " is not kept");
+        return reject("version " + std::to_string(c.to) + " is not kept");
     Change back;
     for (auto it = kept_.rbegin(); it->version > c.to; ++it) back.then(it->back);
     // What comes back to what it was is no change.
@@ -410,7 +414,7 @@
         return it != document_.end() && it->second == e.second;
     });
     std::erase_if(back.removed, [&](const std::string& key) { return !document_.contains(key); });
-    if (back.set.empty() && back.removed.empty()) return tell(Effect::refused, "nothing would change");
+    if (back.set.empty() && back.removed.empty()) return reject("nothing would change");
     publish(c.asker, back);
 }
 
@@ -436,7 +440,7 @@
     kept_bytes_ += k.forth.bytes() + k.back.bytes();
     kept_.push_back(std::move(k));
     trim_kept();
-    tell(Effect::published);
+    emit(VersionPublished{version_});
 }
 
 // The latest stays, however long it is.
@@ -450,16 +454,16 @@
 void ChangeState::on(const Resume&) {
     halted_ = false;
     halted_for_.clear();
-    tell(Effect::resumed);
+    emit(PublishingResumed{version_});
 }
 
 void ChangeState::on(const Forget& c) {
     const auto it = members_.find(c.name);
-    if (it == members_.end()) return tell(Effect::refused, "no such member", {c.name});
-    if (it->second.place != Member::gone) return tell(Effect::refused, "its lease is not over", {c.name});
+    if (it == members_.end()) return reject("no such member", c.name);
+    if (it->second.place != Member::gone) return reject("its lease is not over", c.name);
     take_out(c.name, it->second);
     members_.erase(it);
-    tell(Effect::forgotten, {}, {c.name});
+    emit(MemberForgotten{version_, c.name});
 }
 
 void ChangeState::on(const SetLimits& c) {
@@ -480,7 +484,7 @@
     halted_ = true;
     halted_for_ = std::to_string(it->second) + " of " + std::to_string(live_) + " members refuse version " +
                   std::to_string(version_);
-    tell(Effect::halted, halted_for_);
+    emit(PublishingHalted{version_, halted_for_});
 }
 
 void ChangeState::settle_in_force() {
@@ -497,7 +501,7 @@
         if (m.stated < least && may_act(m)) names.push_back(name);
     }
     std::sort(names.begin(), names.end());
-    effects_.push_back({Effect::in_force, least, {}, std::move(names)});
+    emit(AppliedEverywhere{least, std::move(names)});
 }
 
 std::optional<Delta> ChangeState::since(std::uint64_t version) const {
--- a/src/changes/change_state.hpp
+++ b/src/changes/change_state.hpp
@@ -16,6 +16,7 @@
 #include <vector>
 
 #include "changes/document.hpp"
+#include "changes/effects.hpp"
 #include "changes/reports.hpp"
 
 namespace tealcart::changes {
@@ -70,26 +71,6 @@
 // Throws std::runtime_error on noise, and on a command that this program does not know.
 Command read_command(const std::uint8_t* bytes, std::size_t size);
 
-struct Effect {
-    enum Kind : std::uint8_t {
-        published,  // `version` is the latest
-        refused,    // the command is wrong or comes at the wrong time: `why`
-        in_force,   // every member that lives acts on `version` or a later one; `names` may act by an older
-                    // one
-        member_refuses,  // `names` can't take `version` over: `why`
-        halted,
-        resumed,
-        over,   // a relay's lease has certainly ended: `names`
-        stale,  // a relay's word that was not taken, or a member's earlier incarnation: `names`, `why`
-        forgotten
-    } kind;
-    std::uint64_t version = 0;
-    std::string why;
-    std::vector<std::string> names;
-
-    friend bool operator==(const Effect&, const Effect&) = default;
-};
-
 // How far a version has come.
 struct RolloutProgress {
     std::size_t live = 0, acting = 0;  // members whose lease holds; of these, that act on it or a later one
@@ -102,7 +83,7 @@
   public:
     explicit ChangeState(Limits limits) : limits_(limits) {}
 
-    std::vector<Effect> apply(const Command& command);
+    Effects apply(const Command& command);
 
     std::vector<std::uint8_t> save() const;
     void load(const std::vector<std::uint8_t>& bytes);  // throws std::runtime_error on another form or noise
@@ -199,7 +180,7 @@
 
     void publish(const std::string& asker, const Change& asked);
     void take(const RelayReport& word);
-    std::string fault_of(const RelayReport& word) const;
+    std::optional<StaleReason> stale_reason(const RelayReport& word) const;
     void take_joined(const std::string& relay, const MemberReport& word);
     void take_left(const std::string& name, std::uint64_t incarnation);
     void take_lost(const std::string& relay, const std::string& name, std::uint64_t incarnation);
@@ -222,7 +203,9 @@
     void settle_halt();
     void settle_in_force();
     void trim_kept();
-    void tell(Effect::Kind kind, std::string why = {}, std::vector<std::string> names = {});
+    void emit(Effect effect) { effects_.push_back(std::move(effect)); }
+    void reject(std::string reason, std::optional<std::string> member = std::nullopt);
+    void stale(const std::string& sender, StaleReason reason);
 
     Limits limits_;
     Document document_;
@@ -236,7 +219,7 @@
     std::map<std::string, Relay> relays_;
     Nanos now_ = 0;         // the latest time that a command has told: it never runs back
     Nanos hold_until_ = 0;  // nothing is told to be in force before
-    std::map<std::string, std::vector<Effect>> remembered_;
+    std::map<std::string, Effects> remembered_;
     std::deque<std::string> came_;
 
     // What follows from the above.
@@ -247,7 +230,7 @@
     std::map<std::uint64_t, std::size_t> refusing_;  // members that live, by the version that they refuse
     std::size_t live_ = 0;
     std::uint64_t looked_at_ = 0;
-    std::vector<Effect> effects_;
+    Effects effects_;
 };
 
 }  // namespace tealcart::changes
--- /dev/null
+++ b/src/fleet/effects.cpp
@@ -0,0 +1,109 @@
+#include "fleet/effects.hpp"
+
+#include <algorithm>
+#include <array>
+#include <string_view>
+
+#include "replicated/codec_error.hpp"
+
+namespace tealcart::fleet {
+namespace {
+
+using replicated::CodecError;
+
+constexpr std::array stage_names = {"queued", "granted", "done", "returning", "ended"};
+constexpr std::array stale_reasons = {"an earlier life", "not a member, or of another life",
+                                      "a generation that is not agreed"};
+constexpr std::string_view already = "already ";
+
+template <typename Enum, typename Names>
+Enum value_named(const Names& names, std::string_view name) {
+    const auto found = std::find(names.begin(), names.end(), name);
+    if (found == names.end())
+        throw CodecError(CodecError::Fault::malformed,
+                         "an effect with a reason that is not known: " + std::string(name));
+    return static_cast<Enum>(found - names.begin());
+}
+
+struct RecordOf {
+    EffectRecord operator()(const RemovalQueued& e) const {
+        return {EffectCode::asked, e.request, 0, 0, e.target, {}};
+    }
+    EffectRecord operator()(const RemovalAlreadyOpen& e) const {
+        return {EffectCode::asked, e.request, e.fence,
+                e.generation,      e.target,  std::string(already) + stage_name(e.stage)};
+    }
+    EffectRecord operator()(const CommandRejected& e) const {
+        return {EffectCode::refused, e.request, 0, e.generation, e.subject, e.reason};
+    }
+    EffectRecord operator()(const RemovalGranted& e) const { return of_request(EffectCode::granted, e); }
+    EffectRecord operator()(const RemovalDone& e) const { return of_request(EffectCode::done, e); }
+    EffectRecord operator()(const TargetReturned& e) const { return of_request(EffectCode::returned, e); }
+    EffectRecord operator()(const RequestEnded& e) const { return of_request(EffectCode::ended, e); }
+    EffectRecord operator()(const GrantsHalted& e) const {
+        return {EffectCode::halted, 0, 0, e.generation, {}, e.reason};
+    }
+    EffectRecord operator()(const GrantsResumed& e) const {
+        return {EffectCode::resumed, 0, 0, e.generation, {}, {}};
+    }
+    EffectRecord operator()(const MemberLeaseExpired& e) const {
+        return {EffectCode::over, 0, 0, e.generation, e.member, {}};
+    }
+    EffectRecord operator()(const StaleReport& e) const {
+        return {EffectCode::stale, 0,        0,
+                e.generation,      e.member, stale_reasons.at(static_cast<std::size_t>(e.reason))};
+    }
+    EffectRecord operator()(const MemberForgotten& e) const {
+        return {EffectCode::forgotten, 0, 0, e.generation, e.member, {}};
+    }
+
+  private:
+    template <typename OfRequest>
+    static EffectRecord of_request(EffectCode code, const OfRequest& e) {
+        return {code, e.request, e.fence, e.generation, e.target, {}};
+    }
+};
+
+Effect asked_effect(const EffectRecord& r) {
+    if (r.reason.empty()) return RemovalQueued{r.request, r.subject};
+    const std::string_view reason = r.reason;
+    const auto stage =
+        value_named<Stage>(stage_names, reason.substr(std::min(already.size(), reason.size())));
+    return RemovalAlreadyOpen{r.request, r.fence, r.generation, r.subject, stage};
+}
+
+}  // namespace
+
+const char* stage_name(Stage stage) { return stage_names.at(static_cast<std::size_t>(stage)); }
+
+EffectRecord record_of(const Effect& effect) { return std::visit(RecordOf{}, effect); }
+
+Effect effect_of(const EffectRecord& r) {
+    switch (r.code) {
+        case EffectCode::asked:
+            return asked_effect(r);
+        case EffectCode::refused:
+            return CommandRejected{r.request, r.generation, r.subject, r.reason};
+        case EffectCode::granted:
+            return RemovalGranted{r.request, r.fence, r.generation, r.subject};
+        case EffectCode::done:
+            return RemovalDone{r.request, r.fence, r.generation, r.subject};
+        case EffectCode::returned:
+            return TargetReturned{r.request, r.fence, r.generation, r.subject};
+        case EffectCode::ended:
+            return RequestEnded{r.request, r.fence, r.generation, r.subject};
+        case EffectCode::halted:
+            return GrantsHalted{r.generation, r.reason};
+        case EffectCode::resumed:
+            return GrantsResumed{r.generation};
+        case EffectCode::over:
+            return MemberLeaseExpired{r.generation, r.subject};
+        case EffectCode::stale:
+            return StaleReport{r.generation, r.subject, value_named<StaleReason>(stale_reasons, r.reason)};
+        case EffectCode::forgotten:
+            return MemberForgotten{r.generation, r.subject};
+    }
+    throw CodecError(CodecError::Fault::malformed, "an effect of a kind that is not known");
+}
+
+}  // namespace tealcart::fleet
--- a/src/fleet/fleet_codec.cpp
+++ b/src/fleet/fleet_codec.cpp
@@ -326,12 +326,14 @@
     json requests = json::array(), out = json::array(), remembered = json::array();
     for (const auto& [id, r] : requests_)
         requests.push_back(
-            {id, r.asker, of(r.target), int(r.stage), r.fence, r.generation, r.held_by, r.unacknowledged});
+            {id, r.asker, of(r.target), int(r.stage), r.fence, r.generation, r.blocked_by, r.unacknowledged});
     for (const auto& [t, id] : out_) out.push_back({of(t), id});
     for (const std::string& id : came_) {
         json list = json::array();
-        for (const Effect& e : remembered_.at(id))
-            list.push_back({int(e.kind), e.request, e.fence, e.generation, e.about, e.why});
+        for (const Effect& effect : remembered_.at(id)) {
+            const EffectRecord e = record_of(effect);
+            list.push_back({int(e.code), e.request, e.fence, e.generation, e.subject, e.reason});
+        }
         remembered.push_back({id, list});
     }
     const json rest = {{"form", state_form},          {"budgets", of(budgets_)},
@@ -393,10 +395,10 @@
                                        r.at(7).get<std::set<std::string>>()};
         for (const json& o : all.at("out")) anew.out_[target_of(o.at(0))] = o.at(1);
         for (const json& c : all.at("remembered")) {
-            std::vector<Effect> effects;
+            Effects effects;
             for (const json& e : c.at(1))
-                effects.push_back({static_cast<Effect::Kind>(e.at(0).get<int>()), e.at(1), e.at(2), e.at(3),
-                                   e.at(4), e.at(5)});
+                effects.push_back(effect_of({static_cast<EffectCode>(e.at(0).get<int>()), e.at(1), e.at(2),
+                                             e.at(3), e.at(4), e.at(5)}));
             anew.came_.push_back(c.at(0));
             anew.remembered_[anew.came_.back()] = std::move(effects);
         }
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -6,8 +6,6 @@
 namespace tealcart::fleet {
 namespace {
 
-const char* const stages[] = {"queued", "granted", "done", "returning", "ended"};
-
 template <typename Number>
 void step(Number& n, bool up, Number by = 1) {
     up ? n += by : n -= by;
@@ -43,7 +41,7 @@
     return std::min(most, static_cast<std::size_t>(std::max(0.0, by_share)));
 }
 
-std::vector<Effect> FleetState::apply(const Command& command) {
+Effects FleetState::apply(const Command& command) {
     if (const auto known = remembered_.find(command.id); known != remembered_.end()) return known->second;
     effects_.clear();
     looked_at_ = 0;
@@ -76,18 +74,21 @@
     recount();
 }
 
-void FleetState::tell(Effect::Kind kind, std::uint64_t request, std::string why) {
-    const auto it = requests_.find(request);
-    if (it == requests_.end()) return effects_.push_back({kind, request, 0, generation_, {}, std::move(why)});
-    const Request& r = it->second;
-    effects_.push_back({kind, request, r.fence, r.generation, r.target.name, std::move(why)});
+template <typename OfRequest>
+void FleetState::emit_of(std::uint64_t request) {
+    const Request& r = requests_.at(request);
+    emit(OfRequest{request, r.fence, r.generation, r.target.name});
+}
+
+void FleetState::reject(std::string subject, std::string reason, std::uint64_t request) {
+    emit(CommandRejected{request, generation_, std::move(subject), std::move(reason)});
 }
 
 void FleetState::on(const Join& c) {
     const auto [it, is_new] = members_.try_emplace(c.name);
     Member& m = it->second;
     if (c.incarnation < m.incarnation)
-        return effects_.push_back({Effect::stale, 0, 0, generation_, c.name, "an earlier life"});
+        return emit(StaleReport{generation_, c.name, StaleReason::earlier_incarnation});
     if (!is_new) count(c.name, m, false);
     // A new incarnation knows nothing of what the old one acted on, and has nothing in hand. The old one's
     // process may still be there: its word is not taken, and it hears so.
@@ -103,8 +104,7 @@
 void FleetState::on(const Renew& c) {
     const auto it = members_.find(c.name);
     if (it == members_.end() || it->second.incarnation != c.incarnation || it->second.left)
-        return effects_.push_back(
-            {Effect::stale, 0, 0, generation_, c.name, "not a member, or of another life"});
+        return emit(StaleReport{generation_, c.name, StaleReason::unknown_incarnation});
     Member& m = it->second;
     count(c.name, m, false);
     m.lease_until = std::max(m.lease_until, now_ + budgets_.lease);
@@ -113,8 +113,7 @@
     const bool agreed = c.word.applied_generation <= generation_;
     if (agreed && c.word.applied_generation >= m.word.applied_generation) m.word = c.word;
     count(c.name, m, true);
-    if (!agreed)
-        effects_.push_back({Effect::stale, 0, 0, generation_, c.name, "a generation that is not agreed"});
+    if (!agreed) emit(StaleReport{generation_, c.name, StaleReason::unagreed_generation});
 }
 
 void FleetState::on(const ReportBatch& c) {
@@ -125,8 +124,7 @@
 void FleetState::on(const Leave& c) {
     const auto it = members_.find(c.name);
     if (it == members_.end() || it->second.incarnation != c.incarnation)
-        return effects_.push_back(
-            {Effect::stale, 0, 0, generation_, c.name, "not a member, or of another life"});
+        return emit(StaleReport{generation_, c.name, StaleReason::unknown_incarnation});
     Member& m = it->second;
     count(c.name, m, false);
     m.left = true;
@@ -145,10 +143,10 @@
         why = "its lease is not over";
     else if (out(true, c.name))
         why = "it is out by agreement; undrain it first";
-    if (!why.empty()) return effects_.push_back({Effect::refused, 0, 0, generation_, c.name, why});
+    if (!why.empty()) return reject(c.name, why);
     count(c.name, it->second, false);
     members_.erase(it);
-    effects_.push_back({Effect::forgotten, 0, 0, generation_, c.name, {}});
+    emit(MemberForgotten{generation_, c.name});
 }
 
 // A node that discovery forgets while it is out stays known as gone, so that its request and what it uses up
@@ -183,27 +181,23 @@
 }
 
 void FleetState::on(const RequestRemoval& c) {
-    if (requests_.size() >= budgets_.max_open)
-        return effects_.push_back(
-            {Effect::refused, 0, 0, generation_, c.target.name, "too many requests are open"});
-    if (const auto it = counts_.open.find(c.target); it != counts_.open.end())
-        return tell(Effect::asked, it->second,
-                    std::string("already ") + stages[int(requests_.at(it->second).stage)]);
-    if (const auto why = never(c.target))
-        return effects_.push_back({Effect::refused, 0, 0, generation_, c.target.name, *why});
+    if (requests_.size() >= budgets_.max_open) return reject(c.target.name, "too many requests are open");
+    if (const auto it = counts_.open.find(c.target); it != counts_.open.end()) {
+        const Request& open = requests_.at(it->second);
+        return emit(RemovalAlreadyOpen{it->second, open.fence, open.generation, c.target.name, open.stage});
+    }
+    if (const auto why = never(c.target)) return reject(c.target.name, *why);
     Request& r = requests_[++last_request_];
     r = {c.asker, c.target, Stage::queued, 0, 0, queue_told_, {}};
     count(last_request_, r, true);
-    tell(Effect::asked, last_request_);
+    emit(RemovalQueued{last_request_, c.target.name});
 }
 
 // The way back. One that is not out yet just ends; one that is out comes back in settle(), the last one out
 // first.
 void FleetState::on(const Undo& c) {
     const auto it = requests_.find(c.request);
-    if (it == requests_.end())
-        return effects_.push_back(
-            {Effect::refused, c.request, 0, generation_, {}, "no such request is open"});
+    if (it == requests_.end()) return reject({}, "no such request is open", c.request);
     if (it->second.stage == Stage::queued) return end(c.request);
     count(c.request, it->second, false);
     it->second.stage = Stage::returning;
@@ -213,13 +207,13 @@
 void FleetState::on(const Halt& c) {
     halted_ = true;
     halted_for_ = c.why;
-    effects_.push_back({Effect::halted, 0, 0, generation_, {}, c.why});
+    emit(GrantsHalted{generation_, c.why});
 }
 
 void FleetState::on(const Resume&) {
     halted_ = false;
     halted_for_.clear();
-    effects_.push_back({Effect::resumed, 0, 0, generation_, {}, {}});
+    emit(GrantsResumed{generation_});
 }
 
 // Whoever took it out: what goes out by itself is not ours to stop, but uses up the budget.
@@ -485,7 +479,7 @@
     const auto it = requests_.find(request);
     count(request, it->second, false);
     it->second.stage = Stage::ended;
-    tell(Effect::ended, request);
+    emit_of<RequestEnded>(request);
     requests_.erase(it);
 }
 
@@ -511,7 +505,7 @@
     for (const std::string& name : newly_over_) {
         const auto it = members_.find(name);
         if (it != members_.end() && lease_over(it->second) && !std::exchange(it->second.lost, true))
-            effects_.push_back({Effect::over, 0, 0, generation_, name, {}});
+            emit(MemberLeaseExpired{generation_, name});
     }
     newly_over_.clear();
     // One that is out stays known until its request ends.
@@ -575,7 +569,7 @@
             r.unacknowledged.insert(name);
         }
         looked_at_ += r.unacknowledged.size();
-        tell(Effect::done, id);
+        emit_of<RemovalDone>(id);
     }
     look_at_.clear();
 }
@@ -595,7 +589,7 @@
         set_out(r.target, 0);
         r.generation = ++generation_;
         count(id, r, true);
-        tell(Effect::returned, id);
+        emit_of<TargetReturned>(id);
         if (!comes_back(r)) end(id);
     }
 }
@@ -640,7 +634,7 @@
     if (told != queue_told_) {
         queue_told_ = told;
         for (const auto& ids : queued)
-            for (const std::uint64_t id : ids) ++looked_at_, requests_.at(id).held_by = told;
+            for (const std::uint64_t id : ids) ++looked_at_, requests_.at(id).blocked_by = told;
     }
     bool waits[2] = {held, held};
     while (true) {
@@ -650,7 +644,7 @@
         const std::uint64_t id = *queued[router].begin();
         Request& r = requests_.at(id);
         if (const auto why = holds_back(r.target)) {
-            r.held_by = *why;
+            r.blocked_by = *why;
             waits[router] = true;
             continue;
         }
@@ -658,10 +652,10 @@
         r.stage = Stage::granted;
         r.fence = ++fence_;
         r.generation = ++generation_;
-        r.held_by.clear();
+        r.blocked_by.clear();
         set_out(r.target, id);
         count(id, r, true);
-        tell(Effect::granted, id);
+        emit_of<RemovalGranted>(id);
     }
 }
 
--- a/src/fleet/fleet_state.hpp
+++ b/src/fleet/fleet_state.hpp
@@ -16,6 +16,9 @@
 #include <variant>
 #include <vector>
 
+#include "fleet/effects.hpp"
+#include "fleet/removal.hpp"
+
 namespace tealcart::fleet {
 
 using Nanos = std::int64_t;
@@ -55,7 +58,6 @@
 
 enum class Role : std::uint8_t { router, control };
 enum class Health : std::uint8_t { whole, draining, cold, gone, unknown };
-enum class Stage : std::uint8_t { queued, granted, done, returning, ended };
 
 struct Node {
     std::string zone, kind;
@@ -66,28 +68,6 @@
     friend bool operator==(const Node&, const Node&) = default;
 };
 
-// A data node, or a query router by its member's name.
-struct Target {
-    bool router = false;
-    std::string name;
-
-    friend auto operator<=>(const Target&, const Target&) = default;
-};
-
-// In the order of targets, and looked up by a name that need not be copied.
-struct TargetView {
-    bool router = false;
-    std::string_view name;
-};
-struct TargetLess {
-    using is_transparent = void;
-    template <typename A, typename B>
-    bool operator()(const A& a, const B& b) const {
-        return a.router != b.router ? a.router < b.router
-                                    : std::string_view(a.name) < std::string_view(b.name);
-    }
-};
-
 // What a member says each time, of itself.
 struct MemberReport {
     std::uint64_t applied_generation = 0;   // the generation it goes by
@@ -108,16 +88,6 @@
     MemberReport word;
 };
 
-struct Request {
-    std::string asker;
-    Target target;
-    Stage stage = Stage::queued;
-    std::uint64_t fence = 0, generation = 0;  // 0 until granted
-    std::string held_by;                      // the limit that a queued one waits for
-    // Of one that is done: members whose lease was over, and which may have gone by an older word then.
-    std::set<std::string> unacknowledged;
-};
-
 // What is counted as commands change it, so that none looks through all nodes, members or requests. All of it
 // follows from nodes, members, requests, what is out and the budgets, at the last command's time.
 struct Counts {
@@ -217,31 +187,11 @@
 std::vector<std::uint8_t> write_command(const Command& command);
 Command read_command(const std::uint8_t* bytes, std::size_t size);
 
-struct Effect {
-    enum Kind : std::uint8_t {
-        asked,     // the request has this number
-        refused,   // it can never be granted, or is wrong: `why`
-        granted,   // under this fence; everyone is to be told this generation
-        done,      // nothing more reaches the target
-        returned,  // it may take work again
-        ended,     // it is whole again, or was taken back before it was out
-        halted,
-        resumed,
-        over,      // a member's lease has certainly ended
-        stale,     // the word of an earlier incarnation, not taken
-        forgotten  // a member that was lost counts no more
-    } kind;
-    std::uint64_t request = 0, fence = 0, generation = 0;
-    std::string about, why;
-
-    friend bool operator==(const Effect&, const Effect&) = default;
-};
-
 class FleetState {
   public:
     explicit FleetState(Budgets budgets) : budgets_(std::move(budgets)) {}
 
-    std::vector<Effect> apply(const Command& command);
+    Effects apply(const Command& command);
 
     // Whole state, with a number for its form. `load` throws std::runtime_error on another form or noise.
     std::vector<std::uint8_t> save() const;
@@ -314,15 +264,19 @@
     void settle_halts();
     void settle_grants();
     std::map<std::string, std::string> trouble() const;
-    void tell(Effect::Kind kind, std::uint64_t request, std::string why = {});
+    // The effect of a request that is open, with its fence, generation and target.
+    template <typename OfRequest>
+    void emit_of(std::uint64_t request);
+    void emit(Effect effect) { effects_.push_back(std::move(effect)); }
+    void reject(std::string subject, std::string reason, std::uint64_t request = 0);
 
     Budgets budgets_;
     std::map<std::string, Member> members_;
     std::map<std::string, Node> nodes_;
     std::map<std::uint64_t, Request> requests_;        // not yet ended, in the order in which they were asked
     std::map<Target, std::uint64_t, TargetLess> out_;  // by which request
-    std::map<std::string, std::vector<Effect>> remembered_;  // what came of each command of late ...
-    std::deque<std::string> came_;                           // ... in the order in which they came
+    std::map<std::string, Effects> remembered_;        // what came of each command of late ...
+    std::deque<std::string> came_;                     // ... in the order in which they came
     std::uint64_t generation_ = 0, fence_ = 0, last_request_ = 0;
     bool halted_ = false;
     std::string halted_for_;
@@ -330,7 +284,7 @@
     std::set<std::string> found_silent_;  // data nodes, by enough of the routers
     Nanos now_ = 0;                       // the latest time that a command has told: it never runs back
     Nanos hold_until_ = 0;                // nothing is granted before: members may not have been heard
-    std::vector<Effect> effects_;
+    Effects effects_;
     // All below follows from what stands above.
     Counts counts_;
     std::set<std::string> newly_over_;      // members that may not have been told of
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -71,17 +71,18 @@
     return r;
 }
 
-const char* word_of(changes::Effect::Kind kind) {
+const char* word_of(changes::EffectCode code) {
     static const char* const words[] = {"published", "refused", "in force", "member refuses", "halted",
                                         "resumed",   "over",    "stale",    "forgotten"};
-    return words[kind];
+    return words[static_cast<int>(code)];
 }
 
-std::string write_effects(const std::vector<changes::Effect>& effects) {
+std::string write_effects(const changes::Effects& effects) {
     Json list = Json::array();
-    for (const changes::Effect& e : effects) {
-        Json one = {{"what", word_of(e.kind)}, {"version", e.version}};
-        if (!e.why.empty()) one["why"] = e.why;
+    for (const changes::Effect& effect : effects) {
+        const changes::EffectRecord e = changes::record_of(effect);
+        Json one = {{"what", word_of(e.code)}, {"version", e.version}};
+        if (!e.reason.empty()) one["why"] = e.reason;
         if (!e.names.empty()) one["names"] = e.names;
         list.push_back(std::move(one));
     }
--- a/src/fleet_manager/change_requests.hpp
+++ b/src/fleet_manager/change_requests.hpp
@@ -31,9 +31,9 @@
 std::string write_changes(const changes::ChangeState& state, const ChangeFigures& figures);
 // One entry at the latest version; nothing where there is none.
 std::optional<std::string> write_entry(const changes::ChangeState& state, const std::string& key);
-std::string write_effects(const std::vector<changes::Effect>& effects);
+std::string write_effects(const changes::Effects& effects);
 
-const char* word_of(changes::Effect::Kind kind);
+const char* word_of(changes::EffectCode code);
 
 // What a relay with this copy is to be told of the document: pages where one delta would be too long.
 void put_news(const changes::ChangeState& state, const Watched& watched, ChangesAnswer& answer);
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -19,12 +19,16 @@
 constexpr int handlers_a_turn = 4096;
 enum Due : std::uint64_t { flush, flush_of_relays };
 
-// Why a relay's word was not taken, where to say all of it would not help.
-std::string refusal_of(const std::vector<changes::Effect>& effects, const std::string& relay) {
-    for (const changes::Effect& e : effects)
-        if (e.kind == changes::Effect::stale && !e.names.empty() && e.names[0] == relay &&
-            (e.why == "malformed" || e.why.rfind("no room", 0) == 0))
-            return e.why;
+// Why a relay's report was not applied, where a full report would not help.
+std::string refusal_of(const changes::Effects& effects, const std::string& relay) {
+    using changes::StaleReason;
+    for (const changes::Effect& effect : effects) {
+        const auto* stale = std::get_if<changes::StaleReport>(&effect);
+        if (stale == nullptr || stale->sender != relay) continue;
+        if (stale->reason == StaleReason::malformed || stale->reason == StaleReason::too_many_members ||
+            stale->reason == StaleReason::too_many_relays)
+            return changes::describe(stale->reason);
+    }
     return {};
 }
 
@@ -301,12 +305,10 @@
             command.what = changes::Publish{std::move(call->asker), std::move(call->set),
                                             std::move(call->removed), call->based_on};
         if (what == "back") command.what = changes::Rollback{std::move(call->asker), call->to};
-        propose_change(std::move(command),
-                       [this, client](bool agreed, const std::vector<changes::Effect>& effects) {
-                           if (!agreed)
-                               return refuse(client, 503, "not agreed: ask again, under the same id");
-                           front_.answer(client, {200, write_effects(effects), 0});
-                       });
+        propose_change(std::move(command), [this, client](bool agreed, const changes::Effects& effects) {
+            if (!agreed) return refuse(client, 503, "not agreed: ask again, under the same id");
+            front_.answer(client, {200, write_effects(effects), 0});
+        });
     }
     return true;
 }
@@ -368,7 +370,7 @@
     } else {
         return refuse(client, 404, "no such path");
     }
-    propose(std::move(commands), [this, client](bool agreed, const std::vector<fleet::Effect>& effects) {
+    propose(std::move(commands), [this, client](bool agreed, const fleet::Effects& effects) {
         if (!agreed) return refuse(client, 503, "not agreed: ask again, under the same id");
         front_.answer(client, {200, write_effects(effects), 0});
     });
@@ -378,7 +380,7 @@
     struct All {
         std::size_t left;
         bool agreed = true;
-        std::vector<fleet::Effect> effects;
+        fleet::Effects effects;
         Told told;
     };
     auto all = std::make_shared<All>(All{commands.size(), true, {}, std::move(told)});
@@ -398,7 +400,7 @@
     command.at = time_.now() + clock_error_;
     ticked_changes_at_ = time_.now();
     const auto ended = [this, told](bool applied) {
-        told(applied, applied ? last_change_effects_ : std::vector<changes::Effect>{});
+        told(applied, applied ? last_change_effects_ : changes::Effects{});
     };
     if (!raft_.propose(entry_of_changes(changes::write_command(command)), ended)) ended(false);
 }
@@ -423,23 +425,26 @@
     const Entry entry = read_entry(bytes, size);
     if (entry.of_changes) {
         last_change_effects_ = changes_.apply(changes::read_command(entry.bytes, entry.size));
-        for (const changes::Effect& e : last_change_effects_) {
+        for (const changes::Effect& effect : last_change_effects_) {
+            const changes::EffectRecord e = changes::record_of(effect);
             std::string names;
             for (const std::string& name : e.names) names += (names.empty() ? ": " : ", ") + name;
-            log_line("changes: %s: version %llu%s%s%s", word_of(e.kind),
-                     static_cast<unsigned long long>(e.version), names.c_str(), e.why.empty() ? "" : ": ",
-                     e.why.c_str());
+            log_line("changes: %s: version %llu%s%s%s", word_of(e.code),
+                     static_cast<unsigned long long>(e.version), names.c_str(), e.reason.empty() ? "" : ": ",
+                     e.reason.c_str());
         }
         return;
     }
     const fleet::Command command = fleet::read_command(entry.bytes, entry.size);
     last_effects_ = state_.apply(command);
     if (const auto* seen = std::get_if<fleet::EndpointsObserved>(&command.what)) view_.agreed(*seen);
-    for (const fleet::Effect& e : last_effects_)
-        log_line("%s: request %llu fence %llu generation %llu %s%s%s", word_of(e.kind),
+    for (const fleet::Effect& effect : last_effects_) {
+        const fleet::EffectRecord e = fleet::record_of(effect);
+        log_line("%s: request %llu fence %llu generation %llu %s%s%s", word_of(e.code),
                  static_cast<unsigned long long>(e.request), static_cast<unsigned long long>(e.fence),
-                 static_cast<unsigned long long>(e.generation), e.about.c_str(), e.why.empty() ? "" : ": ",
-                 e.why.c_str());
+                 static_cast<unsigned long long>(e.generation), e.subject.c_str(),
+                 e.reason.empty() ? "" : ": ", e.reason.c_str());
+    }
 }
 
 // What only the one that leads does: time goes on, the data nodes as discovery tells of them, the budgets of
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -71,9 +71,9 @@
     void answer_relay(const RelayWaiting& w);
     void tell_relays();
     // All of the commands, in this order; told once the last is applied, with what came of them.
-    using Told = std::function<void(bool agreed, std::vector<fleet::Effect> effects)>;
+    using Told = std::function<void(bool agreed, fleet::Effects effects)>;
     void propose(std::vector<fleet::Command> commands, Told told);
-    using ChangesTold = std::function<void(bool agreed, std::vector<changes::Effect> effects)>;
+    using ChangesTold = std::function<void(bool agreed, changes::Effects effects)>;
     void propose_change(changes::Command command, ChangesTold told);
     void tell_waiting();
     void lead();
@@ -100,8 +100,8 @@
     std::map<std::uint32_t, RelayWaiting> relays_waiting_;  // by the client's slot
     RelayBatch relay_batch_;
     TimerQueue::Ticket flush_due_ = TimerQueue::none, flush_relays_due_ = TimerQueue::none;
-    std::vector<fleet::Effect> last_effects_;
-    std::vector<changes::Effect> last_change_effects_;
+    fleet::Effects last_effects_;
+    changes::Effects last_change_effects_;
     std::uint64_t told_generation_ = 0, led_by_ = 0;
     Nanos timer_at_ = TimerQueue::never, proposed_at_ = 0, ticked_changes_at_ = 0, stop_began_ = 0,
           view_at_ = 0;
--- a/src/fleet_manager/operator_requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -22,15 +22,10 @@
 
 }  // namespace
 
-const char* word_of(fleet::Effect::Kind kind) {
+const char* word_of(fleet::EffectCode code) {
     static const char* const words[] = {"asked",  "refused", "granted", "done",  "returned", "ended",
                                         "halted", "resumed", "over",    "stale", "forgotten"};
-    return words[kind];
-}
-
-const char* word_of(fleet::Stage stage) {
-    static const char* const words[] = {"queued", "granted", "done", "returning", "ended"};
-    return words[static_cast<int>(stage)];
+    return words[static_cast<int>(code)];
 }
 
 const char* word_of(fleet::Health health) {
@@ -71,15 +66,16 @@
     return call;
 }
 
-std::string write_effects(const std::vector<fleet::Effect>& effects) {
+std::string write_effects(const fleet::Effects& effects) {
     Json list = Json::array();
-    for (const fleet::Effect& e : effects) {
-        Json one = {{"what", word_of(e.kind)}};
+    for (const fleet::Effect& effect : effects) {
+        const fleet::EffectRecord e = fleet::record_of(effect);
+        Json one = {{"what", word_of(e.code)}};
         if (e.request > 0) one["request"] = e.request;
         if (e.fence > 0) one["fence"] = e.fence;
         one["generation"] = e.generation;
-        if (!e.about.empty()) one["about"] = e.about;
-        if (!e.why.empty()) one["why"] = e.why;
+        if (!e.subject.empty()) one["about"] = e.subject;
+        if (!e.reason.empty()) one["why"] = e.reason;
         list.push_back(std::move(one));
     }
     return Json{{"effects", list}}.dump();
@@ -98,9 +94,10 @@
                 {"discovery_silent_ms", figures.discovery_silent / ms}};
     Json requests = Json::array(), members = Json::array(), nodes = Json::array();
     for (const auto& [id, r] : state.requests()) {
-        Json one = {{"request", id},       {"target", out_of(r.target)}, {"stage", word_of(r.stage)},
-                    {"asker", r.asker},    {"fence", r.fence},           {"generation", r.generation},
-                    {"held_by", r.held_by}};
+        Json one = {
+            {"request", id},          {"target", out_of(r.target)}, {"stage", fleet::stage_name(r.stage)},
+            {"asker", r.asker},       {"fence", r.fence},           {"generation", r.generation},
+            {"held_by", r.blocked_by}};
         one["waits_for"] = r.stage == fleet::Stage::granted ? state.waits_for(r) : std::vector<std::string>{};
         one["unheard"] = r.unacknowledged;
         requests.push_back(std::move(one));
--- a/src/fleet_manager/operator_requests.hpp
+++ b/src/fleet_manager/operator_requests.hpp
@@ -32,10 +32,9 @@
 // listed that are not as they should be, and `max_exceptions` of them at most; all are counted, by zone.
 constexpr std::size_t max_listed_whole = 200, max_exceptions = 1000;
 std::string write_status(const fleet::FleetState& state, const ManagerFigures& figures, bool all);
-std::string write_effects(const std::vector<fleet::Effect>& effects);
+std::string write_effects(const fleet::Effects& effects);
 
-const char* word_of(fleet::Effect::Kind kind);
-const char* word_of(fleet::Stage stage);
+const char* word_of(fleet::EffectCode code);
 const char* word_of(fleet::Health health);
 
 // What a member's call says, as commands.
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -104,18 +104,18 @@
         for (const auto& [name, node] : state_.nodes())
             if (!state_.counts_as_out({false, name})) whole.insert(name);
         const std::uint64_t before = state_.generation();
-        for (const fleet::Effect& e : state_.apply(c)) {
-            if (e.kind == fleet::Effect::granted) {
+        for (const fleet::Effect& effect : state_.apply(c)) {
+            if (const auto* granted = std::get_if<RemovalGranted>(&effect)) {
                 ++verdict_.grants;
-                granted_at_[e.request] = now_;
-                if (whole.contains(e.about)) check_budget();
+                granted_at_[granted->request] = now_;
+                if (whole.contains(granted->target)) check_budget();
             }
-            if (e.kind == fleet::Effect::done) {
+            if (const auto* done = std::get_if<RemovalDone>(&effect)) {
                 ++verdict_.dones;
-                done_.insert(e.about);
-                verdict_.grant_to_done.push_back(now_ - granted_at_[e.request]);
+                done_.insert(done->target);
+                verdict_.grant_to_done.push_back(now_ - granted_at_[done->request]);
             }
-            if (e.kind == fleet::Effect::returned) done_.erase(e.about);
+            if (const auto* returned = std::get_if<TargetReturned>(&effect)) done_.erase(returned->target);
         }
         if (state_.generation() != before) answer_waiting([](const Waiting&) { return true; });
     }
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -45,7 +45,7 @@
     std::uint64_t in_force = 0, tripped = 0;
     bool halted = false;
     Nanos now = 0, hold = 0;
-    std::vector<Effect> effects;
+    Effects effects;
 
     std::uint64_t version() const { return versions.size() - 1; }
     std::uint64_t agreed(std::uint64_t v) const { return v > version() ? 0 : v; }
@@ -113,7 +113,7 @@
         for (Relay* r : over) {
             drop_all(*r);
             r->live = false;
-            effects.push_back({Effect::over, version(), "", {r->name}});
+            effects.push_back(RelayLeaseExpired{version(), r->name});
         }
         forget();
     }
@@ -127,18 +127,17 @@
             relays, [&](const Relay& r) { return !r.live && now > r.lease + limits.forget + limits.drift; });
     }
 
-    std::string fault(const RelayReport& w) {
+    std::optional<StaleReason> fault(const RelayReport& w) {
         const Relay* r = relay(w.relay);
-        if (r == nullptr) return w.whole ? "" : "it is not known: all is to be said";
-        if (w.incarnation < r->incarnation) return "an earlier life";
-        if (w.incarnation == r->incarnation && w.number <= r->number) return "overtaken";
-        if (w.whole) return "";
-        if (w.incarnation > r->incarnation) return "a new life: all is to be said";
-        return r->live ? "" : "its lease was over: all is to be said";
+        if (r == nullptr) return w.whole ? std::nullopt : std::optional(StaleReason::unknown_relay);
+        if (w.incarnation < r->incarnation) return StaleReason::earlier_incarnation;
+        if (w.incarnation == r->incarnation && w.number <= r->number) return StaleReason::overtaken;
+        if (w.whole) return std::nullopt;
+        if (w.incarnation > r->incarnation) return StaleReason::new_incarnation;
+        return r->live ? std::nullopt : std::optional(StaleReason::lease_expired);
     }
     void take(const RelayReport& w) {
-        if (const std::string why = fault(w); !why.empty())
-            return effects.push_back({Effect::stale, version(), why, {w.relay}});
+        if (const auto reason = fault(w)) return effects.push_back(StaleReport{version(), w.relay, *reason});
         Relay* r = relay(w.relay);
         if (r == nullptr) r = &relays.emplace_back(Relay{w.relay, w.incarnation});
         if (w.whole) drop_all(*r);
@@ -165,7 +164,7 @@
         for (const MemberReport& j : w.joined) {
             Who* m = member(j.name);
             if (m != nullptr && j.incarnation < m->incarnation) {
-                effects.push_back({Effect::stale, version(), "an earlier life", {j.name}});
+                effects.push_back(StaleReport{version(), j.name, StaleReason::earlier_incarnation});
                 continue;
             }
             if (m == nullptr) m = &members.emplace_back();
@@ -190,7 +189,7 @@
             m->refused = agreed(e.refused) > applied_version(*m) ? e.refused : 0;
             if (m->refused > m->told) {
                 m->told = m->refused;
-                effects.push_back({Effect::member_refuses, m->refused, e.why, {e.name}});
+                effects.push_back(MemberRefused{m->refused, e.name, e.why});
             }
         }
         for (Who& m : members)
@@ -202,13 +201,13 @@
         mend_refusals();
     }
 
-    void refuse(const std::string& why, std::vector<std::string> names = {}) {
-        effects.push_back({Effect::refused, version(), why, std::move(names)});
+    void refuse(const std::string& why, std::optional<std::string> name = std::nullopt) {
+        effects.push_back(CommandRejected{version(), why, std::move(name)});
     }
     void make(const Document& next) {
         if (next == versions.back()) return refuse("nothing would change");
         versions.push_back(next);
-        effects.push_back({Effect::published, version(), "", {}});
+        effects.push_back(VersionPublished{version()});
     }
     void on(const Publish& c) {
         if (halted) return refuse("halted: " + halted_for);
@@ -228,21 +227,21 @@
     void on(const Resume&) {
         halted = false;
         halted_for.clear();
-        effects.push_back({Effect::resumed, version(), "", {}});
+        effects.push_back(PublishingResumed{version()});
     }
     void on(const ReportBatch& c) {
         for (const RelayReport& w : c.words) take(w);
     }
     void on(const Forget& c) {
         const Who* m = member(c.name);
-        if (m == nullptr) return refuse("no such member", {c.name});
-        if (lives(*m)) return refuse("its lease is not over", {c.name});
+        if (m == nullptr) return refuse("no such member", c.name);
+        if (lives(*m)) return refuse("its lease is not over", c.name);
         std::erase_if(members, [&](const Who& w) { return w.name == c.name; });
-        effects.push_back({Effect::forgotten, version(), "", {c.name}});
+        effects.push_back(MemberForgotten{version(), c.name});
     }
     void on(const SetLimits& c) {
         limits = c.limits;
-        std::vector<Effect> kept = effects;
+        Effects kept = effects;
         const Nanos at = now;
         now = at - 1;
         limits.lease = INT64_MAX / 8;  // no gap
@@ -251,7 +250,7 @@
     }
     void on(const Tick&) {}
 
-    std::vector<Effect> apply(const Command& c) {
+    Effects apply(const Command& c) {
         effects.clear();
         pass(c.at);
         std::visit([this](const auto& what) { on(what); }, c.what);
@@ -270,14 +269,14 @@
             halted = true;
             halted_for = std::to_string(refusing) + " of " + std::to_string(live) +
                          " members refuse version " + std::to_string(version());
-            effects.push_back({Effect::halted, version(), halted_for, {}});
+            effects.push_back(PublishingHalted{version(), halted_for});
         }
         if (now >= hold && least > in_force) {
             in_force = least;
             for (const Who& w : members)
                 if (!lives(w) && may_act(w) && w.stated < least) names.push_back(w.name);
             std::sort(names.begin(), names.end());
-            effects.push_back({Effect::in_force, least, "", names});
+            effects.push_back(AppliedEverywhere{least, names});
         }
         return effects;
     }
@@ -438,7 +437,7 @@
 }  // namespace
 
 TEST_CASE("generated commands give what the plain model of changes gives, on each replica") {
-    std::map<Effect::Kind, std::size_t> told;
+    std::map<std::size_t, std::size_t> told;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
         Generator generator(seed);
@@ -449,15 +448,15 @@
         for (int step = 0; step < 600; ++step) {
             CAPTURE(step);
             const Command c = generator.next(state);
-            const std::vector<Effect> effects = state.apply(c);
+            const Effects effects = state.apply(c);
             // One that comes twice is one, on whichever replica; a later one with its id is taken for it.
             const auto [known, is_new] = came.emplace(c.id, effects);
             if (!is_new && !c.id.empty()) {
                 REQUIRE(effects == known->second);
             } else {
-                const std::vector<Effect> want = plain.apply(c);
+                const Effects want = plain.apply(c);
                 REQUIRE(effects == want);
-                for (const Effect& e : effects) ++told[e.kind];
+                for (const Effect& e : effects) ++told[e.index()];
             }
             const auto bytes = write_command(c);
             REQUIRE(other.apply(read_command(bytes.data(), bytes.size())) == effects);
@@ -473,10 +472,8 @@
         }
     }
     // The runs go through all of it.
-    for (const auto kind :
-         {Effect::published, Effect::refused, Effect::in_force, Effect::member_refuses, Effect::halted,
-          Effect::resumed, Effect::over, Effect::stale, Effect::forgotten}) {
-        CAPTURE(int(kind));
+    for (std::size_t kind = 0; kind < std::variant_size_v<Effect>; ++kind) {
+        CAPTURE(kind);
         CHECK(told[kind] > 50);
     }
 }
@@ -595,15 +592,17 @@
     template <typename What>
     void apply(What what) {
         for (const Effect& e : state.apply({"", now + offset, std::move(what)})) {
-            if (e.kind == Effect::halted) halted = true;
-            if (e.kind != Effect::in_force) continue;
-            ++in_force, named += e.names.size();
+            if (std::holds_alternative<PublishingHalted>(e)) halted = true;
+            const auto* applied = std::get_if<AppliedEverywhere>(&e);
+            if (applied == nullptr) continue;
+            ++in_force, named += applied->may_lag.size();
             for (const MemberAt& m : members) {
-                if (!m.runs || m.applied_version >= e.version || !m.had_lease) continue;
-                CAPTURE(m.name, e.version, m.applied_version);
+                if (!m.runs || m.applied_version >= applied->version || !m.had_lease) continue;
+                CAPTURE(m.name, applied->version, m.applied_version);
                 REQUIRE(m.clock(now) > m.lease_until);
                 const bool may_act = m.clock(now) <= m.lease_until + serve_on;
-                REQUIRE((!may_act || std::binary_search(e.names.begin(), e.names.end(), m.name)));
+                REQUIRE((!may_act ||
+                         std::binary_search(applied->may_lag.begin(), applied->may_lag.end(), m.name)));
             }
         }
     }
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -5,8 +5,12 @@
 
 #include "changes/change_state.hpp"
 #include "changes/report_aggregator.hpp"
+#include "effect_kinds.hpp"
 
 using namespace tealcart::changes;
+using tealcart::test::Kinds;
+using tealcart::test::kinds;
+using tealcart::test::kinds_of;
 
 namespace {
 
@@ -23,13 +27,13 @@
     explicit Changes(Limits limits = small_limits()) : state(limits) {}
 
     template <typename What>
-    std::vector<Effect> tell(What what, std::string id = "") {
+    Effects tell(What what, std::string id = "") {
         return state.apply({std::move(id), now, std::move(what)});
     }
-    std::vector<Effect> set(const std::string& key, const std::string& value) {
+    Effects set(const std::string& key, const std::string& value) {
         return tell(Publish{"ann", {{key, value}}, {}, {}});
     }
-    std::vector<Effect> says(RelayReport word) { return tell(ReportBatch{{std::move(word)}}); }
+    Effects says(RelayReport word) { return tell(ReportBatch{{std::move(word)}}); }
     // The next word of a relay, of all its members.
     RelayReport word(const std::string& relay, std::uint64_t lowest,
                      std::vector<MemberReport> exceptions = {}) {
@@ -42,8 +46,8 @@
         return w;
     }
     // In steps that are no gap in the agreement.
-    std::vector<Effect> pass(Nanos span) {
-        std::vector<Effect> all;
+    Effects pass(Nanos span) {
+        Effects all;
         const Nanos until = now + span;
         while (now < until) {
             now = std::min(until, now + second);
@@ -65,25 +69,19 @@
     return {name, 1, 3600 * second, applied_version, version, "it can't"};
 }
 
-using Kinds = std::vector<Effect::Kind>;
-Kinds kinds(const std::vector<Effect>& effects) {
-    Kinds all;
-    for (const Effect& e : effects) all.push_back(e.kind);
-    return all;
-}
 using Names = std::vector<std::string>;
 
 }  // namespace
 
 TEST_CASE("a change makes one version more, and is refused where it is wrong or based on an earlier one") {
     Changes c;
-    CHECK(kinds(c.set("a", "1")) == Kinds{Effect::published, Effect::in_force});
+    CHECK(kinds(c.set("a", "1")) == kinds_of<Effect, VersionPublished, AppliedEverywhere>());
     CHECK(c.state.version() == 1);
     CHECK(c.state.document() == Document{{"a", "1"}});
     const auto why = [&](Publish p) {
         const auto effects = c.tell(std::move(p));
-        REQUIRE(kinds(effects) == Kinds{Effect::refused});
-        return effects[0].why;
+        REQUIRE(kinds(effects) == kinds_of<Effect, CommandRejected>());
+        return std::get<CommandRejected>(effects[0]).reason;
     };
     CHECK(why({"ann", {}, {}, {}}) == "nothing would change");
     CHECK(why({"ann", {{"a", "1"}}, {"b"}, {}}) == "nothing would change");
@@ -96,7 +94,8 @@
     std::map<std::string, std::string> many;
     for (int i = 0; i < 1000; ++i) many["k" + std::to_string(i)] = "v";
     CHECK(why({"ann", many, {}, {}}) == "more than 1000 entries");
-    CHECK(kinds(c.tell(Publish{"bob", many, {"a"}, 1})) == Kinds{Effect::published, Effect::in_force});
+    CHECK(kinds(c.tell(Publish{"bob", many, {"a"}, 1})) ==
+          kinds_of<Effect, VersionPublished, AppliedEverywhere>());
     CHECK(c.state.version() == 2);
     CHECK(c.state.document() == many);
     CHECK(c.state.digest() == digest_of(many));
@@ -106,20 +105,20 @@
     Changes c;
     CHECK(c.says(c.first("r1", {member("m1"), member("m2")})).empty());
     CHECK(c.says(c.first("r2", {member("m3")})).empty());
-    CHECK(kinds(c.set("a", "1")) == Kinds{Effect::published});
+    CHECK(kinds(c.set("a", "1")) == kinds_of<Effect, VersionPublished>());
     CHECK(c.says(c.word("r1", 1)).empty());
     CHECK(c.says(c.word("r2", 0)).empty());
     CHECK(c.state.reach(1, 10).behind == Names{"m3"});
     const auto done = c.says(c.word("r2", 1));
-    CHECK(done == std::vector<Effect>{{Effect::in_force, 1, "", {}}});
+    CHECK(done == Effects{AppliedEverywhere{1, {}}});
     CHECK(c.state.in_force() == 1);
     // Two at once: only the later is told; one member that is behind by name holds it up.
     c.set("a", "2");
     c.set("a", "3");
     CHECK(c.says(c.word("r2", 3)).empty());
     CHECK(c.says(c.word("r1", 3, {member("m2", 1)})).empty());
-    CHECK(c.says(c.word("r1", 3, {member("m2", 2)})) == std::vector<Effect>{{Effect::in_force, 2, "", {}}});
-    CHECK(c.says(c.word("r1", 3)) == std::vector<Effect>{{Effect::in_force, 3, "", {}}});
+    CHECK(c.says(c.word("r1", 3, {member("m2", 2)})) == Effects{AppliedEverywhere{2, {}}});
+    CHECK(c.says(c.word("r1", 3)) == Effects{AppliedEverywhere{3, {}}});
 }
 
 TEST_CASE(
@@ -133,12 +132,11 @@
         CHECK(c.says(c.word("r1", 1)).empty());
     }
     c.now += 1;
-    CHECK(c.tell(Tick{}) ==
-          std::vector<Effect>{{Effect::over, 1, "", {"r2"}}, {Effect::in_force, 1, "", {"m2"}}});
+    CHECK(c.tell(Tick{}) == Effects{RelayLeaseExpired{1, "r2"}, AppliedEverywhere{1, {"m2"}}});
     CHECK(c.state.reach(1, 10).unacknowledged == Names{"m2"});
     // Its relay is back, of the same incarnation: it must say all, since nobody knows what it granted in
     // between.
-    CHECK(kinds(c.says(c.word("r2", 1))) == Kinds{Effect::stale});
+    CHECK(kinds(c.says(c.word("r2", 1))) == kinds_of<Effect, StaleReport>());
     CHECK(c.state.last_number("r2", 1) == 0);
     CHECK(c.says(c.first("r2", {member("m2", 1)}, 1)).empty());
     CHECK(c.state.reach(1, 10).unacknowledged.empty());
@@ -150,22 +148,21 @@
     c.set("a", "1");
     c.says(c.word("r1", 1));
     c.set("a", "bad");
-    CHECK(c.says(c.word("r1", 2, {refuses("m1", 1, 2)})) ==
-          std::vector<Effect>{{Effect::member_refuses, 2, "it can't", {"m1"}}});
+    CHECK(c.says(c.word("r1", 2, {refuses("m1", 1, 2)})) == Effects{MemberRefused{2, "m1", "it can't"}});
     CHECK(c.says(c.word("r1", 2, {refuses("m1", 1, 2)})).empty());
     CHECK(c.state.reach(2, 9).refusing == Names{"m1"});
     const auto halted = c.says(c.word("r1", 2, {refuses("m1", 1, 2), refuses("m3", 1, 2)}));
-    CHECK(kinds(halted) == Kinds{Effect::member_refuses, Effect::halted});
-    CHECK(halted[1].why == "2 of 4 members refuse version 2");
-    CHECK(kinds(c.set("b", "1")) == Kinds{Effect::refused});
-    CHECK(kinds(c.tell(Rollback{"ann", 1})) == Kinds{Effect::published});
+    CHECK(kinds(halted) == kinds_of<Effect, MemberRefused, PublishingHalted>());
+    CHECK(std::get<PublishingHalted>(halted[1]).reason == "2 of 4 members refuse version 2");
+    CHECK(kinds(c.set("b", "1")) == kinds_of<Effect, CommandRejected>());
+    CHECK(kinds(c.tell(Rollback{"ann", 1})) == kinds_of<Effect, VersionPublished>());
     CHECK(c.state.version() == 3);
     CHECK(c.state.document() == Document{{"a", "1"}});
     CHECK(c.state.halted());
-    CHECK(kinds(c.says(c.word("r1", 3))) == Kinds{Effect::in_force});
+    CHECK(kinds(c.says(c.word("r1", 3))) == kinds_of<Effect, AppliedEverywhere>());
     CHECK(c.state.reach(3, 9).refusing.empty());
-    CHECK(kinds(c.tell(Resume{})) == Kinds{Effect::resumed});
-    CHECK(kinds(c.set("b", "1")) == Kinds{Effect::published});
+    CHECK(kinds(c.tell(Resume{})) == kinds_of<Effect, PublishingResumed>());
+    CHECK(kinds(c.set("b", "1")) == kinds_of<Effect, VersionPublished>());
 }
 
 TEST_CASE(
@@ -177,11 +174,11 @@
     again.incarnation = 2, again.number = 1;
     RelayReport not_whole = again;
     not_whole.whole = false;
-    CHECK(kinds(c.says(not_whole)) == Kinds{Effect::stale});
+    CHECK(kinds(c.says(not_whole)) == kinds_of<Effect, StaleReport>());
     CHECK(c.says(again).empty());
     CHECK(c.state.knows_later_life("r1", 1));
     CHECK(c.state.last_number("r1", 2) == 1);
-    CHECK(kinds(c.says(c.word("r1", 1))) == Kinds{Effect::stale});  // of the incarnation before
+    CHECK(kinds(c.says(c.word("r1", 1))) == kinds_of<Effect, StaleReport>());  // of the incarnation before
     CHECK(c.state.reach(1, 9).behind == Names{"m2"});
     // m2 does not come back: for a lease and its drift from the old incarnation's last word it may go on.
     for (int i = 0; i < 11; ++i) {
@@ -191,7 +188,7 @@
         CHECK(c.says(again).empty());
     }
     c.now += 1;
-    CHECK(c.tell(Tick{}) == std::vector<Effect>{{Effect::in_force, 1, "", {"m2"}}});
+    CHECK(c.tell(Tick{}) == Effects{AppliedEverywhere{1, {"m2"}}});
 }
 
 TEST_CASE("a word that is overtaken or comes again renews nothing and says nothing") {
@@ -199,11 +196,11 @@
     c.says(c.first("r1", {member("m1")}));
     c.set("a", "1");
     const RelayReport early = c.word("r1", 0), late = c.word("r1", 1);
-    CHECK(kinds(c.says(late)) == Kinds{Effect::in_force});
+    CHECK(kinds(c.says(late)) == kinds_of<Effect, AppliedEverywhere>());
     c.pass(9 * second);
-    CHECK(c.says(early) == std::vector<Effect>{{Effect::stale, 1, "overtaken", {"r1"}}});
-    CHECK(kinds(c.says(late)) == Kinds{Effect::stale});
-    CHECK(kinds(c.pass(3 * second)) == Kinds{Effect::over});
+    CHECK(c.says(early) == Effects{StaleReport{1, "r1", StaleReason::overtaken}});
+    CHECK(kinds(c.says(late)) == kinds_of<Effect, StaleReport>());
+    CHECK(kinds(c.pass(3 * second)) == kinds_of<Effect, RelayLeaseExpired>());
 }
 
 TEST_CASE("a member that turns to another relay lives while either may have granted it something") {
@@ -227,7 +224,7 @@
     CHECK(c.says(loses).empty());
     loses = c.word("r1", 1);
     loses.lost = {{"m1", 1}};
-    CHECK(c.says(loses) == std::vector<Effect>{{Effect::in_force, 1, "", {"m1"}}});
+    CHECK(c.says(loses) == Effects{AppliedEverywhere{1, {"m1"}}});
     CHECK(c.state.reach(1, 9).unacknowledged == Names{"m1"});
     // A version that either relay says of it is one that it acts on.
     joins = c.word("r1", 0);
@@ -247,7 +244,7 @@
     c.set("a", "1");
     RelayReport w = c.word("r1", 1, {member("m1")});
     w.left = {{"m1", 1}};
-    CHECK(c.says(w) == std::vector<Effect>{{Effect::in_force, 1, "", {}}});
+    CHECK(c.says(w) == Effects{AppliedEverywhere{1, {}}});
     CHECK(c.state.reach(1, 9).unacknowledged.empty());
     w = c.word("r1", 1, {member("m1", 0, 2)});
     w.joined = {member("m1", 0, 2)};
@@ -255,16 +252,16 @@
     CHECK(c.state.reach(1, 9).behind == Names{"m1"});
     CHECK(c.state.in_force() == 1);  // it was, of those that lived
     RelayReport other = c.first("r2", {member("m1", 1, 1)}, 1);
-    CHECK(c.says(other) == std::vector<Effect>{{Effect::stale, 1, "an earlier life", {"m1"}}});
+    CHECK(c.says(other) == Effects{StaleReport{1, "m1", StaleReason::earlier_incarnation}});
     CHECK(c.state.reach(1, 9).behind == Names{"m1"});
-    CHECK(kinds(c.tell(Forget{"m1"})) == Kinds{Effect::refused});
+    CHECK(kinds(c.tell(Forget{"m1"})) == kinds_of<Effect, CommandRejected>());
     w = c.word("r1", 1);
     w.lost = {{"m1", 2}};
     c.says(w);
     CHECK(c.state.reach(1, 9).unacknowledged == Names{"m1"});
-    CHECK(kinds(c.tell(Forget{"m1"})) == Kinds{Effect::forgotten});
+    CHECK(kinds(c.tell(Forget{"m1"})) == kinds_of<Effect, MemberForgotten>());
     CHECK(c.state.members() == 1);
-    CHECK(kinds(c.tell(Forget{"m1"})) == Kinds{Effect::refused});
+    CHECK(kinds(c.tell(Forget{"m1"})) == kinds_of<Effect, CommandRejected>());
 }
 
 TEST_CASE("time without agreement is given back, and nothing is told in force until all could speak") {
@@ -285,9 +282,9 @@
     for (int i = 0; i < 24; ++i) {
         c.now += second / 2;
         for (const RelayReport& w : {c.word("r1", 1), c.word("r2", 1)})
-            for (const Effect& e : c.says(w)) told.push_back(e.kind), told_at = c.now;
+            for (const Effect& e : c.says(w)) told.push_back(e.index()), told_at = c.now;
     }
-    CHECK(told == Kinds{Effect::in_force});
+    CHECK(told == kinds_of<Effect, AppliedEverywhere>());
     CHECK(told_at == 1041 * second);
 }
 
@@ -297,7 +294,7 @@
     c.set("a", "1");
     CHECK(c.state.in_force() == 0);
     CHECK(c.state.reach(1, 9).behind == Names{"m1", "m2"});
-    CHECK(kinds(c.says(c.word("r1", 1))) == Kinds{Effect::in_force});
+    CHECK(kinds(c.says(c.word("r1", 1))) == kinds_of<Effect, AppliedEverywhere>());
 }
 
 TEST_CASE("a version is gone back to as far as it is kept; versions never go backward nor skip") {
@@ -310,11 +307,11 @@
             Publish{"ann", {{"k" + std::to_string(i % 3), std::to_string(i)}}, {i == 5 ? "k1" : "k9"}, {}});
         all.push_back(c.state.document());
     }
-    CHECK(kinds(c.tell(Rollback{"ann", 0})) == Kinds{Effect::refused});
-    CHECK(kinds(c.tell(Rollback{"ann", 2})) == Kinds{Effect::refused});
-    CHECK(kinds(c.tell(Rollback{"ann", 7})) == Kinds{Effect::refused});
-    CHECK(kinds(c.tell(Rollback{"ann", 6})) == Kinds{Effect::refused});  // nothing would change
-    CHECK(c.tell(Rollback{"ann", 3})[0] == Effect{Effect::published, 7, "", {}});
+    CHECK(kinds(c.tell(Rollback{"ann", 0})) == kinds_of<Effect, CommandRejected>());
+    CHECK(kinds(c.tell(Rollback{"ann", 2})) == kinds_of<Effect, CommandRejected>());
+    CHECK(kinds(c.tell(Rollback{"ann", 7})) == kinds_of<Effect, CommandRejected>());
+    CHECK(kinds(c.tell(Rollback{"ann", 6})) == kinds_of<Effect, CommandRejected>());  // nothing would change
+    CHECK(c.tell(Rollback{"ann", 3})[0] == Effect{VersionPublished{7}});
     CHECK(c.state.document() == all[3]);
     CHECK_FALSE(c.state.since(2).has_value());
     REQUIRE(c.state.since(3).has_value());
@@ -329,7 +326,7 @@
     l.max_kept_bytes = 1;
     c.tell(SetLimits{l});
     CHECK(c.state.history(9).size() == 1);
-    CHECK(kinds(c.tell(Rollback{"ann", 5})) == Kinds{Effect::refused});
+    CHECK(kinds(c.tell(Rollback{"ann", 5})) == kinds_of<Effect, CommandRejected>());
 }
 
 TEST_CASE("too many members, relays or malformed names: the word is not taken") {
@@ -338,7 +335,7 @@
     Changes c(l);
     const auto why = [&](const RelayReport& w) {
         const auto effects = c.says(w);
-        return effects.empty() ? std::string() : effects[0].why;
+        return effects.empty() ? std::string() : describe(std::get<StaleReport>(effects[0]).reason);
     };
     CHECK(why(c.first("r1", {member("m1"), member("m2"), member("m3")})) == "no room for so many members");
     CHECK(why(c.first("r1", {member("m1"), member("")})) == "malformed");
@@ -585,7 +582,7 @@
     c.set("a", "1");
     const auto told = c.says(c.word("r1", 1, {w}));
     REQUIRE(told.size() >= 1);
-    CHECK(told[0].why.size() == 255);
+    CHECK(std::get<MemberRefused>(told[0]).reason.size() == 255);
     ReportAggregator g("r1", "z", 1, 10, 2);
     CHECK_FALSE(g.heard(0, member("")));
     CHECK_FALSE(g.heard(0, member(std::string(129, 'm'))));
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -253,9 +253,9 @@
                     if (op.how > 3) c.what = Resume{}, plain.halted = false;
             }
             for (const tealcart::fleet::Effect& e : state.apply(c)) {
-                granted += e.kind == tealcart::fleet::Effect::granted;
-                done += e.kind == tealcart::fleet::Effect::done;
-                back += e.kind == tealcart::fleet::Effect::returned;
+                granted += std::holds_alternative<RemovalGranted>(e);
+                done += std::holds_alternative<RemovalDone>(e);
+                back += std::holds_alternative<TargetReturned>(e);
             }
             plain.settle();
             compare(state, plain);
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -66,12 +66,13 @@
 
 // Granted requests that no member holds up and that are not done: there are none, but for those that the last
 // command granted itself.
-inline std::size_t left_undone(const FleetState& state, const std::vector<Effect>& effects) {
+inline std::size_t left_undone(const FleetState& state, const Effects& effects) {
     return static_cast<std::size_t>(
         std::count_if(state.requests().begin(), state.requests().end(), [&](const auto& r) {
             return r.second.stage == Stage::granted && state.waits_for(r.second).empty() &&
                    std::none_of(effects.begin(), effects.end(), [&](const Effect& e) {
-                       return e.kind == Effect::granted && e.request == r.first;
+                       const auto* granted = std::get_if<RemovalGranted>(&e);
+                       return granted != nullptr && granted->request == r.first;
                    });
         }));
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -3,10 +3,14 @@
 #include <catch2/catch.hpp>
 #include <random>
 
+#include "effect_kinds.hpp"
 #include "fleet/fleet_state.hpp"
 #include "fleet_recount.hpp"
 
 using namespace tealcart::fleet;
+using tealcart::test::kinds;
+using tealcart::test::kinds_of;
+using tealcart::test::of_kind;
 
 namespace {
 
@@ -39,15 +43,15 @@
         for (const char* r : {"r1", "r2"}) tell(Join{r, Role::router, "a", "1.0", "d1", 1});
     }
     template <typename What>
-    std::vector<Effect> tell(What what, std::string id = "") {
+    Effects tell(What what, std::string id = "") {
         return state.apply({std::move(id), now, std::move(what)});
     }
-    std::vector<Effect> seen(const std::string& node, Health health) {
+    Effects seen(const std::string& node, Health health) {
         nodes[node].health = health;
         return tell(EndpointsObserved{nodes});
     }
-    std::vector<Effect> says(const char* router, std::uint64_t generation, std::set<Target> in_flight = {},
-                             std::uint64_t incarnation = 1) {
+    Effects says(const char* router, std::uint64_t generation, std::set<Target> in_flight = {},
+                 std::uint64_t incarnation = 1) {
         return tell(Renew{router, incarnation, {generation, std::move(in_flight), {}, 0, 0}});
     }
     // In steps that are no gap in the agreement; both routers renew where asked to.
@@ -66,12 +70,8 @@
     FleetState state;
 };
 
-std::vector<Effect::Kind> kinds(const std::vector<Effect>& effects) {
-    std::vector<Effect::Kind> all;
-    for (const Effect& e : effects) all.push_back(e.kind);
-    return all;
-}
-using Kinds = std::vector<Effect::Kind>;
+// What the first effect says of why the command was rejected.
+std::string rejection(const Effects& effects) { return std::get<CommandRejected>(effects.at(0)).reason; }
 
 }  // namespace
 
@@ -81,10 +81,10 @@
     b.min_holders = 2;
     Fleet f(b);
     const auto first = f.tell(RequestRemoval{"ann", {false, "n2"}}, "ann-1");
-    CHECK(kinds(first) == Kinds{Effect::asked, Effect::granted});
+    CHECK(kinds(first) == kinds_of<Effect, RemovalQueued, RemovalGranted>());
     const auto second_one = f.tell(RequestRemoval{"bob", {false, "n3"}}, "bob-1");
-    CHECK(kinds(second_one) == Kinds{Effect::asked});
-    CHECK(f.state.requests().at(2).held_by == "shard 1 would keep 1 whole holders");
+    CHECK(kinds(second_one) == kinds_of<Effect, RemovalQueued>());
+    CHECK(f.state.requests().at(2).blocked_by == "shard 1 would keep 1 whole holders");
     // The same request through another manager is the one it was.
     CHECK(f.tell(RequestRemoval{"ann", {false, "n2"}}, "ann-1") == first);
     CHECK(f.state.requests().size() == 2);
@@ -92,41 +92,42 @@
     f.tell(Undo{1});
     const auto after = f.tell(Tick{});
     CHECK(f.state.out({false, "n3"}));
-    CHECK(f.state.requests().at(2).fence > first.at(1).fence);
+    CHECK(f.state.requests().at(2).fence > std::get<RemovalGranted>(first.at(1)).fence);
     CHECK(after.empty());
 }
 
 TEST_CASE("a drain is done only once every live member goes by it and has nothing in hand there") {
     Fleet f;
-    const auto granted = f.tell(RequestRemoval{"ann", {false, "n0"}}).at(1);
+    const auto granted = std::get<RemovalGranted>(f.tell(RequestRemoval{"ann", {false, "n0"}}).at(1));
     CHECK(f.says("r1", granted.generation).empty());
     CHECK(f.says("r2", granted.generation - 1).empty());
     CHECK(f.says("r2", granted.generation, {{false, "n0"}}).empty());
     CHECK(f.says("r2", granted.generation - 1).empty());  // late: it says nothing of what is in hand now
-    CHECK(kinds(f.says("r2", granted.generation)) == Kinds{Effect::done});
+    CHECK(kinds(f.says("r2", granted.generation)) == kinds_of<Effect, RemovalDone>());
     // One that says nothing is waited for until its lease has ended, and what its clock may drift by.
-    const auto next = f.tell(RequestRemoval{"ann", {false, "n3"}}).at(1);
+    const auto next = std::get<RemovalGranted>(f.tell(RequestRemoval{"ann", {false, "n3"}}).at(1));
     f.says("r1", next.generation);
     f.pass(11 * second, true, false);
     CHECK(f.state.requests().at(2).stage == Stage::granted);
     f.now += 1;
-    CHECK(kinds(f.says("r1", next.generation)) == Kinds{Effect::over, Effect::done});
+    CHECK(kinds(f.says("r1", next.generation)) == kinds_of<Effect, MemberLeaseExpired, RemovalDone>());
     // It may serve on by what it knew: that is told. It joins with a new incarnation, and knows nothing then.
     CHECK(
         f.state.requests().at(2).unacknowledged.empty());  // it has said that it acts on no later word at all
     f.tell(Join{"r2", Role::router, "a", "1.0", "d1", 2});
     CHECK(f.state.members().at("r2").word.applied_generation == 0);
-    CHECK(kinds(f.says("r2", next.generation)) == Kinds{Effect::stale});  // of the incarnation before
+    CHECK(kinds(f.says("r2", next.generation)) ==
+          kinds_of<Effect, StaleReport>());  // of the incarnation before
     // A word for a generation that nobody agreed on is not taken.
-    CHECK(kinds(f.says("r2", 99, {}, 2)) == Kinds{Effect::stale});
+    CHECK(kinds(f.says("r2", 99, {}, 2)) == kinds_of<Effect, StaleReport>());
 }
 
 TEST_CASE("what goes out by itself uses up the budget, and a grant is never freed by time alone") {
     Fleet f;
     f.tell(RequestRemoval{"ann", {false, "n0"}});
     f.seen("n3", Health::cold);
-    CHECK(kinds(f.tell(RequestRemoval{"bob", {false, "n4"}})) == Kinds{Effect::asked});
-    CHECK(f.state.requests().at(2).held_by == "nodes: 2 of 6 are out, 2 may be");
+    CHECK(kinds(f.tell(RequestRemoval{"bob", {false, "n4"}})) == kinds_of<Effect, RemovalQueued>());
+    CHECK(f.state.requests().at(2).blocked_by == "nodes: 2 of 6 are out, 2 may be");
     f.pass(1800 * second);
     CHECK(f.state.out({false, "n0"}));
     CHECK_FALSE(f.state.out({false, "n4"}));
@@ -142,21 +143,22 @@
 TEST_CASE("what can never be granted is refused with the reason, what is asked twice is told of") {
     Budgets b = small_budgets();
     Fleet f(b);
-    CHECK(f.tell(RequestRemoval{"ann", {false, "n9"}}).at(0).why == "no such data node is known");
+    CHECK(rejection(f.tell(RequestRemoval{"ann", {false, "n9"}})) == "no such data node is known");
     f.nodes = ring(6, 1);
     f.tell(EndpointsObserved{f.nodes});
-    CHECK(f.tell(RequestRemoval{"ann", {false, "n0"}}).at(0).why == "shard 0 has only 0 other holders");
+    CHECK(rejection(f.tell(RequestRemoval{"ann", {false, "n0"}})) == "shard 0 has only 0 other holders");
     f.nodes = ring();
     f.tell(EndpointsObserved{f.nodes});
     f.tell(RequestRemoval{"ann", {false, "n0"}});
-    const auto again = f.tell(RequestRemoval{"bob", {false, "n0"}}).at(0);
-    CHECK(again.request == 1);
-    CHECK(again.why == "already granted");
+    const Effect again = f.tell(RequestRemoval{"bob", {false, "n0"}}).at(0);
+    CHECK(std::get<RemovalAlreadyOpen>(again).request == 1);
+    CHECK(record_of(again).code == EffectCode::asked);
+    CHECK(record_of(again).reason == "already granted");
     // Budgets lowered below what is out take nothing back, and grant nothing more.
     b.nodes.most = 0;
     f.tell(SetBudgets{b});
     CHECK(f.state.out({false, "n0"}));
-    CHECK(f.tell(RequestRemoval{"ann", {false, "n3"}}).at(0).kind == Effect::refused);
+    CHECK(std::holds_alternative<CommandRejected>(f.tell(RequestRemoval{"ann", {false, "n3"}}).at(0)));
 }
 
 TEST_CASE(
@@ -167,19 +169,19 @@
     f.tell(RequestRemoval{"ann", {false, "n3"}});
     f.seen("n0", Health::draining);
     f.seen("n3", Health::draining);
-    CHECK(kinds(f.tell(Halt{"queries fail"})) == Kinds{Effect::halted});
-    CHECK(kinds(f.tell(RequestRemoval{"ann", {true, "r1"}})) == Kinds{Effect::asked});
-    CHECK(f.state.requests().at(3).held_by == "halted: queries fail");
+    CHECK(kinds(f.tell(Halt{"queries fail"})) == kinds_of<Effect, GrantsHalted>());
+    CHECK(kinds(f.tell(RequestRemoval{"ann", {true, "r1"}})) == kinds_of<Effect, RemovalQueued>());
+    CHECK(f.state.requests().at(3).blocked_by == "halted: queries fail");
     f.tell(Undo{1});
     f.tell(Undo{2});
     CHECK(f.state.out({false, "n0"}) == false);  // asked back alone, and first
     CHECK(f.state.out({false, "n3"}));           // waits for n0
     f.seen("n0", Health::cold);
     CHECK(f.state.out({false, "n3"}));
-    CHECK(kinds(f.seen("n0", Health::whole)) == Kinds{Effect::ended, Effect::returned});
+    CHECK(kinds(f.seen("n0", Health::whole)) == kinds_of<Effect, RequestEnded, TargetReturned>());
     CHECK_FALSE(f.state.out({false, "n3"}));
-    CHECK(kinds(f.seen("n3", Health::whole)) == Kinds{Effect::ended});
-    CHECK(kinds(f.tell(Resume{})) == Kinds{Effect::resumed, Effect::granted});
+    CHECK(kinds(f.seen("n3", Health::whole)) == kinds_of<Effect, RequestEnded>());
+    CHECK(kinds(f.tell(Resume{})) == kinds_of<Effect, GrantsResumed, RemovalGranted>());
 }
 
 TEST_CASE("a saved state goes on as the one it was saved from; another form and noise are told") {
@@ -213,11 +215,11 @@
     f.pass(12 * second, true, false);
     CHECK(f.state.members().at("r2").lost);
     f.tell(RequestRemoval{"ann", {true, "r1"}});
-    CHECK(f.state.requests().at(1).held_by == "routers: 1 of 2 are out, 1 may be");
-    CHECK(f.tell(Forget{"r1"}).at(0).why == "its lease is not over");
-    CHECK(f.tell(Forget{"r9"}).at(0).why == "no such member");
+    CHECK(f.state.requests().at(1).blocked_by == "routers: 1 of 2 are out, 1 may be");
+    CHECK(rejection(f.tell(Forget{"r1"})) == "its lease is not over");
+    CHECK(rejection(f.tell(Forget{"r9"})) == "no such member");
     SECTION("an operator knows that it does not come back") {
-        CHECK(kinds(f.tell(Forget{"r2"})) == Kinds{Effect::forgotten, Effect::granted});
+        CHECK(kinds(f.tell(Forget{"r2"})) == kinds_of<Effect, MemberForgotten, RemovalGranted>());
     }
     SECTION("after a farewell too") {
         f.tell(Join{"r2", Role::router, "a", "1.0", "d1", 2});
@@ -227,7 +229,7 @@
         f.tell(Leave{"r2", 2});
         f.tell(RequestRemoval{"ann", {true, "r1"}});
         CHECK_FALSE(f.state.out({true, "r1"}));
-        CHECK(kinds(f.says("r2", 0, {}, 2)) == Kinds{Effect::stale});
+        CHECK(kinds(f.says("r2", 0, {}, 2)) == kinds_of<Effect, StaleReport>());
     }
     SECTION("its time is up") {
         f.pass(57 * second, true, false);
@@ -240,9 +242,9 @@
 TEST_CASE("after a time without agreement leases go on, and nothing is granted until all could speak") {
     Fleet f;
     f.now += 3600 * second;
-    CHECK(f.tell(RequestRemoval{"ann", {false, "n0"}}).at(0).kind == Effect::asked);
+    CHECK(std::holds_alternative<RemovalQueued>(f.tell(RequestRemoval{"ann", {false, "n0"}}).at(0)));
     CHECK_FALSE(f.state.members().at("r1").lost);
-    CHECK(f.state.requests().at(1).held_by == "agreement was interrupted: members are waited for");
+    CHECK(f.state.requests().at(1).blocked_by == "agreement was interrupted: members are waited for");
     f.pass(10 * second, true, false);
     CHECK_FALSE(f.state.out({false, "n0"}));
     f.pass(2 * second, true, false);
@@ -262,7 +264,7 @@
     b.wait_for_lost = wait;
     Fleet f(b);
     f.tell(Join{"r2", Role::router, "a", "1.0", "d1", 2, 30 * second});
-    const auto granted = f.tell(RequestRemoval{"ann", {false, "n0"}}).at(1);
+    const auto granted = std::get<RemovalGranted>(f.tell(RequestRemoval{"ann", {false, "n0"}}).at(1));
     f.says("r1", granted.generation);
     f.pass(12 * second, true, false);
     const Request& r = f.state.requests().at(1);
@@ -284,18 +286,18 @@
     };
     CHECK(say(99, 99).empty());  // too few to judge by
     CHECK(say(1000, 100).empty());
-    CHECK(kinds(say(1000, 101)) == Kinds{Effect::halted});
+    CHECK(kinds(say(1000, 101)) == kinds_of<Effect, GrantsHalted>());
     CHECK(f.state.halted_for() == "101 of 1000 queries failed lately");
     f.tell(Resume{});
     CHECK(say(1000, 102).empty());  // a person has resumed over it
     CHECK_FALSE(f.state.halted());
     say(1000, 0);
-    CHECK(kinds(say(1000, 200)) == Kinds{Effect::halted});
+    CHECK(kinds(say(1000, 200)) == kinds_of<Effect, GrantsHalted>());
     say(1000, 0);
     f.tell(Resume{});
     f.seen("n0", Health::gone);
     CHECK_FALSE(f.state.halted());
-    CHECK(kinds(f.seen("n1", Health::cold)) == Kinds{Effect::halted});
+    CHECK(kinds(f.seen("n1", Health::cold)) == kinds_of<Effect, GrantsHalted>());
     CHECK(f.state.halted_for() == "shard 0 has 1 whole holders");
     f.seen("n0", Health::whole), f.seen("n1", Health::whole);
     f.tell(Resume{});
@@ -314,7 +316,7 @@
     CHECK(f.state.counts_as_out({false, "n3"}));
     CHECK_FALSE(f.state.counts_as_out({false, "n4"}));
     f.tell(RequestRemoval{"ann", {false, "n0"}});
-    CHECK(f.state.requests().at(1).held_by == "nodes: 1 of 6 are out, 1 may be");
+    CHECK(f.state.requests().at(1).blocked_by == "nodes: 1 of 6 are out, 1 may be");
 }
 
 TEST_CASE("commands that this program can't read are told, and noise is") {
@@ -384,17 +386,15 @@
         const auto bytes = write_command(c);
         CHECK(replica.apply(read_command(bytes.data(), bytes.size())) == effects);
         // The plain model: everything is counted anew, from what can be seen.
-        for (const Effect& e : effects) {
-            if (e.kind != Effect::granted) continue;
+        const auto grants = of_kind<RemovalGranted>(effects);
+        for (const RemovalGranted& e : grants) {
             CHECK_FALSE(state.halted());
             CHECK(e.fence == ++last_fence);
             CHECK(granted.insert(e.request).second);
             const Request& r = state.requests().at(e.request);
             CHECK(state.out(r.target));
         }
-        const bool any =
-            std::any_of(effects.begin(), effects.end(), [](auto& e) { return e.kind == Effect::granted; });
-        if (any) {
+        if (!grants.empty()) {
             std::size_t out = 0, routers_out = 0;
             std::map<std::string, std::size_t> zone;
             std::map<std::uint32_t, std::size_t> whole;
@@ -406,27 +406,26 @@
             for (const auto& [name, m] : state.members())
                 routers_out += state.out({true, name}) && m.lease_until + b.drift >= state.now();
             bool took_whole = false;
-            for (const Effect& e : effects)
-                if (e.kind == Effect::granted && !state.requests().at(e.request).target.router)
-                    took_whole |= state.nodes().at(e.about).health == Health::whole;
+            for (const RemovalGranted& e : grants)
+                if (!state.requests().at(e.request).target.router)
+                    took_whole |= state.nodes().at(e.target).health == Health::whole;
             if (took_whole) {  // else it was out already, and uses up nothing more
                 CHECK(out <= b.nodes.of(state.nodes().size()));
-                for (const Effect& e : effects)
-                    if (e.kind == Effect::granted && !state.requests().at(e.request).target.router &&
-                        state.nodes().at(e.about).health == Health::whole) {
-                        CHECK(zone[state.nodes().at(e.about).zone] <= b.nodes_a_zone.most);
-                        for (const std::uint32_t s : state.nodes().at(e.about).shards)
+                for (const RemovalGranted& e : grants)
+                    if (!state.requests().at(e.request).target.router &&
+                        state.nodes().at(e.target).health == Health::whole) {
+                        CHECK(zone[state.nodes().at(e.target).zone] <= b.nodes_a_zone.most);
+                        for (const std::uint32_t s : state.nodes().at(e.target).shards)
                             CHECK(whole[s] >= b.min_holders);
                     }
             }
             CHECK(routers_out <= 2);
         }
-        for (const Effect& e : effects)
-            if (e.kind == Effect::done) {
-                CHECK(done.insert(e.request).second);
-                for (const auto& [name, m] : state.members())
-                    CHECK((m.word.applied_generation >= e.generation || m.lease_until + b.drift < now));
-            }
+        for (const RemovalDone& e : of_kind<RemovalDone>(effects)) {
+            CHECK(done.insert(e.request).second);
+            for (const auto& [name, m] : state.members())
+                CHECK((m.word.applied_generation >= e.generation || m.lease_until + b.drift < now));
+        }
         if (pick(20) != 0) continue;
         const auto saved = state.save();
         CHECK(replica.save() == saved);
@@ -474,7 +473,7 @@
     Nanos now = 1000 * second;
     std::map<std::string, Node> nodes = ring(12);
     state.apply({"", now, EndpointsObserved{nodes}});
-    std::map<Effect::Kind, int> came;
+    std::map<std::size_t, int> came;
     std::size_t found_silent = 0, short_shards = 0, acting_without_lease = 0, in_flight = 0;
     std::string mute;  // says nothing for a while
     for (int i = 0; i < 1000; ++i) {
@@ -526,7 +525,7 @@
         const auto effects = state.apply(c);
         CHECK(state.counts() == recount(state));
         CHECK(left_undone(state, effects) == 0);
-        for (const Effect& e : effects) ++came[e.kind];
+        for (const Effect& e : effects) ++came[e.index()];
         found_silent += !state.counts().silent.empty(), short_shards += !state.counts().short_shards.empty();
         acting_without_lease += !state.counts().lost_acting.empty();
         in_flight += !state.counts().in_flight.empty();
@@ -537,7 +536,8 @@
         state = anew;
     }
     // The runs go through all of it.
-    for (const auto kind : {Effect::granted, Effect::done, Effect::returned, Effect::halted, Effect::over})
+    for (const auto kind :
+         kinds_of<Effect, RemovalGranted, RemovalDone, TargetReturned, GrantsHalted, MemberLeaseExpired>())
         CHECK(came[kind] > 0);
     CHECK(std::min({found_silent, short_shards, acting_without_lease, in_flight}) > 0);
 }
@@ -581,7 +581,7 @@
         looked.last_word = std::max(looked.last_word, batch());
     tell(RequestRemoval{"ann", {false, "n100"}});
     looked.asked = std::max(looked.asked, tell(RequestRemoval{"ann", {false, "n200"}}));
-    CHECK(state.requests().at(3).held_by == "nodes: 2 of " + std::to_string(nodes) + " are out, 2 may be");
+    CHECK(state.requests().at(3).blocked_by == "nodes: 2 of " + std::to_string(nodes) + " are out, 2 may be");
     for (int i = 0; i < 20; ++i)
         looked.words_while_one_waits = std::max(looked.words_while_one_waits, batch());
     Node cold = all.at("n300");
