--- a/src/wire/change_watch.cpp
+++ b/src/wire/change_watch.cpp
@@ -12,7 +12,7 @@
 bool ChangeWatch::read(std::string_view body) {
     auto answer = read_changes_answer(body);
     if (answer) answer_ = std::move(*answer);
-    return answer.has_value();
+    return static_cast<bool>(answer);
 }
 
 // A copy: it may be dropped, and another read, while it is acted on.
--- a/src/wire/manager_watch.cpp
+++ b/src/wire/manager_watch.cpp
@@ -16,7 +16,7 @@
 bool ManagerWatch::read(std::string_view body) {
     auto answer = read_member_answer(body);
     if (answer) answer_ = std::move(*answer);
-    return answer.has_value();
+    return static_cast<bool>(answer);
 }
 
 // A copy: it may be dropped, and another read, while it is acted on.
