--- a/measure/fleet_cost.cpp
+++ b/measure/fleet_cost.cpp
@@ -7,6 +7,7 @@
 
 #include "fleet/fleet_state.hpp"
 #include "fleet_manager/operator_requests.hpp"
+#include "fleet_manager/status_page.hpp"
 
 namespace {
 
--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -19,6 +19,7 @@
 #include "fleet/fleet_state.hpp"
 #include "fleet_manager/endpoint_view.hpp"
 #include "fleet_manager/operator_requests.hpp"
+#include "fleet_manager/status_page.hpp"
 #include "members/endpoint_overlay.hpp"
 #include "tables/node_list.hpp"
 #include "testing/fleet.hpp"
@@ -211,11 +212,11 @@
         for (std::size_t i = 0; i < nodes / 3 * 3; ++i)
             list.nodes.push_back({node_name(i), "10.0.0.1:7300", "r1z1", "kind-1",
                                   static_cast<std::uint32_t>(i / 3), Lifecycle::ready, 0});
-        seen.take(list, 1);
+        seen.on_endpoints(list, 1);
         fleet::FleetState agreed{fleet::Budgets{}};
-        if (auto news = seen.news(agreed, 2)) agreed.apply({"", 2, std::move(*news)});
+        if (auto news = seen.differences(agreed, 2)) agreed.apply({"", 2, std::move(*news)});
         bool any = false;
-        last = cost(3, [&] { any |= seen.news(agreed, 3).has_value(); }) / 1e3;
+        last = cost(3, [&] { any |= seen.differences(agreed, 3).has_value(); }) / 1e3;
         if (any) std::printf("something was left to be agreed\n");
         point("steward.view", nodes, last);
         point("steward.view_product", nodes * (nodes / 3) / 1000, last);
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -1,151 +1,164 @@
 #include "fleet_manager/change_requests.hpp"
 
 #include <algorithm>
-#include <nlohmann/json.hpp>
+
+#include "wire/json_fields.hpp"
 
 namespace tealcart::manager {
 namespace {
 
-using Json = nlohmann::ordered_json;
-constexpr Nanos ms = 1'000'000;
-constexpr std::size_t max_history = 20, max_named = 20, max_keys = 10'000;
-constexpr std::size_t max_key = 1024;
-constexpr std::size_t max_delta = 256 * 1024, page_bytes = 64 * 1024;  // of keys and values, to relays
-
-bool take_text(const Json& in, const char* key, std::string& to, std::size_t longest) {
-    const auto it = in.find(key);
-    if (it == in.end()) return true;
-    if (!it->is_string()) return false;
-    to = it->get<std::string>();
-    return to.size() <= longest &&
-           std::all_of(to.begin(), to.end(), [](char c) { return static_cast<unsigned char>(c) >= ' '; });
-}
+using Json = nlohmann::json;
+using OrderedJson = nlohmann::ordered_json;
+
+constexpr Nanos millisecond = 1'000'000;
+constexpr std::size_t max_history = 20, max_named = 20, max_keys = 10'000;  // of a status page
+constexpr std::size_t max_key = 1024;                                       // bytes
+// To relays, bytes of keys and values.
+constexpr std::size_t max_delta = 256 * 1024, max_page = 64 * 1024;
+
+bool is_no_control_character(char c) { return static_cast<unsigned char>(c) >= ' '; }
 
 bool is_key(const std::string& text) { return !text.empty() && text.size() <= max_key; }
 
-std::size_t bytes_of(const changes::Delta& delta) {
-    std::size_t sum = 0;
-    for (const auto& [key, value] : delta.set) sum += key.size() + value.size();
-    for (const std::string& key : delta.removed) sum += key.size();
-    return sum;
+std::size_t size_of(const changes::Delta& delta) {
+    std::size_t bytes = 0;
+    for (const auto& [key, value] : delta.set) bytes += key.size() + value.size();
+    for (const std::string& key : delta.removed) bytes += key.size();
+    return bytes;
 }
 
-std::string written(const Json& out) { return out.dump(-1, ' ', false, Json::error_handler_t::replace); }
-
-}  // namespace
+std::string dump(const OrderedJson& json) {
+    return json.dump(-1, ' ', false, OrderedJson::error_handler_t::replace);
+}
 
-std::optional<ChangeRequest> read_change_request(std::string_view body, std::string& wrong) {
-    const Json in = Json::parse(body, nullptr, false);
-    const auto fail = [&wrong](const char* words) {
-        wrong = words;
-        return std::nullopt;
-    };
-    if (!in.is_object()) return fail("the body is no JSON object");
-    ChangeRequest r;
-    if (!take_text(in, "id", r.id, 128) || r.id.empty()) return fail("'id' is missing or malformed");
-    if (!take_text(in, "asker", r.asker, 128)) return fail("'asker' is malformed");
-    if (!take_text(in, "key", r.key, max_key)) return fail("'key' is malformed");
-    if (const auto set = in.find("set"); set != in.end()) {
-        if (!set->is_object()) return fail("'set' is no object of texts by key");
-        for (const auto& [key, value] : set->items()) {
-            if (!is_key(key) || !value.is_string()) return fail("'set' is no object of texts by key");
-            r.set[key] = value.get<std::string>();
-        }
-    }
-    if (const auto removed = in.find("removed"); removed != in.end()) {
-        if (!removed->is_array()) return fail("'removed' is no list of keys");
-        for (const Json& key : *removed) {
-            if (!key.is_string() || !is_key(key.get<std::string>()))
-                return fail("'removed' is no list of keys");
-            r.removed.insert(key.get<std::string>());
-        }
+void read_entries(JsonFields& in, std::map<std::string, std::string>& to) {
+    constexpr const char* reason = "'set' is no object of texts by key";
+    const Json* entries = in.find("set");
+    if (entries == nullptr) return;
+    if (!entries->is_object()) return in.fail("set", reason);
+    for (const auto& [key, value] : entries->items()) {
+        if (!is_key(key) || !value.is_string()) return in.fail("set", reason);
+        to[key] = value.get<std::string>();
     }
-    if (const auto based = in.find("based_on"); based != in.end() && !based->is_null()) {
-        if (!based->is_number_unsigned()) return fail("'based_on' is no version");
-        r.based_on = based->get<std::uint64_t>();
+}
+
+void read_removed(JsonFields& in, std::set<std::string>& to) {
+    constexpr const char* reason = "'removed' is no list of keys";
+    const Json* keys = in.find("removed");
+    if (keys == nullptr) return;
+    if (!keys->is_array()) return in.fail("removed", reason);
+    for (const Json& key : *keys) {
+        if (!key.is_string() || !is_key(key.get<std::string>())) return in.fail("removed", reason);
+        to.insert(key.get<std::string>());
     }
-    if (const auto to = in.find("to"); to != in.end()) {
-        if (!to->is_number_unsigned()) return fail("'to' is no version");
-        r.to = to->get<std::uint64_t>();
+}
+
+OrderedJson write_rollout(const changes::RolloutProgress& progress) {
+    const auto first_names = [](std::vector<std::string> names) {
+        names.resize(std::min(names.size(), max_named));
+        return names;
+    };
+    return {{"live", progress.live},
+            {"acting", progress.acting},
+            {"behind", first_names(progress.behind)},
+            {"refusing", first_names(progress.refusing)},
+            {"unheard", first_names(progress.unacknowledged)}};
+}
+
+OrderedJson write_history(const changes::ChangeState& state) {
+    OrderedJson list = OrderedJson::array();
+    for (const auto& published : state.history(max_history))
+        list.push_back({{"version", published.version},
+                        {"at_ms", published.at / millisecond},
+                        {"asker", published.asker},
+                        {"entries", published.entries},
+                        {"in_force", published.in_force}});
+    return list;
+}
+
+OrderedJson write_keys(const changes::ChangeState& state) {
+    OrderedJson list = OrderedJson::array();
+    for (const auto& [key, value] : state.document()) {
+        if (list.size() >= max_keys) break;
+        list.push_back({key, value.size()});
     }
-    return r;
+    return list;
+}
+
+}  // namespace
+
+ReadResult<ChangeRequest> read_change_request(std::string_view body) {
+    const Json json = Json::parse(body, nullptr, false);
+    JsonFields in(json, JsonFields::Nulls::values);
+    ChangeRequest request;
+    in.text("id", request.id, max_name_bytes, "'id' is missing or malformed", is_no_control_character);
+    if (request.id.empty()) in.fail("id", "'id' is missing or malformed");
+    in.text("asker", request.asker, max_name_bytes, "'asker' is malformed", is_no_control_character);
+    in.text("key", request.key, max_key, "'key' is malformed", is_no_control_character);
+    read_entries(in, request.set);
+    read_removed(in, request.removed);
+    if (const Json* based_on = in.find("based_on"); based_on != nullptr && !based_on->is_null())
+        in.number("based_on", request.based_on.emplace(), "'based_on' is no version");
+    in.number("to", request.to, "'to' is no version");
+    return std::move(in).result(std::move(request));
 }
 
-const char* word_of(changes::EffectCode code) {
-    static const char* const words[] = {"published", "refused", "in force", "member refuses", "halted",
+const char* name_of(changes::EffectCode code) {
+    static const char* const names[] = {"published", "refused", "in force", "member refuses", "halted",
                                         "resumed",   "over",    "stale",    "forgotten"};
-    return words[static_cast<int>(code)];
+    return names[static_cast<int>(code)];
 }
 
 std::string write_effects(const changes::Effects& effects) {
-    Json list = Json::array();
+    OrderedJson list = OrderedJson::array();
     for (const changes::Effect& effect : effects) {
-        const changes::EffectRecord e = changes::record_of(effect);
-        Json one = {{"what", word_of(e.code)}, {"version", e.version}};
-        if (!e.reason.empty()) one["why"] = e.reason;
-        if (!e.names.empty()) one["names"] = e.names;
-        list.push_back(std::move(one));
+        const changes::EffectRecord record = changes::record_of(effect);
+        OrderedJson item = {{"what", name_of(record.code)}, {"version", record.version}};
+        if (!record.reason.empty()) item["why"] = record.reason;
+        if (!record.names.empty()) item["names"] = record.names;
+        list.push_back(std::move(item));
     }
-    return written({{"effects", list}});
+    return dump({{"effects", list}});
 }
 
 std::string write_changes(const changes::ChangeState& state, const ChangeFigures& figures) {
-    const changes::RolloutProgress reach = state.reach(state.version(), max_named);
-    Json history = Json::array(), keys = Json::array();
-    for (const auto& p : state.history(max_history))
-        history.push_back({{"version", p.version},
-                           {"at_ms", p.at / ms},
-                           {"asker", p.asker},
-                           {"entries", p.entries},
-                           {"in_force", p.in_force}});
-    for (const auto& [key, value] : state.document()) {
-        if (keys.size() >= max_keys) break;
-        keys.push_back({key, value.size()});
-    }
-    const auto some = [](std::vector<std::string> names) {
-        names.resize(std::min(names.size(), max_named));
-        return names;
-    };
-    Json out = {{"fleet", figures.fleet},
-                {"steward", figures.id},
-                {"leader", figures.leader},
-                {"leader_at", figures.leader_address},
-                {"version", state.version()},
-                {"digest", state.digest()},
-                {"in_force", state.in_force()},
-                {"halted", state.halted()},
-                {"halted_for", state.halted_for()},
-                {"halted_version", state.halted_version()},
-                {"held_for_ms", std::max<Nanos>(0, state.hold_until() - state.now()) / ms},
-                {"members", state.members()},
-                {"relays_waiting", figures.waiting}};
-    out["reach"] = {{"live", reach.live},
-                    {"acting", reach.acting},
-                    {"behind", some(reach.behind)},
-                    {"refusing", some(reach.refusing)},
-                    {"unheard", some(reach.unacknowledged)}};
-    out["history"] = std::move(history);
-    out["keys"] = std::move(keys);
-    return written(out);
+    const Nanos held_for = std::max<Nanos>(0, state.hold_until() - state.now());
+    return dump({{"fleet", figures.fleet},
+                 {"steward", figures.id},
+                 {"leader", figures.leader},
+                 {"leader_at", figures.leader_address},
+                 {"version", state.version()},
+                 {"digest", state.digest()},
+                 {"in_force", state.in_force()},
+                 {"halted", state.halted()},
+                 {"halted_for", state.halted_for()},
+                 {"halted_version", state.halted_version()},
+                 {"held_for_ms", held_for / millisecond},
+                 {"members", state.members()},
+                 {"relays_waiting", figures.waiting},
+                 {"reach", write_rollout(state.reach(state.version(), max_named))},
+                 {"history", write_history(state)},
+                 {"keys", write_keys(state)}});
 }
 
 std::optional<std::string> write_entry(const changes::ChangeState& state, const std::string& key) {
-    const auto it = state.document().find(key);
-    if (it == state.document().end()) return std::nullopt;
-    return written({{"version", state.version()}, {"key", key}, {"value", it->second}});
+    const auto entry = state.document().find(key);
+    if (entry == state.document().end()) return std::nullopt;
+    return dump({{"version", state.version()}, {"key", key}, {"value", entry->second}});
 }
 
-void put_news(const changes::ChangeState& state, const WatchPosition& watched, ChangesAnswer& answer) {
+void add_document_news(const changes::ChangeState& state, const WatchPosition& position,
+                       ChangesAnswer& answer) {
     answer.version = state.version();
-    if (watched.knows >= state.version()) return;
-    if (!watched.wants_pages) {
-        auto delta = state.since(watched.knows);
-        if (delta && bytes_of(*delta) <= max_delta) {
+    if (position.knows >= state.version()) return;
+    if (!position.wants_pages) {
+        auto delta = state.since(position.knows);
+        if (delta && size_of(*delta) <= max_delta) {
             answer.delta = std::move(delta);
             return;
         }
     }
-    answer.page = state.page(watched.wants_pages ? watched.after : "", page_bytes);
+    answer.page = state.page(position.wants_pages ? position.after : "", max_page);
 }
 
 }  // namespace tealcart::manager
--- /dev/null
+++ b/src/fleet_manager/config_command.hpp
@@ -0,0 +1,28 @@
+// The commands config set, show, back and resume.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "fleet_manager/operator_client.hpp"
+
+namespace tealcart::manager {
+
+struct ConfigOptions {
+    std::vector<std::string> entries;  // each KEY=FILE
+    std::vector<std::string> removed;  // keys
+    std::optional<std::uint64_t> based_on;
+    std::uint64_t version = 0;  // to roll back to
+    std::string key;            // to show; empty: all
+    bool wait = false;          // until the version is applied everywhere
+};
+
+// Each returns the status to exit with; throws Malformed on wrong options.
+int set_entries(const ClientOptions& client, const ConfigOptions& options);
+int show_changes(const ClientOptions& client, const ConfigOptions& options);
+int roll_back(const ClientOptions& client, const ConfigOptions& options);
+int resume_publishing(const ClientOptions& client, const ConfigOptions& options);
+
+}  // namespace tealcart::manager
--- a/src/fleet_manager/data_directory.cpp
+++ b/src/fleet_manager/data_directory.cpp
@@ -12,38 +12,45 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr int form = 1;
+constexpr int marker_form = 1;
 
-std::string mark_of(const std::string& folder) { return folder + "/steward.json"; }
+std::string marker_of(const std::string& directory) { return directory + "/steward.json"; }
 
-[[noreturn]] void fail(const std::string& folder, const std::string& what) {
-    throw std::runtime_error("the steward's folder " + folder + " " + what);
+[[noreturn]] void fail(const std::string& directory, const std::string& what) {
+    throw std::runtime_error("the steward's folder " + directory + " " + what);
 }
 
 }  // namespace
 
-void create_data_directory(const std::string& folder, const std::string& fleet, std::uint64_t id) {
+void remove_marker(const std::string& directory) {
+    std::error_code ignored;
+    std::filesystem::remove(marker_of(directory), ignored);
+}
+
+void create_data_directory(const std::string& directory, const std::string& fleet, std::uint64_t id) {
     std::error_code ec;
-    std::filesystem::create_directories(folder, ec);
-    if (ec) fail(folder, "can't be made: " + ec.message());
-    if (std::filesystem::exists(mark_of(folder))) fail(folder, "is a steward's already");
-    std::ofstream out(mark_of(folder));
-    out << Json{{"form", form}, {"fleet", fleet}, {"id", id}}.dump() << '\n';
-    if (!out.flush()) fail(folder, "can't be written");
+    std::filesystem::create_directories(directory, ec);
+    if (ec) fail(directory, "can't be made: " + ec.message());
+    if (std::filesystem::exists(marker_of(directory))) fail(directory, "is a steward's already");
+    std::ofstream out(marker_of(directory));
+    out << Json{{"form", marker_form}, {"fleet", fleet}, {"id", id}}.dump() << '\n';
+    if (!out.flush()) fail(directory, "can't be written");
 }
 
-void check_data_directory(const std::string& folder, const std::string& fleet, std::uint64_t id) {
-    std::ifstream in(mark_of(folder));
-    if (!in) fail(folder, "is no steward's: 'tealcart steward init' makes one");
+void check_data_directory(const std::string& directory, const std::string& fleet, std::uint64_t id) {
+    std::ifstream in(marker_of(directory));
+    if (!in) fail(directory, "is no steward's: 'tealcart steward init' makes one");
     const std::string text{std::istreambuf_iterator<char>(in), {}};
-    const Json mark = Json::parse(text, nullptr, false);
-    if (!mark.is_object() || !mark.contains("form") || !mark.contains("fleet") || !mark.contains("id"))
-        fail(folder, "has a mark that can't be read");
-    if (mark["form"] != form)
-        fail(folder, "is of form " + mark["form"].dump() + ", this program reads " + std::to_string(form));
-    if (mark["fleet"] != fleet || mark["id"] != id)
-        fail(folder, "is that of steward " + mark["id"].dump() + " of " + mark["fleet"].dump());
-    if (::access(folder.c_str(), W_OK) != 0) fail(folder, "can't be written");
+    const Json marker = Json::parse(text, nullptr, false);
+    if (!marker.is_object() || !marker.contains("form") || !marker.contains("fleet") ||
+        !marker.contains("id"))
+        fail(directory, "has a mark that can't be read");
+    if (marker["form"] != marker_form)
+        fail(directory,
+             "is of form " + marker["form"].dump() + ", this program reads " + std::to_string(marker_form));
+    if (marker["fleet"] != fleet || marker["id"] != id)
+        fail(directory, "is that of steward " + marker["id"].dump() + " of " + marker["fleet"].dump());
+    if (::access(directory.c_str(), W_OK) != 0) fail(directory, "can't be written");
 }
 
 }  // namespace tealcart::manager
--- /dev/null
+++ b/src/fleet_manager/drain_command.hpp
@@ -0,0 +1,31 @@
+// The commands drain, undrain, halt, resume and fleet forget.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "fleet_manager/operator_client.hpp"
+
+namespace tealcart::manager {
+
+struct DrainOptions {
+    std::vector<std::string> nodes, routers;
+    std::string zone;    // all data nodes of it
+    std::string reason;  // of a halt
+    std::string member;  // to forget
+    bool wait = false;   // until the requests are done
+
+    bool names_targets() const { return !nodes.empty() || !routers.empty() || !zone.empty(); }
+};
+
+// Each returns the status to exit with; throws Malformed on wrong options.
+int drain(const ClientOptions& client, const DrainOptions& options);
+int undrain(const ClientOptions& client, const DrainOptions& options);
+int halt(const ClientOptions& client, const DrainOptions& options);
+int resume(const ClientOptions& client, const DrainOptions& options);
+int forget_member(const ClientOptions& client, const DrainOptions& options);
+
+// One line on a request of the state.
+void print_request(const nlohmann::ordered_json& request);
+
+}  // namespace tealcart::manager
--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -6,22 +6,22 @@
 namespace tealcart::manager {
 namespace {
 
-// A call for news waits 20 s at most, and is made anew when it is a second late.
-constexpr Nanos stale_after = 45'000'000'000;
+// Names that may wait to be compared beyond those that are listed; more of them, and all are compared.
+constexpr std::size_t max_removed_names = 1000;
 
 }  // namespace
 
-void EndpointView::take(const TargetList& list, Nanos now) {
+void EndpointView::on_endpoints(const TargetList& list, Nanos now) {
     if (list.whole) {
         nodes_.clear();
-        cold_ends_.clear();
-        look_at_all();
+        warm_at_.clear();
+        compare_all();
     }
     heard_at_ = now;
     for (const ListedNode& node : list.nodes) {
-        look_at(node.id);
+        compare_later(node.id);
         if (const auto it = nodes_.find(node.id); it != nodes_.end())
-            cold_ends_.erase({it->second.started_at + cold_, node.id});
+            warm_at_.erase({it->second.started_at + slow_start_, node.id});
         if (node.lifecycle == Lifecycle::removed)
             nodes_.erase(node.id);
         else
@@ -29,69 +29,84 @@
     }
 }
 
-// A manager that does not lead takes nothing out of the list: it is not to grow by names that are long gone.
-void EndpointView::look_at(const std::string& name) {
-    if (all_) return;
-    look_at_.insert(name);
-    if (look_at_.size() > nodes_.size() + 1000) all_ = true;
+// A fleet manager that does not lead compares nothing: the set must not grow by names removed long ago.
+void EndpointView::compare_later(const std::string& name) {
+    if (compare_all_) return;
+    to_compare_.insert(name);
+    if (to_compare_.size() > nodes_.size() + max_removed_names) compare_all_ = true;
 }
 
-void EndpointView::agreed(const fleet::EndpointsObserved& seen) {
-    if (seen.whole) return look_at_all();
-    for (const auto& [name, node] : seen.nodes) look_at(name);
-    for (const std::string& name : seen.gone) look_at(name);
+void EndpointView::on_committed(const fleet::EndpointsObserved& observed) {
+    if (observed.whole) return compare_all();
+    for (const auto& [name, node] : observed.nodes) compare_later(name);
+    for (const std::string& name : observed.gone) compare_later(name);
 }
 
 bool EndpointView::stale(Nanos now) const { return heard_at_ > 0 && now - heard_at_ > stale_after; }
 
+// Shard s lies at places (s + j) mod places_, for j below the width.
+std::vector<std::uint32_t> EndpointView::shards_at(int place) const {
+    std::vector<std::uint32_t> shards;
+    for (int j = 0; j < std::min(width_, places_); ++j) {
+        const int first = ((place - j) % places_ + places_) % places_;
+        for (int shard = first; shard < shards_; shard += places_)
+            shards.push_back(static_cast<std::uint32_t>(shard));
+    }
+    std::sort(shards.begin(), shards.end());
+    return shards;
+}
+
+fleet::Health EndpointView::health_of(const ListedNode& listed, Nanos now) const {
+    if (stale(now)) return fleet::Health::unknown;
+    if (listed.lifecycle == Lifecycle::draining) return fleet::Health::draining;
+    if (listed.started_at > 0 && now < listed.started_at + slow_start_) return fleet::Health::cold;
+    return fleet::Health::whole;
+}
+
 fleet::Node EndpointView::node_of(const ListedNode& listed, Nanos now) const {
-    fleet::Node node{listed.zone, listed.kind, {}, fleet::Health::whole, listed.started_at};
-    // Shard s lies at places (s + j) mod all, for j below the width.
-    const int place = static_cast<int>(listed.place);
-    for (int j = 0; j < std::min(width_, places_); ++j)
-        for (int s = ((place - j) % places_ + places_) % places_; s < shards_; s += places_)
-            node.shards.push_back(static_cast<std::uint32_t>(s));
-    std::sort(node.shards.begin(), node.shards.end());
-    if (stale(now))
-        node.health = fleet::Health::unknown;
-    else if (listed.lifecycle == Lifecycle::draining)
-        node.health = fleet::Health::draining;
-    else if (listed.started_at > 0 && now < listed.started_at + cold_)
-        node.health = fleet::Health::cold;
-    return node;
+    return {listed.zone, listed.kind, shards_at(static_cast<int>(listed.place)), health_of(listed, now),
+            listed.started_at};
 }
 
-std::optional<fleet::EndpointsObserved> EndpointView::news(const fleet::FleetState& state, Nanos now) {
-    looked_at_ = 0;
-    if (heard_at_ == 0) return std::nullopt;
+void EndpointView::collect_nodes_to_compare(const fleet::FleetState& state, Nanos now) {
     if (stale(now) != was_stale_) {
         was_stale_ = !was_stale_;
-        look_at_all();
+        compare_all();
     }
-    if (std::exchange(all_, false)) {
-        look_at_.clear();
-        for (const auto& [name, listed] : nodes_) look_at_.insert(name);
-        for (const auto& [name, node] : state.nodes()) look_at_.insert(name);
+    if (std::exchange(compare_all_, false)) {
+        to_compare_.clear();
+        for (const auto& [name, listed] : nodes_) to_compare_.insert(name);
+        for (const auto& [name, node] : state.nodes()) to_compare_.insert(name);
     }
-    while (!cold_ends_.empty() && cold_ends_.begin()->first <= now)
-        look_at_.insert(std::move(cold_ends_.extract(cold_ends_.begin()).value().second));
+    while (!warm_at_.empty() && warm_at_.begin()->first <= now)
+        to_compare_.insert(std::move(warm_at_.extract(warm_at_.begin()).value().second));
+}
+
+bool EndpointView::compare(const std::string& name, const fleet::FleetState& state, Nanos now,
+                           fleet::EndpointsObserved& news) {
+    const auto agreed = state.nodes().find(name);
+    const auto listed = nodes_.find(name);
+    if (listed == nodes_.end()) {
+        if (agreed == state.nodes().end() || agreed->second.health == fleet::Health::gone) return false;
+        news.gone.insert(name);
+        return true;
+    }
+    fleet::Node node = node_of(listed->second, now);
+    if (node.health == fleet::Health::cold) warm_at_.emplace(node.started_at + slow_start_, name);
+    if (agreed != state.nodes().end() && agreed->second == node) return false;
+    news.nodes.emplace(name, std::move(node));
+    return true;
+}
+
+std::optional<fleet::EndpointsObserved> EndpointView::differences(const fleet::FleetState& state, Nanos now) {
+    compared_ = 0;
+    if (heard_at_ == 0) return std::nullopt;
+    collect_nodes_to_compare(state, now);
     fleet::EndpointsObserved news{{}, false, {}};
-    for (auto it = look_at_.begin(); it != look_at_.end();) {
-        ++looked_at_;
-        const std::string& name = *it;
-        const auto known = state.nodes().find(name);
-        bool same = true;
-        if (const auto listed = nodes_.find(name); listed == nodes_.end()) {
-            same = known == state.nodes().end() || known->second.health == fleet::Health::gone;
-            if (!same) news.gone.insert(name);
-        } else {
-            fleet::Node node = node_of(listed->second, now);
-            if (node.health == fleet::Health::cold) cold_ends_.emplace(node.started_at + cold_, name);
-            same = known != state.nodes().end() && known->second == node;
-            if (!same) news.nodes.emplace(name, std::move(node));
-        }
-        // What is not agreed yet is looked at again: it may not come to be agreed.
-        it = same ? look_at_.erase(it) : std::next(it);
+    for (auto it = to_compare_.begin(); it != to_compare_.end();) {
+        ++compared_;
+        // What differs is compared again: its proposal may not come to be committed.
+        it = compare(*it, state, now, news) ? std::next(it) : to_compare_.erase(it);
     }
     if (news.nodes.empty() && news.gone.empty()) return std::nullopt;
     return news;
--- a/src/fleet_manager/endpoint_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -1,5 +1,5 @@
-// The fleet's data nodes as this manager's watch on discovery tells of them, and what of that the managers
-// are yet to agree on. No I/O.
+// The data nodes as discovery lists them to this fleet manager, compared with the agreed ones: what differs
+// is to be committed by the leader. No I/O.
 #pragma once
 
 #include <map>
@@ -14,35 +14,48 @@
 
 class EndpointView {
   public:
-    // Of the deployment's config it needs where shards lie and how long a node is cold.
+    // Silence of discovery after which nothing is known of any node, in ns: a poll waits for 20 s at most,
+    // and is retried when its answer is a second late.
+    static constexpr Nanos stale_after = 45'000'000'000;
+
+    // Of the deployment's configuration it needs where shards lie and how long a node is warming up.
     explicit EndpointView(const RouterConfig& config)
         : places_(config.places), width_(config.replicas_per_shard), shards_(config.shards),
-          cold_(config.slow_start_duration) {}
-
-    void take(const TargetList& list, Nanos now);
-    // What differs from the agreed state now; nothing before discovery has spoken. Looks at nodes that were
-    // told of by discovery or in the log since they were last the same, that are warm now, or at all.
-    std::optional<fleet::EndpointsObserved> news(const fleet::FleetState& state, Nanos now);
-    // This was agreed, whoever proposed it.
-    void agreed(const fleet::EndpointsObserved& seen);
-    // The agreed state is another, or this manager begins to lead.
-    void look_at_all() { all_ = true; }
-    std::size_t looked_at() const { return looked_at_; }  // nodes, by the last call for news
-    // Discovery has been silent for so long that nothing is known of any node.
+          slow_start_(config.slow_start_duration) {}
+
+    // Discovery has answered with this list, or with these changes of it.
+    void on_endpoints(const TargetList& list, Nanos now);
+    // These were committed, whoever proposed them.
+    void on_committed(const fleet::EndpointsObserved& observed);
+    // What differs from the agreed state now; nothing before discovery has answered once. Compares the nodes
+    // that discovery or the log has named since they last were the same, and those that are warm now; all of
+    // them after `compare_all`.
+    std::optional<fleet::EndpointsObserved> differences(const fleet::FleetState& state, Nanos now);
+    // The agreed state was replaced, or this fleet manager begins or ends to lead.
+    void compare_all() { compare_all_ = true; }
+    // Nodes that the last call of `differences` compared.
+    std::size_t compared() const { return compared_; }
+    // Discovery has been silent for longer than `stale_after`.
     bool stale(Nanos now) const;
 
   private:
+    // Adds to `news` what differs of this node; false where nothing does.
+    bool compare(const std::string& name, const fleet::FleetState& state, Nanos now,
+                 fleet::EndpointsObserved& news);
+    void collect_nodes_to_compare(const fleet::FleetState& state, Nanos now);
     fleet::Node node_of(const ListedNode& listed, Nanos now) const;
-    void look_at(const std::string& name);
+    std::vector<std::uint32_t> shards_at(int place) const;
+    fleet::Health health_of(const ListedNode& listed, Nanos now) const;
+    void compare_later(const std::string& name);
 
     const int places_, width_, shards_;
-    const Nanos cold_;
-    std::map<std::string, ListedNode> nodes_;
-    Nanos heard_at_ = 0;  // 0: never
-    std::set<std::string> look_at_;
-    std::set<std::pair<Nanos, std::string>> cold_ends_;  // when a node that is agreed to be cold is warm
-    bool all_ = true, was_stale_ = false;
-    std::size_t looked_at_ = 0;
+    const Nanos slow_start_;
+    std::map<std::string, ListedNode> nodes_;  // as discovery lists them
+    Nanos heard_at_ = 0;                       // 0: never
+    std::set<std::string> to_compare_;
+    std::set<std::pair<Nanos, std::string>> warm_at_;  // when a node that is agreed to be cold is warm
+    bool compare_all_ = true, was_stale_ = false;
+    std::size_t compared_ = 0;
 };
 
 }  // namespace tealcart::manager
--- a/src/fleet_manager/fleet_manager_config.hpp
+++ b/src/fleet_manager/fleet_manager_config.hpp
@@ -1,5 +1,5 @@
-// The managers' operators' file (deploy/fleet.hcl by its usual name): who they are, and what may be out.
-// docs/fleet.md lists its blocks.
+// The file that operators write for the fleet managers (deploy/fleet.hcl shows it): the group's addresses,
+// and the budgets of the fleet. docs/fleet.md lists its blocks.
 #pragma once
 
 #include <map>
@@ -14,21 +14,23 @@
 namespace tealcart::manager {
 
 struct ManagerAddresses {
-    std::string raft, bind, folder;  // where the others reach it; where it listens, if elsewhere
-    HostPort http, http_bind;        // where members and operators reach it; where it listens
+    std::string raft;          // where the other fleet managers reach it
+    std::string bind;          // where it listens for them; empty: the same
+    HostPort http, http_bind;  // where members and operators reach it; where it listens for them
+    std::string data_directory;
 };
 
 struct FleetManagerConfig {
-    std::string source, fleet;  // fleet: its name
-    Nanos election = 600'000'000;
+    std::string source, fleet;     // fleet: its name
+    Nanos election = 600'000'000;  // ns without the leader's heartbeat until an election
     std::map<std::uint64_t, ManagerAddresses> managers;  // by id
     fleet::Budgets budgets;
-    bool takes_changes = false;  // a `changes` block is stated: without one, none are agreed
+    bool takes_changes = false;  // there is a `changes` block: without one, no changes are committed
     changes::Limits changes;
     LogConfig log;
 };
 
-// Throws HclMistakes with all that is wrong.
+// Throws HclMistakes with every mistake.
 FleetManagerConfig read_fleet_manager_config(std::string_view text, std::string_view source);
 FleetManagerConfig read_fleet_manager_file(const std::string& path);  // and Malformed where it can't be read
 
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -1,10 +1,9 @@
-// The managers' program: `init` makes a manager's folder, `serve` runs one, `check` reads the operators'
-// file.
+// The fleet managers' program: `init` creates the data directory of one, `serve` runs one, `check` reads the
+// operators' file.
 
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
-#include <filesystem>
 
 #include "fleet_manager/data_directory.hpp"
 #include "fleet_manager/fleet_manager.hpp"
@@ -15,50 +14,69 @@
 using namespace tealcart;
 using namespace tealcart::manager;
 
-struct Asked {
-    std::string file, config;
-    std::uint64_t id = 0;
-    bool join = false;
+constexpr Nanos millisecond = 1'000'000;
+enum ExitStatus : int { exit_ok = 0, exit_failed = 1, exit_usage = 2 };
+
+struct Options {
+    std::string file;            // the fleet managers' (HCL)
+    std::string startup_config;  // the platform's (JSON)
+    std::uint64_t id = 0;        // which fleet manager of the file
+    bool join = false;           // of a group that runs already
     std::int64_t clock_error_ms = 0;
 };
 
 const ManagerAddresses& self_of(const FleetManagerConfig& config, std::uint64_t id) {
-    const auto it = config.managers.find(id);
-    if (it == config.managers.end())
+    const auto self = config.managers.find(id);
+    if (self == config.managers.end())
         throw Malformed(config.source + " names no steward " + std::to_string(id));
-    return it->second;
+    return self->second;
 }
 
-int init(const Asked& asked) {
-    const FleetManagerConfig config = read_fleet_manager_file(asked.file);
-    const ManagerAddresses& self = self_of(config, asked.id);
-    create_data_directory(self.folder, config.fleet, asked.id);
+int init(const Options& options) {
+    const FleetManagerConfig config = read_fleet_manager_file(options.file);
+    const ManagerAddresses& self = self_of(config, options.id);
+    create_data_directory(self.data_directory, config.fleet, options.id);
     std::vector<RaftServer> servers;
-    for (const auto& [id, s] : config.managers) servers.push_back({id, s.raft});
+    for (const auto& [id, manager] : config.managers) servers.push_back({id, manager.raft});
     try {
-        if (!asked.join) RaftNode::bootstrap({asked.id, self.raft, self.bind, self.folder}, servers);
+        if (!options.join)
+            RaftNode::bootstrap({options.id, self.raft, self.bind, self.data_directory}, servers);
     } catch (...) {
-        std::error_code ec;
-        std::filesystem::remove(self.folder + "/steward.json", ec);
+        remove_marker(self.data_directory);
         throw;
     }
-    std::printf("%s is steward %llu's of %s\n", self.folder.c_str(),
-                static_cast<unsigned long long>(asked.id), config.fleet.c_str());
-    return 0;
+    std::printf("%s is steward %llu's of %s\n", self.data_directory.c_str(),
+                static_cast<unsigned long long>(options.id), config.fleet.c_str());
+    return exit_ok;
 }
 
-int serve(const Asked& asked) {
+int serve(const Options& options) {
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is told as a disk that is full is
-    const FleetManagerConfig config = read_fleet_manager_file(asked.file);
-    const ManagerAddresses& self = self_of(config, asked.id);
+    std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is reported like a full disk
+    const FleetManagerConfig config = read_fleet_manager_file(options.file);
+    const ManagerAddresses& self = self_of(config, options.id);
     start_log(config.log);
-    const StartupConfig launch = read_startup_config_file(asked.config);
-    check_data_directory(self.folder, config.fleet, asked.id);
+    const StartupConfig startup = read_startup_config_file(options.startup_config);
+    check_data_directory(self.data_directory, config.fleet, options.id);
     boost::asio::io_context io(1);
-    FleetManager manager(io, config, asked.id, launch, asked.clock_error_ms * 1'000'000);
+    FleetManager manager(io, config, options.id, startup, options.clock_error_ms * millisecond);
     manager.run();
-    return 0;
+    return exit_ok;
+}
+
+int check(const Options& options) {
+    const FleetManagerConfig config = read_fleet_manager_file(options.file);
+    std::printf("%s: %zu stewards of %s\n", options.file.c_str(), config.managers.size(),
+                config.fleet.c_str());
+    return exit_ok;
+}
+
+CLI::App* add_command(CLI::App& app, const char* name, const char* description, Options& options) {
+    CLI::App* command = app.add_subcommand(name, description);
+    command->add_option("--file", options.file, "the stewards' file (HCL)")
+        ->envname("TEALCART_FLEET_FILE")
+        ->required();
+    return command;
 }
 
 }  // namespace
@@ -66,44 +84,34 @@
 int main(int argc, char** argv) {
     CLI::App app("tealcart-fleet-manager: keeps what a fleet has agreed on; docs/fleet.md");
     app.name("tealcart fleet-manager");
-    Asked asked;
-    const auto of = [&](const char* command, const char* what) {
-        CLI::App* sub = app.add_subcommand(command, what);
-        sub->add_option("--file", asked.file, "the stewards' file (HCL)")
-            ->envname("TEALCART_FLEET_FILE")
-            ->required();
-        return sub;
-    };
-    CLI::App* making = of("init", "make a steward's folder, once");
-    making->add_option("--id", asked.id, "which steward of the file")->required();
-    making->add_flag("--join", asked.join, "it joins stewards that are there already; see docs/fleet.md");
-    CLI::App* serving = of("serve", "run a steward");
-    serving->add_option("--id", asked.id, "which steward of the file")->required();
-    serving->add_option("--config", asked.config, "the platform's configuration (JSON)")
+    Options options;
+    CLI::App* const init_command = add_command(app, "init", "make a steward's folder, once", options);
+    init_command->add_option("--id", options.id, "which steward of the file")->required();
+    init_command->add_flag("--join", options.join,
+                           "it joins stewards that are there already; see docs/fleet.md");
+    CLI::App* const serve_command = add_command(app, "serve", "run a steward", options);
+    serve_command->add_option("--id", options.id, "which steward of the file")->required();
+    serve_command->add_option("--config", options.startup_config, "the platform's configuration (JSON)")
         ->envname("ROUTER_CONFIG")
         ->required();
-    serving->add_option("--test-clock-error-ms", asked.clock_error_ms, "for tests: its clock is off by this")
+    serve_command
+        ->add_option("--test-clock-error-ms", options.clock_error_ms, "for tests: its clock is off by this")
         ->group("");
-    CLI::App* checking = of("check", "tell every mistake in the stewards' file, with line and column");
+    add_command(app, "check", "tell every mistake in the stewards' file, with line and column", options);
     app.require_subcommand(1);
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? 0 : 2;
+    } catch (const CLI::ParseError& error) {
+        return app.exit(error) == 0 ? exit_ok : exit_usage;
     }
     try {
-        if (making->parsed()) return init(asked);
-        if (serving->parsed()) return serve(asked);
-        if (checking->parsed()) {
-            const FleetManagerConfig config = read_fleet_manager_file(asked.file);
-            std::printf("%s: %zu stewards of %s\n", asked.file.c_str(), config.managers.size(),
-                        config.fleet.c_str());
-        }
-        return 0;
-    } catch (const HclMistakes& e) {
-        std::fprintf(stderr, "%s\n", e.what());
-    } catch (const std::exception& e) {
-        std::fprintf(stderr, "tealcart fleet-manager: %s\n", e.what());
+        if (init_command->parsed()) return init(options);
+        if (serve_command->parsed()) return serve(options);
+        return check(options);
+    } catch (const HclMistakes& error) {
+        std::fprintf(stderr, "%s\n", error.what());
+    } catch (const std::exception& error) {
+        std::fprintf(stderr, "tealcart fleet-manager: %s\n", error.what());
     }
-    return 1;
+    return exit_failed;
 }
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -16,12 +16,13 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 using Clock = std::chrono::steady_clock;
+using std::chrono::milliseconds;
 
-constexpr std::size_t max_answer = 64 * 1024 * 1024;
-constexpr auto one_try = std::chrono::milliseconds(1500), pause = std::chrono::milliseconds(50);
+constexpr std::size_t max_answer = 64 * 1024 * 1024;  // bytes
+constexpr milliseconds attempt_timeout{1500}, retry_pause{50};
 
-struct Asking {
-    explicit Asking(boost::asio::io_context& io) : socket(io), reader(max_answer) {}
+struct Exchange {
+    explicit Exchange(boost::asio::io_context& io) : socket(io), reader(max_answer) {}
 
     tcp::socket socket;
     AnswerReader reader;
@@ -30,62 +31,75 @@
     Reply reply;
     bool ended = false;
 };
+using ExchangePtr = std::shared_ptr<Exchange>;
 
-void read(const std::shared_ptr<Asking>& a) {
-    a->socket.async_read_some(boost::asio::buffer(a->buffer), [a](const error_code& ec, std::size_t n) {
-        a->in.append(a->buffer.data(), n);
-        const Reading reading = ec ? Reading::bad : a->reader.feed(a->in);
-        if (reading == Reading::more) return read(a);
-        if (reading == Reading::done) a->reply = {a->reader.status(), a->reader.body()};
-        a->ended = true;
-    });
+void read_answer(const ExchangePtr& exchange) {
+    const auto on_read = [exchange](const error_code& ec, std::size_t size) {
+        exchange->in.append(exchange->buffer.data(), size);
+        const Reading reading = ec ? Reading::bad : exchange->reader.feed(exchange->in);
+        if (reading == Reading::more) return read_answer(exchange);
+        if (reading == Reading::done) exchange->reply = {exchange->reader.status(), exchange->reader.body()};
+        exchange->ended = true;
+    };
+    exchange->socket.async_read_some(boost::asio::buffer(exchange->buffer), on_read);
+}
+
+void write_request(const ExchangePtr& exchange) {
+    boost::asio::async_write(exchange->socket, boost::asio::buffer(exchange->out),
+                             [exchange](const error_code& ec, std::size_t) {
+                                 if (ec) return void(exchange->ended = true);
+                                 read_answer(exchange);
+                             });
 }
 
+std::string request_of(const std::string& host, const std::string& path, const std::string& body) {
+    if (body.empty()) return write_get(host, path);
+    return "POST " + path + " HTTP/1.1\r\nHost: " + host +
+           "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+// The others mean that this fleet manager can't serve the call now; it or another may later.
+bool is_final(int status) { return status == 200 || (status >= 400 && status < 410); }
+
 }  // namespace
 
-Reply query_manager(boost::asio::io_context& io, const HostPort& at, const std::string& path,
-               const std::string& body, std::chrono::milliseconds within) {
-    const auto until = Clock::now() + within;
-    const auto a = std::make_shared<Asking>(io);
-    a->out = body.empty() ? write_get(at.host, path)
-                          : "POST " + path + " HTTP/1.1\r\nHost: " + at.host +
-                                "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+Reply query_manager(boost::asio::io_context& io, const HostPort& address, const std::string& path,
+                    const std::string& body, milliseconds within) {
+    const auto deadline = Clock::now() + within;
     error_code ec;
-    const auto host = boost::asio::ip::make_address(at.host, ec);
+    const auto host = boost::asio::ip::make_address(address.host, ec);
     if (ec) return {};
-    a->socket.async_connect({host, at.port}, [a](const error_code& failed) {
-        if (failed) return void(a->ended = true);
-        boost::asio::async_write(a->socket, boost::asio::buffer(a->out),
-                                 [a](const error_code& e, std::size_t) {
-                                     if (e) return void(a->ended = true);
-                                     read(a);
-                                 });
+    const auto exchange = std::make_shared<Exchange>(io);
+    exchange->out = request_of(address.host, path, body);
+    exchange->socket.async_connect({host, address.port}, [exchange](const error_code& failed) {
+        if (failed) return void(exchange->ended = true);
+        write_request(exchange);
     });
-    while (!a->ended && Clock::now() < until) {
+    while (!exchange->ended && Clock::now() < deadline) {
         if (io.stopped()) io.restart();
-        io.run_one_until(until);
+        io.run_one_until(deadline);
     }
-    a->socket.close(ec);
-    return a->reply;
+    exchange->socket.close(ec);
+    return exchange->reply;
 }
 
 Reply query_managers(const std::vector<HostPort>& managers, const std::string& path, const std::string& body,
-                     std::chrono::milliseconds within) {
-    const auto until = Clock::now() + within;
+                     milliseconds within) {
+    const auto deadline = Clock::now() + within;
     boost::asio::io_context io(1);
     Reply last;
-    std::optional<HostPort> leader;  // named by one that follows, in the list or not
-    for (std::size_t at = 0; Clock::now() < until;) {
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now());
-        const HostPort to = leader ? *leader : managers[at];
-        if (!leader) at = (at + 1) % managers.size();
+    std::optional<HostPort> leader;  // as a follower named it, among `managers` or not
+    for (std::size_t next = 0; Clock::now() < deadline;) {
+        const auto left = std::chrono::duration_cast<milliseconds>(deadline - Clock::now());
+        const HostPort address = leader ? *leader : managers[next];
+        if (!leader) next = (next + 1) % managers.size();
         leader.reset();
-        const Reply reply = query_manager(io, to, path, body, std::min(left, one_try));
-        if (reply.status == 200 || (reply.status >= 400 && reply.status < 410)) return reply;
+        const Reply reply = query_manager(io, address, path, body, std::min(left, attempt_timeout));
+        if (is_final(reply.status)) return reply;
         if (reply.status != 0) last = reply;
         if (reply.status == 421)
             if (const auto named = read_not_leader(reply.body)) leader = read_host_port(*named);
-        if (!leader) std::this_thread::sleep_for(pause);
+        if (!leader) std::this_thread::sleep_for(retry_pause);
     }
     return {0, last.body};
 }
--- a/src/fleet_manager/manager_client.hpp
+++ b/src/fleet_manager/manager_client.hpp
@@ -1,5 +1,5 @@
-// An operator's call to the managers, whichever of them leads: tried at one after the other until one answers
-// or the time is up. The same call may be taken more than once; its id makes it one.
+// Calls to the fleet managers by HTTP/1.1, for commands: blocking, with retries. A call may be executed more
+// than once, so those that change something carry an id that makes them idempotent.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,18 +13,18 @@
 namespace tealcart::manager {
 
 struct Reply {
-    int status = 0;  // 0: no manager answered in time
+    int status = 0;  // of HTTP; 0: no fleet manager answered in time
     std::string body;
 };
 
-// An empty body is a GET. Blocks for `within` at most. Nothing but 200, 400, 404, 405 and 409 is an answer: a
-// manager that can't agree now may be able to, or another.
+// Calls one fleet manager after the other, and the leader that one names, until one of them gives a final
+// answer: 200, or 400 to 409. Others are retried, for `within` at most. An empty body is a GET.
 Reply query_managers(const std::vector<HostPort>& managers, const std::string& path, const std::string& body,
                      std::chrono::milliseconds within);
 
-// One call to one address; status 0 where it does not answer in time. What else is the io_context's goes on
-// meanwhile.
-Reply query_manager(boost::asio::io_context& io, const HostPort& at, const std::string& path,
-               const std::string& body, std::chrono::milliseconds within);
+// One call to one address, without a retry; status 0 where it does not answer in time. Other handlers of the
+// io_context are run meanwhile.
+Reply query_manager(boost::asio::io_context& io, const HostPort& address, const std::string& path,
+                    const std::string& body, std::chrono::milliseconds within);
 
 }  // namespace tealcart::manager
--- /dev/null
+++ b/src/fleet_manager/member_service.hpp
@@ -0,0 +1,58 @@
+// Serves the calls of members (query routers): long polls that renew leases and report what members act on.
+#pragma once
+
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "fleet_manager/proposer.hpp"
+#include "fleet_manager/responder.hpp"
+#include "tables/event_clock.hpp"
+#include "wire/member_messages.hpp"
+
+namespace tealcart::manager {
+
+class MemberService final : private DueHandler {
+  public:
+    MemberService(EventClock& time, const ReplicatedState& state, Proposer& proposer, Responder& responder)
+        : time_(time), state_(state), proposer_(proposer), responder_(responder) {}
+
+    void on_call(Handle client, const std::string& body);
+    void on_client_gone(Handle client) { waiting_.erase(client.slot); }
+    // Answers the calls for which there is a later generation, or which have waited for as long as they may.
+    void answer_waiting();
+
+    std::size_t waiting() const { return waiting_.size(); }
+
+  private:
+    // A call whose report is in the log, and which waits for a later generation.
+    struct Waiting {
+        Handle client;
+        std::uint64_t known_generation = 0;
+        Nanos until = 0;
+    };
+    // Calls whose reports go into the log as one entry.
+    struct Batch {
+        fleet::ReportBatch reports;
+        std::vector<std::pair<Handle, MemberCall>> calls;
+    };
+
+    void on_due(Handle, std::uint64_t) override;
+    void leave(Handle client, const MemberCall& call);
+    bool is_joined(const fleet::Join& join) const;
+    // The latest known incarnation of the caller's name where it is a later one than the caller's; else 0.
+    std::uint64_t later_incarnation(const MemberCall& call) const;
+    void propose_batch();
+    void on_batch_committed(const Batch& batch);
+
+    EventClock& time_;
+    const ReplicatedState& state_;
+    Proposer& proposer_;
+    Responder& responder_;
+    std::map<std::uint32_t, Waiting> waiting_;  // by the client's slot
+    Batch batch_;
+    TimerQueue::Ticket batch_due_ = TimerQueue::none;
+};
+
+}  // namespace tealcart::manager
--- /dev/null
+++ b/src/fleet_manager/operator_client.cpp
@@ -0,0 +1,97 @@
+#include "fleet_manager/operator_client.hpp"
+
+#include <cstdio>
+#include <random>
+
+#include "fleet_manager/fleet_manager_config.hpp"
+
+namespace tealcart::manager {
+namespace {
+
+using Json = nlohmann::ordered_json;
+
+constexpr auto state_timeout = std::chrono::milliseconds(1000);  // of one fleet manager
+
+// The state of one fleet manager; null where it does not answer with one.
+Json fetch_state_of(boost::asio::io_context& io, const HostPort& manager, const std::string& path) {
+    return body_of(query_manager(io, manager, path, "", state_timeout));
+}
+
+}  // namespace
+
+std::chrono::milliseconds ClientOptions::within() const {
+    return std::chrono::milliseconds(static_cast<long long>(within_s * 1000));
+}
+
+std::string ClientOptions::id_or_new() const { return id.empty() ? new_call_id() : id; }
+
+std::vector<HostPort> ClientOptions::manager_addresses() const {
+    std::vector<HostPort> addresses;
+    for (const std::string& text : managers) {
+        const auto address = read_host_port(text);
+        if (!address) throw Malformed("'" + text + "' is no address with a port");
+        addresses.push_back(*address);
+    }
+    if (addresses.empty() && !file.empty())
+        for (const auto& [manager_id, manager] : read_fleet_manager_file(file).managers)
+            addresses.push_back(manager.http);
+    if (addresses.empty()) throw Malformed("name the stewards: --stewards, TEALCART_STEWARDS or --file");
+    return addresses;
+}
+
+std::string new_call_id() {
+    std::random_device random;
+    char text[40];
+    std::snprintf(text, sizeof text, "%08x%08x%08x%08x", random(), random(), random(), random());
+    return text;
+}
+
+Json body_of(const Reply& reply) {
+    if (reply.status != 200) return nullptr;
+    Json body = Json::parse(reply.body, nullptr, false);
+    return body.is_object() ? body : Json(nullptr);
+}
+
+int report_failure(const Reply& reply, const std::string& id) {
+    const Json body = Json::parse(reply.body, nullptr, false);
+    const std::string reason = body.is_object() ? body.value("error", "") : "";
+    if (reply.status != 0) {
+        std::fprintf(stderr, "tealcart: %s\n", reason.c_str());
+        return exit_refused;
+    }
+    std::fprintf(stderr, "tealcart: no steward could agree in time%s%s; ask again with --id %s\n",
+                 reason.empty() ? "" : ": ", reason.c_str(), id.c_str());
+    return exit_unreachable;
+}
+
+Json fetch_state(const std::vector<HostPort>& managers, const std::string& path) {
+    boost::asio::io_context io(1);
+    Json found;
+    for (const HostPort& manager : managers) {
+        Json state = fetch_state_of(io, manager, path);
+        if (!state.is_object()) continue;
+        if (is_leaders(state)) return state;
+        found = std::move(state);
+    }
+    if (!found.is_object()) return found;
+    // The leader may not be among those that were named.
+    if (const auto leader = read_host_port(text_of(found, "leader_at"))) {
+        Json state = fetch_state_of(io, *leader, path);
+        if (state.is_object()) return state;
+    }
+    return found;
+}
+
+bool is_leaders(const Json& state) {
+    return state.is_object() && state.value("leader", Json()) == state.value("steward", Json());
+}
+
+unsigned long long number_of(const Json& object, const char* key) {
+    return object.value(key, std::uint64_t{0});
+}
+
+std::string text_of(const Json& object, const char* key) { return object.at(key).get<std::string>(); }
+
+int print_json(const Json& json) { return std::printf("%s\n", json.dump().c_str()) < 0; }
+
+}  // namespace tealcart::manager
--- a/src/fleet_manager/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -40,8 +40,8 @@
     return {static_cast<const std::uint8_t*>(buf.base) + word, size};
 }
 
-[[noreturn]] void fail(const std::string& folder, const std::string& what) {
-    throw std::runtime_error("the steward's folder " + folder + ": " + what);
+[[noreturn]] void fail(const std::string& directory, const std::string& what) {
+    throw std::runtime_error("the steward's folder " + directory + ": " + what);
 }
 
 }  // namespace
@@ -68,11 +68,11 @@
     if (const int rv = uv_loop_init(&loop_); rv != 0)
         throw std::runtime_error(std::string("the log's loop: ") + uv_strerror(rv));
     transport_.data = this;
-    if (raft_uv_tcp_init(&transport_, &loop_) != 0) fail(config.folder, transport_.errmsg);
+    if (raft_uv_tcp_init(&transport_, &loop_) != 0) fail(config.data_directory, transport_.errmsg);
     if (!config.bind.empty() && raft_uv_tcp_set_bind_address(&transport_, config.bind.c_str()) != 0)
-        fail(config.folder, "it can't listen at " + config.bind);
-    if (const int rv = raft_uv_init(&raft_io_, &loop_, config.folder.c_str(), &transport_); rv != 0)
-        fail(config.folder, raft_io_.errmsg[0] != 0 ? raft_io_.errmsg : raft_strerror(rv));
+        fail(config.data_directory, "it can't listen at " + config.bind);
+    if (const int rv = raft_uv_init(&raft_io_, &loop_, config.data_directory.c_str(), &transport_); rv != 0)
+        fail(config.data_directory, raft_io_.errmsg[0] != 0 ? raft_io_.errmsg : raft_strerror(rv));
     raft_uv_set_segment_size(&raft_io_, segment);
     // What can't be read is told, and not set aside: a manager that forgot what it agreed to would break the
     // log.
@@ -111,7 +111,7 @@
         return 0;
     };
     if (const int rv = raft_init(&raft_, &raft_io_, &fsm_, config.id, config.address.c_str()); rv != 0)
-        fail(config.folder, raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_) : raft_strerror(rv));
+        fail(config.data_directory, raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_) : raft_strerror(rv));
     raft_.data = this;
     append_ = std::exchange(raft_io_.append, append);
     raft_set_election_timeout(&raft_, static_cast<unsigned>(config.election / ms));
@@ -167,7 +167,7 @@
     raft_configuration_close(&all);
     const std::string wrong = rv == RAFT_CANTBOOTSTRAP ? "it holds a log already" : raft_strerror(rv);
     node.close();
-    if (rv != 0) fail(config.folder, wrong);
+    if (rv != 0) fail(config.data_directory, wrong);
 }
 
 RaftNode::~RaftNode() { close(); }
--- a/src/fleet_manager/raft_node.hpp
+++ b/src/fleet_manager/raft_node.hpp
@@ -1,5 +1,5 @@
 // One node of the replicated log: libraft on its libuv backend, run inside an io_context. The log's entries
-// are bytes, handed to a machine in the one order that all nodes agree on.
+// are bytes, applied to a state machine in the one order that all nodes agree on.
 //
 // libuv's loop has no thread of its own: its backend is one descriptor, which the io_context waits on, and
 // `turn` lets the loop do what is ready. So a manager is one thread, as the query router is.
@@ -30,7 +30,7 @@
     std::string address;  // where the others reach it
 };
 
-// What the log is for. Throws std::runtime_error on what it can't read: the node then ends.
+// What the log's entries are applied to. Throws std::runtime_error on what it can't read: the node then ends.
 class StateMachine {
   public:
     virtual ~StateMachine() = default;
@@ -41,17 +41,17 @@
 
 struct RaftConfig {
     std::uint64_t id = 0;
-    std::string address, bind, folder;  // bind: where it listens, if that is another address
+    std::string address, bind, data_directory;  // bind: where it listens, if that is another address
     Nanos election = 600'000'000;
 };
 
 class RaftNode {
   public:
-    // Throws std::runtime_error, in one line, where the folder can't be used or holds what can't be read.
+    // Throws std::runtime_error, in one line, where the directory can't be used or holds what can't be read.
     RaftNode(boost::asio::io_context& io, const RaftConfig& config, StateMachine& machine);
     ~RaftNode();
 
-    // An empty folder becomes one of these servers.
+    // An empty data directory becomes one of these servers.
     static void bootstrap(const RaftConfig& config, const std::vector<RaftServer>& servers);
 
     void start();
@@ -61,16 +61,16 @@
     // Ends what is out; the io_context is run meanwhile.
     void close();
 
-    // Told once: true after the entry was applied here, false where it may or may not come to be.
+    // Called once: true after the entry was applied here, false where it may or may not be committed later.
     using Done = std::function<void(bool applied)>;
-    // False, and `done` is never told, where this node does not lead.
+    // False, and `done` is never called, where this node does not lead.
     bool propose(std::vector<std::uint8_t> bytes, Done done);
     bool leads() const;
     std::uint64_t leader() const;  // 0: none is known
     std::uint64_t applied() const;
     std::vector<RaftServer> servers() const;
-    // One change at a time. The words are empty once it is done.
-    using Changed = std::function<void(std::string wrong)>;
+    // Called once with why the change failed, or empty. One change at a time.
+    using Changed = std::function<void(std::string error)>;
     void add(const RaftServer& server, Changed changed);
     void remove(std::uint64_t id, Changed changed);
 
--- /dev/null
+++ b/src/fleet_manager/responder.hpp
@@ -0,0 +1,42 @@
+// The answers that the fleet manager's endpoints have in common.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+#include "fleet_manager/fleet_manager_config.hpp"
+#include "fleet_manager/raft_node.hpp"
+#include "wire/http_server.hpp"
+#include "wire/message_error.hpp"
+
+namespace tealcart::manager {
+
+class Responder {
+  public:
+    Responder(ResponseWriter& server, const RaftNode& raft, const FleetManagerConfig& config,
+              std::uint64_t id)
+        : server_(server), raft_(raft), config_(config), id_(id) {}
+
+    void ok(Handle client, std::string body = {});
+    // With a JSON body that states the reason.
+    void error(Handle client, int status, std::string_view reason);
+    void malformed(Handle client, const MessageError& error) { this->error(client, 400, error.reason); }
+    void method_not_allowed(Handle client, std::string_view allowed);
+    // 503: the command may or may not be committed later; the caller is to retry it under the same id.
+    void not_committed(Handle client);
+    // 421 with the leader's address, or 503 where none is known.
+    void not_leader(Handle client);
+    // 409: a later incarnation of the caller's name is known.
+    void superseded(Handle client, std::uint64_t last_incarnation);
+
+    // The leader's host and port for HTTP; empty where none is known.
+    std::string leader_address() const;
+
+  private:
+    ResponseWriter& server_;
+    const RaftNode& raft_;
+    const FleetManagerConfig& config_;
+    const std::uint64_t id_;  // of this fleet manager
+};
+
+}  // namespace tealcart::manager
--- /dev/null
+++ b/src/wire/event_turn.hpp
@@ -0,0 +1,45 @@
+// One turn of a process's event loop: handlers of the io_context, then timers that are due.
+#pragma once
+
+#include <algorithm>
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+
+#include "tables/event_clock.hpp"
+
+namespace tealcart {
+
+class EventTurn {
+  public:
+    EventTurn(boost::asio::io_context& io, EventClock& time) : io_(io), time_(time), timer_(io) {}
+
+    // Waits until a handler is ready, or `wake_at` at the latest; runs what is ready, a bounded number of
+    // handlers, and the timers of the clock that are due.
+    void run(Nanos wake_at) {
+        set_timer(std::max(wake_at, time_.now()));
+        io_.run_one();
+        for (int ran = 0; ran < max_handlers && io_.poll_one() > 0; ++ran) {
+        }
+        time_.due.tell(time_.now());
+    }
+
+  private:
+    static constexpr int max_handlers = 4096;
+
+    // Set anew only for an earlier time: a timer that is postponed would wake the loop for nothing.
+    void set_timer(Nanos at) {
+        if (timer_at_ != TimerQueue::never && timer_at_ <= at) return;
+        timer_at_ = at;
+        timer_.expires_at(time_.steady(at));
+        timer_.async_wait([this](const boost::system::error_code& ec) {
+            if (!ec) timer_at_ = TimerQueue::never;
+        });
+    }
+
+    boost::asio::io_context& io_;
+    EventClock& time_;
+    boost::asio::steady_timer timer_;
+    Nanos timer_at_ = TimerQueue::never;
+};
+
+}  // namespace tealcart
--- a/src/wire/json_fields.cpp
+++ b/src/wire/json_fields.cpp
@@ -22,14 +22,15 @@
     return value.get<std::string>();
 }
 
-JsonFields::JsonFields(const Json& object) : object_(object) {
+JsonFields::JsonFields(const Json& object, Nulls nulls) : object_(object), nulls_(nulls) {
     if (!object.is_object()) error_ = MessageError{"", "the body is no JSON object"};
 }
 
 const Json* JsonFields::find(const char* key) const {
     if (!object_.is_object()) return nullptr;
     const auto it = object_.find(key);
-    return it == object_.end() || it->is_null() ? nullptr : &*it;
+    if (it == object_.end() || (nulls_ == Nulls::missing && it->is_null())) return nullptr;
+    return &*it;
 }
 
 void JsonFields::name(const char* key, std::string& to, Presence presence, const char* reason) {
@@ -72,12 +73,14 @@
     to = value->get<bool>();
 }
 
-void JsonFields::text(const char* key, std::string& to, std::size_t max_bytes, const char* reason) {
+void JsonFields::text(const char* key, std::string& to, std::size_t max_bytes, const char* reason,
+                      bool (*accepts)(char)) {
     const Json* value = find(key);
     if (error_ || value == nullptr) return;
     if (!value->is_string()) return fail(key, reason);
     const auto& read = value->get_ref<const std::string&>();
     if (read.size() > max_bytes) return fail(key, reason);
+    if (accepts != nullptr && !std::all_of(read.begin(), read.end(), accepts)) return fail(key, reason);
     to = read;
 }
 
--- a/src/wire/json_fields.hpp
+++ b/src/wire/json_fields.hpp
@@ -22,15 +22,19 @@
 // The name that a JSON value is; nothing where it is none.
 std::optional<std::string> name_of(const nlohmann::json& value);
 
-// A field that is missing or null keeps the value that it is given, unless it is required. After the first
-// error the further calls change nothing. `reason` is a sentence of the protocol: clients may compare it.
+// A field that is missing keeps the value that it is given, unless it is required. After the first error the
+// further calls change nothing. `reason` is a sentence of the protocol: clients may compare it.
 class JsonFields {
   public:
     enum class Presence : std::uint8_t { optional, required };
+    enum class Nulls : std::uint8_t {
+        missing,  // a field whose value is null counts as missing
+        values    // it is a value, which no reader below accepts
+    };
 
-    explicit JsonFields(const nlohmann::json& object);
+    explicit JsonFields(const nlohmann::json& object, Nulls nulls = Nulls::missing);
 
-    // The value of a field; null where it is missing or null.
+    // The value of a field; nullptr where it is missing.
     const nlohmann::json* find(const char* key) const;
 
     void name(const char* key, std::string& to, Presence presence, const char* reason);
@@ -39,7 +43,9 @@
     // In whole milliseconds on the wire, a year at most; nanoseconds here.
     void duration(const char* key, Nanos& to, const char* reason);
     void flag(const char* key, bool& to, const char* reason);
-    void text(const char* key, std::string& to, std::size_t max_bytes, const char* reason);
+    // `accepts`: which bytes it may consist of; nullptr: any.
+    void text(const char* key, std::string& to, std::size_t max_bytes, const char* reason,
+              bool (*accepts)(char) = nullptr);
     // `read_item(item, to)` is false for a malformed item.
     template <class Item, class ReadItem>
     void list(const char* key, std::vector<Item>& to, ReadItem read_item, const char* reason);
@@ -52,6 +58,7 @@
 
   private:
     const nlohmann::json& object_;
+    const Nulls nulls_;
     std::optional<MessageError> error_;
 };
 
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -7,6 +7,7 @@
 #include "fleet_manager/endpoint_view.hpp"
 #include "fleet_manager/fleet_manager_config.hpp"
 #include "fleet_manager/operator_requests.hpp"
+#include "fleet_manager/status_page.hpp"
 #include "helpers.hpp"
 #include "members/endpoint_overlay.hpp"
 #include "members/member_lease.hpp"
@@ -265,16 +266,15 @@
 
 TEST_CASE("an operator's call is read, or told what is wrong with it") {
     using namespace tealcart::manager;
-    std::string wrong;
     const auto call =
-        read_operator_call(R"({"id":"x","asker":"ann","targets":[["node","n1"],["router","r1"]]})", wrong);
+        read_operator_call(R"({"id":"x","asker":"ann","targets":[["node","n1"],["router","r1"]]})");
     REQUIRE(call);
     CHECK(call->targets == std::vector<fleet::Target>{{false, "n1"}, {true, "r1"}});
     for (const char* text : {"", "{}", R"({"id":""})", R"({"id":"x","targets":[["node"]]})",
                              R"({"id":"x","targets":[["shelf","n1"]]})", R"({"id":"x","requests":["1"]})"}) {
-        wrong.clear();
-        CHECK_FALSE(read_operator_call(text, wrong));
-        CHECK_FALSE(wrong.empty());
+        const auto malformed = read_operator_call(text);
+        REQUIRE_FALSE(malformed);
+        CHECK_FALSE(malformed.error().reason.empty());
     }
 }
 
@@ -315,26 +315,26 @@
     EndpointView view(config);
     fleet::FleetState state({});
     const Nanos now = 1000 * second;
-    CHECK_FALSE(view.news(state, now));  // nothing is known yet, which is no news of nobody
+    CHECK_FALSE(view.differences(state, now));  // nothing is known yet, which is no news of nobody
     ListedNode fresh = listed("n1", Lifecycle::ready, 1);
     fresh.started_at = now - 4 * second;
-    view.take({1, true, {listed("n0"), fresh, listed("n2", Lifecycle::draining, 2)}, 0}, now);
-    auto news = view.news(state, now);
+    view.on_endpoints({1, true, {listed("n0"), fresh, listed("n2", Lifecycle::draining, 2)}, 0}, now);
+    auto news = view.differences(state, now);
     REQUIRE(news);
     CHECK(news->nodes.at("n0").shards == std::vector<std::uint32_t>{0, 3, 4, 7});
     CHECK(news->nodes.at("n1").health == fleet::Health::cold);
     CHECK(news->nodes.at("n2").health == fleet::Health::draining);
     state.apply({"", now, *news});
-    CHECK_FALSE(view.news(state, now));
-    news = view.news(state, now + 7 * second);
+    CHECK_FALSE(view.differences(state, now));
+    news = view.differences(state, now + 7 * second);
     REQUIRE(news);
     CHECK(news->nodes.size() == 1);
     CHECK(news->nodes.at("n1").health == fleet::Health::whole);
-    view.take({2, false, {listed("n0", Lifecycle::removed)}, 0}, now + second);
-    news = view.news(state, now + second);
+    view.on_endpoints({2, false, {listed("n0", Lifecycle::removed)}, 0}, now + second);
+    news = view.differences(state, now + second);
     REQUIRE(news);
     CHECK(news->gone == std::set<std::string>{"n0"});
-    news = view.news(state, now + 60 * second);
+    news = view.differences(state, now + 60 * second);
     REQUIRE(news);
     CHECK(news->nodes.at("n2").health == fleet::Health::unknown);
 }
@@ -370,23 +370,23 @@
                 all.erase(name);
             else
                 all[name] = one;
-            view.take(list, heard = now);
+            view.on_endpoints(list, heard = now);
         }
         // Another that led: its last entry is agreed after this one has begun to look.
         if (pick(50) == 0) {
             fleet::EndpointsObserved other{{}, pick(4) == 0, {name_of(pick(30))}};
             other.nodes[name_of(pick(30))] = {"b", "k", {1}, fleet::Health::draining, 0};
             state.apply({"", now, other});
-            view.agreed(other);
+            view.on_committed(other);
         }
         if (pick(30) == 0) state.apply({"", now, fleet::RequestRemoval{"ann", {false, name_of(pick(30))}}});
         if (heard == 0 || pick(4) == 0) continue;  // another manager leads
         EndpointView anew(config);
         TargetList whole{1, true, {}, 0};
         for (const auto& [id, node] : all) whole.nodes.push_back(node);
-        anew.take(whole, heard);
-        const auto slow = anew.news(state, now);
-        const auto news = view.news(state, now);
+        anew.on_endpoints(whole, heard);
+        const auto slow = anew.differences(state, now);
+        const auto news = view.differences(state, now);
         REQUIRE(news.has_value() == slow.has_value());
         if (!news) continue;
         CHECK(news->nodes == slow->nodes);
@@ -396,7 +396,7 @@
             unknown += node.health == fleet::Health::unknown, cold += node.health == fleet::Health::cold;
         if (pick(5) == 0) continue;  // not agreed
         state.apply({"", now, *news});
-        if (pick(2) == 0) view.agreed(*news);
+        if (pick(2) == 0) view.on_committed(*news);
     }
     CHECK(std::min({differing, unknown, cold}) > 20);
 }
@@ -413,16 +413,16 @@
     for (std::uint32_t n = 0; n < 1000; ++n)
         list.nodes.push_back(listed("n" + std::to_string(n), Lifecycle::ready, n % 100));
     const auto agree = [&] {
-        if (auto news = view.news(state, now)) state.apply({"", now, *news}), view.agreed(*news);
-        return view.looked_at();
+        if (auto news = view.differences(state, now)) state.apply({"", now, *news}), view.on_committed(*news);
+        return view.compared();
     };
-    view.take(list, now);
+    view.on_endpoints(list, now);
     CHECK(agree() == 1000);
     CHECK(agree() == 1000);  // and are found to be agreed
     CHECK(agree() == 0);
     ListedNode fresh = listed("n7", Lifecycle::ready, 7);
     fresh.started_at = now;
-    view.take({2, false, {fresh}, 0}, now);
+    view.on_endpoints({2, false, {fresh}, 0}, now);
     CHECK(agree() == 1);
     CHECK(state.nodes().at("n7").health == fleet::Health::cold);
     CHECK(agree() == 1);
@@ -431,7 +431,7 @@
     CHECK(agree() == 1);
     CHECK(state.nodes().at("n7").health == fleet::Health::whole);
     CHECK((agree(), agree()) == 0);
-    view.look_at_all();
+    view.compare_all();
     CHECK(agree() == 1000);
     CHECK(agree() == 0);
     now += 60 * second;  // silence
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -126,17 +126,16 @@
 }
 
 TEST_CASE("what operators ask of changes is read, or refused with words") {
-    std::string wrong;
     const auto call = manager::read_change_request(
-        R"({"id":"x","asker":"ann","set":{"a":"1"},"removed":["b"],"based_on":3})", wrong);
+        R"({"id":"x","asker":"ann","set":{"a":"1"},"removed":["b"],"based_on":3})");
     REQUIRE(call);
     CHECK(call->set.at("a") == "1");
     CHECK(call->removed.contains("b"));
     CHECK(call->based_on == 3);
     const auto wrong_with = [](const char* body) {
-        std::string words;
-        CHECK_FALSE(manager::read_change_request(body, words));
-        return words;
+        const auto malformed = manager::read_change_request(body);
+        REQUIRE_FALSE(malformed);
+        return malformed.error().reason;
     };
     CHECK(wrong_with("x") == "the body is no JSON object");
     CHECK(wrong_with("{}") == "'id' is missing or malformed");
