--- a/measure/list_cost.cpp
+++ b/measure/list_cost.cpp
@@ -115,17 +115,17 @@
     const std::string body = list_of(nodes);
     const auto places = static_cast<std::uint32_t>(nodes);
     const int times = nodes > 20'000 ? 5 : 20, changes = nodes > 20'000 ? 40 : 400;
-    std::optional<TargetList> list;
+    std::optional<EndpointList> list;
     const std::size_t before = held;
     max_in_flight = held;
-    list = read_targets(body, places);
+    list = read_endpoint_list(body, places);
     if (!list || list->nodes.size() != static_cast<std::size_t>(nodes)) return false;
     const std::size_t read_most = max_in_flight - before, read_left = held - before;
     const double read = least(
-        times, [](int) { return 0; }, [&](int) { list = read_targets(body, places); });
+        times, [](int) { return 0; }, [&](int) { list = read_endpoint_list(body, places); });
 
     const auto change = [&](int i) {
-        TargetList one{list->generation + 1, false, {list->nodes[static_cast<std::size_t>(i % nodes)]}, 0};
+        EndpointList one{list->generation + 1, false, {list->nodes[static_cast<std::size_t>(i % nodes)]}, 0};
         one.nodes[0].lifecycle = i / nodes % 2 == 0 ? Lifecycle::draining : Lifecycle::ready;
         return one;
     };
@@ -138,10 +138,10 @@
     const double delta = mean(changes, [&](int i) { known.take(change(i)); });
     const double ready = mean(changes, [&](int) { benchmark::DoNotOptimize(known.ready()); });
     // One zone goes and comes back.
-    TargetList zone{list->generation + 2, false, {}, 0};
+    EndpointList zone{list->generation + 2, false, {}, 0};
     for (int n = 0; n < nodes; n += zones) zone.nodes.push_back(list->nodes[static_cast<std::size_t>(n)]);
     const auto turn = [&](Lifecycle to) {
-        for (ListedNode& n : zone.nodes) n.lifecycle = to;
+        for (ListedEndpoint& n : zone.nodes) n.lifecycle = to;
     };
     turn(Lifecycle::removed);
     const auto zone_went = Clock::now();
--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -208,7 +208,7 @@
         RouterConfig config;
         config.places = config.shards = static_cast<int>(nodes / 3);
         manager::NodeView seen(config);
-        TargetList list{1, true, {}, 0};
+        EndpointList list{1, true, {}, 0};
         for (std::size_t i = 0; i < nodes / 3 * 3; ++i)
             list.nodes.push_back({node_name(i), "10.0.0.1:7300", "r1z1", "kind-1",
                                   static_cast<std::uint32_t>(i / 3), Lifecycle::ready, 0});
@@ -228,7 +228,7 @@
     const std::string gone = R"({"instanceId":")" + node_name(6750) + R"(","lifecycle":"removed"},)";
     point("router.gone_bytes", 1, static_cast<double>(gone.size()));
     for (const std::size_t nodes : {1000, 10'000, 40'000, 81'000}) {
-        TargetList list{1, true, {}, 0};
+        EndpointList list{1, true, {}, 0};
         std::size_t bytes = 0;
         for (std::size_t i = 0; i < nodes; ++i) {
             const std::string zone = "r1z" + std::to_string(i % 12), kind = "kind-" + std::to_string(i % 4);
--- a/measure/xds.cpp
+++ b/measure/xds.cpp
@@ -39,8 +39,8 @@
     return t;
 }
 
-std::vector<ListedNode> fleet(int nodes) {
-    std::vector<ListedNode> list;
+std::vector<ListedEndpoint> fleet(int nodes) {
+    std::vector<ListedEndpoint> list;
     for (int n = 0; n < nodes; ++n)
         list.push_back({"n" + std::to_string(n), "127.0.0.1:" + std::to_string(1024 + n % 60000),
                         "z" + std::to_string(n % 3), "m", static_cast<std::uint32_t>(n % places),
@@ -94,7 +94,9 @@
         c.leave_grace = 2000 * ms;
         return c;
     }
-    void tell(std::vector<ListedNode> nodes) { server.take_list({++generation, true, std::move(nodes), 0}); }
+    void tell(std::vector<ListedEndpoint> nodes) {
+        server.take_list({++generation, true, std::move(nodes), 0});
+    }
 };
 
 struct Proxies {
@@ -182,7 +184,7 @@
         for (int wave = 0; wave < 6; ++wave) {
             std::vector<std::string> leaving;
             for (int i = 0; i < 4; ++i) {
-                ListedNode& n = list[static_cast<std::size_t>(wave * 4 + i)];
+                ListedEndpoint& n = list[static_cast<std::size_t>(wave * 4 + i)];
                 n.lifecycle = Lifecycle::draining;
                 leaving.push_back(n.id);
             }
@@ -198,7 +200,7 @@
                         drain_ms.push_back(std::chrono::duration<double, std::milli>(seen - told).count());
                 }
             for (int i = 0; i < 4; ++i) {
-                ListedNode& n = list[static_cast<std::size_t>(wave * 4 + i)];
+                ListedEndpoint& n = list[static_cast<std::size_t>(wave * 4 + i)];
                 n.lifecycle = Lifecycle::ready;
                 n.started_at = wall();
             }
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -7,22 +7,15 @@
 #include <string>
 #include <vector>
 
+#include "config/control_config.hpp"
 #include "config/hcl.hpp"
+#include "config/member_config.hpp"
 #include "config/router_config_reader.hpp"
-#include "control/control_config.hpp"
-#include "members/member_config.hpp"
+#include "log/log_config.hpp"
 #include "phases/two_phase_config.hpp"
 
 namespace tealcart {
 
-enum class LogForm : std::uint8_t { text, json };
-enum class LogLevel : std::uint8_t { debug, info, warn, error };
-
-struct LogConfig {
-    LogForm form = LogForm::text;
-    LogLevel level = LogLevel::info;
-};
-
 // What a call to a data node carries, where the operators state it in place of the platform's settings.
 struct CallConfig {
     bool stated = false;
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -25,7 +25,7 @@
     decide(0);
 }
 
-void Controller::take_list(const TargetList& list, Nanos now) {
+void Controller::take_list(const EndpointList& list, Nanos now) {
     now_ = std::max(now_, now);
     decider_.take(list, now_);
     decide(now_);
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -26,7 +26,7 @@
                const ControlConfig& control, const ResourceEncoder& encoder, std::uint64_t seed,
                std::uint64_t epoch);
 
-    void take_list(const TargetList& list, Nanos now);
+    void take_list(const EndpointList& list, Nanos now);
     // What time alone changes: ramps, graces, waits for acknowledgements.
     void tick(Nanos now);
 
--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "config/host_port.hpp"
+
 namespace tealcart {
 namespace {
 
@@ -50,16 +52,16 @@
 
 // Drains are kept whatever else a list says. What goes is not believed where too much of the fleet goes at
 // once: guards against a discovery that has lost its own list.
-void Decider::take(const TargetList& list, Nanos now) {
+void Decider::take(const EndpointList& list, Nanos now) {
     now_ = std::max(now_, now);
     heard_at_ = now_;
     generation_ = list.generation;
-    std::map<std::string, const ListedNode*> named;
-    for (const ListedNode& entry : list.nodes) named[entry.id] = &entry;
+    std::map<std::string, const ListedEndpoint*> named;
+    for (const ListedEndpoint& entry : list.nodes) named[entry.id] = &entry;
     std::vector<std::string> gone;
     for (auto& [id, node] : nodes_) {
         const auto at = named.find(id);
-        const bool goes = at == named.end() ? list.whole : at->second->lifecycle == Lifecycle::removed;
+        const bool goes = at == named.end() ? list.full : at->second->lifecycle == Lifecycle::removed;
         if (goes && node.gone_since == 0) gone.push_back(id);
     }
     for (const auto& [id, entry] : named) {
--- a/src/control/decisions.hpp
+++ b/src/control/decisions.hpp
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "control/control_config.hpp"
+#include "config/control_config.hpp"
 #include "router/query_router.hpp"
-#include "wire/bodies.hpp"
+#include "tables/endpoint_list.hpp"
 
 namespace tealcart {
 
@@ -54,7 +54,7 @@
             const ControlConfig& control, std::uint64_t seed);
 
     // A list as discovery tells it. Lines for the log are kept until taken.
-    void take(const TargetList& list, Nanos now);
+    void take(const EndpointList& list, Nanos now);
     // What holds now; the clock may stand still but is never believed to go back.
     Decisions decide(Nanos now);
     // When `decide` may come to something else without a new list.
@@ -66,7 +66,7 @@
 
   private:
     struct Node {
-        ListedNode listed;
+        ListedEndpoint listed;
         std::uint32_t number = 0;  // the module's
         Nanos drains_since = 0;    // 0: it does not
         Nanos gone_since = 0;      // kept while a list is not believed
--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-void NodeView::take(const TargetList& list, Nanos now) {
-    if (list.whole) {
+void NodeView::take(const EndpointList& list, Nanos now) {
+    if (list.full) {
         nodes_.clear();
         cold_ends_.clear();
         look_at_all();
     }
     heard_at_ = now;
-    for (const ListedNode& node : list.nodes) {
+    for (const ListedEndpoint& node : list.nodes) {
         look_at(node.id);
         if (const auto it = nodes_.find(node.id); it != nodes_.end())
             cold_ends_.erase({it->second.started_at + cold_, node.id});
@@ -44,7 +44,7 @@
 
 bool NodeView::stale(Nanos now) const { return heard_at_ > 0 && now - heard_at_ > stale_after; }
 
-fleet::Node NodeView::node_of(const ListedNode& listed, Nanos now) const {
+fleet::Node NodeView::node_of(const ListedEndpoint& listed, Nanos now) const {
     fleet::Node node{listed.zone, listed.kind, {}, fleet::Health::whole, listed.started_at};
     // Shard s lies at places (s + j) mod all, for j below the width.
     const int place = static_cast<int>(listed.place);
--- a/src/fleet_manager/endpoint_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "fleet/fleet_state.hpp"
-#include "wire/bodies.hpp"
+#include "tables/endpoint_list.hpp"
 
 namespace tealcart::manager {
 
@@ -19,7 +19,7 @@
         : places_(config.places), width_(config.replicas_per_shard), shards_(config.shards),
           cold_(config.slow_start_duration) {}
 
-    void take(const TargetList& list, Nanos now);
+    void take(const EndpointList& list, Nanos now);
     // What differs from the agreed state now; nothing before discovery has spoken. Looks at nodes that were
     // told of by discovery or in the log since they were last the same, that are warm now, or at all.
     std::optional<fleet::EndpointsObserved> news(const fleet::FleetState& state, Nanos now);
@@ -32,12 +32,12 @@
     bool stale(Nanos now) const;
 
   private:
-    fleet::Node node_of(const ListedNode& listed, Nanos now) const;
+    fleet::Node node_of(const ListedEndpoint& listed, Nanos now) const;
     void look_at(const std::string& name);
 
     const int places_, width_, shards_;
     const Nanos cold_;
-    std::map<std::string, ListedNode> nodes_;
+    std::map<std::string, ListedEndpoint> nodes_;
     Nanos heard_at_ = 0;  // 0: never
     std::set<std::string> look_at_;
     std::set<std::pair<Nanos, std::string>> cold_ends_;  // when a node that is agreed to be cold is warm
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -5,7 +5,8 @@
 
 #include "fleet_manager/change_requests.hpp"
 #include "fleet_manager/log_entries.hpp"
-#include "service/log.hpp"
+#include "log/log.hpp"
+#include "wire/bodies.hpp"
 
 namespace tealcart::manager {
 namespace {
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -8,7 +8,7 @@
 
 #include "fleet_manager/data_directory.hpp"
 #include "fleet_manager/fleet_manager.hpp"
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace {
 
--- a/src/service/log.cpp
+++ b/src/log/log.cpp
@@ -1,4 +1,4 @@
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
--- a/src/service/log.hpp
+++ b/src/log/log.hpp
@@ -3,7 +3,7 @@
 
 #include <string_view>
 
-#include "config/operator_config.hpp"
+#include "log/log_config.hpp"
 
 namespace tealcart {
 
--- a/src/members/agreed_list.cpp
+++ b/src/members/agreed_list.cpp
@@ -6,16 +6,16 @@
 
 namespace tealcart {
 
-ListedNode AgreedList::joined(ListedNode node) const {
+ListedEndpoint AgreedList::joined(ListedEndpoint node) const {
     if (node.lifecycle == Lifecycle::ready && is_out(node.id)) node.lifecycle = Lifecycle::draining;
     return node;
 }
 
-TargetList AgreedList::discovered(const TargetList& news) {
-    if (news.whole) nodes_.clear();
+EndpointList AgreedList::discovered(const EndpointList& news) {
+    if (news.full) nodes_.clear();
     generation_ = news.generation;
-    TargetList list = news;
-    for (ListedNode& node : list.nodes) {
+    EndpointList list = news;
+    for (ListedEndpoint& node : list.nodes) {
         ++looked_;
         if (node.lifecycle == Lifecycle::removed)
             nodes_.erase(node.id);
@@ -26,12 +26,12 @@
     return list;
 }
 
-TargetList AgreedList::agreed(std::set<std::string> out) {
+EndpointList AgreedList::agreed(std::set<std::string> out) {
     std::vector<std::string> changed;
     std::set_symmetric_difference(out_.begin(), out_.end(), out.begin(), out.end(),
                                   std::back_inserter(changed));
     out_ = std::move(out);
-    TargetList list{generation_, false, {}, 0};
+    EndpointList list{generation_, false, {}, 0};
     for (const std::string& name : changed) {
         ++looked_;
         const auto it = nodes_.find(name);
@@ -41,8 +41,8 @@
     return list;
 }
 
-TargetList AgreedList::cut(bool cut) {
-    TargetList list{generation_, false, {}, 0};
+EndpointList AgreedList::cut(bool cut) {
+    EndpointList list{generation_, false, {}, 0};
     if (std::exchange(cut_, cut) == cut) return list;
     for (const auto& [name, node] : nodes_) {
         ++looked_;
--- a/src/members/agreed_list.hpp
+++ b/src/members/agreed_list.hpp
@@ -6,28 +6,29 @@
 #include <set>
 #include <string>
 
-#include "wire/bodies.hpp"
+#include "tables/endpoint_list.hpp"
 
 namespace tealcart {
 
 class AgreedList {
   public:
     // News of discovery, as it is to reach the module.
-    TargetList discovered(const TargetList& news);
+    EndpointList discovered(const EndpointList& news);
     // These are out by agreement now, and no others: what changes for the module; no entries where nothing
     // does. Of the nodes it looks at those alone whose agreement changes.
-    TargetList agreed(std::set<std::string> out);
+    EndpointList agreed(std::set<std::string> out);
     // With `cut` nothing new may be sent to any node, until it is over. Looks at all nodes where it changes.
-    TargetList cut(bool cut);
+    EndpointList cut(bool cut);
 
     bool is_out(const std::string& node) const { return cut_ || out_.contains(node); }
     const std::set<std::string>& out() const { return out_; }
     std::uint64_t looked() const { return looked_; }  // entries and nodes looked at since the start
 
   private:
-    ListedNode joined(ListedNode node) const;
+    ListedEndpoint joined(ListedEndpoint node) const;
 
-    std::map<std::string, ListedNode> nodes_;  // as discovery told of them; those that are gone are dropped
+    std::map<std::string, ListedEndpoint>
+        nodes_;  // as discovery told of them; those that are gone are dropped
     std::set<std::string> out_;
     std::uint64_t generation_ = 0;  // discovery's
     std::uint64_t looked_ = 0;
--- a/src/members/member_lease.hpp
+++ b/src/members/member_lease.hpp
@@ -6,7 +6,7 @@
 
 #include <cstdint>
 
-#include "members/member_config.hpp"
+#include "config/member_config.hpp"
 
 namespace tealcart {
 
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -5,8 +5,8 @@
 #include <cstdio>
 #include <random>
 
+#include "log/log.hpp"
 #include "relay/relay.hpp"
-#include "service/log.hpp"
 
 namespace {
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 #include "wire/bodies.hpp"
 #include "wire/member_messages.hpp"
 
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <utility>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart {
 namespace {
--- a/src/service/main.cpp
+++ b/src/service/main.cpp
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "config/migration.hpp"
+#include "log/log.hpp"
 #include "service/completion.hpp"
-#include "service/log.hpp"
 #include "service/service.hpp"
 #include "service/version.hpp"
 
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -5,7 +5,7 @@
 
 #include <cstdio>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 #include "service/version.hpp"
 
 namespace tealcart {
@@ -37,11 +37,11 @@
     look();
 }
 
-void Membership::hand_on(const TargetList& list) {
-    if (!list.nodes.empty() || list.whole) host_.on_list(list);
+void Membership::hand_on(const EndpointList& list) {
+    if (!list.nodes.empty() || list.full) host_.on_list(list);
 }
 
-void Membership::on_list(const TargetList& list) { hand_on(list_.discovered(list)); }
+void Membership::on_list(const EndpointList& list) { hand_on(list_.discovered(list)); }
 
 // Guards against going on, after a stall, by a lease that is over.
 void Membership::look() {
--- a/src/service/membership.hpp
+++ b/src/service/membership.hpp
@@ -18,9 +18,9 @@
 
     void start() { watch_.start(); }
     void stop() { watch_.stop(); }
-    void on_list(const TargetList& list) override;
+    void on_list(const EndpointList& list) override;
     // The list that the router starts with, which the host has already: agreement holds for its nodes too.
-    void know(const TargetList& list) { list_.discovered(list); }
+    void know(const EndpointList& list) { list_.discovered(list); }
 
     // To be called before each round: what the clock alone has changed goes before what the round decides.
     void look();
@@ -39,7 +39,7 @@
     void on_outlived(std::uint64_t last_incarnation) override;
     void on_query_end(int status) override;
     void on_call_end(std::uint32_t node, Outcome outcome) override;
-    void hand_on(const TargetList& list);
+    void hand_on(const EndpointList& list);
     bool anything_in_hand() const;
 
     EventClock& time_;
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <optional>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart {
 namespace {
@@ -140,7 +140,7 @@
     end_query(h);
 }
 
-void QueryDispatcher::take_list(const TargetList& list, ListKind kind) {
+void QueryDispatcher::take_list(const EndpointList& list, ListKind kind) {
     NodeList::News news = nodes_.take(list);
     if (may_phase_) tell_speakers(news, kind);
     for (const std::uint32_t n : news.met)
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -22,6 +22,7 @@
 #include "tables/event_clock.hpp"
 #include "tables/node_list.hpp"
 #include "tables/slot_map.hpp"
+#include "wire/bodies.hpp"
 #include "wire/http_server.hpp"
 #include "wire/node_connection_pool.hpp"
 
@@ -51,10 +52,10 @@
     bool on_phase_answer(Handle link, const PhaseAnswer& answer) override;
     bool on_phases_refused(std::uint32_t node) override;
     void on_call_lost(Handle call, Outcome outcome) override;
-    void on_list(const TargetList& list) override {
-        take_list(list, list.whole ? ListKind::full : ListKind::delta);
+    void on_list(const EndpointList& list) override {
+        take_list(list, list.full ? ListKind::full : ListKind::delta);
     }
-    void take_list(const TargetList& list, ListKind kind);
+    void take_list(const EndpointList& list, ListKind kind);
     void on_due(Handle who, std::uint64_t what) override;
 
     // When the next round is due; never while nothing has come in, or before `begin`.
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <csignal>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart {
 namespace {
--- a/src/service/startup_config.cpp
+++ b/src/service/startup_config.cpp
@@ -6,7 +6,8 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
+#include "wire/bodies.hpp"
 
 namespace tealcart {
 namespace {
@@ -67,12 +68,12 @@
             log_line("'known' in the configuration, %zu bytes, is over its bound of %zu: %s; it is left out",
                      stated.size(), launch.list_bound.bytes, launch.list_bound.why.c_str());
         } else {
-            auto list = read_targets(stated, static_cast<std::uint32_t>(launch.config.places));
+            auto list = read_endpoint_list(stated, static_cast<std::uint32_t>(launch.config.places));
             if (!list) throw Malformed("'known' in the configuration is no list of data nodes");
             launch.known = std::move(*list);
         }
     }
-    launch.known.whole = true;
+    launch.known.full = true;
     return launch;
 }
 
--- a/src/service/startup_config.hpp
+++ b/src/service/startup_config.hpp
@@ -6,7 +6,7 @@
 
 #include "config/operator_config.hpp"
 #include "config/router_config_reader.hpp"
-#include "wire/bodies.hpp"
+#include "tables/endpoint_list.hpp"
 #include "wire/list_bound.hpp"
 
 namespace tealcart {
@@ -21,7 +21,7 @@
     RouterConfig config;
     ConnectionConfig connection_config;
     ListBound list_bound, agreed_bound;
-    TargetList known;  // the list as this query router last had it
+    EndpointList known;  // the list as this query router last had it
     OperatorConfig operators;
     std::vector<TwoPhaseConfig> phases;  // by query class
 };
--- a/src/service/two_phase_dispatcher.cpp
+++ b/src/service/two_phase_dispatcher.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <unordered_set>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 #include "service/query_dispatcher.hpp"
 
 namespace tealcart {
--- a/src/tables/node_list.cpp
+++ b/src/tables/node_list.cpp
@@ -5,7 +5,7 @@
 
 namespace tealcart {
 
-std::uint32_t NodeList::group_of(const ListedNode& entry, bool goes) {
+std::uint32_t NodeList::group_of(const ListedEndpoint& entry, bool goes) {
     key_.assign(entry.zone).append(1, '\n').append(entry.kind);
     const auto next = static_cast<std::uint32_t>(groups_.size());
     if (!goes) return groups_.try_emplace(key_, next).first->second;
@@ -19,13 +19,13 @@
     node.lifecycle = to;
 }
 
-NodeList::News NodeList::take(const TargetList& list) {
+NodeList::News NodeList::take(const EndpointList& list) {
     News news;
     ++lists_;
-    if (list.whole) index_.reserve(list.nodes.size()), nodes_.reserve(list.nodes.size());
+    if (list.full) index_.reserve(list.nodes.size()), nodes_.reserve(list.nodes.size());
     news.entries.reserve(list.nodes.size());
     std::vector<std::uint32_t> turned;  // gone, or back
-    for (const ListedNode& entry : list.nodes) {
+    for (const ListedEndpoint& entry : list.nodes) {
         ++looked_;
         const bool goes = entry.lifecycle == Lifecycle::removed;
         if (goes && !index_.contains(entry.id)) continue;  // never met, or forgotten
@@ -51,7 +51,7 @@
         node.address = entry.address;
         node.started_at = entry.started_at;
     }
-    if (list.whole)
+    if (list.full)
         for (auto& [n, node] : nodes_) {
             ++looked_;
             if (node.named == lists_ || node.lifecycle == Lifecycle::removed) continue;
--- a/src/tables/node_list.hpp
+++ b/src/tables/node_list.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "router/query_router.hpp"
-#include "wire/bodies.hpp"
+#include "tables/endpoint_list.hpp"
 
 namespace tealcart {
 
@@ -23,7 +23,7 @@
     };
 
     // Changes cost what they name, a whole list what there is.
-    News take(const TargetList& list);
+    News take(const EndpointList& list);
 
     // Empty for a node that is forgotten.
     const std::string& address(std::uint32_t node) const { return find(node).address; }
@@ -41,7 +41,7 @@
         std::uint64_t went = 0;   // its key among those that are gone
     };
 
-    std::uint32_t group_of(const ListedNode& entry, bool goes);
+    std::uint32_t group_of(const ListedEndpoint& entry, bool goes);
     void turn(Node& node, Lifecycle to);
     const Node& find(std::uint32_t node) const;
 
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart::testing {
 namespace {
@@ -57,7 +57,7 @@
 
 std::uint32_t hollow_places(std::uint32_t nodes) { return std::max(min_places, nodes / hollow_width); }
 
-ListedNode hollow_node(std::uint32_t n, std::uint32_t places, const std::string& address) {
+ListedEndpoint hollow_node(std::uint32_t n, std::uint32_t places, const std::string& address) {
     return {"n" + std::to_string(n),
             address,
             "z" + std::to_string(n % hollow_zones),
@@ -104,7 +104,7 @@
       member_(io, time, launch_of(config, number), *this),
       watch_(io, time, member_, config.discovery, Discovery::push, config.places, number,
              bound_of_list(settled(config), memory)) {
-    TargetList seeded{config.generation, true, {}, 0};
+    EndpointList seeded{config.generation, true, {}, 0};
     for (std::uint32_t n = 0; n < config.seeded; ++n)
         seeded.nodes.push_back(hollow_node(n, config.places, config.address));
     member_.on_list(seeded);
@@ -123,7 +123,7 @@
 
 void HollowRouter::look() { member_.look(); }
 
-void HollowRouter::on_list(const TargetList& list) {
+void HollowRouter::on_list(const EndpointList& list) {
     const NodeList::News news = nodes_.take(list);
     arrived_.insert(arrived_.end(), news.entries.begin(), news.entries.end());
     if (round_ == TimerQueue::none) round_ = time_.due.add(last_round_ + step, *this, Handle{});
@@ -180,7 +180,7 @@
     }
 }
 
-void HollowProcess::on_list(const TargetList& list) { nodes_.take(list); }
+void HollowProcess::on_list(const EndpointList& list) { nodes_.take(list); }
 
 void HollowProcess::run() {
     boost::asio::steady_timer timer(io_);
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -24,7 +24,7 @@
 constexpr std::uint32_t hollow_zones = 12, hollow_width = 3, min_places = 74;
 std::uint32_t hollow_places(std::uint32_t nodes);
 // Its n-th data node.
-ListedNode hollow_node(std::uint32_t n, std::uint32_t places, const std::string& address);
+ListedEndpoint hollow_node(std::uint32_t n, std::uint32_t places, const std::string& address);
 
 struct HollowConfig {
     std::size_t from = 0, count = 0;  // routers r<from> to r<from + count - 1>
@@ -58,7 +58,7 @@
     std::uint64_t entries() const { return entries_; }  // of lists, that came to the module's door
 
   private:
-    void on_list(const TargetList& list) override;
+    void on_list(const EndpointList& list) override;
     void watch_outcomes(OutcomeTaker*) override {}
     void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) override;
     Nanos next_round() const override;
@@ -88,7 +88,7 @@
     void run();
 
   private:
-    void on_list(const TargetList& list) override;
+    void on_list(const EndpointList& list) override;
     void read();
     std::string answer(const std::string& line);
     std::string report() const;
--- a/src/testing/hollow_discovery.cpp
+++ b/src/testing/hollow_discovery.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t max_changes = 200'000;
 constexpr Nanos ms = 1'000'000;
 
-void append(std::string& out, const ListedNode& n) {
+void append(std::string& out, const ListedEndpoint& n) {
     static const char* const words[] = {"removed", "draining", "up"};
     const char* word = n.lifecycle == Lifecycle::ready      ? words[2]
                        : n.lifecycle == Lifecycle::draining ? words[1]
@@ -119,12 +119,12 @@
     std::string body = "{\"generation\":" + std::to_string(generation_) +
                        ",\"reset\":" + (whole ? "true" : "false") + ",\"instances\":[";
     const std::size_t empty = body.size();
-    const auto add = [&](const ListedNode& n) {
+    const auto add = [&](const ListedEndpoint& n) {
         if (body.size() > empty) body += ',';
         append(body, n);
     };
     if (whole) {
-        for (const ListedNode& n : nodes_)
+        for (const ListedEndpoint& n : nodes_)
             if (n.lifecycle != Lifecycle::removed) add(n);
     } else {
         std::set<std::uint32_t> changed;
--- a/src/testing/hollow_discovery.hpp
+++ b/src/testing/hollow_discovery.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/bodies.hpp"
+#include "tables/endpoint_list.hpp"
 
 namespace tealcart::testing {
 
@@ -27,7 +27,7 @@
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
     std::uint64_t generation() const { return generation_; }
     std::size_t nodes() const { return nodes_.size(); }
-    const ListedNode& node(std::uint32_t n) const { return nodes_[n]; }
+    const ListedEndpoint& node(std::uint32_t n) const { return nodes_[n]; }
     // Takes effect with the next `tell`, which is one generation.
     void set(std::uint32_t node, Lifecycle lifecycle, Nanos started_at = 0);
     void tell();
@@ -50,7 +50,7 @@
 
     boost::asio::io_context& io_;
     boost::asio::ip::tcp::acceptor acceptor_;
-    std::vector<ListedNode> nodes_;
+    std::vector<ListedEndpoint> nodes_;
     std::set<std::uint32_t> changing_;
     struct Change {
         std::uint64_t generation = 0;
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 #include "testing/socket_bytes.hpp"
 
 namespace tealcart::testing {
--- a/src/wire/bodies.cpp
+++ b/src/wire/bodies.cpp
@@ -51,9 +51,9 @@
     explicit ListSax(std::uint32_t places) : places_(places) {}
 
     // After a text that is JSON.
-    std::optional<TargetList> list() {
+    std::optional<EndpointList> list() {
         if (!has_generation_ || !has_whole_ || !named_) return std::nullopt;
-        return TargetList{generation_, whole_, std::move(nodes_), left_out_};
+        return EndpointList{generation_, whole_, std::move(nodes_), left_out_};
     }
 
     bool null() override { return put({}); }
@@ -165,17 +165,17 @@
         return true;
     }
 
-    std::optional<ListedNode> read_node() {
+    std::optional<ListedEndpoint> read_node() {
         const Entry& in = entry_;
         const auto text = [&in](Key of) { return in.has[of] ? in.texts[of] : std::string(); };
         if (text(id).empty() || !in.has[state]) return std::nullopt;
-        ListedNode node{text(id),
-                        text(address),
-                        text(zone),
-                        text(kind),
-                        in.has[place] ? static_cast<std::uint32_t>(in.cell) : 0,
-                        Lifecycle::removed,
-                        0};
+        ListedEndpoint node{text(id),
+                            text(address),
+                            text(zone),
+                            text(kind),
+                            in.has[place] ? static_cast<std::uint32_t>(in.cell) : 0,
+                            Lifecycle::removed,
+                            0};
         if (in.texts[state] == "removed") return node;
         if (in.texts[state] == "draining")
             node.lifecycle = Lifecycle::draining;
@@ -193,7 +193,7 @@
     const std::uint32_t places_;
     std::uint64_t generation_ = 0;
     bool has_generation_ = false, whole_ = false, has_whole_ = false;
-    std::vector<ListedNode> nodes_;
+    std::vector<ListedEndpoint> nodes_;
     int left_out_ = 0;
     Entry entry_;
     std::size_t depth_ = 0;
@@ -339,7 +339,7 @@
     return out.append(words).append("\"}");
 }
 
-std::optional<TargetList> read_targets(std::string_view body, std::uint32_t places) {
+std::optional<EndpointList> read_endpoint_list(std::string_view body, std::uint32_t places) {
     ListSax sax(places);
     if (!Json::sax_parse(body, &sax)) return std::nullopt;
     return sax.list();
--- a/src/wire/bodies.hpp
+++ b/src/wire/bodies.hpp
@@ -10,6 +10,7 @@
 #include "config/host_port.hpp"
 #include "phases/word.hpp"
 #include "router/query_router.hpp"
+#include "tables/endpoint_list.hpp"
 
 namespace tealcart {
 
@@ -56,21 +57,7 @@
 
 std::string write_error(std::string_view words);
 
-struct ListedNode {
-    std::string id, address, zone, kind;
-    std::uint32_t place = 0;
-    Lifecycle lifecycle = Lifecycle::removed;
-    Nanos started_at = 0;  // since the Unix epoch, 0 for long ago
-};
-
-struct TargetList {
-    std::uint64_t generation = 0;
-    bool whole = false;
-    std::vector<ListedNode> nodes;
-    int left_out = 0;  // entries that could not be used
-};
-
 // A list as discovery sends it; none if it can't be read as one. `places` bounds the cells.
-std::optional<TargetList> read_targets(std::string_view body, std::uint32_t places);
+std::optional<EndpointList> read_endpoint_list(std::string_view body, std::uint32_t places);
 
 }  // namespace tealcart
--- a/src/wire/discovery_watch.cpp
+++ b/src/wire/discovery_watch.cpp
@@ -2,7 +2,8 @@
 
 #include <boost/asio/write.hpp>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
+#include "wire/bodies.hpp"
 
 namespace tealcart {
 namespace {
@@ -127,7 +128,7 @@
     const Reading reading = ended ? reader.end() : reader.feed(c->in);
     if (reading == Reading::more) return ended ? lose(c, "End of file") : read(c);
     const auto list = reading == Reading::done && reader.status() == 200
-                          ? read_targets(reader.body(), places_)
+                          ? read_endpoint_list(reader.body(), places_)
                           : std::nullopt;
     if (c == former_) {  // its last word, while the new address has not spoken
         if (list) taker_.on_list(*list);
--- a/src/wire/discovery_watch.hpp
+++ b/src/wire/discovery_watch.hpp
@@ -10,9 +10,10 @@
 #include <random>
 #include <string>
 
+#include "config/host_port.hpp"
+#include "tables/endpoint_list.hpp"
 #include "tables/event_clock.hpp"
 #include "tables/slot_map.hpp"
-#include "wire/bodies.hpp"
 #include "wire/http.hpp"
 #include "wire/list_bound.hpp"
 
@@ -21,7 +22,7 @@
 class ListTaker {
   public:
     virtual ~ListTaker() = default;
-    virtual void on_list(const TargetList& list) = 0;
+    virtual void on_list(const EndpointList& list) = 0;
 };
 
 class DiscoveryWatch final : public DueHandler {
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/asio/write.hpp>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart {
 namespace {
--- a/src/wire/long_poll.cpp
+++ b/src/wire/long_poll.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <boost/asio/write.hpp>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 #include "wire/member_messages.hpp"
 
 namespace tealcart {
--- a/src/wire/manager_watch.cpp
+++ b/src/wire/manager_watch.cpp
@@ -1,6 +1,6 @@
 #include "wire/manager_watch.hpp"
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart {
 
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -6,7 +6,7 @@
 #include <csignal>
 #include <cstdio>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 #include "service/startup_config.hpp"
 #include "wire/discovery_watch.hpp"
 #include "xds/server.hpp"
@@ -21,7 +21,7 @@
 class Lists final : public ListTaker {
   public:
     explicit Lists(XdsServer& server) : server_(server) {}
-    void on_list(const TargetList& list) override { server_.take_list(list); }
+    void on_list(const EndpointList& list) override { server_.take_list(list); }
 
   private:
     XdsServer& server_;
@@ -44,7 +44,7 @@
                            .count();
     XdsServer server(read.config, read.connection_config.query_classes, control,
                      read.connection_config.connect_timeout, read.seed, static_cast<std::uint64_t>(epoch));
-    TargetList known = read.known;
+    EndpointList known = read.known;
     if (!known.nodes.empty()) server.take_list(known);
     EventClock time;
     Lists lists(server);
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -10,7 +10,7 @@
 #include <unordered_set>
 
 #include "discovery.grpc.pb.h"
-#include "service/log.hpp"
+#include "log/log.hpp"
 #include "xds/encode.hpp"
 
 namespace tealcart {
@@ -336,7 +336,7 @@
     return port;
 }
 
-void XdsServer::take_list(const TargetList& list) {
+void XdsServer::take_list(const EndpointList& list) {
     {
         const std::lock_guard lock(mutex_);
         impl_->controller_.take_list(list, now());
--- a/src/xds/server.hpp
+++ b/src/xds/server.hpp
@@ -18,7 +18,7 @@
 
     // Listens from here on; throws std::runtime_error where the address can't be had. Gives the port.
     int start(const std::string& address);
-    void take_list(const TargetList& list);
+    void take_list(const EndpointList& list);
     void tick();
     // What is due is written, streams end, and nothing further is taken.
     void stop();
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -16,7 +16,7 @@
 constexpr Nanos s = 1000 * ms;
 constexpr Nanos start = 1'000'000 * s;
 
-ListedNode node(int n, std::uint32_t place, Lifecycle a = Lifecycle::ready, Nanos started = 0) {
+ListedEndpoint node(int n, std::uint32_t place, Lifecycle a = Lifecycle::ready, Nanos started = 0) {
     return {"n" + std::to_string(n),
             "127.0.0.1:" + std::to_string(1000 + n),
             "z" + std::to_string(n % 2),
@@ -26,7 +26,7 @@
             started};
 }
 
-TargetList list_of(std::uint64_t generation, std::vector<ListedNode> nodes) {
+EndpointList list_of(std::uint64_t generation, std::vector<ListedEndpoint> nodes) {
     return {generation, true, std::move(nodes), 0};
 }
 
@@ -45,7 +45,7 @@
     return nullptr;
 }
 
-std::vector<ListedNode> four() { return {node(0, 0), node(1, 1), node(2, 2), node(3, 3)}; }
+std::vector<ListedEndpoint> four() { return {node(0, 0), node(1, 1), node(2, 2), node(3, 3)}; }
 
 }  // namespace
 
@@ -285,7 +285,7 @@
     }();
     PlainEncoder encoder;
     Controller controller;
-    std::vector<ListedNode> nodes = four();
+    std::vector<ListedEndpoint> nodes = four();
     std::vector<Proxy> proxies;
     Nanos now = start;
     std::uint64_t generation = 0, messages = 0;
@@ -373,7 +373,7 @@
         if (out->type == XdsType::listener && p.wanted[3] != refer) ask(p, XdsType::route, refer);
     }
     void change_fleet() {
-        ListedNode& n = nodes[below(nodes.size())];
+        ListedEndpoint& n = nodes[below(nodes.size())];
         switch (below(4)) {
             case 0:
                 n.lifecycle = n.lifecycle == Lifecycle::ready ? Lifecycle::draining : Lifecycle::ready;
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -28,7 +28,7 @@
 struct WatchRig final : ListTaker {
     explicit WatchRig(std::uint64_t seed = 1, Discovery mode = Discovery::push) : seed_(seed), mode_(mode) {}
 
-    void on_list(const TargetList& list) override { generation = list.generation; }
+    void on_list(const EndpointList& list) override { generation = list.generation; }
     void start() { watch.start(4); }
     // All that can happen without time passing.
     void settle() {
@@ -170,7 +170,7 @@
     Nanos now = 1'000'000 * ms;
     EventClock time{now};
     struct Told final : ListTaker {
-        void on_list(const TargetList& list) override { generation = list.generation; }
+        void on_list(const EndpointList& list) override { generation = list.generation; }
         std::uint64_t generation = 0;
     };
     std::vector<Told> told(routers);
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -18,7 +18,7 @@
 
 using Json = nlohmann::json;
 
-// The model of read_targets: all of the text as a tree.
+// The model of read_endpoint_list: all of the text as a tree.
 namespace plain {
 
 const Json* member(const Json& in, const char* key) {
@@ -33,14 +33,14 @@
     return value->get<std::string>();
 }
 
-std::optional<ListedNode> read_node(const Json& in, std::uint32_t places) {
+std::optional<ListedEndpoint> read_node(const Json& in, std::uint32_t places) {
     const auto id = text_of(in, "instanceId"), address = text_of(in, "hostPort"), zone = text_of(in, "zone"),
                kind = text_of(in, "machineType"), state = text_of(in, "lifecycle");
     const Json* cell = member(in, "cell");
     const bool placed = cell != nullptr && cell->is_number_unsigned() && cell->get<std::uint64_t>() < places;
     if (!id || id->empty() || !state) return std::nullopt;
-    ListedNode node{*id, address.value_or(""), zone.value_or(""), kind.value_or(""), 0, Lifecycle::removed,
-                    0};
+    ListedEndpoint node{
+        *id, address.value_or(""), zone.value_or(""), kind.value_or(""), 0, Lifecycle::removed, 0};
     if (placed) node.place = cell->get<std::uint32_t>();
     if (*state == "removed") return node;
     if (*state == "draining")
@@ -56,7 +56,7 @@
     return node;
 }
 
-std::optional<TargetList> read_targets(std::string_view body, std::uint32_t places) {
+std::optional<EndpointList> read_endpoint_list(std::string_view body, std::uint32_t places) {
     const Json in = Json::parse(body, nullptr, false);
     const Json* generation = member(in, "generation");
     const Json* whole = member(in, "reset");
@@ -64,7 +64,7 @@
     if (generation == nullptr || !generation->is_number_unsigned() || whole == nullptr ||
         !whole->is_boolean() || instances == nullptr || !instances->is_array())
         return std::nullopt;
-    TargetList list{generation->get<std::uint64_t>(), whole->get<bool>(), {}, 0};
+    EndpointList list{generation->get<std::uint64_t>(), whole->get<bool>(), {}, 0};
     for (const Json& entry : *instances) {
         if (auto node = read_node(entry, places))
             list.nodes.push_back(std::move(*node));
@@ -99,11 +99,11 @@
         }));
     }
 
-    tealcart::NodeList::News take(const TargetList& list) {
+    tealcart::NodeList::News take(const EndpointList& list) {
         tealcart::NodeList::News news;
         std::set<std::uint32_t> turned;
         for (auto& [n, node] : nodes) node.named = false;
-        for (const ListedNode& entry : list.nodes) {
+        for (const ListedEndpoint& entry : list.nodes) {
             const bool goes = entry.lifecycle == Lifecycle::removed;
             const auto known = number_of(entry.id);
             if (goes && !known) continue;
@@ -128,7 +128,7 @@
             node.started_at = entry.started_at;
         }
         for (auto& [n, node] : nodes) {
-            if (!list.whole || node.named || node.lifecycle == Lifecycle::removed) continue;
+            if (!list.full || node.named || node.lifecycle == Lifecycle::removed) continue;
             if (node.lifecycle == Lifecycle::ready) news.leaving.push_back(n);
             node.lifecycle = Lifecycle::removed;
             turned.insert(n);
@@ -146,15 +146,15 @@
 
 }  // namespace plain
 
-auto of(const ListedNode& n) {
+auto of(const ListedEndpoint& n) {
     return std::tuple(n.id, n.address, n.zone, n.kind, n.place, n.lifecycle, n.started_at);
 }
 
-void check_same(const std::optional<TargetList>& got, const std::optional<TargetList>& want) {
+void check_same(const std::optional<EndpointList>& got, const std::optional<EndpointList>& want) {
     RC_ASSERT(got.has_value() == want.has_value());
     if (!got) return;
     RC_ASSERT(got->generation == want->generation);
-    RC_ASSERT(got->whole == want->whole);
+    RC_ASSERT(got->full == want->full);
     RC_ASSERT(got->left_out == want->left_out);
     RC_ASSERT(got->nodes.size() == want->nodes.size());
     for (std::size_t i = 0; i < got->nodes.size(); ++i) RC_ASSERT(of(got->nodes[i]) == of(want->nodes[i]));
@@ -241,7 +241,7 @@
     return text;
 }
 
-ListedNode listed(int n, Lifecycle a, int how = 0) {
+ListedEndpoint listed(int n, Lifecycle a, int how = 0) {
     return {"node " + std::to_string(n),
             "h:" + std::to_string(1 + how % 2),
             "z" + std::to_string(n % 3),
@@ -251,8 +251,8 @@
             how / 2 % 2};
 }
 
-TargetList everything(int nodes) {
-    TargetList list{1, true, {}, 0};
+EndpointList everything(int nodes) {
+    EndpointList list{1, true, {}, 0};
     for (int n = 0; n < nodes; ++n) list.nodes.push_back(listed(n, Lifecycle::ready));
     return list;
 }
@@ -265,13 +265,13 @@
         const int spoils = std::max(0, *rc::gen::inRange(0, 5) - 2);
         for (int i = 0; i < spoils && !text.empty(); ++i) text = spoilt(text);
         RC_LOG() << text;
-        RC_CLASSIFY(plain::read_targets(text, 3).has_value(), "read");
-        check_same(read_targets(text, 3), plain::read_targets(text, 3));
+        RC_CLASSIFY(plain::read_endpoint_list(text, 3).has_value(), "read");
+        check_same(read_endpoint_list(text, 3), plain::read_endpoint_list(text, 3));
     }));
     for (const char* text :
          {"", " ", "null", "[]", "[{}]", "{}", "\xef\xbb\xbf{}", "[[[[[[", "{\"a\":{\"a\":{"}) {
-        CHECK_FALSE(read_targets(text, 3));
-        CHECK_FALSE(plain::read_targets(text, 3));
+        CHECK_FALSE(read_endpoint_list(text, 3));
+        CHECK_FALSE(plain::read_endpoint_list(text, 3));
     }
 }
 
@@ -282,7 +282,7 @@
         const int most = *rc::gen::inRange(2, 20);
         const int lists = *rc::gen::inRange(1, 40);
         for (int i = 0; i < lists; ++i) {
-            TargetList list{static_cast<std::uint64_t>(i), *rc::gen::inRange(0, 5) == 0, {}, 0};
+            EndpointList list{static_cast<std::uint64_t>(i), *rc::gen::inRange(0, 5) == 0, {}, 0};
             const int zone = *rc::gen::inRange(0, 6);
             const auto turn = static_cast<Lifecycle>(*rc::gen::inRange(0, 3));
             if (zone < 3) {  // all of a zone turn at once
@@ -323,7 +323,7 @@
         auto& of_agreed = agreed[most > 1'000];
         NodeList nodes;
         AgreedList list;
-        const auto take = [&](const TargetList& news) {
+        const auto take = [&](const EndpointList& news) {
             const std::uint64_t before = nodes.looked();
             nodes.take(news);
             counts.push_back(nodes.looked() - before);
@@ -339,10 +339,10 @@
             take({2, false, {listed(7, a)}, 0});
             count([&] { list.discovered({2, false, {listed(7, a)}, 0}); });
         }
-        TargetList zone{3, false, {}, 0};
+        EndpointList zone{3, false, {}, 0};
         for (int n = 0; n < 80; ++n) zone.nodes.push_back(listed(n, Lifecycle::removed));
         take(zone);
-        for (ListedNode& n : zone.nodes) n.lifecycle = Lifecycle::ready;
+        for (ListedEndpoint& n : zone.nodes) n.lifecycle = Lifecycle::ready;
         take(zone);
         count([&] { list.agreed({"node 7", "node 9"}); });
         count([&] { list.agreed({"node 7", "node 9", "never met"}); });
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -28,15 +28,15 @@
     return t;
 }
 
-ListedNode listed(const std::string& id, Lifecycle a = Lifecycle::ready, std::uint32_t place = 0) {
-    ListedNode n;
+ListedEndpoint listed(const std::string& id, Lifecycle a = Lifecycle::ready, std::uint32_t place = 0) {
+    ListedEndpoint n;
     n.id = id, n.address = "127.0.0.1:1", n.zone = "a", n.place = place, n.lifecycle = a;
     return n;
 }
 
-std::map<std::string, Lifecycle> told(const TargetList& list) {
+std::map<std::string, Lifecycle> told(const EndpointList& list) {
     std::map<std::string, Lifecycle> all;
-    for (const ListedNode& n : list.nodes) all[n.id] = n.lifecycle;
+    for (const ListedEndpoint& n : list.nodes) all[n.id] = n.lifecycle;
     return all;
 }
 using Told = std::map<std::string, Lifecycle>;
@@ -50,8 +50,8 @@
   public:
     std::map<std::string, Lifecycle> nodes;
 
-    void on_list(const TargetList& list) override {
-        for (const ListedNode& n : list.nodes) nodes[n.id] = n.lifecycle;
+    void on_list(const EndpointList& list) override {
+        for (const ListedEndpoint& n : list.nodes) nodes[n.id] = n.lifecycle;
     }
     void watch_outcomes(OutcomeTaker*) override {}
     void set_serving_state(ServingStateSource, const MemberServingState&) override {}
@@ -83,7 +83,7 @@
     launch.operators.member.managers = {*read_host_port(manager.address())};
     Host host;
     Membership member(io, time, launch, host);
-    const TargetList known{1, true, {listed("n0"), listed("n1")}, 0};
+    const EndpointList known{1, true, {listed("n0"), listed("n1")}, 0};
     host.on_list(known);
     member.know(known);
     member.start();
@@ -156,11 +156,11 @@
     std::set<std::string> out;
     bool cut = false;
     for (int i = 0; i < 600; ++i) {
-        TargetList news{static_cast<std::uint64_t>(i), pick(8) == 0, {}, 0};
-        TargetList to_module;
+        EndpointList news{static_cast<std::uint64_t>(i), pick(8) == 0, {}, 0};
+        EndpointList to_module;
         switch (pick(3)) {
             case 0:
-                if (news.whole) discovery.clear();
+                if (news.full) discovery.clear();
                 for (int n = 0; n < 6; ++n) {
                     if (pick(3) != 0) continue;
                     const auto a = static_cast<Lifecycle>(pick(3));
@@ -182,8 +182,8 @@
                 cut = pick(4) == 0;
                 to_module = list.cut(cut);
         }
-        if (to_module.whole) module.clear();
-        for (const ListedNode& n : to_module.nodes) {
+        if (to_module.full) module.clear();
+        for (const ListedEndpoint& n : to_module.nodes) {
             if (n.lifecycle == Lifecycle::removed)
                 module.erase(n.id);
             else
@@ -317,7 +317,7 @@
     fleet::FleetState state({});
     const Nanos now = 1000 * second;
     CHECK_FALSE(view.news(state, now));  // nothing is known yet, which is no news of nobody
-    ListedNode fresh = listed("n1", Lifecycle::ready, 1);
+    ListedEndpoint fresh = listed("n1", Lifecycle::ready, 1);
     fresh.started_at = now - 4 * second;
     view.take({1, true, {listed("n0"), fresh, listed("n2", Lifecycle::draining, 2)}, 0}, now);
     auto news = view.news(state, now);
@@ -351,18 +351,18 @@
     const auto name_of = [](int n) { return "n" + std::to_string(n); };
     NodeView view(config);
     fleet::FleetState state({});
-    std::map<std::string, ListedNode> all;
+    std::map<std::string, ListedEndpoint> all;
     Nanos now = 1000 * second, heard = 0;
     int differing = 0, unknown = 0, cold = 0;
     for (int i = 0; i < 2000; ++i) {
         now += pick(3) * second / 4;
         if (pick(100) == 0) now += 60 * second;  // discovery is silent
         if (pick(3) > 0) {
-            TargetList list{static_cast<std::uint64_t>(i), pick(100) == 0, {}, 0};
+            EndpointList list{static_cast<std::uint64_t>(i), pick(100) == 0, {}, 0};
             const std::string name = name_of(pick(30));
-            ListedNode one = listed(name, static_cast<Lifecycle>(pick(3)), std::uint32_t(pick(5)));
+            ListedEndpoint one = listed(name, static_cast<Lifecycle>(pick(3)), std::uint32_t(pick(5)));
             one.started_at = pick(2) == 0 ? now - pick(12) * second : 0;
-            if (list.whole) {
+            if (list.full) {
                 std::erase_if(all, [&](const auto&) { return pick(4) == 0; });
                 for (const auto& [id, node] : all) list.nodes.push_back(node);
             }
@@ -383,7 +383,7 @@
         if (pick(30) == 0) state.apply({"", now, fleet::RequestRemoval{"ann", {false, name_of(pick(30))}}});
         if (heard == 0 || pick(4) == 0) continue;  // another manager leads
         NodeView anew(config);
-        TargetList whole{1, true, {}, 0};
+        EndpointList whole{1, true, {}, 0};
         for (const auto& [id, node] : all) whole.nodes.push_back(node);
         anew.take(whole, heard);
         const auto slow = anew.news(state, now);
@@ -410,7 +410,7 @@
     NodeView view(config);
     fleet::FleetState state({});
     Nanos now = 1000 * second;
-    TargetList list{1, true, {}, 0};
+    EndpointList list{1, true, {}, 0};
     for (std::uint32_t n = 0; n < 1000; ++n)
         list.nodes.push_back(listed("n" + std::to_string(n), Lifecycle::ready, n % 100));
     const auto agree = [&] {
@@ -421,7 +421,7 @@
     CHECK(agree() == 1000);
     CHECK(agree() == 1000);  // and are found to be agreed
     CHECK(agree() == 0);
-    ListedNode fresh = listed("n7", Lifecycle::ready, 7);
+    ListedEndpoint fresh = listed("n7", Lifecycle::ready, 7);
     fresh.started_at = now;
     view.take({2, false, {fresh}, 0}, now);
     CHECK(agree() == 1);
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -133,7 +133,7 @@
     }
     // Nodes 0 .. 3, two at each place.
     void list(std::uint64_t generation, const std::vector<Lifecycle>& states) {
-        TargetList list{generation, generation == 0, {}, 0};
+        EndpointList list{generation, generation == 0, {}, 0};
         for (std::uint32_t n = 0; n < states.size(); ++n)
             list.nodes.push_back({"s" + std::to_string(n), "10.0.0." + std::to_string(n + 1) + ":1", "z", "k",
                                   n % 2, states[n], 0});
--- a/tests/tables_test.cpp
+++ b/tests/tables_test.cpp
@@ -75,7 +75,7 @@
 TEST_CASE("the list of nodes keeps its numbers, and tells who leaves or moves") {
     NodeList nodes;
     const auto node = [](std::string id, std::string address, Lifecycle a, Nanos started = 0) {
-        return ListedNode{std::move(id), std::move(address), "z", "k", 1, a, started};
+        return ListedEndpoint{std::move(id), std::move(address), "z", "k", 1, a, started};
     };
     using enum Lifecycle;
     auto news = nodes.take({1, true, {node("a", "h:1", ready), node("b", "h:2", ready)}, 0});
@@ -114,9 +114,9 @@
     std::size_t held = 0;
     for (std::uint64_t life = 0; life < 2000; ++life) {
         const auto named = [&](std::uint64_t n, Lifecycle a) {
-            return ListedNode{"node " + std::to_string(n), "h:1", "z", "k", 0, a, 0};
+            return ListedEndpoint{"node " + std::to_string(n), "h:1", "z", "k", 0, a, 0};
         };
-        std::vector<ListedNode> list = {named(life, Lifecycle::ready)};
+        std::vector<ListedEndpoint> list = {named(life, Lifecycle::ready)};
         const bool whole = life % 3 == 0;  // which does not name the one before
         if (life > 0 && !whole) list.push_back(named(life - 1, Lifecycle::removed));
         nodes.take({life, whole, list, 0});
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -186,7 +186,7 @@
 
 TEST_CASE("a list is read; entries that can't be used are left out; what is no list is none") {
     const std::string entry = R"({"instanceId":"s1","hostPort":"127.0.0.1:9","zone":"a","machineType":"m",)";
-    const auto list = read_targets(
+    const auto list = read_endpoint_list(
         R"({"generation":43,"reset":false,"instances":[)" + entry +
             R"("cell":1,"lifecycle":"draining","weight":1.0,"startedAtMs":1500},)" +
             R"({"instanceId":"s2","lifecycle":"removed"},)" + entry + R"("cell":2,"lifecycle":"up"},)" +
@@ -195,7 +195,7 @@
         2);
     REQUIRE(list);
     CHECK(list->generation == 43);
-    CHECK_FALSE(list->whole);
+    CHECK_FALSE(list->full);
     REQUIRE(list->nodes.size() == 2);
     CHECK(list->nodes[0].lifecycle == Lifecycle::draining);
     CHECK(list->nodes[0].started_at == 1'500'000'000);
@@ -204,7 +204,7 @@
     for (const char* body :
          {"", "[]", R"({"generation":1})", R"({"generation":-1,"reset":true,"instances":[]})",
           R"({"generation":1,"reset":true,"instances":[{"inst)"})
-        CHECK_FALSE(read_targets(body, 2));
+        CHECK_FALSE(read_endpoint_list(body, 2));
     CHECK_FALSE(read_host_port("127.0.0.1:0"));
     CHECK_FALSE(read_host_port(":80"));
     CHECK_FALSE(read_host_port("127.0.0.1:70000"));
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -16,8 +16,8 @@
 
 using Held = Recorder::Held;
 
-std::vector<ListedNode> fleet(int nodes, Nanos started = 0) {
-    std::vector<ListedNode> list;
+std::vector<ListedEndpoint> fleet(int nodes, Nanos started = 0) {
+    std::vector<ListedEndpoint> list;
     for (int n = 0; n < nodes; ++n)
         list.push_back({"n" + std::to_string(n), "127.0.0.1:" + std::to_string(2000 + n), "z", "m",
                         static_cast<std::uint32_t>(n % 4), Lifecycle::ready, started});
@@ -54,7 +54,9 @@
         ticker.join();
         server->stop();
     }
-    void tell(std::vector<ListedNode> nodes) { server->take_list({++generation, true, std::move(nodes), 0}); }
+    void tell(std::vector<ListedEndpoint> nodes) {
+        server->take_list({++generation, true, std::move(nodes), 0});
+    }
     std::shared_ptr<grpc::Channel> channel() const {
         grpc::ChannelArguments args;
         args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // a connection of its own
