--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -5,7 +5,8 @@
 
 #include "fleet_manager/change_requests.hpp"
 #include "fleet_manager/log_entries.hpp"
-#include "service/log.hpp"
+#include "log/log.hpp"
+#include "wire/bodies.hpp"
 
 namespace tealcart::manager {
 namespace {
@@ -223,7 +224,8 @@
     if (!call) return refuse(client, 400, call.error().reason);
     if (!raft_.leads()) return send_elsewhere(client);
     if (changes_.knows_later_life(call->report.relay, call->report.incarnation))
-        return front_.answer(client, {409, write_superseded(changes_.last_incarnation(call->report.relay)), 0});
+        return front_.answer(client,
+                             {409, write_superseded(changes_.last_incarnation(call->report.relay)), 0});
     relay_batch_.words.words.push_back(call->report);
     relay_batch_.calls.emplace_back(client, std::move(*call));
     if (relay_batch_.calls.size() >= max_words) return flush_relays();
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -44,7 +44,7 @@
 }  // namespace
 
 Reply query_manager(boost::asio::io_context& io, const HostPort& at, const std::string& path,
-               const std::string& body, std::chrono::milliseconds within) {
+                    const std::string& body, std::chrono::milliseconds within) {
     const auto until = Clock::now() + within;
     const auto a = std::make_shared<Asking>(io);
     a->out = body.empty() ? write_get(at.host, path)
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -32,7 +32,7 @@
     call.zone = "a";
     call.leaves = leaves_;
     call.position = {copy.version(), copy.digest(), copy.wants_pages(), copy.wants_after(),
-                    lease_ > 0 ? lease_ / 5 : 200 * ms};
+                     lease_ > 0 ? lease_ / 5 : 200 * ms};
     return {write_follower_call(call), call.position.wait};
 }
 
--- a/src/testing/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -24,8 +24,8 @@
     changes::Copy copy;
     changes::Document acting;  // the document that it acts by
     Nanos lease_until = 0;
-    bool went_back = false;    // never to be
-    std::size_t pages = 0;     // that it was told
+    bool went_back = false;      // never to be
+    std::size_t pages = 0;       // that it was told
     std::size_t superseded = 0;  // times that a later incarnation was told
     std::string told_by() const { return std::to_string(watch_.address().port); }
     bool has_lease() const { return lease_until > time_.now(); }
