--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-void EndpointView::on_endpoints(const TargetList& list, Nanos now) {
-    if (list.whole) {
+void EndpointView::on_endpoints(const EndpointList& list, Nanos now) {
+    if (list.full) {
         nodes_.clear();
         warm_at_.clear();
         compare_all();
     }
     heard_at_ = now;
-    for (const ListedNode& node : list.nodes) {
+    for (const ListedEndpoint& node : list.nodes) {
         compare_later(node.id);
         if (const auto it = nodes_.find(node.id); it != nodes_.end())
             warm_at_.erase({it->second.started_at + slow_start_, node.id});
@@ -56,14 +56,14 @@
     return shards;
 }
 
-fleet::Health EndpointView::health_of(const ListedNode& listed, Nanos now) const {
+fleet::Health EndpointView::health_of(const ListedEndpoint& listed, Nanos now) const {
     if (stale(now)) return fleet::Health::unknown;
     if (listed.lifecycle == Lifecycle::draining) return fleet::Health::draining;
     if (listed.started_at > 0 && now < listed.started_at + slow_start_) return fleet::Health::cold;
     return fleet::Health::whole;
 }
 
-fleet::Node EndpointView::node_of(const ListedNode& listed, Nanos now) const {
+fleet::Node EndpointView::node_of(const ListedEndpoint& listed, Nanos now) const {
     return {listed.zone, listed.kind, shards_at(static_cast<int>(listed.place)), health_of(listed, now),
             listed.started_at};
 }
--- a/src/fleet_manager/endpoint_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "fleet/fleet_state.hpp"
-#include "wire/bodies.hpp"
+#include "tables/endpoint_list.hpp"
 
 namespace tealcart::manager {
 
@@ -24,7 +24,7 @@
           slow_start_(config.slow_start_duration) {}
 
     // Discovery has answered with this list, or with these changes of it.
-    void on_endpoints(const TargetList& list, Nanos now);
+    void on_endpoints(const EndpointList& list, Nanos now);
     // These were committed, whoever proposed them.
     void on_committed(const fleet::EndpointsObserved& observed);
     // What differs from the agreed state now; nothing before discovery has answered once. Compares the nodes
@@ -43,15 +43,15 @@
     bool compare(const std::string& name, const fleet::FleetState& state, Nanos now,
                  fleet::EndpointsObserved& news);
     void collect_nodes_to_compare(const fleet::FleetState& state, Nanos now);
-    fleet::Node node_of(const ListedNode& listed, Nanos now) const;
+    fleet::Node node_of(const ListedEndpoint& listed, Nanos now) const;
     std::vector<std::uint32_t> shards_at(int place) const;
-    fleet::Health health_of(const ListedNode& listed, Nanos now) const;
+    fleet::Health health_of(const ListedEndpoint& listed, Nanos now) const;
     void compare_later(const std::string& name);
 
     const int places_, width_, shards_;
     const Nanos slow_start_;
-    std::map<std::string, ListedNode> nodes_;  // as discovery lists them
-    Nanos heard_at_ = 0;                       // 0: never
+    std::map<std::string, ListedEndpoint> nodes_;  // as discovery lists them
+    Nanos heard_at_ = 0;                           // 0: never
     std::set<std::string> to_compare_;
     std::set<std::pair<Nanos, std::string>> warm_at_;  // when a node that is agreed to be cold is warm
     bool compare_all_ = true, was_stale_ = false;
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -4,7 +4,7 @@
 #include <csignal>
 
 #include "fleet_manager/status_page.hpp"
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart::manager {
 namespace {
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -45,7 +45,7 @@
 
     void on_request(Handle client, Request& request, Nanos began) override;
     void on_client_gone(Handle client) override;
-    void on_list(const TargetList& list) override { endpoints_.on_endpoints(list, time_.now()); }
+    void on_list(const EndpointList& list) override { endpoints_.on_endpoints(list, time_.now()); }
 
     void show_ready(Handle client, const Request& request);
     void show_status(Handle client, const Request& request);
--- a/src/fleet_manager/leader_duties.cpp
+++ b/src/fleet_manager/leader_duties.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart::manager {
 namespace {
--- a/src/fleet_manager/replicated_state.cpp
+++ b/src/fleet_manager/replicated_state.cpp
@@ -3,7 +3,7 @@
 #include "fleet_manager/change_requests.hpp"
 #include "fleet_manager/log_entries.hpp"
 #include "fleet_manager/operator_requests.hpp"
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart::manager {
 namespace {
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -5,7 +5,7 @@
 #include <tuple>
 #include <utility>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 
 namespace tealcart {
 namespace {
@@ -30,8 +30,7 @@
                                QueryDispatcher& bridge)
     : time_(time), config_(lease_config(launch.operators.member)),
       name_(config_.name.empty() ? launch.name : config_.name), bridge_(bridge), log_(launch.operators.log),
-      overlay_({launch.operators.log, launch.phases}, launch.config,
-                     launch.connection_config.query_classes),
+      overlay_({launch.operators.log, launch.phases}, launch.config, launch.connection_config.query_classes),
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
       watch_(io, time, *this, follower_path, "relay", config_.relays, std::hash<std::string>{}(name_),
              launch.seed | 1),
--- a/src/wire/long_poll.cpp
+++ b/src/wire/long_poll.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <boost/asio/write.hpp>
 
-#include "service/log.hpp"
+#include "log/log.hpp"
 #include "wire/member_messages.hpp"
 
 namespace tealcart {
@@ -24,8 +24,9 @@
 LongPoll::Connection::Connection(boost::asio::io_context& io, std::size_t longest)
     : socket(io), reader(longest) {}
 
-LongPoll::LongPoll(boost::asio::io_context& io, EventClock& time, LongPollObserver& taker, std::string_view path,
-                     std::vector<HostPort> addresses, std::size_t first, std::uint64_t seed, ListBound bound)
+LongPoll::LongPoll(boost::asio::io_context& io, EventClock& time, LongPollObserver& taker,
+                   std::string_view path, std::vector<HostPort> addresses, std::size_t first,
+                   std::uint64_t seed, ListBound bound)
     : io_(io), time_(time), taker_(taker), path_(path), addresses_(std::move(addresses)),
       bound_(std::move(bound)), at_(addresses_.empty() ? 0 : first % addresses_.size()), chance_(seed) {}
 
--- a/src/wire/long_poll.hpp
+++ b/src/wire/long_poll.hpp
@@ -43,8 +43,8 @@
     // Begins at the address of this place. `seed`: of the jitter in the pauses between failures, half to one
     // and a half of each; 0 for none. An answer over `bound` is not read, which is logged once.
     LongPoll(boost::asio::io_context& io, EventClock& time, LongPollObserver& taker, std::string_view path,
-              std::vector<HostPort> addresses, std::size_t first = 0, std::uint64_t seed = 0,
-              ListBound bound = {});
+             std::vector<HostPort> addresses, std::size_t first = 0, std::uint64_t seed = 0,
+             ListBound bound = {});
 
     void start() { connect(); }
     void stop();
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -115,7 +115,7 @@
         while (reader->feed(peer.got) == Reading::done) {
             CHECK(reader->request().path == follower_path);
             auto call = read_follower_call(reader->request().body);
-            INFO(wrong);
+            INFO((call ? "" : call.error().reason));
             REQUIRE(call);
             reader->next();
             calls.push_back(*call);
@@ -174,8 +174,8 @@
     }
     std::uint64_t version() const { return documents.size() - 1; }
     bool heard(std::uint64_t applied_version, std::uint64_t refused = 0) const {
-        return !calls.empty() && calls.back().word.applied_version == applied_version &&
-               calls.back().word.refused == refused;
+        return !calls.empty() && calls.back().report.applied_version == applied_version &&
+               calls.back().report.refused == refused;
     }
 
     boost::asio::io_context& io;
@@ -301,10 +301,10 @@
 TEST_CASE("a version is taken over as a whole, said to be acted on, and gone back from by a further one") {
     World w(2);
     ScriptedRelay& relay = w.called();
-    CHECK(relay.calls[0].word.name == "r");
-    CHECK(relay.calls[0].word.incarnation > 0);
-    CHECK(relay.calls[0].word.applied_version == 0);
-    CHECK(relay.calls[0].word.serve_on == MemberConfig().serve_on);
+    CHECK(relay.calls[0].report.name == "r");
+    CHECK(relay.calls[0].report.incarnation > 0);
+    CHECK(relay.calls[0].report.applied_version == 0);
+    CHECK(relay.calls[0].report.serve_on == MemberConfig().serve_on);
     w.ask(w.asking());
     CHECK(w.counts().queries == 0);
     relay.publish({{"log", "level = \"warn\""}, {"two_phase.part", "audit = 0"}});
@@ -382,7 +382,7 @@
     relay.publish({{"two_phase.part", "audit = 1"}, {"calls", "parts = 2"}, {"log", "level = \"loud\""}});
     w.until([&] { return relay.heard(1, 2); });
     CHECK(relay.calls.back().position.knows == 2);
-    CHECK(relay.calls.back().word.why.find(
+    CHECK(relay.calls.back().report.why.find(
               "block calls holds at the start only; log:1:9: 'level' is none of") == 0);
     w.ask(w.asking());
     CHECK(w.ask(w.asking()).pruned.sections > 0);  // no part of it was applied
@@ -391,12 +391,12 @@
     SECTION("a further version with the old content is taken over") {
         relay.publish(relay.documents[1]);
         w.until([&] { return relay.heard(3); });
-        CHECK(relay.calls.back().word.why.empty());
+        CHECK(relay.calls.back().report.why.empty());
     }
     SECTION("another wrong one is refused in its turn") {
         relay.publish({{"sharding", ""}});
         w.until([&] { return relay.heard(1, 3); });
-        CHECK(relay.calls.back().word.why == "sharding:1:1: a block 'sharding' is not known here");
+        CHECK(relay.calls.back().report.why == "sharding:1:1: a block 'sharding' is not known here");
     }
 }
 
@@ -435,7 +435,7 @@
     ScriptedRelay& first = w.called();
     ScriptedRelay& other = &first == w.relays[0].get() ? *w.relays[1] : *w.relays[0];
     other.documents = {{}, {{"log", "level = \"debug\""}}};
-    const std::uint64_t incarnation = first.calls[0].word.incarnation;
+    const std::uint64_t incarnation = first.calls[0].report.incarnation;
     for (const char* level : {"warn", "error", "info"})
         first.publish({{"log", std::string("level = \"") + level + "\""}});
     w.until([&] { return first.heard(3); });
@@ -462,7 +462,7 @@
     other.documents = first.documents;
     first.lease = 0;
     w.until([&] { return !other.calls.empty(); });
-    CHECK(other.calls[0].word.applied_version == 1);
+    CHECK(other.calls[0].report.applied_version == 1);
     const std::size_t before = first.calls.size();
     w.until([&] { return other.calls.size() >= 3; });
     CHECK(first.calls.size() == before);
@@ -509,7 +509,7 @@
     while (w.service->turn()) REQUIRE(std::chrono::steady_clock::now() - began < std::chrono::seconds(20));
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(1500));
     CHECK(relay.calls.back().leaves);
-    CHECK(relay.calls.back().word.applied_version == 1);
+    CHECK(relay.calls.back().report.applied_version == 1);
 }
 
 TEST_CASE("a relay that knows a later life: at the start another is taken, later the router is cut off") {
@@ -519,17 +519,17 @@
     relay.mute = at_start;
     w.start();
     w.until([&] { return at_start ? !relay.calls.empty() : !relay.held.empty(); });
-    const std::uint64_t incarnation = relay.calls[0].word.incarnation;
+    const std::uint64_t incarnation = relay.calls[0].report.incarnation;
     const std::string body = R"({"life":9000000000000000000})";
     relay.mute = false;
     relay.door->peers[0]->send("HTTP/1.1 409 Conflict\r\nContent-Length: " + std::to_string(body.size()) +
                                "\r\n\r\n" + body);
     if (at_start) {
-        w.until([&] { return relay.calls.back().word.incarnation == 9000000000000000001; });
+        w.until([&] { return relay.calls.back().report.incarnation == 9000000000000000001; });
         w.until([&] { return w.ready(); });
     } else {
         w.until([&] { return !w.ready(); });
-        CHECK(relay.calls.back().word.incarnation == incarnation);
+        CHECK(relay.calls.back().report.incarnation == incarnation);
         CHECK(w.ask(w.asking()).status == 503);
     }
 }
