--- a/measure/herd.cpp
+++ b/measure/herd.cpp
@@ -24,17 +24,18 @@
 using namespace tealcart;
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr Nanos step = 5 * ms, way = ms / 3, length = 26 * second;
-constexpr int routers = 150, places = 80, slots = 4, line = 16, max_attempts = 3;
-constexpr double queries_a_second = 180, part_work = 50 * ms;
-constexpr Nanos seen_late = 250 * ms;  // what the reference knows of each node is so old
+constexpr Nanos round_interval = 5 * ms, network_delay = ms / 3, day_length = 26 * second;
+constexpr int routers = 150, places = 80, worker_slots = 4, max_queue = 16, max_attempts = 3;
+constexpr double queries_per_second = 180, shard_request_work = 50 * ms;
+constexpr Nanos reference_lag = 250 * ms;  // what the reference knows of each node is so old
 
 struct Kind {
     const char* name;
-    double share;
+    double traffic_share;
     int shard_requests;  // 0: one or two
     Nanos latency_objective, deadline;
-    double worth, late, floor, in_part;  // in_part: what an answer that is not whole is worth
+    double priority_weight, late_weight, min_answer_weight,
+        partial_weight;  // in_part: what an answer that is not whole is worth
     Effect effect;
 };
 constexpr Kind kinds[] = {
@@ -46,9 +47,10 @@
 RouterConfig config() {
     RouterConfig t;
     for (const Kind& k : kinds)
-        t.query_classes.push_back({k.effect, k.latency_objective, k.deadline, 1500 * ms, k.late, k.floor});
+        t.query_classes.push_back(
+            {k.effect, k.latency_objective, k.deadline, 1500 * ms, k.late_weight, k.min_answer_weight});
     t.routers = routers;
-    t.round_interval = step;
+    t.round_interval = round_interval;
     t.places = t.shards = places;
     t.replicas_per_shard = 3;
     t.max_attempts = max_attempts;
@@ -63,76 +65,77 @@
 }
 
 // What stands in the place of the module.
-enum class Way { module, seer, plain };
+enum class Policy { module, reference, plain };
 
-struct Call {
-    int router = 0, life = 0;
+struct Attempt {
+    int router = 0, incarnation = 0;
     std::uint32_t shard_request = 0, node = 0;
     std::uint8_t attempt = 0;
     Nanos sent_at = 0;
-    bool out = true;
+    bool in_flight = true;
 };
 struct Node {
     Lifecycle state = Lifecycle::ready;
     Nanos started_at = 0;
-    bool bad = false;
-    int busy = 0, known = 0,
-        since = 0;  // known: of a while ago; since: what the reference has sent since then
+    bool is_faulty = false;
+    int working = 0, known_load = 0,
+        sent_since_known = 0;  // known: of a while ago; since: what the reference has sent since then
     std::deque<std::size_t> queue;
 };
 struct ShardRequest {
     std::uint32_t query = 0, shard = 0;
     double weight = 0;
-    bool planned = true, in = false;
-    std::vector<std::size_t> calls;  // out or ended
-    Nanos again_at = 0;              // of the reference's and the plain one's: 0 for none due
+    bool selected = true, answered = false;
+    std::vector<std::size_t> attempts;  // out or ended
+    Nanos retry_at = 0;                 // of the reference's and the plain one's: 0 for none due
 };
 struct Query {
-    int kind = 0, router = 0, life = 0, tries = 1;
-    Nanos began = 0, deadline_at = 0;
+    int kind = 0, router = 0, incarnation = 0, client_tries = 1;
+    Nanos began_at = 0, deadline_at = 0;
     std::vector<std::uint32_t> shard_requests;
     std::vector<double> weights;
     std::vector<std::uint32_t> shards;
     bool ended = false;
 };
-struct LeafNews {
+struct ResultEvent {
     AttemptResult end;
 };
-struct QueryNews {
+struct QueryEvent {
     std::uint32_t id;
 };
-struct ListNews {
+struct ListEvent {
     ListKind kind;
     std::vector<Endpoint> entries;
 };
-struct TimerNews {
+struct TimerEvent {
     std::uint64_t cookie;
 };
-using News = std::variant<LeafNews, QueryNews, ListNews, TimerNews>;
+using Event = std::variant<ResultEvent, QueryEvent, ListEvent, TimerEvent>;
 
-struct Tally {
-    double worth = 0, earned = 0;
+struct Score {
+    double priority_weight = 0, earned = 0;
 };
 
 class Day final : public RoundEvents, public DecisionSink {
   public:
-    Day(Way how, unsigned seed) : way_(how), chance_(seed), nodes_(places), routers_(routers) {
-        for (Node& n : nodes_) n.bad = share() < 0.125;
-        for (int i = 0; i < routers; ++i) begin_life(i, 0);
+    Day(Policy policy, unsigned seed) : policy_(policy), random_(seed), nodes_(places), routers_(routers) {
+        for (Node& n : nodes_) n.is_faulty = random_fraction() < 0.125;
+        for (int i = 0; i < routers; ++i) start_router(i, 0);
         std::vector<double> uneven;
-        for (int i = 0; i < routers; ++i) uneven.push_back(-std::log(1 - share()) + 0.2);
+        for (int i = 0; i < routers; ++i) uneven.push_back(-std::log(1 - random_fraction()) + 0.2);
         std::discrete_distribution<int> entry(uneven.begin(), uneven.end());
-        const std::vector<double> shares = {kinds[0].share, kinds[1].share, kinds[2].share};
+        const std::vector<double> shares = {kinds[0].traffic_share, kinds[1].traffic_share,
+                                            kinds[2].traffic_share};
         std::discrete_distribution<int> which(shares.begin(), shares.end());
-        for (Nanos at = 0;
-             (at += static_cast<Nanos>(-std::log(1 - share()) * second / queries_a_second)) < length;)
-            ask(at, which(chance_), entry(chance_));
+        for (Nanos at = 0; (at += static_cast<Nanos>(-std::log(1 - random_fraction()) * second /
+                                                     queries_per_second)) < day_length;)
+            schedule_query(at, which(random_), entry(random_));
         // A release takes a quarter of the nodes in two steps; each comes back cold in its place.
         for (int i = 0; i < places / 4; ++i) {
             const auto n = static_cast<std::uint32_t>(i * 4);
             const Nanos drain = i % 2 == 0 ? 8 * second : 10 * second;
-            at(drain, [this, n] { change(n, Lifecycle::draining); });
-            at(drain + 3 * second, [this, n] { replace(n); });
+            at(drain, [this, n] { change_lifecycle(n, Lifecycle::draining); });
+            at(drain + 3 * second, [this, n] { restart_node(n); });
         }
         // Seven in ten routers are killed at once and come back with nothing but the list.
         at(11 * second, [this] {
@@ -141,9 +144,10 @@
         });
         at(12 * second + 500 * ms, [this] {
             for (int i = 0; i < routers; ++i)
-                if (i % 10 < 7) begin_life(i, routers_[i].life + 1);
+                if (i % 10 < 7) start_router(i, routers_[i].incarnation + 1);
         });
-        for (Nanos t = seen_late; t < length; t += seen_late) at(t, [this] { look(); });
+        for (Nanos t = reference_lag; t < day_length; t += reference_lag)
+            at(t, [this] { update_known_load(); });
     }
 
     void run() {
@@ -151,21 +155,21 @@
             const auto next = due_.top();
             due_.pop();
             now_ = next.at;
-            const auto what = std::move(does_[next.number]);
-            does_.erase(next.number);
+            const auto what = std::move(actions_[next.number]);
+            actions_.erase(next.number);
             what();
         }
     }
 
-    std::map<std::string, Tally> tally;
-    long sent = 0, turned_away = 0;
+    std::map<std::string, Score> scores;
+    long sent = 0, overloaded = 0;
 
   private:
     struct Router {
         std::unique_ptr<QueryRouter> module;
-        std::vector<News> news;
-        int life = 0;
-        bool up = false, round_due = false;
+        std::vector<Event> events;
+        int incarnation = 0;
+        bool is_up = false, round_due = false;
         Nanos last_round = 0;
     };
     struct Due {
@@ -174,60 +178,63 @@
         bool operator<(const Due& o) const { return std::pair(o.at, o.number) < std::pair(at, number); }
     };
 
-    double share() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
+    double random_fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
     void at(Nanos when, std::function<void()> what) {
-        does_[++number_] = std::move(what);
-        due_.push({when, number_});
+        actions_[++next_action_] = std::move(what);
+        due_.push({when, next_action_});
     }
 
     // Clients
-    void ask(Nanos when, int kind, int router) {
+    void schedule_query(Nanos when, int kind, int router) {
         const std::uint32_t id = 1 + static_cast<std::uint32_t>(queries_.size());
         Query& q = queries_.emplace_back();
-        q.kind = kind, q.router = router, q.began = when, q.deadline_at = when + kinds[kind].deadline;
-        const int shard_requests =
-            kinds[kind].shard_requests > 0 ? kinds[kind].shard_requests : 1 + static_cast<int>(2 * share());
-        const auto first = static_cast<std::uint32_t>(places * share());
+        q.kind = kind, q.router = router, q.began_at = when, q.deadline_at = when + kinds[kind].deadline;
+        const int shard_requests = kinds[kind].shard_requests > 0
+                                       ? kinds[kind].shard_requests
+                                       : 1 + static_cast<int>(2 * random_fraction());
+        const auto first = static_cast<std::uint32_t>(places * random_fraction());
         double sum = 0;
         for (int i = 0; i < shard_requests; ++i) {
             q.shards.push_back((first + static_cast<std::uint32_t>(i * places / shard_requests)) % places);
             sum += q.weights.emplace_back(1 / std::pow(1 + i, kind == 0 ? 0.9 : 0.3));
         }
         for (double& w : q.weights) w /= sum;
-        tally[kinds[kind].name].worth += kinds[kind].worth;
-        at(when, [this, id] { come(id); });
+        scores[kinds[kind].name].priority_weight += kinds[kind].priority_weight;
+        at(when, [this, id] { submit(id); });
     }
 
     Query& query(std::uint32_t id) { return queries_[id - 1]; }
 
-    void come(std::uint32_t id) {
+    void submit(std::uint32_t id) {
         Query& q = query(id);
         if (q.ended) return;
-        if (!routers_[q.router].up) return come_again(id);
-        q.life = routers_[q.router].life;
+        if (!routers_[q.router].is_up) return retry_later(id);
+        q.incarnation = routers_[q.router].incarnation;
         q.shard_requests.clear();
         for (std::size_t i = 0; i < q.shards.size(); ++i) {
             q.shard_requests.push_back(static_cast<std::uint32_t>(shard_requests_.size()));
             ShardRequest& p = shard_requests_.emplace_back();
             p.query = id, p.shard = q.shards[i], p.weight = q.weights[i];
         }
-        if (way_ == Way::module) return tell(q.router, QueryNews{id});
-        plan(id);
+        if (policy_ == Policy::module) return deliver(q.router, QueryEvent{id});
+        select_shard_requests(id);
     }
 
-    void come_again(std::uint32_t id) {
+    void retry_later(std::uint32_t id) {
         Query& q = query(id);
-        if (q.tries++ >= 3 || now_ + 250 * ms >= q.deadline_at) return void(q.ended = true);
-        q.router = static_cast<int>(routers * share());
-        at(now_ + 250 * ms, [this, id] { come(id); });
+        if (q.client_tries++ >= 3 || now_ + 250 * ms >= q.deadline_at) return void(q.ended = true);
+        q.router = static_cast<int>(routers * random_fraction());
+        at(now_ + 250 * ms, [this, id] { submit(id); });
     }
 
-    void earn(std::uint32_t id, bool whole) {
+    void record_answer(std::uint32_t id, bool whole) {
         Query& q = query(id);
         if (std::exchange(q.ended, true)) return;
         const Kind& k = kinds[q.kind];
-        const double in_time = now_ <= q.began + k.latency_objective ? 1 : now_ <= q.deadline_at ? k.late : 0;
-        tally[k.name].earned += k.worth * in_time * (whole ? 1 : k.in_part);
+        const double in_time = now_ <= q.began_at + k.latency_objective ? 1
+                               : now_ <= q.deadline_at                  ? k.late_weight
+                                                                        : 0;
+        scores[k.name].earned += k.priority_weight * in_time * (whole ? 1 : k.partial_weight);
     }
 
     // Routers
@@ -235,50 +242,51 @@
         return {n, static_cast<std::uint16_t>(n), nodes_[n].state, nodes_[n].started_at, 0};
     }
 
-    void begin_life(int i, int life) {
+    void start_router(int i, int incarnation) {
         Router& r = routers_[i];
-        r.life = life, r.up = true, r.round_due = false;
-        r.module = std::make_unique<QueryRouter>(config(), static_cast<std::uint64_t>(i * 100 + life));
-        ListNews list{ListKind::full, {}};
+        r.incarnation = incarnation, r.is_up = true, r.round_due = false;
+        r.module = std::make_unique<QueryRouter>(config(), static_cast<std::uint64_t>(i * 100 + incarnation));
+        ListEvent list{ListKind::full, {}};
         for (std::uint32_t n = 0; n < places; ++n) list.entries.push_back(entry(n));
-        tell(i, std::move(list));
+        deliver(i, std::move(list));
     }
 
     void kill(int i) {
         Router& r = routers_[i];
-        r.up = false;
-        r.news.clear();
+        r.is_up = false;
+        r.events.clear();
         for (std::uint32_t id = 1; id <= queries_.size(); ++id) {
             Query& q = query(id);
-            if (q.router != i || q.life != r.life || q.ended || q.shard_requests.empty()) continue;
+            if (q.router != i || q.incarnation != r.incarnation || q.ended || q.shard_requests.empty())
+                continue;
             for (const std::uint32_t p : q.shard_requests)
-                for (const std::size_t c : shard_requests_[p].calls) take_back(c);
-            come_again(id);
+                for (const std::size_t c : shard_requests_[p].attempts) withdraw(c);
+            retry_later(id);
         }
     }
 
-    void tell(int i, News news) {
+    void deliver(int i, Event events) {
         Router& r = routers_[i];
-        if (!r.up) return;
-        r.news.push_back(std::move(news));
+        if (!r.is_up) return;
+        r.events.push_back(std::move(events));
         if (std::exchange(r.round_due, true)) return;
-        at(std::max(now_, r.last_round + step), [this, i, life = r.life] {
+        at(std::max(now_, r.last_round + round_interval), [this, i, incarnation = r.incarnation] {
             Router& t = routers_[i];
-            if (!t.up || t.life != life) return;
+            if (!t.is_up || t.incarnation != incarnation) return;
             t.round_due = false;
             t.last_round = now_;
-            playing_ = std::exchange(t.news, {});
-            in_round_ = i;
+            playing_events_ = std::exchange(t.events, {});
+            router_in_round_ = i;
             t.module->round(second + now_, *this, *this);
         });
     }
 
     void play(RoundEventHandler& h) override {
-        for (const News& news : playing_) {
-            if (const auto* list = std::get_if<ListNews>(&news)) h.on_nodes(list->kind, list->entries);
-            if (const auto* leaf = std::get_if<LeafNews>(&news)) h.on_attempt_result(leaf->end);
-            if (const auto* timer = std::get_if<TimerNews>(&news)) h.on_timer(timer->cookie);
-            if (const auto* came = std::get_if<QueryNews>(&news)) {
+        for (const Event& events : playing_events_) {
+            if (const auto* list = std::get_if<ListEvent>(&events)) h.on_nodes(list->kind, list->entries);
+            if (const auto* leaf = std::get_if<ResultEvent>(&events)) h.on_attempt_result(leaf->end);
+            if (const auto* timer = std::get_if<TimerEvent>(&events)) h.on_timer(timer->cookie);
+            if (const auto* came = std::get_if<QueryEvent>(&events)) {
                 const Query& q = query(came->id);
                 h.on_query({came->id, came->id, static_cast<std::uint16_t>(q.kind), UINT32_MAX,
                             second + q.deadline_at});
@@ -291,16 +299,17 @@
         send(shard_request, node, patience);
     }
     void cancel(std::uint32_t shard_request, std::uint8_t attempt) override {
-        const std::size_t c = shard_requests_[shard_request].calls[attempt];
-        if (calls_[c].out) end(c, Outcome::cancelled);
+        const std::size_t c = shard_requests_[shard_request].attempts[attempt];
+        if (attempts_[c].in_flight) end(c, Outcome::cancelled);
     }
-    void answer(std::uint32_t id, bool whole) override { earn(id, whole); }
-    void reject(std::uint32_t id, Nanos) override { come_again(id); }
+    void answer(std::uint32_t id, bool whole) override { record_answer(id, whole); }
+    void reject(std::uint32_t id, Nanos) override { retry_later(id); }
     void fail_query(std::uint32_t id) override { query(id).ended = true; }
     void set_timer(std::uint64_t cookie, Nanos wait) override {
-        at(now_ + wait, [this, i = in_round_, life = routers_[in_round_].life, cookie] {
-            if (routers_[i].life == life) tell(i, TimerNews{cookie});
-        });
+        at(now_ + wait,
+           [this, i = router_in_round_, incarnation = routers_[router_in_round_].incarnation, cookie] {
+               if (routers_[i].incarnation == incarnation) deliver(i, TimerEvent{cookie});
+           });
     }
     void watch_endpoints() override {}
     void log(const std::string&) override {}
@@ -308,159 +317,168 @@
     // Leaf calls and data nodes
     void send(std::uint32_t shard_request, std::uint32_t node, Nanos patience) {
         const Query& q = query(shard_requests_[shard_request].query);
-        const std::size_t c = calls_.size();
-        calls_.push_back({q.router, q.life, shard_request, node,
-                          static_cast<std::uint8_t>(shard_requests_[shard_request].calls.size()), now_});
-        shard_requests_[shard_request].calls.push_back(c);
+        const std::size_t c = attempts_.size();
+        attempts_.push_back({q.router, q.incarnation, shard_request, node,
+                             static_cast<std::uint8_t>(shard_requests_[shard_request].attempts.size()),
+                             now_});
+        shard_requests_[shard_request].attempts.push_back(c);
         ++sent;
-        at(now_ + way, [this, c] { arrive(c); });
+        at(now_ + network_delay, [this, c] { arrive(c); });
         at(now_ + patience, [this, c] {
-            if (calls_[c].out) end(c, Outcome::timeout);
+            if (attempts_[c].in_flight) end(c, Outcome::timeout);
         });
     }
 
     void arrive(std::size_t c) {
-        if (!calls_[c].out) return;
-        Node& n = nodes_[calls_[c].node];
-        if (n.state != Lifecycle::ready || static_cast<int>(n.queue.size()) >= line) {
-            ++turned_away;
-            return at(now_ + way, [this, c] { end(c, Outcome::overloaded); });
+        if (!attempts_[c].in_flight) return;
+        Node& n = nodes_[attempts_[c].node];
+        if (n.state != Lifecycle::ready || static_cast<int>(n.queue.size()) >= max_queue) {
+            ++overloaded;
+            return at(now_ + network_delay, [this, c] { end(c, Outcome::overloaded); });
         }
-        if (n.bad && share() < 0.6) return at(now_ + 2 * ms, [this, c] { end(c, Outcome::error); });
+        if (n.is_faulty && random_fraction() < 0.6)
+            return at(now_ + 2 * ms, [this, c] { end(c, Outcome::error); });
         n.queue.push_back(c);
-        work(calls_[c].node);
+        work(attempts_[c].node);
     }
 
     void work(std::uint32_t i) {
         Node& n = nodes_[i];
-        while (n.busy < slots && !n.queue.empty()) {
+        while (n.working < worker_slots && !n.queue.empty()) {
             const std::size_t c = n.queue.front();
             n.queue.pop_front();
-            if (!calls_[c].out) continue;
-            ++n.busy;
+            if (!attempts_[c].in_flight) continue;
+            ++n.working;
             const double warm =
                 n.started_at == 0 ? 1 : std::min(1.0, 0.3 + 0.07 * (second + now_ - n.started_at) / second);
             const double took =
-                part_work * std::exp(0.4 * std::normal_distribution<double>()(chance_)) / warm;
+                shard_request_work * std::exp(0.4 * std::normal_distribution<double>()(random_)) / warm;
             at(now_ + static_cast<Nanos>(took), [this, c, i, started = n.started_at] {
-                if (nodes_[i].started_at == started) --nodes_[i].busy, work(i);
-                at(now_ + way, [this, c] { end(c, Outcome::ok); });
+                if (nodes_[i].started_at == started) --nodes_[i].working, work(i);
+                at(now_ + network_delay, [this, c] { end(c, Outcome::ok); });
             });
         }
     }
 
     // No word of it reaches its router any more.
-    void take_back(std::size_t c) {
-        Call& call = calls_[c];
-        call.out = false;
+    void withdraw(std::size_t c) {
+        Attempt& call = attempts_[c];
+        call.in_flight = false;
         std::erase(nodes_[call.node].queue, c);
     }
 
     void end(std::size_t c, Outcome outcome) {
-        if (!calls_[c].out) return;
-        take_back(c);
-        const Call call = calls_[c];
+        if (!attempts_[c].in_flight) return;
+        withdraw(c);
+        const Attempt call = attempts_[c];
         ShardRequest& shard_request = shard_requests_[call.shard_request];
-        if (way_ == Way::module) {
-            if (routers_[call.router].life == call.life)
-                tell(call.router,
-                     LeafNews{{call.shard_request, call.node, call.attempt, outcome, now_ - call.sent_at}});
+        if (policy_ == Policy::module) {
+            if (routers_[call.router].incarnation == call.incarnation)
+                deliver(call.router, ResultEvent{{call.shard_request, call.node, call.attempt, outcome,
+                                                  now_ - call.sent_at}});
             return;
         }
         Query& q = query(shard_request.query);
         if (q.ended) return;
-        shard_request.in |= outcome == Outcome::ok;
-        const auto spent = static_cast<int>(shard_request.calls.size());
-        if (!shard_request.in && spent < max_attempts)
-            at(now_ + (way_ == Way::seer && outcome == Outcome::overloaded ? 100 * ms : 0),
-               [this, p = call.shard_request] { choose(p); });
-        settle(shard_request.query, !shard_request.in && spent >= max_attempts);
+        shard_request.answered |= outcome == Outcome::ok;
+        const auto spent = static_cast<int>(shard_request.attempts.size());
+        if (!shard_request.answered && spent < max_attempts)
+            at(now_ + (policy_ == Policy::reference && outcome == Outcome::overloaded ? 100 * ms : 0),
+               [this, p = call.shard_request] { send_by_policy(p); });
+        conclude(shard_request.query, !shard_request.answered && spent >= max_attempts);
     }
 
-    void change(std::uint32_t n, Lifecycle state) {
+    void change_lifecycle(std::uint32_t n, Lifecycle state) {
         nodes_[n].state = state;
         at(now_ + 300 * ms, [this, n] {
-            for (int i = 0; i < routers; ++i) tell(i, ListNews{ListKind::delta, {entry(n)}});
+            for (int i = 0; i < routers; ++i) deliver(i, ListEvent{ListKind::delta, {entry(n)}});
         });
     }
-    void replace(std::uint32_t n) {
+    void restart_node(std::uint32_t n) {
         nodes_[n].started_at = second + now_;
-        nodes_[n].busy = 0;
-        change(n, Lifecycle::ready);
+        nodes_[n].working = 0;
+        change_lifecycle(n, Lifecycle::ready);
     }
 
     // The reference, which sees the true state of every node late, and the plainest policy, which sees none.
-    void look() {
-        for (Node& n : nodes_) n.known = n.busy + static_cast<int>(n.queue.size()), n.since = 0;
+    void update_known_load() {
+        for (Node& n : nodes_)
+            n.known_load = n.working + static_cast<int>(n.queue.size()), n.sent_since_known = 0;
     }
     double load() const {
-        double known = 0;
-        for (const Node& n : nodes_) known += n.known;
-        return known / (places * slots);
+        double known_load = 0;
+        for (const Node& n : nodes_) known_load += n.known_load;
+        return known_load / (places * worker_slots);
     }
 
-    void plan(std::uint32_t id) {
+    void select_shard_requests(std::uint32_t id) {
         Query& q = query(id);
         const Kind& k = kinds[q.kind];
         double sum = 0;
         for (const std::uint32_t p : q.shard_requests) {
-            shard_requests_[p].planned = way_ == Way::plain || k.floor == 1 || sum < k.floor || load() < 0.7;
+            shard_requests_[p].selected = policy_ == Policy::plain || k.min_answer_weight == 1 ||
+                                          sum < k.min_answer_weight || load() < 0.7;
             sum += shard_requests_[p].weight;
-            if (shard_requests_[p].planned) choose(p);
+            if (shard_requests_[p].selected) send_by_policy(p);
         }
-        at(q.began + k.latency_objective - 10 * ms, [this, id] { settle(id, false); });
-        at(q.deadline_at - 10 * ms, [this, id] { settle(id, false); });
+        at(q.began_at + k.latency_objective - 10 * ms, [this, id] { conclude(id, false); });
+        at(q.deadline_at - 10 * ms, [this, id] { conclude(id, false); });
     }
 
-    void choose(std::uint32_t p) {
+    void send_by_policy(std::uint32_t p) {
         ShardRequest& shard_request = shard_requests_[p];
         const Query& q = query(shard_request.query);
-        if (q.ended || shard_request.in) return;
+        if (q.ended || shard_request.answered) return;
         std::uint32_t best = UINT32_MAX;
         double least = HUGE_VAL;
         for (std::uint32_t j = 0; j < 3; ++j) {
             const std::uint32_t n = (shard_request.shard + j) % places;
             const Node& node = nodes_[n];
-            const double of = way_ == Way::plain
-                                  ? share() + (node.state == Lifecycle::ready ? 0 : 1)
-                                  : node.known + node.since * 0.1 + share() + (node.bad ? 8 : 0) +
+            const double of = policy_ == Policy::plain
+                                  ? random_fraction() + (node.state == Lifecycle::ready ? 0 : 1)
+                                  : node.known_load + node.sent_since_known * 0.1 + random_fraction() +
+                                        (node.is_faulty ? 8 : 0) +
                                         (node.state == Lifecycle::ready ? 0 : 1000) +
                                         (node.started_at > 0 ? 4 : 0);
             if (of < least) least = of, best = n;
         }
-        ++nodes_[best].since;
+        ++nodes_[best].sent_since_known;
         send(p, best, q.deadline_at - now_);
     }
 
-    void settle(std::uint32_t id, bool lost) {
+    void conclude(std::uint32_t id, bool lost) {
         Query& q = query(id);
         if (q.ended) return;
         const Kind& k = kinds[q.kind];
-        double in = 0, planned = 0;
+        double answered = 0, selected = 0;
         bool all = true;
         for (const std::uint32_t p : q.shard_requests) {
-            if (shard_requests_[p].in) in += shard_requests_[p].weight;
-            if (shard_requests_[p].planned) planned += shard_requests_[p].weight;
-            all &= shard_requests_[p].in;
+            if (shard_requests_[p].answered) answered += shard_requests_[p].weight;
+            if (shard_requests_[p].selected) selected += shard_requests_[p].weight;
+            all &= shard_requests_[p].answered;
         }
-        if (all) return earn(id, true);
-        const bool due = now_ >= q.began + k.latency_objective - 10 * ms;
-        if (k.floor < 1 && in >= k.floor && (due || in >= planned - 1e-9)) return earn(id, false);
-        if (now_ >= q.deadline_at - 10 * ms || (due && k.late == 0) || (lost && k.floor == 1)) q.ended = true;
+        if (all) return record_answer(id, true);
+        const bool due = now_ >= q.began_at + k.latency_objective - 10 * ms;
+        if (k.min_answer_weight < 1 && answered >= k.min_answer_weight &&
+            (due || answered >= selected - 1e-9))
+            return record_answer(id, false);
+        if (now_ >= q.deadline_at - 10 * ms || (due && k.late_weight == 0) ||
+            (lost && k.min_answer_weight == 1))
+            q.ended = true;
     }
 
-    const Way way_;
-    std::knuth_b chance_;
+    const Policy policy_;
+    std::knuth_b random_;
     std::vector<Node> nodes_;
     std::vector<Router> routers_;
     std::deque<Query> queries_;
     std::deque<ShardRequest> shard_requests_;
-    std::deque<Call> calls_;
+    std::deque<Attempt> attempts_;
     std::priority_queue<Due> due_;
-    std::map<std::uint64_t, std::function<void()>> does_;
-    std::uint64_t number_ = 0;
-    std::vector<News> playing_;
-    int in_round_ = 0;
+    std::map<std::uint64_t, std::function<void()>> actions_;
+    std::uint64_t next_action_ = 0;
+    std::vector<Event> playing_events_;
+    int router_in_round_ = 0;
     Nanos now_ = 0;
 };
 
@@ -473,13 +491,14 @@
     std::printf("%4s  %-7s %28s\n", "seed", "", "served: module  seer  plain");
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         std::map<std::string, double> served[3];
-        for (const Way way : {Way::module, Way::seer, Way::plain}) {
-            Day day(way, seed);
+        for (const Policy policy : {Policy::module, Policy::reference, Policy::plain}) {
+            Day day(policy, seed);
             day.run();
             for (const Kind& k : kinds)
-                served[static_cast<int>(way)][k.name] = day.tally[k.name].earned / day.tally[k.name].worth;
-            if (way == Way::module)
-                away += static_cast<double>(day.turned_away), sent += static_cast<double>(day.sent);
+                served[static_cast<int>(policy)][k.name] =
+                    day.scores[k.name].earned / day.scores[k.name].priority_weight;
+            if (policy == Policy::module)
+                away += static_cast<double>(day.overloaded), sent += static_cast<double>(day.sent);
         }
         for (int k = 0; k < 3; ++k) {
             const char* name = kinds[k].name;
