--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -22,7 +22,7 @@
     Member(boost::asio::io_context& io, EventClock& clock, std::vector<HostPort> managers, std::size_t number)
         : time(clock), name("m" + std::to_string(number)), watch(io, clock, *this, std::move(managers)) {}
 
-    MemberCall word() override {
+    MemberCall member_call() override {
         MemberCall call;
         call.name = name, call.role = "router", call.zone = "a", call.version = "1",
         call.digest = "0123456789abcdef";
--- a/measure/list_cost.cpp
+++ b/measure/list_cost.cpp
@@ -165,11 +165,11 @@
 
     EndpointOverlay agreed;
     const double joined = least(
-        times, [](int) { return 0; }, [&](int) { agreed.discovered(*list); });
-    const double joined_one = mean(changes, [&](int i) { agreed.discovered(change(i)); });
+        times, [](int) { return 0; }, [&](int) { agreed.apply_discovered(*list); });
+    const double joined_one = mean(changes, [&](int i) { agreed.apply_discovered(change(i)); });
     std::set<std::string> out;
     for (int n = 0; n < nodes / 10; ++n) out.insert(name(n));
-    agreed.agreed(out);
+    agreed.apply_drains(out);
     const double agreed_one = least(
         changes,
         [&](int i) {
@@ -177,15 +177,15 @@
             next.erase(name(i % std::max(1, nodes / 10)));
             return next;
         },
-        [&](std::set<std::string>& next) { agreed.agreed(std::move(next)); });
+        [&](std::set<std::string>& next) { agreed.apply_drains(std::move(next)); });
     const double agreed_same = least(
-        times, [&](int) { return agreed.out(); },
-        [&](std::set<std::string>& same) { agreed.agreed(std::move(same)); });
+        times, [&](int) { return agreed.drained(); },
+        [&](std::set<std::string>& same) { agreed.apply_drains(std::move(same)); });
     bool cut = false;
     const double cuts = least(
-        times, [](int) { return 0; }, [&](int) { agreed.cut(cut = !cut); });
+        times, [](int) { return 0; }, [&](int) { agreed.set_fenced(cut = !cut); });
     const double same = least(
-        times, [](int) { return 0; }, [&](int) { agreed.cut(cut); });
+        times, [](int) { return 0; }, [&](int) { agreed.set_fenced(cut); });
     rusage used{};
     getrusage(RUSAGE_SELF, &used);
     std::printf("%d nodes, %.2f MB of list\n", nodes, static_cast<double>(body.size()) / 1e6);
--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -245,7 +245,7 @@
         known->take(list);
         const double of_nodes = heap_bytes();
         auto agreed = std::make_unique<EndpointOverlay>();
-        agreed->discovered(list);
+        agreed->apply_discovered(list);
         point("router.list_bytes", nodes, static_cast<double>(bytes) / 1e6);
         point("router.list_memory", nodes, (of_nodes - before) / 1e6);
         point("router.agreed_memory", nodes, (heap_bytes() - of_nodes) / 1e6);
--- a/src/config/member_config.hpp
+++ b/src/config/member_config.hpp
@@ -1,6 +1,6 @@
-// What operators state of a query router's shard request in a fleet, which agrees on who may be out and on
-// changes of configuration: the `member` block of the operators' file (docs/fleet.md). Without the block
-// there is none.
+// How a query router takes part in a fleet, which agrees on drains and on changes of configuration: the
+// `member` block of the operators' file (docs/fleet.md). Without the block it takes part in none. Durations
+// are ns.
 #pragma once
 
 #include <string>
@@ -12,17 +12,17 @@
 namespace tealcart {
 
 struct MemberConfig {
-    bool on = false;         // managers are named
+    bool on = false;         // fleet managers are named
     std::string name, zone;  // empty name: the configuration's
     std::vector<HostPort> managers;
-    std::vector<HostPort> relays;  // of changes of configuration; none: it follows none
-    // After its lease is over, the router goes on by what it last knew for so long ...
+    std::vector<HostPort> relays;  // of changes of configuration; empty: it follows none
+    // After its lease has expired, the router acts on what it last knew for so long ...
     Nanos serve_on = 24 * 3600'000'000'000;
-    // ... and then leaves the front (not ready, what comes is still served), or stops: takes nothing new and
-    // begins no leaf call.
+    // ... and then is not ready, but serves the queries that come; or, with this, rejects them and sends no
+    // attempts.
     bool then_stop = false;
-    Nanos startup_wait = 5'000'000'000;         // not ready before the managers' first word, or this long
-    Nanos config_startup_wait = 2'000'000'000;  // the same of the relays' first word
+    Nanos startup_wait = 5'000'000'000;         // not ready before the managers' first answer, or this long
+    Nanos config_startup_wait = 2'000'000'000;  // the same of the relays' first answer
 };
 
 }  // namespace tealcart
--- a/src/members/config_overlay.hpp
+++ b/src/members/config_overlay.hpp
@@ -1,8 +1,8 @@
-// What a version of the fleet's configuration means to this router: its entries laid over the operators' file
-// that it was started with, checked as a whole. No I/O.
+// A version of the fleet's configuration laid over the operators' file that the router was started with, and
+// checked as a whole. No I/O.
 //
-// An entry's key names a block of the file, `log` or `two_phase.NAME`, and its value is what stands between
-// the block's braces. It replaces the file's block of that name; without it that block holds again.
+// An entry's key names a block of the file, `log` or `two_phase.NAME`, and its value is the text between the
+// block's braces. It replaces the file's block of that name; without the entry that block holds again.
 #pragma once
 
 #include <cstdint>
@@ -24,27 +24,31 @@
         std::vector<TwoPhaseConfig> phases;  // by query class
     };
     struct Rejection {
-        std::string why;  // every mistake as `KEY:LINE:COLUMN: WORDS`, cut at `max_why` bytes
+        std::string reason;  // every mistake as `KEY:LINE:COLUMN: TEXT`, cut at `max_reason` bytes
     };
-    static constexpr std::size_t max_why = 480;
+    static constexpr std::size_t max_reason = 480;
 
-    // `started`: what the file says. `config`, `query classes`: the deployment, which documents are held
-    // against.
+    // `started`: what the file states. Documents are checked against the deployment, `config` and
+    // `query_classes`.
     ConfigOverlay(Settings started, RouterConfig config, std::vector<std::string> query_classes)
         : started_(std::move(started)), config_(std::move(config)), query_classes_(std::move(query_classes)) {
     }
 
-    // All of it, or why not; changes nothing here.
+    // The settings by this document, or every mistake in it.
     std::variant<Settings, Rejection> read(const changes::Document& document) const;
 
-    // The document is acted on from now on: how many entries came, went or changed since the one before.
+    // The router acts on the document from now on. Returns how many entries were added, removed or changed
+    // since the one before.
     std::size_t on_applied(const changes::Document& document);
 
   private:
+    // Throws HclMistakes.
+    void apply(const std::string& key, const std::string& value, Settings& settings) const;
+
     const Settings started_;
     const RouterConfig config_;
     const std::vector<std::string> query_classes_;
-    std::map<std::string, std::uint64_t> digests_;  // of the entries that are acted on
+    std::map<std::string, std::uint64_t> digests_;  // of the entries that the router acts on
 };
 
 }  // namespace tealcart
--- a/src/members/endpoint_overlay.cpp
+++ b/src/members/endpoint_overlay.cpp
@@ -3,50 +3,52 @@
 #include <algorithm>
 #include <iterator>
 #include <utility>
+#include <vector>
 
 namespace tealcart {
 
-ListedEndpoint EndpointOverlay::joined(ListedEndpoint node) const {
-    if (node.lifecycle == Lifecycle::ready && is_out(node.id)) node.lifecycle = Lifecycle::draining;
+ListedEndpoint EndpointOverlay::overlaid(ListedEndpoint node) const {
+    if (node.lifecycle == Lifecycle::ready && is_drained(node.id)) node.lifecycle = Lifecycle::draining;
     return node;
 }
 
-EndpointList EndpointOverlay::discovered(const EndpointList& news) {
+EndpointList EndpointOverlay::apply_discovered(const EndpointList& news) {
     if (news.full) nodes_.clear();
     generation_ = news.generation;
     EndpointList list = news;
     for (ListedEndpoint& node : list.nodes) {
-        ++looked_;
+        ++looked_at_;
         if (node.lifecycle == Lifecycle::removed)
             nodes_.erase(node.id);
         else
             nodes_[node.id] = node;
-        node = joined(std::move(node));
+        node = overlaid(std::move(node));
     }
     return list;
 }
 
-EndpointList EndpointOverlay::agreed(std::set<std::string> out) {
+EndpointList EndpointOverlay::apply_drains(std::set<std::string> drained) {
     std::vector<std::string> changed;
-    std::set_symmetric_difference(out_.begin(), out_.end(), out.begin(), out.end(),
+    std::set_symmetric_difference(drained_.begin(), drained_.end(), drained.begin(), drained.end(),
                                   std::back_inserter(changed));
-    out_ = std::move(out);
+    drained_ = std::move(drained);
     EndpointList list{generation_, false, {}, 0};
     for (const std::string& name : changed) {
-        ++looked_;
-        const auto it = nodes_.find(name);
-        if (!cut_ && it != nodes_.end() && it->second.lifecycle == Lifecycle::ready)
-            list.nodes.push_back(joined(it->second));
+        ++looked_at_;
+        const auto node = nodes_.find(name);
+        if (!fenced_ && node != nodes_.end() && node->second.lifecycle == Lifecycle::ready)
+            list.nodes.push_back(overlaid(node->second));
     }
     return list;
 }
 
-EndpointList EndpointOverlay::cut(bool cut) {
+EndpointList EndpointOverlay::set_fenced(bool fenced) {
     EndpointList list{generation_, false, {}, 0};
-    if (std::exchange(cut_, cut) == cut) return list;
+    if (std::exchange(fenced_, fenced) == fenced) return list;
     for (const auto& [name, node] : nodes_) {
-        ++looked_;
-        if (node.lifecycle == Lifecycle::ready && !out_.contains(name)) list.nodes.push_back(joined(node));
+        ++looked_at_;
+        if (node.lifecycle == Lifecycle::ready && !drained_.contains(name))
+            list.nodes.push_back(overlaid(node));
     }
     return list;
 }
--- a/src/members/endpoint_overlay.hpp
+++ b/src/members/endpoint_overlay.hpp
@@ -1,7 +1,8 @@
-// Discovery's list of data nodes and what the fleet has agreed on, joined before the module: the stricter
-// wins. No I/O; what comes out has the form of discovery's lists.
+// Discovery's endpoints with the fleet's agreed drains laid over them: what the router's module is told is
+// the stricter of both. No I/O; what comes out has the form of discovery's lists.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <set>
 #include <string>
@@ -12,27 +13,26 @@
 
 class EndpointOverlay {
   public:
-    // News of discovery, as it is to reach the module.
-    EndpointList discovered(const EndpointList& news);
-    // These are out by agreement now, and no others: what changes for the module; no entries where nothing
-    // does. Of the nodes it looks at those alone whose agreement changes.
-    EndpointList agreed(std::set<std::string> out);
-    // With `cut` nothing new may be sent to any node, until it is over. Looks at all nodes where it changes.
-    EndpointList cut(bool cut);
-
-    bool is_out(const std::string& node) const { return cut_ || out_.contains(node); }
-    const std::set<std::string>& out() const { return out_; }
-    std::uint64_t looked() const { return looked_; }  // entries and nodes looked at since the start
+    // News of discovery, as they are to reach the module.
+    EndpointList apply_discovered(const EndpointList& news);
+    // Exactly these nodes are drained by agreement from now on. What changes for the module: no entries where
+    // nothing does. Looks only at nodes whose drain begins or ends.
+    EndpointList apply_drains(std::set<std::string> drained);
+    // While it is fenced nothing new may be sent to any node. Looks at all nodes where that changes.
+    EndpointList set_fenced(bool fenced);
+
+    bool is_drained(const std::string& node) const { return fenced_ || drained_.contains(node); }
+    const std::set<std::string>& drained() const { return drained_; }
+    std::uint64_t looked_at() const { return looked_at_; }  // entries and nodes, since the start
 
   private:
-    ListedEndpoint joined(ListedEndpoint node) const;
+    ListedEndpoint overlaid(ListedEndpoint node) const;
 
-    std::map<std::string, ListedEndpoint>
-        nodes_;  // as discovery told of them; those that are gone are dropped
-    std::set<std::string> out_;
+    std::map<std::string, ListedEndpoint> nodes_;  // as discovery lists them, without removed ones
+    std::set<std::string> drained_;
     std::uint64_t generation_ = 0;  // discovery's
-    std::uint64_t looked_ = 0;
-    bool cut_ = false;
+    std::uint64_t looked_at_ = 0;
+    bool fenced_ = false;
 };
 
 }  // namespace tealcart
--- a/src/members/member_host.hpp
+++ b/src/members/member_host.hpp
@@ -1,4 +1,4 @@
-// What membership needs of the router that it speaks for: the bridge, or a stand-in without queries.
+// What membership needs of the router that it reports on: the query dispatcher, or a fake without queries.
 #pragma once
 
 #include <functional>
@@ -9,14 +9,16 @@
 
 namespace tealcart {
 
-// What a member of a fleet may do now, beside what the platform allows.
+// Which lease a serving state comes from: that of the agreed drains, or that of the configuration.
 enum class ServingStateSource : std::uint8_t { agreement, configuration };
+
+// What a member of a fleet may do now, beside what the platform allows.
 struct MemberServingState {
     bool ready = true, admits = true;
     Nanos attempts_until = TimerQueue::never;
 };
 
-// Told how queries and leaf calls end.
+// Notified of how queries and attempts end.
 class OutcomeObserver {
   public:
     virtual ~OutcomeObserver() = default;
@@ -24,17 +26,17 @@
     virtual void on_attempt_end(std::uint32_t node, Outcome outcome) = 0;
 };
 
-// Takes the list as it is to reach the module.
+// Takes the endpoint list as it is to reach the module.
 class MemberHost : public ListTaker {
   public:
-    virtual void observe_outcomes(OutcomeObserver* taker) = 0;
-    virtual void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) = 0;
-    // When the next round is due; never while nothing has come in.
+    virtual void observe_outcomes(OutcomeObserver* observer) = 0;
+    virtual void set_serving_state(ServingStateSource source, const MemberServingState& serving_state) = 0;
+    // When the next round is due; TimerQueue::never while there are no events for one.
     virtual Nanos next_round() const = 0;
-    virtual std::size_t held() const = 0;
-    // Whether a leaf call is out to a node whose name is one of these.
-    virtual bool any_attempt_to(const std::function<bool(const std::string& name)>& which) const = 0;
-    // Empty for a node that is forgotten.
+    virtual std::size_t held() const = 0;  // queries in flight
+    // Whether an attempt is in flight to a node whose name `matches`.
+    virtual bool any_attempt_to(const std::function<bool(const std::string& name)>& matches) const = 0;
+    // Empty for a node that was removed.
     virtual const std::string& node_name(std::uint32_t node) const = 0;
 };
 
--- a/src/members/member_lease.cpp
+++ b/src/members/member_lease.cpp
@@ -5,9 +5,10 @@
 namespace tealcart {
 namespace {
 
-constexpr Nanos ms = 1'000'000;
+constexpr Nanos millisecond = 1'000'000;
 constexpr Nanos never = INT64_MAX;
-constexpr Nanos first_wait = 200 * ms, in_hand_wait = 20 * ms;
+constexpr Nanos first_wait = 200 * millisecond, in_flight_wait = 20 * millisecond;
+constexpr int calls_per_lease = 5;
 
 }  // namespace
 
@@ -22,48 +23,49 @@
 
 void MemberLease::superseded(std::uint64_t last_incarnation) {
     if (lease_until_ > 0)
-        followed_ = true;
+        superseded_ = true;
     else
         incarnation_ = std::max(incarnation_, last_incarnation) + 1;
 }
 
-// One that never heard a manager counts from its start: they may have taken it in all the same.
-Nanos MemberLease::alone_until() const {
+// One that never heard a manager counts from its start: they may have registered it all the same.
+Nanos MemberLease::grace_until() const {
     const Nanos from = lease_until_ > 0 ? lease_until_ : started_;
     return serve_on_ > never - from ? never : from + serve_on_;
 }
 
 ServingState MemberLease::serving_state(Nanos now) const {
-    if (followed_) return ServingState::cut;
-    if (lease_until_ > 0 && now < lease_until_) return ServingState::member;
-    if (lease_until_ == 0 && now < started_ + startup_wait_) return ServingState::unheard;
-    return now >= alone_until() ? ServingState::cut : ServingState::alone;
+    if (superseded_) return ServingState::fenced;
+    if (lease_until_ > 0 && now < lease_until_) return ServingState::leased;
+    if (lease_until_ == 0 && now < started_ + startup_wait_) return ServingState::unregistered;
+    return now >= grace_until() ? ServingState::fenced : ServingState::lease_expired;
 }
 
 bool MemberLease::ready(Nanos now) const {
-    const ServingState s = serving_state(now);
-    return s == ServingState::member || s == ServingState::alone;
+    const ServingState state = serving_state(now);
+    return state == ServingState::leased || state == ServingState::lease_expired;
 }
 
-bool MemberLease::admits(Nanos now) const { return !followed_ && now < attempts_until(now); }
+bool MemberLease::admits(Nanos now) const { return !superseded_ && now < attempts_until(now); }
 
 Nanos MemberLease::attempts_until(Nanos now) const {
-    if (followed_) return 0;
+    if (superseded_) return 0;
     if (!then_stop_) return never;
-    return serving_state(now) == ServingState::unheard ? 0 : alone_until();
+    return serving_state(now) == ServingState::unregistered ? 0 : grace_until();
 }
 
 Nanos MemberLease::next_change(Nanos now) const {
+    if (superseded_) return never;
     Nanos next = never;
-    const Nanos lease_end = lease_until_ > 0 ? lease_until_ : started_ + startup_wait_;
-    for (const Nanos at : {lease_end, alone_until()})
+    const Nanos state_ends = lease_until_ > 0 ? lease_until_ : started_ + startup_wait_;
+    for (const Nanos at : {state_ends, grace_until()})
         if (at > now) next = std::min(next, at);
-    return followed_ ? never : next;
+    return next;
 }
 
 Nanos MemberLease::wait(bool in_flight) const {
-    if (in_flight) return in_hand_wait;
-    return lease_ > 0 ? lease_ / 5 : first_wait;
+    if (in_flight) return in_flight_wait;
+    return lease_ > 0 ? lease_ / calls_per_lease : first_wait;
 }
 
 }  // namespace tealcart
--- a/src/members/outcome_stats.hpp
+++ b/src/members/outcome_stats.hpp
@@ -1,5 +1,5 @@
-// What a member reports to the fleet of its last seconds: how its queries ended, and which data nodes stay
-// silent. Figures for those who judge whether more may go out; no query is decided by them. No I/O.
+// What a member reports to the fleet of its last seconds: how its queries ended, and which data nodes do not
+// respond. Figures for those who judge whether more may go out; no query is decided by them. No I/O.
 #pragma once
 
 #include <array>
@@ -17,28 +17,29 @@
         std::uint64_t queries = 0, failed = 0;
     };
 
-    // A query that the router took has ended; failed: in anything but an answer.
+    // A query that was admitted has ended; failed: in anything but an answer.
     void record_query(Nanos now, bool failed);
-    // A leaf call to a node has ended.
+    // An attempt at a node has ended.
     void record_attempt(Nanos now, std::uint32_t node, Outcome outcome);
-    void forget(std::uint32_t node) { nodes_.erase(node); }
+    void forget(std::uint32_t node) { failures_.erase(node); }
 
     Counts counts(Nanos now) const;  // of the last ten seconds
-    // Nodes of which nothing but time-outs and broken connections came in the last seconds, several times.
-    std::set<std::uint32_t> silent(Nanos now) const;
+    // Nodes whose last attempts all ended in time-outs and broken connections, over some seconds.
+    std::set<std::uint32_t> unresponsive(Nanos now) const;
 
   private:
     struct Second {
-        std::int64_t at = -1;
+        std::int64_t number = -1;  // since the epoch
         Counts counts;
     };
-    struct Node {
-        int bad = 0;  // in a row
-        Nanos since = 0, last = 0;
+    // Of a node, since its last attempt that did not fail.
+    struct Failures {
+        int count = 0;
+        Nanos first = 0, last = 0;
     };
 
-    std::array<Second, 10> seconds_;
-    std::unordered_map<std::uint32_t, Node> nodes_;  // with bad outcomes since their last good one
+    std::array<Second, 10> seconds_;  // a ring, by the second's number
+    std::unordered_map<std::uint32_t, Failures> failures_;
 };
 
 }  // namespace tealcart
--- /dev/null
+++ b/src/relay/document_source.cpp
@@ -0,0 +1,72 @@
+#include "relay/document_source.hpp"
+
+#include <algorithm>
+
+namespace tealcart::relay {
+namespace {
+
+constexpr std::size_t max_deltas = 1000;
+constexpr std::size_t max_delta_bytes = 8u << 20;  // of all of them
+constexpr std::size_t max_delta = 256 * 1024;      // bytes of one to a follower; pages beyond it
+constexpr std::size_t max_merged = 16;             // for followers at different versions
+
+}  // namespace
+
+PageLimiter::PageLimiter(double pages_a_second, Nanos now)
+    : pages_a_second_(pages_a_second), burst_(std::max(1.0, pages_a_second)), available_(burst_),
+      refilled_at_(now) {}
+
+bool PageLimiter::take(Nanos now) {
+    const double since_refill = static_cast<double>(now - refilled_at_) / 1e9;
+    available_ = std::min(burst_, available_ + since_refill * pages_a_second_);
+    refilled_at_ = now;
+    if (available_ < 1) return false;
+    available_ -= 1;
+    return true;
+}
+
+DocumentSource::DocumentSource(std::size_t page_bytes, double pages_a_second, Nanos now)
+    : page_bytes_(page_bytes), page_limiter_(pages_a_second, now), history_(max_deltas, max_delta_bytes) {}
+
+DocumentSource::Applied DocumentSource::apply(const ChangesAnswer& answer) {
+    using Taken = changes::Copy::Taken;
+    Taken taken = Taken::known;
+    if (answer.delta) {
+        taken = copy_.take(*answer.delta);
+        if (taken == Taken::taken) history_.append(*answer.delta);
+    } else if (answer.page) {
+        taken = copy_.take(*answer.page);
+        if (taken == Taken::taken) history_.clear();
+    }
+    if (taken == Taken::spoilt) return Applied::wrong_digest;
+    if (taken != Taken::taken) return Applied::nothing;
+    merged_.clear();
+    return Applied::new_version;
+}
+
+std::optional<changes::Delta> DocumentSource::delta_since(std::uint64_t version) {
+    if (merged_.size() >= max_merged) merged_.clear();
+    const auto [merged, is_new] = merged_.try_emplace(version);
+    if (is_new) merged->second = history_.since(version);
+    const auto& delta = merged->second;
+    if (!delta || size_of(*delta) > max_delta) return std::nullopt;
+    return delta;
+}
+
+std::optional<ChangesAnswer> DocumentSource::answer_for(const WatchPosition& position, Nanos now) {
+    ChangesAnswer answer = empty_answer();
+    if (position.knows >= copy_.version()) return answer;
+    if (!position.wants_pages) answer.delta = delta_since(position.knows);
+    if (answer.delta) return answer;
+    if (!page_limiter_.take(now)) return std::nullopt;
+    answer.page = page_of(copy_, position.wants_pages ? position.after : "", page_bytes_);
+    return answer;
+}
+
+ChangesAnswer DocumentSource::empty_answer() const {
+    ChangesAnswer answer;
+    answer.version = copy_.version();
+    return answer;
+}
+
+}  // namespace tealcart::relay
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -13,15 +13,30 @@
 using namespace tealcart;
 using namespace tealcart::relay;
 
+enum ExitStatus : int { exit_ok = 0, exit_failed = 1, exit_usage = 2 };
+
 int serve(const std::string& path) {
     std::signal(SIGPIPE, SIG_IGN);
     const RelayConfig config = read_relay_file(path);
     start_log(config.log);
     boost::asio::io_context io(1);
-    std::random_device chance;
-    Relay relay(io, config, chance() | 1u);
+    std::random_device random;
+    Relay relay(io, config, random() | 1u);
     relay.run();
-    return 0;
+    return exit_ok;
+}
+
+int check(const std::string& path) {
+    const RelayConfig config = read_relay_file(path);
+    std::printf("%s: relay %s of zone %s, %zu stewards\n", path.c_str(), config.name.c_str(),
+                config.zone.c_str(), config.managers.size());
+    return exit_ok;
+}
+
+CLI::App* add_command(CLI::App& app, const char* name, const char* description, std::string& file) {
+    CLI::App* command = app.add_subcommand(name, description);
+    command->add_option("--file", file, "the relay's file (HCL)")->envname("TEALCART_RELAY_FILE")->required();
+    return command;
 }
 
 }  // namespace
@@ -30,31 +45,20 @@
     CLI::App app("tealcart-relay: hands a fleet's changes on to its routers; docs/changes.md");
     app.name("tealcart relay");
     std::string file;
-    const auto of = [&](const char* command, const char* what) {
-        CLI::App* sub = app.add_subcommand(command, what);
-        sub->add_option("--file", file, "the relay's file (HCL)")->envname("TEALCART_RELAY_FILE")->required();
-        return sub;
-    };
-    CLI::App* serving = of("serve", "run a relay");
-    CLI::App* checking = of("check", "tell every mistake in the relay's file, with line and column");
+    const CLI::App* const serve_command = add_command(app, "serve", "run a relay", file);
+    add_command(app, "check", "tell every mistake in the relay's file, with line and column", file);
     app.require_subcommand(1);
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? 0 : 2;
+    } catch (const CLI::ParseError& error) {
+        return app.exit(error) == 0 ? exit_ok : exit_usage;
     }
     try {
-        if (serving->parsed()) return serve(file);
-        if (checking->parsed()) {
-            const RelayConfig config = read_relay_file(file);
-            std::printf("%s: relay %s of zone %s, %zu stewards\n", file.c_str(), config.name.c_str(),
-                        config.zone.c_str(), config.managers.size());
-        }
-        return 0;
-    } catch (const HclMistakes& e) {
-        std::fprintf(stderr, "%s\n", e.what());
-    } catch (const std::exception& e) {
-        std::fprintf(stderr, "tealcart relay: %s\n", e.what());
+        return serve_command->parsed() ? serve(file) : check(file);
+    } catch (const HclMistakes& error) {
+        std::fprintf(stderr, "%s\n", error.what());
+    } catch (const std::exception& error) {
+        std::fprintf(stderr, "tealcart relay: %s\n", error.what());
     }
-    return 1;
+    return exit_failed;
 }
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -1,301 +1,199 @@
 #include "relay/relay.hpp"
 
 #include <algorithm>
+#include <chrono>
 #include <csignal>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
 #include "log/log.hpp"
 #include "wire/bodies.hpp"
-#include "wire/member_messages.hpp"
 
 namespace tealcart::relay {
 namespace {
 
-constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr Nanos stall = 5 * second, max_turn = 250 * ms;
-// What followers say is gathered for so long, and no more than five words a second go to the managers but
-// those that ask for a further page.
-constexpr Nanos gathered_for = 30 * ms, between_words = 200 * ms, between_pages = 20 * ms;
-constexpr Nanos first_wait = 200 * ms, min_wait = 50 * ms;
-constexpr std::size_t max_exceptions = 20, max_deltas = 1000, max_delta_bytes = 8u << 20;
-constexpr std::size_t max_delta = 256 * 1024;  // pages beyond it
-constexpr std::size_t max_at_hand = 16;        // deltas, for followers at different versions
-constexpr std::size_t spare_clients = 64;      // for operators, and followers that connect anew
-constexpr int handlers_a_turn = 4096;
-enum Due : std::uint64_t { speak };
+constexpr Nanos millisecond = 1'000'000, second = 1000 * millisecond;
+constexpr Nanos client_stall = 5 * second;  // until a client that does not read is closed
+constexpr Nanos max_sleep = 250 * millisecond;
+// Followers' reports are gathered for so long, and no more than five calls a second go to the fleet managers
+// but those that ask for a further page.
+constexpr Nanos gather_window = 30 * millisecond;
+constexpr Nanos call_interval = 200 * millisecond, page_call_interval = 20 * millisecond;
+constexpr Nanos first_wait = 200 * millisecond;  // that a call may be kept waiting without a lease
+constexpr Nanos min_wait = 50 * millisecond;     // with one: a tenth of it, and this at least
+constexpr std::size_t max_exceptions = 20;       // in a report
+constexpr std::size_t spare_clients = 64;        // for operators, and followers that connect anew
 
-std::uint64_t started_at() {
-    return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::nanoseconds>(
-                                          std::chrono::system_clock::now().time_since_epoch())
-                                          .count());
+std::uint64_t start_time() {
+    const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+    return static_cast<std::uint64_t>(
+        std::chrono::duration_cast<std::chrono::nanoseconds>(since_epoch).count());
 }
 
+unsigned long long printable(std::uint64_t number) { return number; }
+
 }  // namespace
 
 Relay::Relay(boost::asio::io_context& io, const RelayConfig& config, std::uint64_t seed)
-    : io_(io), signals_(io, SIGTERM, SIGINT), config_(config), history_(max_deltas, max_delta_bytes),
-      incarnation_(started_at()),
-      gather_(config.name, config.zone, incarnation_, config.max_followers, max_exceptions),
-      front_(io, time_, *this, config.max_followers + spare_clients, stall),
-      watch_(io, time_, *this, relay_path, "steward", config.managers, 0, seed), timer_(io) {
-    front_.listen(config_.bind.host, config_.bind.port);
+    : signals_(io, SIGTERM, SIGINT), config_(config), turn_(io, time_), incarnation_(start_time()),
+      reports_(config.name, config.zone, incarnation_, config.max_followers, max_exceptions),
+      documents_(config.page_bytes, config.pages_a_second, time_.now()),
+      server_(io, time_, *this, config.max_followers + spare_clients, client_stall),
+      followers_(time_, server_, reports_, documents_, [this] { schedule_report(); }),
+      managers_(io, time_, *this, relay_path, "steward", config.managers, 0, seed) {
+    server_.listen(config_.bind.host, config_.bind.port);
     signals_.async_wait([this](const boost::system::error_code& ec, int) {
-        if (!ec) stop_began_ = time_.now();
+        if (!ec) stopping_ = true;
     });
-    pages_left_ = std::max(1.0, config_.pages_a_second);
-    pages_at_ = time_.now();
-    watch_.start();
+    managers_.start();
     log_line("relay %s of zone %s, life %llu: followers at %s:%u", config_.name.c_str(), config_.zone.c_str(),
-             static_cast<unsigned long long>(incarnation_), config_.bind.host.c_str(), front_.port());
+             printable(incarnation_), config_.bind.host.c_str(), server_.port());
 }
 
 void Relay::run() {
-    while (stop_began_ == 0 && followed_.empty()) {
-        set_timer(std::min(time_.due.next(), time_.now() + max_turn));
-        io_.run_one();
-        for (int i = 0; i < handlers_a_turn && io_.poll_one() > 0; ++i) {
-        }
-        time_.due.tell(time_.now());
-        look_at_lease();
-        tell_waiting();
+    while (!stopping_ && superseded_by_.empty()) {
+        turn_.run(std::min({time_.due.next(), time_.now() + max_sleep, followers_.next_deadline()}));
+        observe_lease();
+        followers_.answer_waiting();
     }
     log_line("stopping");
-    watch_.stop();
-    front_.close_all();
-    if (!followed_.empty()) throw std::runtime_error(followed_);
-}
-
-// Set anew only for an earlier time: one that is put off would wake the loop for nothing.
-void Relay::set_timer(Nanos at) {
-    const Nanos now = time_.now();
-    for (const auto& [slot, w] : waiting_) at = std::min(at, w.until);
-    at = std::max(at, now);
-    if (timer_at_ != TimerQueue::never && timer_at_ <= at) return;
-    timer_at_ = at;
-    timer_.expires_at(time_.steady(at));
-    timer_.async_wait([this](const boost::system::error_code& ec) {
-        if (!ec) timer_at_ = TimerQueue::never;
-    });
-}
-
-void Relay::refuse(Handle client, int status, std::string_view words) {
-    front_.answer(client, {status, write_error(words), 0});
+    managers_.stop();
+    server_.close_all();
+    if (!superseded_by_.empty()) throw std::runtime_error(superseded_by_);
 }
 
 void Relay::on_request(Handle client, Request& request, Nanos) {
-    if (request.path == "/-/ready" || request.path == "/relay/status") {
-        if (request.method != "GET") return front_.answer(client, {405, write_error("GET only"), 0, "GET"});
-        if (request.path == "/relay/status") return front_.answer(client, {200, write_status(), 0});
-        return answered_ ? front_.answer(client, {200, {}, 0})
-                         : refuse(client, 503, "no steward has answered yet");
-    }
-    if (request.path != follower_path) return refuse(client, 404, "no such path");
-    if (request.method != "POST") return front_.answer(client, {405, write_error("POST only"), 0, "POST"});
-    on_follower(client, request.body);
-}
-
-void Relay::on_follower(Handle client, const std::string& body) {
-    const auto call = read_follower_call(body);
-    if (!call) return refuse(client, 400, call.error().reason);
-    const changes::MemberReport& word = call->report;
-    const auto known = heard_.find(word.name);
-    if (known != heard_.end() && known->second.incarnation > word.incarnation)
-        return front_.answer(client, {409, write_superseded(known->second.incarnation), 0});
-    const Nanos now = time_.now();
-    if (call->leaves) {
-        gather_.left(word.name, word.incarnation);
-        heard_.erase(word.name);
-        say_soon(gathered_for);
-        return front_.answer(client, {200, write_changes_answer({copy_.version(), 0, 0, false, 0, {}, {}})});
-    }
-    if (!gather_.heard(now, word)) return refuse(client, 503, "it has as many followers as it may");
-    const Heard heard{word.incarnation, word.applied_version, word.refused};
-    const Heard before = known == heard_.end() ? Heard{} : known->second;
-    heard_[word.name] = heard;
-    if (heard.incarnation != before.incarnation || heard.applied_version > before.applied_version ||
-        heard.refused != before.refused)
-        say_soon(gathered_for);
-    const bool owed = gather_.grant(now, word.name) == 0;
-    // One call of a follower at a time: what it said before on another connection waits for nothing.
-    for (auto it = waiting_.begin(); it != waiting_.end(); ++it)
-        if (it->second.name == word.name) {
-            front_.answer(it->second.client, {503, write_error("it has called again"), 0});
-            waiting_.erase(it);
-            break;
-        }
-    waiting_[client.slot] = {client, word.name, call->position, now + call->position.wait, owed};
-    news_ = true;
-}
-
-bool Relay::may_page(Nanos now) {
-    pages_left_ = std::min(std::max(1.0, config_.pages_a_second),
-                           pages_left_ + static_cast<double>(now - pages_at_) * config_.pages_a_second / 1e9);
-    pages_at_ = now;
-    return pages_left_ >= 1;
-}
-
-std::optional<ChangesAnswer> Relay::answer_for(const Waiting& w) {
-    ChangesAnswer answer;
-    answer.version = copy_.version();
-    if (w.position.knows >= copy_.version()) return answer;
-    if (!w.position.wants_pages) {
-        if (deltas_.size() >= max_at_hand) deltas_.clear();
-        const auto [it, is_new] = deltas_.try_emplace(w.position.knows);
-        if (is_new) it->second = history_.since(w.position.knows);
-        if (it->second && bytes_of(*it->second) <= max_delta) {
-            answer.delta = it->second;
-            return answer;
-        }
+    struct Route {
+        std::string_view method, path;
+    };
+    static constexpr Route routes[] = {
+        {"GET", "/-/ready"}, {"GET", "/relay/status"}, {"POST", follower_path}};
+    const auto* const route = std::find_if(std::begin(routes), std::end(routes),
+                                           [&](const Route& known) { return known.path == request.path; });
+    if (route == std::end(routes)) return server_.answer(client, {404, write_error("no such path"), 0});
+    if (request.method != route->method) {
+        const std::string reason = std::string(route->method) + " only";
+        return server_.answer(client, {405, write_error(reason), 0, route->method});
     }
-    if (!may_page(time_.now())) return std::nullopt;
-    pages_left_ -= 1;
-    answer.page = page_of(copy_, w.position.wants_pages ? w.position.after : "", config_.page_bytes);
-    return answer;
+    if (route->path == follower_path) return followers_.on_call(client, request.body);
+    if (route->path == "/-/ready") return show_ready(client);
+    show_status(client);
+}
+
+void Relay::show_ready(Handle client) {
+    if (managers_answered_) return server_.answer(client, {200, {}, 0});
+    server_.answer(client, {503, write_error("no steward has answered yet"), 0});
+}
+
+void Relay::show_status(Handle client) {
+    const changes::Copy& copy = documents_.copy();
+    const HostPort& manager = managers_.address();
+    const nlohmann::ordered_json status = {{"relay", config_.name},
+                                           {"zone", config_.zone},
+                                           {"life", incarnation_},
+                                           {"version", copy.version()},
+                                           {"digest", copy.digest()},
+                                           {"wants_pages", copy.wants_pages()},
+                                           {"members", reports_.members()},
+                                           {"most_members", config_.max_followers},
+                                           {"waiting", followers_.waiting()},
+                                           {"lowest", reports_.lowest()},
+                                           {"exceptions", exceptions_},
+                                           {"lease_left_ms", reports_.lease_left(time_.now()) / millisecond},
+                                           {"steward", manager.host + ":" + std::to_string(manager.port)}};
+    server_.answer(client, {200, status.dump(), 0});
 }
 
-// A follower is answered once there is a later version than it has, once it can be granted a lease that it
-// lacks, or once it has waited for as long as it may. The rate of pages holds over all followers: who has to
-// wait for one keeps its lease meanwhile.
-void Relay::tell_waiting() {
-    const Nanos now = time_.now();
-    const bool news = std::exchange(news_, false);
-    for (auto it = waiting_.begin(); it != waiting_.end();) {
-        const Waiting& w = it->second;
-        const bool over = now >= w.until;
-        const bool later = w.position.knows < copy_.version();
-        if (!over && !later && !(news && w.owed_grant && gather_.grant(now, w.name) > 0)) {
-            ++it;
-            continue;
-        }
-        auto answer = answer_for(w);
-        if (!answer && !over) {
-            ++it;
-            continue;
-        }
-        if (!answer) answer = ChangesAnswer{copy_.version(), 0, 0, false, 0, {}, {}};
-        answer->lease = gather_.grant(now, w.name);
-        const Handle client = w.client;
-        it = waiting_.erase(it);
-        front_.answer(client, {200, write_changes_answer(*answer), 0});
-    }
-}
-
-// The word to the managers.
 LongPollObserver::Call Relay::next_call() {
-    const Nanos now = time_.now();
-    spoke_at_ = now;
+    called_at_ = time_.now();
     RelayCall call;
-    call.report = gather_.word(now, drift_);
-    for (const auto* gone : {&call.report.left, &call.report.lost})
-        for (const auto& [name, incarnation] : *gone)
-            if (const auto it = heard_.find(name);
-                it != heard_.end() && it->second.incarnation <= incarnation)
-                heard_.erase(it);
+    call.report = reports_.word(called_at_, drift_);
+    for (const auto* removed : {&call.report.left, &call.report.lost})
+        for (const auto& [name, incarnation] : *removed) followers_.forget(name, incarnation);
     exceptions_.clear();
-    for (const changes::MemberReport& w : call.report.exceptions) exceptions_.push_back(w.name);
-    call.position.knows = copy_.version();
-    call.position.digest = copy_.digest();
-    call.position.wants_pages = copy_.wants_pages();
-    call.position.after = copy_.wants_after();
+    for (const changes::MemberReport& report : call.report.exceptions) exceptions_.push_back(report.name);
+    const changes::Copy& copy = documents_.copy();
+    call.position.knows = copy.version();
+    call.position.digest = copy.digest();
+    call.position.wants_pages = copy.wants_pages();
+    call.position.after = copy.wants_after();
     call.position.wait = lease_ > 0 ? std::max(min_wait, lease_ / 10) : first_wait;
-    time_.due.drop(speak_due_);
+    time_.due.drop(report_due_);
     return {write_relay_call(call), call.position.wait};
 }
 
 void Relay::on_changes(Nanos sent, const ChangesAnswer& answer) {
-    answered_ = true;
+    managers_answered_ = true;
     drift_ = answer.drift;
-    if (answer.say_all) gather_.say_all();
+    if (answer.say_all) reports_.say_all();
     if (answer.taken > 0 && answer.lease > 0) {
         lease_ = answer.lease;
-        gather_.taken(answer.taken, sent, answer.lease);
-        news_ = true;
+        reports_.taken(answer.taken, sent, answer.lease);
+        followers_.on_lease_renewed();
     }
-    const std::uint64_t before = copy_.version();
-    take_news(answer);
-    look_at_lease();
-    // Those that are told now will say soon that they act on it.
-    const Nanos pause = copy_.wants_pages() ? between_pages : between_words;
-    const Nanos at = std::max(time_.now() + (copy_.version() > before ? gathered_for : 0), spoke_at_ + pause);
-    time_.due.move(speak_due_, at, *this, Handle{}, speak);
-}
-
-void Relay::take_news(const ChangesAnswer& answer) {
-    using Taken = changes::Copy::Taken;
-    Taken taken = Taken::known;
-    if (answer.delta) {
-        taken = copy_.take(*answer.delta);
-        if (taken == Taken::taken) history_.took(*answer.delta);
-    } else if (answer.page) {
-        taken = copy_.take(*answer.page);
-        if (taken == Taken::taken) history_.forget();
-    }
-    if (taken == Taken::taken) {
-        log_line("version %llu", static_cast<unsigned long long>(copy_.version()));
-        deltas_.clear();
-        spoilt_told_ = false;
-    } else if (taken == Taken::spoilt && !std::exchange(spoilt_told_, true)) {
-        log_line("what leads to version %llu has another digest than was told; asks for pages",
-                 static_cast<unsigned long long>(answer.version));
+    const std::uint64_t version_before = documents_.copy().version();
+    apply(answer);
+    observe_lease();
+    // Followers that are told of a version now will soon report that they act on it.
+    const changes::Copy& copy = documents_.copy();
+    const Nanos pause = copy.wants_pages() ? page_call_interval : call_interval;
+    const Nanos gather = copy.version() > version_before ? gather_window : 0;
+    const Nanos at = std::max(time_.now() + gather, called_at_ + pause);
+    time_.due.move(report_due_, at, *this, Handle{}, 0);
+}
+
+void Relay::apply(const ChangesAnswer& answer) {
+    switch (documents_.apply(answer)) {
+        case DocumentSource::Applied::new_version:
+            log_line("version %llu", printable(documents_.copy().version()));
+            wrong_digest_logged_ = false;
+            break;
+        case DocumentSource::Applied::wrong_digest:
+            if (!std::exchange(wrong_digest_logged_, true))
+                log_line("what leads to version %llu has another digest than was told; asks for pages",
+                         printable(answer.version));
+            break;
+        case DocumentSource::Applied::nothing:
+            break;
     }
 }
 
 void Relay::on_superseded(std::uint64_t last_incarnation) {
     if (had_lease_) {
-        followed_ = "another process goes by the name of relay " + config_.name;
+        superseded_by_ = "another process goes by the name of relay " + config_.name;
         return;
     }
+    // An earlier process of this name had a clock that was ahead.
     incarnation_ = std::max(incarnation_, last_incarnation) + 1;
-    gather_ = changes::ReportAggregator(config_.name, config_.zone, incarnation_, config_.max_followers,
-                                        max_exceptions);
-    heard_.clear();
+    reports_ = changes::ReportAggregator(config_.name, config_.zone, incarnation_, config_.max_followers,
+                                         max_exceptions);
+    followers_.forget_all();
 }
 
-// At most one call more, and not more often than may be: while the watch is between two calls, or has to wait
-// for a manager, the next call says it.
-void Relay::say_soon(Nanos after) {
-    const Nanos at = std::max(time_.now() + after, spoke_at_ + between_words);
-    if (watch_.waits() && speak_due_ == TimerQueue::none)
-        time_.due.move(speak_due_, at, *this, Handle{}, speak);
+// While the watch is between two calls, or retries at another fleet manager, the next call has the report.
+void Relay::schedule_report() {
+    if (!managers_.waits() || report_due_ != TimerQueue::none) return;
+    const Nanos at = std::max(time_.now() + gather_window, called_at_ + call_interval);
+    time_.due.move(report_due_, at, *this, Handle{}, 0);
 }
 
 void Relay::on_due(Handle, std::uint64_t) {
-    speak_due_ = TimerQueue::none;
-    if (watch_.waits())
-        watch_.call_now();
+    report_due_ = TimerQueue::none;
+    if (managers_.waits())
+        managers_.call_now();
     else
-        watch_.next();
+        managers_.next();
 }
 
-void Relay::look_at_lease() {
-    const bool has = gather_.lease_left(time_.now()) > 0;
-    if (has == has_lease_) return;
-    has_lease_ = has;
-    had_lease_ |= has;
-    if (has)
+void Relay::observe_lease() {
+    const bool has_lease = reports_.lease_left(time_.now()) > 0;
+    if (std::exchange(has_lease_, has_lease) == has_lease) return;
+    had_lease_ |= has_lease;
+    if (has_lease)
         log_line("the stewards know it: it grants leases");
     else
         log_line("its lease is over: it hands on version %llu and grants nothing",
-                 static_cast<unsigned long long>(copy_.version()));
-}
-
-std::string Relay::write_status() const {
-    return nlohmann::ordered_json{
-        {"relay", config_.name},
-        {"zone", config_.zone},
-        {"life", incarnation_},
-        {"version", copy_.version()},
-        {"digest", copy_.digest()},
-        {"wants_pages", copy_.wants_pages()},
-        {"members", gather_.members()},
-        {"most_members", config_.max_followers},
-        {"waiting", waiting_.size()},
-        {"lowest", gather_.lowest()},
-        {"exceptions", exceptions_},
-        {"lease_left_ms", gather_.lease_left(time_.now()) / ms},
-        {"steward", watch_.address().host + ":" + std::to_string(watch_.address().port)}}
-        .dump();
+                 printable(documents_.copy().version()));
 }
 
 }  // namespace tealcart::relay
--- a/src/relay/relay_config.cpp
+++ b/src/relay/relay_config.cpp
@@ -9,11 +9,21 @@
 namespace tealcart::relay {
 namespace {
 
+constexpr std::size_t max_name_length = 128;
+
 bool is_name(std::string_view text) {
-    return !text.empty() && text.size() <= 128 &&
+    return !text.empty() && text.size() <= max_name_length &&
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
+void read_log(const HclBlock& block, std::vector<HclMistake>& mistakes, LogConfig& log) {
+    BlockReader in(block, mistakes);
+    in.no_label();
+    log.form = static_cast<LogForm>(in.choice("format", 0, {"text", "json"}));
+    log.level = static_cast<LogLevel>(in.choice("level", 1, {"debug", "info", "warn", "error"}));
+    in.finish();
+}
+
 void read_relay(const HclBlock& block, std::vector<HclMistake>& mistakes, RelayConfig& config) {
     BlockReader in(block, mistakes);
     config.name = in.label("the relay's name");
@@ -51,13 +61,7 @@
     RelayConfig config;
     config.source = source;
     BlockReader in(root, mistakes);
-    if (const HclBlock* log = in.only_block("log")) {
-        BlockReader of(*log, mistakes);
-        of.no_label();
-        config.log.form = static_cast<LogForm>(of.choice("format", 0, {"text", "json"}));
-        config.log.level = static_cast<LogLevel>(of.choice("level", 1, {"debug", "info", "warn", "error"}));
-        of.finish();
-    }
+    if (const HclBlock* log = in.only_block("log")) read_log(*log, mistakes, config.log);
     if (const HclBlock* relay = in.only_block("relay"))
         read_relay(*relay, mistakes, config);
     else
--- a/src/relay/relay_config.hpp
+++ b/src/relay/relay_config.hpp
@@ -1,4 +1,4 @@
-// A relay's operators' file (deploy/relay.hcl shows it). docs/changes.md lists its block.
+// The file that operators write for a relay (deploy/relay.hcl shows it). docs/changes.md lists its block.
 #pragma once
 
 #include <string>
@@ -15,12 +15,12 @@
     HostPort bind;                   // where followers reach it
     std::vector<HostPort> managers;  // their `http` addresses
     std::size_t max_followers = 1000;
-    std::size_t page_bytes = 64 * 1024;  // of keys and values in a page, of one entry at least
+    std::size_t page_bytes = 64 * 1024;  // of keys and values in a page, which has one entry at least
     double pages_a_second = 20;          // to all followers together
     LogConfig log;
 };
 
-// Throws HclMistakes with all that is wrong.
+// Throws HclMistakes with every mistake.
 RelayConfig read_relay_config(std::string_view text, std::string_view source);
 RelayConfig read_relay_file(const std::string& path);  // and Malformed where it can't be read
 
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -11,12 +11,11 @@
 namespace tealcart {
 namespace {
 
-constexpr Nanos ms = 1'000'000;
-constexpr Nanos farewell_within = 300 * ms;
+constexpr Nanos farewell_timeout = 300'000'000;  // ns
 const char* const serving_states[] = {"no steward has spoken yet", "a member",
                                       "its lease is over; it goes on by what it last knew", "cut off"};
 
-// Of all that was stated when it started.
+// A digest of all that was stated when the router started.
 std::string digest_of(const StartupConfig& launch) {
     const std::string all = launch.settings + '\n' + launch.operators.text;
     char text[17];
@@ -32,46 +31,55 @@
     : time_(time), config_(launch.operators.member), name_(config_.name.empty() ? launch.name : config_.name),
       digest_(digest_of(launch)), host_(host),
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
-      watch_(io, time, *this, config_.managers, launch.agreed_bound) {
+      managers_(io, time, *this, config_.managers, launch.agreed_bound) {
     host_.observe_outcomes(this);
     look();
 }
 
-void Membership::hand_on(const EndpointList& list) {
+void Membership::update_host(const EndpointList& list) {
     if (!list.nodes.empty() || list.full) host_.on_list(list);
 }
 
-void Membership::on_list(const EndpointList& list) { hand_on(list_.discovered(list)); }
+void Membership::on_list(const EndpointList& list) { update_host(endpoints_.apply_discovered(list)); }
 
-// Guards against going on, after a stall, by a lease that is over.
+// Guards against acting, after a stall, on a lease that has expired.
 void Membership::look() {
     const Nanos now = time_.now();
-    const ServingState serving_state = lease_.serving_state(now);
-    if (serving_state != serving_state_)
+    const ServingState state = lease_.serving_state(now);
+    if (std::exchange(serving_state_, state) != state)
         log_line("member %s, life %llu: %s", name_.c_str(),
                  static_cast<unsigned long long>(lease_.incarnation()),
-                 serving_states[static_cast<int>(serving_state)]);
-    serving_state_ = serving_state;
-    const bool cut = now >= lease_.attempts_until(now);
-    if (cut != cut_) hand_on(list_.cut(cut));
-    cut_ = cut;
+                 serving_states[static_cast<int>(state)]);
+    const bool fenced = now >= lease_.attempts_until(now);
+    if (std::exchange(fenced_, fenced) != fenced) update_host(endpoints_.set_fenced(fenced));
     host_.set_serving_state(ServingStateSource::agreement,
-                            {lease_.ready(now) && !out_, lease_.admits(now), lease_.attempts_until(now)});
+                            {lease_.ready(now) && !drained_, lease_.admits(now), lease_.attempts_until(now)});
 }
 
 void Membership::after_round() {
-    // All that the bridge was told has been played to the module by now.
+    // Without a further round due, the module has been played all that the host was told.
     if (host_.next_round() != TimerQueue::never) return;
-    acts_on_ = told_;
-    watch_.next();
+    applied_generation_ = known_generation_;
+    managers_.next();
 }
 
-bool Membership::anything_in_hand() const {
-    if (out_ && host_.held() > 0) return true;
-    return host_.any_attempt_to([this](const std::string& node) { return list_.out().contains(node); });
+std::vector<TargetName> Membership::targets_in_flight() const {
+    std::vector<TargetName> targets;
+    if (drained_ && host_.held() > 0) targets.push_back({true, name_});
+    for (const std::string& node : endpoints_.drained())
+        if (host_.any_attempt_to([&node](const std::string& name) { return name == node; }))
+            targets.push_back({false, node});
+    return targets;
 }
 
-MemberCall Membership::word() {
+std::vector<std::string> Membership::unresponsive_nodes() const {
+    std::vector<std::string> names;
+    for (const std::uint32_t node : outcomes_.unresponsive(time_.now()))
+        if (const std::string& name = host_.node_name(node); !name.empty()) names.push_back(name);
+    return names;
+}
+
+MemberCall Membership::member_call() {
     MemberCall call;
     call.name = name_;
     call.role = "router";
@@ -80,49 +88,47 @@
     call.digest = digest_;
     call.incarnation = lease_.incarnation();
     call.serve_on = config_.serve_on;
-    call.applied_generation = acts_on_;
-    call.knows = told_;
-    if (out_ && host_.held() > 0) call.in_flight.push_back({true, name_});
-    for (const std::string& node : list_.out())
-        if (host_.any_attempt_to([&node](const std::string& at) { return at == node; }))
-            call.in_flight.push_back({false, node});
-    call.wait = lease_.wait(!call.in_flight.empty() || acts_on_ < told_);
-    for (const std::uint32_t node : outcomes_.silent(time_.now()))
-        if (const std::string& at = host_.node_name(node); !at.empty()) call.silent.push_back(at);
+    call.applied_generation = applied_generation_;
+    call.knows = known_generation_;
+    call.in_flight = targets_in_flight();
+    call.wait = lease_.wait(!call.in_flight.empty() || applied_generation_ < known_generation_);
+    call.silent = unresponsive_nodes();
     const OutcomeStats::Counts counts = outcomes_.counts(time_.now());
     call.queries = counts.queries;
     call.failed = counts.failed;
-    call.leaves = leaves_;
+    call.leaves = leaving_;
     return call;
 }
 
 void Membership::on_grant(Nanos sent, const MemberAnswer& answer) {
-    if (leaves_) {
+    if (leaving_) {
         left_ = true;
         return;
     }
     lease_.renewed(sent, answer.lease);
-    // A manager that leads anew may be behind for a moment; what is known stands.
-    if (answer.generation > told_ || told_ == 0) {
-        std::set<std::string> out;
-        out_ = false;
-        for (const TargetName& t : answer.out) {
-            if (!t.router)
-                out.insert(t.name);
-            else if (t.name == name_)
-                out_ = true;
-        }
-        if (answer.generation != told_)
-            log_line("generation %llu: %zu data nodes are out by agreement%s",
-                     static_cast<unsigned long long>(answer.generation), out.size(),
-                     out_ ? ", and this router" : "");
-        told_ = answer.generation;
-        hand_on(list_.agreed(std::move(out)));
-    }
+    // A new leader may be behind for a moment: what is known stays.
+    if (answer.generation > known_generation_ || known_generation_ == 0) apply_generation(answer);
     look();
     after_round();
 }
 
+void Membership::apply_generation(const MemberAnswer& answer) {
+    std::set<std::string> drained_nodes;
+    drained_ = false;
+    for (const TargetName& target : answer.out) {
+        if (!target.router)
+            drained_nodes.insert(target.name);
+        else if (target.name == name_)
+            drained_ = true;
+    }
+    if (answer.generation != known_generation_)
+        log_line("generation %llu: %zu data nodes are out by agreement%s",
+                 static_cast<unsigned long long>(answer.generation), drained_nodes.size(),
+                 drained_ ? ", and this router" : "");
+    known_generation_ = answer.generation;
+    update_host(endpoints_.apply_drains(std::move(drained_nodes)));
+}
+
 void Membership::on_superseded(std::uint64_t last_incarnation) {
     lease_.superseded(last_incarnation);
     look();
@@ -132,11 +138,11 @@
     const Nanos now = time_.now();
     if (farewell_began_ == 0) {
         farewell_began_ = now;
-        leaves_ = true;
-        if (serving_state_ != ServingState::member) return true;
-        watch_.call_now();
+        leaving_ = true;
+        if (serving_state_ != ServingState::leased) return true;
+        managers_.call_now();
     }
-    return left_ || now - farewell_began_ > farewell_within;
+    return left_ || now - farewell_began_ > farewell_timeout;
 }
 
 void Membership::on_query_end(int status) { outcomes_.record_query(time_.now(), status != 200); }
--- a/src/service/membership.hpp
+++ b/src/service/membership.hpp
@@ -1,6 +1,6 @@
-// A query router's shard request in the fleet: discovery's list and what was agreed go to its host, the
-// bridge, as one, the lease is kept, and what the router does is told. Made only where the operators' file
-// has a `member` block.
+// A query router's membership in a fleet: it keeps the lease, lays the agreed drains over discovery's
+// endpoints for its host, the query dispatcher, and reports what the router acts on. Made only where the
+// operators' file has a `member` block.
 #pragma once
 
 #include "members/endpoint_overlay.hpp"
@@ -16,44 +16,52 @@
   public:
     Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch, MemberHost& host);
 
-    void start() { watch_.start(); }
-    void stop() { watch_.stop(); }
+    void start() { managers_.start(); }
+    void stop() { managers_.stop(); }
     void on_list(const EndpointList& list) override;
-    // The list that the router starts with, which the host has already: agreement holds for its nodes too.
-    void know(const EndpointList& list) { list_.discovered(list); }
+    // The list that the router starts with, which the host has already: agreed drains hold for its nodes too.
+    void know(const EndpointList& list) { endpoints_.apply_discovered(list); }
 
-    // To be called before each round: what the clock alone has changed goes before what the round decides.
+    // To be called before each round: applies what the clock alone has changed.
     void look();
-    // And after it: what the bridge was told is acted on.
+    // And after it: the host has acted on what it was told.
     void after_round();
     Nanos next_change() const { return lease_.next_change(time_.now()); }
     const MemberLease& lease() const { return lease_; }
-    std::uint64_t applied_generation() const { return acts_on_; }
-    const WireCount& wire() const { return watch_.wire(); }
-    // Says farewell; true once it was heard, or has been waited for long enough.
+    std::uint64_t applied_generation() const { return applied_generation_; }
+    const WireCount& wire() const { return managers_.wire(); }
+    // Tells the managers that the router leaves; true once they have answered, or after a time-out. To be
+    // called until then.
     bool farewell();
 
   private:
-    MemberCall word() override;
+    MemberCall member_call() override;
     void on_grant(Nanos sent, const MemberAnswer& answer) override;
     void on_superseded(std::uint64_t last_incarnation) override;
     void on_query_end(int status) override;
     void on_attempt_end(std::uint32_t node, Outcome outcome) override;
-    void hand_on(const EndpointList& list);
-    bool anything_in_hand() const;
+
+    void update_host(const EndpointList& list);
+    void apply_generation(const MemberAnswer& answer);
+    // Drained targets with work in flight: this router, and data nodes.
+    std::vector<TargetName> targets_in_flight() const;
+    std::vector<std::string> unresponsive_nodes() const;
 
     EventClock& time_;
     const MemberConfig config_;
     const std::string name_, digest_;
     MemberHost& host_;
     MemberLease lease_;
-    EndpointOverlay list_;
+    EndpointOverlay endpoints_;
     OutcomeStats outcomes_;
-    ManagerWatch watch_;
-    std::uint64_t told_ = 0, acts_on_ = 0;  // generations
-    bool out_ = false, cut_ = false, leaves_ = false, left_ = false;
-    ServingState serving_state_ = ServingState::unheard;
-    Nanos farewell_began_ = 0;
+    ManagerWatch managers_;
+    // The latest agreed generation that is known, and the one that the router acts on.
+    std::uint64_t known_generation_ = 0, applied_generation_ = 0;
+    bool drained_ = false;  // this router, by agreement
+    bool fenced_ = false;
+    bool leaving_ = false, left_ = false;
+    ServingState serving_state_ = ServingState::unregistered;
+    Nanos farewell_began_ = 0;  // 0: not yet
 };
 
 }  // namespace tealcart
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -268,7 +268,7 @@
         const std::string& node = names_[static_cast<std::size_t>(pick(plan_.nodes))];
         if (m.out.contains(node) || now_ >= m.lease->attempts_until(now_)) return;
         ++verdict_.attempts;
-        const bool live = m.lease->serving_state(now_) == ServingState::member;
+        const bool live = m.lease->serving_state(now_) == ServingState::leased;
         if (done_.contains(node) && (plan_.strict || live)) ++verdict_.after_done;
         const auto told = m.arrived.find(node);
         if (told != m.arrived.end() && now_ - told->second > second) ++verdict_.late;
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -53,7 +53,7 @@
 
     const Membership& member() const { return member_; }
     const DiscoveryWatch& discovery() const { return watch_; }
-    bool holds() const { return member_.lease().serving_state(time_.now()) == ServingState::member; }
+    bool holds() const { return member_.lease().serving_state(time_.now()) == ServingState::leased; }
     std::uint64_t lapses() const { return lapses_; }    // leases that were over before they were renewed
     std::uint64_t entries() const { return entries_; }  // of lists, that came to the module's door
 
--- a/src/testing/hollow_follower.hpp
+++ b/src/testing/hollow_follower.hpp
@@ -43,7 +43,7 @@
 
     const changes::Copy& copy() const { return copy_; }
     std::uint64_t applied_version() const { return copy_.version(); }
-    bool holds() const { return lease_.serving_state(time_.now()) == ServingState::member; }
+    bool holds() const { return lease_.serving_state(time_.now()) == ServingState::leased; }
     std::uint64_t lapses() const { return lapses_; }    // leases that were over before they were renewed
     std::uint64_t faults() const { return faults_; }    // versions or entries that came out of order
     std::uint64_t calls() const { return calls_; }      // to relays
--- a/src/wire/change_watch.cpp
+++ b/src/wire/change_watch.cpp
@@ -4,29 +4,31 @@
 
 namespace tealcart {
 
-ChangeWatch::ChangeWatch(boost::asio::io_context& io, EventClock& time, ChangeObserver& taker,
-                         std::string_view path, std::string_view whom, std::vector<HostPort> addresses,
-                         std::size_t first, std::uint64_t seed)
-    : taker_(taker), whom_(whom), watch_(io, time, *this, path, std::move(addresses), first, seed) {}
+ChangeWatch::ChangeWatch(boost::asio::io_context& io, EventClock& time, ChangeObserver& observer,
+                         std::string_view path, std::string_view server_kind, std::vector<HostPort> addresses,
+                         std::size_t first, std::uint64_t jitter_seed)
+    : observer_(observer), server_kind_(server_kind),
+      poll_(io, time, *this, path, std::move(addresses), first, jitter_seed) {}
 
 bool ChangeWatch::read(std::string_view body) {
     auto answer = read_changes_answer(body);
-    if (answer) answer_ = std::move(*answer);
-    return static_cast<bool>(answer);
+    if (!answer) return false;
+    answer_ = std::move(*answer);
+    return true;
 }
 
-// A copy: it may be dropped, and another read, while it is acted on.
-void ChangeWatch::answered(Nanos sent) {
+// Moved out first: another answer may be read while this one is acted on.
+void ChangeWatch::on_answer(Nanos sent) {
     const ChangesAnswer answer = std::exchange(answer_, {});
-    taker_.on_changes(sent, answer);
+    observer_.on_changes(sent, answer);
 }
 
-void ChangeWatch::silent(const char* why) {
-    log_line("no %s answers for changes (%s); the last version stands", whom_.c_str(), why);
+void ChangeWatch::on_unreachable(const char* reason) {
+    log_line("no %s answers for changes (%s); the last version stands", server_kind_.c_str(), reason);
 }
 
-void ChangeWatch::heard_again() {
-    log_line("a %s answers for changes again, version %llu", whom_.c_str(),
+void ChangeWatch::on_reachable_again() {
+    log_line("a %s answers for changes again, version %llu", server_kind_.c_str(),
              static_cast<unsigned long long>(answer_.version));
 }
 
--- a/src/wire/manager_watch.cpp
+++ b/src/wire/manager_watch.cpp
@@ -4,32 +4,33 @@
 
 namespace tealcart {
 
-ManagerWatch::ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& taker,
+ManagerWatch::ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& observer,
                            std::vector<HostPort> managers, ListBound bound)
-    : taker_(taker), watch_(io, time, *this, member_path, std::move(managers), 0, 0, std::move(bound)) {}
+    : observer_(observer), poll_(io, time, *this, member_path, std::move(managers), 0, 0, std::move(bound)) {}
 
-LongPollObserver::Call ManagerWatch::call() {
-    const MemberCall call = taker_.word();
+LongPollObserver::Call ManagerWatch::next_call() {
+    const MemberCall call = observer_.member_call();
     return {write_member_call(call), call.wait};
 }
 
 bool ManagerWatch::read(std::string_view body) {
     auto answer = read_member_answer(body);
-    if (answer) answer_ = std::move(*answer);
-    return static_cast<bool>(answer);
+    if (!answer) return false;
+    answer_ = std::move(*answer);
+    return true;
 }
 
-// A copy: it may be dropped, and another read, while it is acted on.
-void ManagerWatch::answered(Nanos sent) {
-    const MemberAnswer answer = std::move(answer_);
-    taker_.on_grant(sent, answer);
+// Moved out first: another answer may be read while this one is acted on.
+void ManagerWatch::on_answer(Nanos sent) {
+    const MemberAnswer answer = std::exchange(answer_, {});
+    observer_.on_grant(sent, answer);
 }
 
-void ManagerWatch::silent(const char* why) {
-    log_line("no steward answers (%s); what was agreed stands", why);
+void ManagerWatch::on_unreachable(const char* reason) {
+    log_line("no steward answers (%s); what was agreed stands", reason);
 }
 
-void ManagerWatch::heard_again() {
+void ManagerWatch::on_reachable_again() {
     log_line("the stewards answer again, generation %llu",
              static_cast<unsigned long long>(answer_.generation));
 }
--- a/src/wire/manager_watch.hpp
+++ b/src/wire/manager_watch.hpp
@@ -1,6 +1,5 @@
-// A member's calls to the managers: one after the other on a kept connection, each of which renews the lease
-// and waits for news; made anew, at the next manager, when it breaks or stays silent for longer than it may
-// wait.
+// Watches the generations of agreed drains by long polls to the fleet managers, each of which renews the
+// member's lease.
 #pragma once
 
 #include <string_view>
@@ -15,38 +14,38 @@
 class ManagerObserver {
   public:
     virtual ~ManagerObserver() = default;
-    // What is to be said now.
-    virtual MemberCall word() = 0;
-    // The call that was sent at `sent` was granted. ManagerWatch::next is to be called once the news is
-    // acted on.
+    // The call to send now.
+    virtual MemberCall member_call() = 0;
+    // The call that was sent at `sent` was answered with a lease. ManagerWatch::next is to be called once the
+    // answer has been acted on.
     virtual void on_grant(Nanos sent, const MemberAnswer& answer) = 0;
+    // A later incarnation of the member's name is known. The call is retried by itself.
     virtual void on_superseded(std::uint64_t last_incarnation) = 0;
 };
 
 class ManagerWatch final : private LongPollObserver {
   public:
-    ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& taker,
+    ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& observer,
                  std::vector<HostPort> managers, ListBound bound = {});
 
-    void start() { watch_.start(); }
-    void stop() { watch_.stop(); }
-    // The next call, after an answer.
-    void next() { watch_.next(); }
-    // Whatever is out is dropped, and a call made anew: something has to be said at once.
-    void call_now() { watch_.call_now(); }
-    const WireCount& wire() const { return watch_.wire(); }
+    // As those of LongPoll.
+    void start() { poll_.start(); }
+    void stop() { poll_.stop(); }
+    void next() { poll_.next(); }
+    void call_now() { poll_.call_now(); }
+    const WireCount& wire() const { return poll_.wire(); }
 
   private:
-    Call call() override;
+    Call next_call() override;
     bool read(std::string_view body) override;
-    void answered(Nanos sent) override;
-    void superseded(std::uint64_t last_incarnation) override { taker_.on_superseded(last_incarnation); }
-    void silent(const char* why) override;
-    void heard_again() override;
-
-    ManagerObserver& taker_;
-    LongPoll watch_;
-    MemberAnswer answer_;
+    void on_answer(Nanos sent) override;
+    void on_superseded(std::uint64_t last_incarnation) override { observer_.on_superseded(last_incarnation); }
+    void on_unreachable(const char* reason) override;
+    void on_reachable_again() override;
+
+    ManagerObserver& observer_;
+    LongPoll poll_;
+    MemberAnswer answer_;  // that was read last
 };
 
 }  // namespace tealcart
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -29,14 +29,14 @@
 
 ConfigOverlay::Settings settings_of(const ConfigOverlay& c, const Document& document) {
     auto read = c.read(document);
-    if (const auto* refusal = std::get_if<ConfigOverlay::Rejection>(&read)) FAIL(refusal->why);
+    if (const auto* refusal = std::get_if<ConfigOverlay::Rejection>(&read)) FAIL(refusal->reason);
     return std::get<ConfigOverlay::Settings>(read);
 }
 
 std::string refusal_of(const ConfigOverlay& c, const Document& document) {
     const auto read = c.read(document);
     const auto* refusal = std::get_if<ConfigOverlay::Rejection>(&read);
-    return refusal == nullptr ? "none" : refusal->why;
+    return refusal == nullptr ? "none" : refusal->reason;
 }
 
 }  // namespace
@@ -84,7 +84,7 @@
     CHECK(refusal_of(c, {{"log", "level = \"info\" } two_phase \"part\" {"}}).rfind("log:1:", 0) == 0);
     Document many;
     for (int i = 0; i < 1000; ++i) many["two_phase.v" + std::to_string(i)] = "";
-    CHECK(refusal_of(c, many).size() == ConfigOverlay::max_why);
+    CHECK(refusal_of(c, many).size() == ConfigOverlay::max_reason);
 }
 
 TEST_CASE("how many entries changed is counted against the version that was acted on before") {
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -329,25 +329,25 @@
             counts.push_back(nodes.looked() - before);
         };
         const auto count = [&](auto change) {
-            const std::uint64_t before = list.looked();
+            const std::uint64_t before = list.looked_at();
             change();
-            of_agreed.push_back(list.looked() - before);
+            of_agreed.push_back(list.looked_at() - before);
         };
         nodes.take(everything(most));
-        list.discovered(everything(most));
+        list.apply_discovered(everything(most));
         for (const Lifecycle a : {Lifecycle::draining, Lifecycle::removed, Lifecycle::ready}) {
             take({2, false, {listed(7, a)}, 0});
-            count([&] { list.discovered({2, false, {listed(7, a)}, 0}); });
+            count([&] { list.apply_discovered({2, false, {listed(7, a)}, 0}); });
         }
         EndpointList zone{3, false, {}, 0};
         for (int n = 0; n < 80; ++n) zone.nodes.push_back(listed(n, Lifecycle::removed));
         take(zone);
         for (ListedEndpoint& n : zone.nodes) n.lifecycle = Lifecycle::ready;
         take(zone);
-        count([&] { list.agreed({"node 7", "node 9"}); });
-        count([&] { list.agreed({"node 7", "node 9", "never met"}); });
-        count([&] { list.agreed({"node 7", "node 9", "never met"}); });
-        count([&] { list.cut(false); });
+        count([&] { list.apply_drains({"node 7", "node 9"}); });
+        count([&] { list.apply_drains({"node 7", "node 9", "never met"}); });
+        count([&] { list.apply_drains({"node 7", "node 9", "never met"}); });
+        count([&] { list.set_fenced(false); });
         const std::uint64_t before = nodes.looked();
         CHECK(nodes.ready() == static_cast<std::size_t>(most));
         CHECK(nodes.looked() == before);
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -103,16 +103,16 @@
     "a lease counts from when the answered call was sent, and what is allowed after it is the operators'") {
     const bool stop = GENERATE(false, true);
     MemberLease lease(router_config_of(3 * second, stop), 100 * second, 7);
-    CHECK(lease.serving_state(100 * second) == ServingState::unheard);
+    CHECK(lease.serving_state(100 * second) == ServingState::unregistered);
     CHECK_FALSE(lease.ready(100 * second));
     CHECK(lease.admits(100 * second) == !stop);  // the managers may hold it to be a member already
     lease.renewed(101 * second, 10 * second);
     lease.renewed(100 * second, 10 * second);  // an answer to an earlier call takes nothing back
     CHECK(lease.lease_until() == 111 * second);
-    CHECK(lease.serving_state(111 * second - 1) == ServingState::member);
-    CHECK(lease.serving_state(111 * second) == ServingState::alone);
+    CHECK(lease.serving_state(111 * second - 1) == ServingState::leased);
+    CHECK(lease.serving_state(111 * second) == ServingState::lease_expired);
     CHECK(lease.ready(113 * second));
-    CHECK(lease.serving_state(114 * second) == ServingState::cut);
+    CHECK(lease.serving_state(114 * second) == ServingState::fenced);
     CHECK_FALSE(lease.ready(114 * second));
     CHECK(lease.admits(114 * second) == !stop);
     CHECK(lease.attempts_until(102 * second) == (stop ? 114 * second : INT64_MAX));
@@ -120,7 +120,7 @@
     CHECK(lease.next_change(111 * second) == 114 * second);
     CHECK(lease.next_change(114 * second) == INT64_MAX);
     lease.renewed(120 * second, 10 * second);
-    CHECK(lease.serving_state(121 * second) == ServingState::member);
+    CHECK(lease.serving_state(121 * second) == ServingState::leased);
     CHECK(lease.wait(false) == 2 * second);
     CHECK(lease.wait(true) < second / 10);
 }
@@ -128,9 +128,9 @@
 TEST_CASE("one that no steward ever answered counts from its start; spans without end don't overflow") {
     MemberLease strict(router_config_of(0, true), 100 * second, 7);
     CHECK(strict.attempts_until(101 * second) == 0);
-    CHECK(strict.serving_state(105 * second) == ServingState::cut);
+    CHECK(strict.serving_state(105 * second) == ServingState::fenced);
     MemberLease easy(router_config_of(INT64_MAX, false), 100 * second, 7);
-    CHECK(easy.serving_state(105 * second) == ServingState::alone);
+    CHECK(easy.serving_state(105 * second) == ServingState::lease_expired);
     CHECK(easy.ready(1'000'000 * second));
 }
 
@@ -139,11 +139,11 @@
     MemberLease lease(router_config_of(3600 * second, false), 100 * second, 7);
     lease.superseded(50);
     CHECK(lease.incarnation() == 51);
-    CHECK(lease.serving_state(101 * second) == ServingState::unheard);
+    CHECK(lease.serving_state(101 * second) == ServingState::unregistered);
     lease.renewed(101 * second, 10 * second);
     lease.superseded(90);
     CHECK(lease.incarnation() == 51);
-    CHECK(lease.serving_state(102 * second) == ServingState::cut);
+    CHECK(lease.serving_state(102 * second) == ServingState::fenced);
     CHECK_FALSE(lease.admits(102 * second));
     CHECK(lease.attempts_until(102 * second) == 0);
 }
@@ -171,17 +171,17 @@
                     else
                         discovery[news.nodes.back().id] = a;
                 }
-                to_module = list.discovered(news);
+                to_module = list.apply_discovered(news);
                 break;
             case 1:
                 out.clear();
                 for (int n = 0; n < 6; ++n)
                     if (pick(4) == 0) out.insert("n" + std::to_string(n));
-                to_module = list.agreed(out);
+                to_module = list.apply_drains(out);
                 break;
             default:
                 cut = pick(4) == 0;
-                to_module = list.cut(cut);
+                to_module = list.set_fenced(cut);
         }
         if (to_module.full) module.clear();
         for (const ListedEndpoint& n : to_module.nodes) {
@@ -199,12 +199,12 @@
 
 TEST_CASE("what changes nothing is not told again") {
     EndpointOverlay list;
-    list.discovered({1, true, {listed("n0"), listed("n1", Lifecycle::draining)}, 0});
-    CHECK(told(list.agreed({"n0", "n1", "n9"})) == Told{{"n0", Lifecycle::draining}});
-    CHECK(told(list.agreed({"n0", "n1"})).empty());
-    CHECK(told(list.cut(true)).empty());
-    CHECK(told(list.cut(false)).empty());
-    CHECK(told(list.agreed({})) == Told{{"n0", Lifecycle::ready}});
+    list.apply_discovered({1, true, {listed("n0"), listed("n1", Lifecycle::draining)}, 0});
+    CHECK(told(list.apply_drains({"n0", "n1", "n9"})) == Told{{"n0", Lifecycle::draining}});
+    CHECK(told(list.apply_drains({"n0", "n1"})).empty());
+    CHECK(told(list.set_fenced(true)).empty());
+    CHECK(told(list.set_fenced(false)).empty());
+    CHECK(told(list.apply_drains({})) == Told{{"n0", Lifecycle::ready}});
 }
 
 TEST_CASE("a member reports the last ten seconds, and nodes that were silent several times in a row") {
@@ -219,12 +219,12 @@
     for (int i = 0; i < 5; ++i) watch.record_attempt(now + i * second, 3, Outcome::timeout);
     for (int i = 0; i < 9; ++i) watch.record_attempt(now, 4, Outcome::reset);  // all at once: one break
     for (int i = 0; i < 9; ++i) watch.record_attempt(now + i * second, 5, Outcome::overloaded);  // it speaks
-    CHECK(watch.silent(now + 5 * second) == std::set<std::uint32_t>{3});
+    CHECK(watch.unresponsive(now + 5 * second) == std::set<std::uint32_t>{3});
     watch.record_attempt(now + 5 * second, 3, Outcome::not_sent);
-    CHECK(watch.silent(now + 5 * second).size() == 1);
-    CHECK(watch.silent(now + 60 * second).empty());
+    CHECK(watch.unresponsive(now + 5 * second).size() == 1);
+    CHECK(watch.unresponsive(now + 60 * second).empty());
     watch.record_attempt(now + 6 * second, 3, Outcome::ok);
-    CHECK(watch.silent(now + 6 * second).empty());
+    CHECK(watch.unresponsive(now + 6 * second).empty());
 }
 
 TEST_CASE("words between members and stewards come back as they were; what is malformed is told") {
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -5,7 +5,7 @@
 #include "fleet_manager/change_requests.hpp"
 #include "fleet_manager/fleet_manager_config.hpp"
 #include "fleet_manager/log_entries.hpp"
-#include "relay/history.hpp"
+#include "relay/delta_history.hpp"
 #include "relay/relay_config.hpp"
 
 using namespace tealcart;
@@ -147,7 +147,7 @@
 }
 
 TEST_CASE("what a relay keeps leads from each version that it still has the way from") {
-    relay::History history(3, 1000);
+    relay::DeltaHistory history(3, 1000);
     CHECK_FALSE(history.since(0));
     changes::Copy relay_copy, copy;
     std::vector<changes::Copy> at{copy};  // by version
@@ -160,7 +160,7 @@
         d.digest = changes::digest_of(document);
         REQUIRE(relay_copy.take(d) == changes::Copy::Taken::taken);
         at.push_back(relay_copy);
-        history.took(d);
+        history.append(d);
     }
     CHECK_FALSE(history.since(0));  // three deltas are kept
     CHECK_FALSE(history.since(4));
@@ -170,10 +170,10 @@
         CHECK(at[v].take(*delta) == changes::Copy::Taken::taken);
         CHECK(at[v].document() == document);
     }
-    history.forget();
+    history.clear();
     CHECK_FALSE(history.since(3));
-    relay::History small(3, 10);
-    small.took({0, 1, {{"key", std::string(20, 'x')}}, {}, 0});
+    relay::DeltaHistory small(3, 10);
+    small.append({0, 1, {{"key", std::string(20, 'x')}}, {}, 0});
     CHECK_FALSE(small.since(0));
 }
 
