--- a/measure/fleet_cost.cpp
+++ b/measure/fleet_cost.cpp
@@ -25,7 +25,7 @@
     Fleet(std::int64_t n, std::int64_t r, std::size_t max_out)
         : nodes(n), routers(r), state(budgets(max_out)) {
         EndpointsObserved seen;
-        for (std::int64_t i = 0; i < nodes; ++i) seen.nodes[node_name(i)] = node(i, Health::whole);
+        for (std::int64_t i = 0; i < nodes; ++i) seen.nodes[node_name(i)] = node(i, Health::healthy);
         tell(std::move(seen));
         ReportBatch all;
         for (std::int64_t i = 0; i < routers; ++i)
@@ -36,7 +36,7 @@
     static Budgets budgets(std::size_t max_out) {
         Budgets b;
         b.nodes = {max_out, 1};
-        b.halt_failed = 0.5, b.halt_lost = 0.5;
+        b.halt_failed_share = 0.5, b.halt_lost_share = 0.5;
         return b;
     }
     Node node(std::int64_t i, Health health) const {
@@ -115,7 +115,7 @@
         cold = !cold;
         const Command c{"", fleet.now,
                         EndpointsObserved{
-                            {{node_name(7), fleet.node(7, cold ? Health::cold : Health::whole)}}, false, {}}};
+                            {{node_name(7), fleet.node(7, cold ? Health::cold : Health::healthy)}}, false, {}}};
         run.SetIterationTime(seconds_of([&] { fleet.state.apply(c); }));
     }
 }
--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -119,7 +119,7 @@
         seen.nodes[node_name(i)] = {"r1z" + std::to_string(i % 12),
                                     "kind-" + std::to_string(i % 4),
                                     {static_cast<std::uint32_t>(i / 3)},
-                                    fleet::Health::whole,
+                                    fleet::Health::healthy,
                                     0};
     return seen;
 }
@@ -127,13 +127,13 @@
 // A fleet of so many nodes and members, whose leases hold.
 fleet::FleetState state_of(std::size_t nodes, std::size_t members) {
     fleet::Budgets budgets;
-    budgets.nodes.most = 1;
+    budgets.nodes.max_count = 1;
     fleet::FleetState state(budgets);
     state.apply({"", 1, nodes_of(nodes)});
     for (std::size_t i = 0; i < members; ++i) {
         const MemberCall call = call_of(i, 0);
         fleet::ReportBatch one{{manager::join_of(call)}, {manager::renew_of(call)}};
-        one.renewals[0].word.applied_generation = 0;
+        one.renewals[0].report.applied_generation = 0;
         state.apply({"", 2, std::move(one)});
     }
     return state;
@@ -167,7 +167,7 @@
             fleet::ReportBatch six;
             for (std::size_t i = 0; i < 6; ++i) {
                 six.renewals.push_back(manager::renew_of(call_of(turn++ % members, 0)));
-                six.renewals.back().word.applied_generation = 0;
+                six.renewals.back().report.applied_generation = 0;
             }
             sink += kept.apply({"", 3, std::move(six)}).size();
         };
@@ -181,12 +181,12 @@
         std::size_t times = 0;
         const auto change = [&] {
             news.nodes.begin()->second.health =
-                ++times % 2 > 0 ? fleet::Health::draining : fleet::Health::whole;
+                ++times % 2 > 0 ? fleet::Health::draining : fleet::Health::healthy;
             sink += kept.apply({"", 5, news}).size();
         };
         point("steward.node_news", nodes, cost(10, change) / 1e3);
         fleet::EndpointsObserved zone{{}, false, {}};
-        for (std::size_t i = 12; i < nodes; i += 12) zone.gone.insert(node_name(i));
+        for (std::size_t i = 12; i < nodes; i += 12) zone.removed.insert(node_name(i));
         const double began = thread_us();
         sink += kept.apply({"", 6, zone}).size();
         point("steward.zone_news", nodes, (thread_us() - began) / 1e3);
--- /dev/null
+++ b/src/fleet/commands.hpp
@@ -0,0 +1,92 @@
+// What can be proposed to the fleet's agreed state.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "fleet/budgets.hpp"
+#include "fleet/member.hpp"
+#include "fleet/node.hpp"
+#include "fleet/removal.hpp"
+
+namespace tealcart::fleet {
+
+struct Join {
+    std::string name;
+    Role role;
+    std::string zone, version, digest;
+    std::uint64_t incarnation;
+    Nanos serve_on = 0;  // the member's own, see Member
+};
+
+struct Renew {
+    std::string name;
+    std::uint64_t incarnation;
+    MemberReport report;
+};
+
+// What many members said in a short time, as one command. Joins are applied first.
+struct ReportBatch {
+    std::vector<Join> joins;
+    std::vector<Renew> renewals;
+};
+
+struct Leave {
+    std::string name;
+    std::uint64_t incarnation;
+};
+
+// A member whose lease is over, and which an operator knows not to come back.
+struct Forget {
+    std::string name;
+};
+
+struct EndpointsObserved {
+    std::map<std::string, Node> nodes;
+    bool full = true;  // all nodes: one that is not among them is gone; else what is new ...
+    std::set<std::string> removed = {};  // ... and what is gone
+};
+
+struct RequestRemoval {
+    std::string asker;
+    Target target;
+};
+
+// Ends a request, or brings its target back.
+struct Undo {
+    std::uint64_t request;
+};
+
+struct Halt {
+    std::string reason;
+};
+
+struct Resume {};
+
+// Time goes on.
+struct Tick {};
+
+// From the operators' file. Takes nothing back; nothing more is granted until the budgets hold.
+struct SetBudgets {
+    Budgets budgets;
+};
+
+struct Command {
+    std::string id;  // the proposer's own, tells that a command comes again; empty: not deduplicated
+    Nanos at = 0;    // by the proposer's clock
+    std::variant<Join, Renew, Leave, EndpointsObserved, RequestRemoval, Undo, Halt, Resume, Tick, ReportBatch,
+                 Forget, SetBudgets>
+        what;
+};
+
+// A command as bytes of the log, and back. Reading throws replicated::CodecError on noise, on another form
+// and on a kind of command that this release does not have.
+std::vector<std::uint8_t> write_command(const Command& command);
+Command read_command(const std::uint8_t* bytes, std::size_t size);
+
+}  // namespace tealcart::fleet
--- /dev/null
+++ b/src/fleet/removal_queue.cpp
@@ -0,0 +1,134 @@
+#include "fleet/removal_queue.hpp"
+
+#include <utility>
+
+namespace tealcart::fleet {
+
+const Request* RemovalQueue::find(std::uint64_t id) const {
+    const auto it = requests_.find(id);
+    return it == requests_.end() ? nullptr : &it->second;
+}
+
+std::optional<std::uint64_t> RemovalQueue::open_request(const Target& target) const {
+    const auto it = counts_.open.find(target);
+    if (it == counts_.open.end()) return std::nullopt;
+    return it->second;
+}
+
+std::uint64_t RemovalQueue::add(const std::string& asker, const Target& target) {
+    Request& request = requests_[++last_request_];
+    request = {asker, target, Stage::queued, 0, 0, block_reason_, {}};
+    put_in(last_request_, request);
+    return last_request_;
+}
+
+void RemovalQueue::begin_return(std::uint64_t id) {
+    Request& request = requests_.at(id);
+    take_out(id, request);
+    request.stage = Stage::returning;
+    put_in(id, request);
+}
+
+const Request& RemovalQueue::grant(std::uint64_t id) {
+    Request& request = requests_.at(id);
+    take_out(id, request);
+    request.stage = Stage::granted;
+    request.fence = ++last_fence_;
+    request.generation = ++generation_;
+    request.blocked_by.clear();
+    removed_[request.target] = id;
+    put_in(id, request);
+    return request;
+}
+
+void RemovalQueue::finish(std::uint64_t id, std::set<std::string> unacknowledged) {
+    Request& request = requests_.at(id);
+    take_out(id, request);
+    request.stage = Stage::done;
+    request.unacknowledged = std::move(unacknowledged);
+    put_in(id, request);
+}
+
+const Request& RemovalQueue::release(std::uint64_t id) {
+    Request& request = requests_.at(id);
+    take_out(id, request);
+    removed_.erase(request.target);
+    request.generation = ++generation_;
+    put_in(id, request);
+    return request;
+}
+
+Request RemovalQueue::end(std::uint64_t id) {
+    const auto it = requests_.find(id);
+    take_out(id, it->second);
+    Request request = std::move(it->second);
+    requests_.erase(it);
+    return request;
+}
+
+std::set<std::uint64_t> RemovalQueue::take_possibly_done(std::uint64_t lowest_applied) {
+    std::set<std::uint64_t> ids = std::exchange(reconsider_, {});
+    auto it = counts_.granted.upper_bound(applied_to_);
+    for (; it != counts_.granted.end() && it->first <= lowest_applied; ++it) ids.insert(it->second);
+    applied_to_ = lowest_applied;
+    return ids;
+}
+
+void RemovalQueue::reconsider(const Target& target) {
+    if (const auto id = open_request(target)) reconsider_.insert(*id);
+}
+
+void RemovalQueue::block_all(const std::string& reason) {
+    if (reason == block_reason_) return;
+    block_reason_ = reason;
+    for (const auto& ids : counts_.queued)
+        for (const std::uint64_t id : ids) block(id, reason);
+}
+
+void RemovalQueue::block(std::uint64_t id, const std::string& reason) {
+    ++looked_at_;
+    requests_.at(id).blocked_by = reason;
+}
+
+void RemovalQueue::restore(Requests requests, RemovedTargets removed, std::uint64_t generation,
+                           std::uint64_t last_fence, std::uint64_t last_request) {
+    requests_ = std::move(requests);
+    removed_ = std::move(removed);
+    generation_ = generation;
+    last_fence_ = last_fence;
+    last_request_ = last_request;
+    recount();
+}
+
+void RemovalQueue::recount() {
+    counts_ = {};
+    reconsider_.clear();
+    applied_to_ = 0;
+    block_reason_.clear();
+    for (const auto& [id, request] : requests_) put_in(id, request);
+}
+
+std::set<std::uint64_t>& RemovalQueue::returning(const Request& request) {
+    return removed_.contains(request.target) ? counts_.returning_out : counts_.returning_in;
+}
+
+void RemovalQueue::take_out(std::uint64_t id, const Request& request) {
+    ++looked_at_;
+    const auto open = counts_.open.find(request.target);
+    if (open != counts_.open.end() && open->second == id) counts_.open.erase(open);
+    if (request.stage == Stage::queued) counts_.queued[request.target.router ? 1 : 0].erase(id);
+    if (request.stage == Stage::returning) returning(request).erase(id);
+    if (request.stage == Stage::granted) counts_.granted.erase(request.generation);
+}
+
+void RemovalQueue::put_in(std::uint64_t id, const Request& request) {
+    ++looked_at_;
+    counts_.open.emplace(request.target, id);
+    if (request.stage == Stage::queued) counts_.queued[request.target.router ? 1 : 0].insert(id);
+    if (request.stage == Stage::returning) returning(request).insert(id);
+    if (request.stage != Stage::granted) return;
+    counts_.granted[request.generation] = id;
+    reconsider_.insert(id);
+}
+
+}  // namespace tealcart::fleet
--- /dev/null
+++ b/src/fleet/tally.hpp
@@ -0,0 +1,49 @@
+// Counting up and down under keys, for what is kept as counts.
+#pragma once
+
+#include <cstddef>
+#include <map>
+#include <string>
+
+namespace tealcart::fleet {
+
+// How many there are of something, and how many of them are out.
+struct GroupCount {
+    std::size_t all = 0, out = 0;
+    friend bool operator==(const GroupCount&, const GroupCount&) = default;
+};
+using GroupCounts = std::map<std::string, GroupCount>;  // by zone, or by kind
+
+enum class Step : bool { down, up };
+
+template <typename Number>
+void tally(Number& number, Step step, Number by = 1) {
+    if (step == Step::up)
+        number += by;
+    else
+        number -= by;
+}
+
+inline void tally(GroupCount& count, Step step, bool is_out) {
+    tally(count.all, step);
+    if (is_out) tally(count.out, step);
+}
+
+// Drops a group with none.
+inline void tally(GroupCounts& counts, const std::string& group, Step step, bool is_out) {
+    const auto it = counts.try_emplace(group).first;
+    tally(it->second, step, is_out);
+    if (it->second.all == 0) counts.erase(it);
+}
+
+// Gives the number now, and drops a key with none.
+template <typename Key>
+std::size_t tally(std::map<Key, std::size_t>& counts, const Key& key, Step step) {
+    const auto it = counts.try_emplace(key, 0).first;
+    tally(it->second, step);
+    const std::size_t now = it->second;
+    if (now == 0) counts.erase(it);
+    return now;
+}
+
+}  // namespace tealcart::fleet
--- /dev/null
+++ b/src/fleet/unresponsive_votes.cpp
@@ -0,0 +1,42 @@
+#include "fleet/unresponsive_votes.hpp"
+
+#include <algorithm>
+
+namespace tealcart::fleet {
+
+void UnresponsiveVotes::count(const std::string& node, Step step) {
+    const std::size_t now = tally(counts_.by_node, node, step);
+    const std::size_t before = step == Step::up ? now - 1 : now + 1;
+    if (before > 0) counts_.by_votes.erase({before, node});
+    if (now > 0) counts_.by_votes.emplace(now, node);
+    to_judge_.insert(node);
+}
+
+void UnresponsiveVotes::clear() {
+    counts_ = {};
+    to_judge_.clear();
+}
+
+std::vector<UnresponsiveVotes::Verdict> UnresponsiveVotes::judge(double min_votes) {
+    reconsider_between(min_votes, last_min_votes_);
+    last_min_votes_ = min_votes;
+    std::vector<Verdict> verdicts;
+    for (const std::string& node : to_judge_) {
+        const auto votes = counts_.by_node.find(node);
+        const bool unresponsive =
+            votes != counts_.by_node.end() && static_cast<double>(votes->second) >= min_votes;
+        verdicts.push_back({node, unresponsive});
+    }
+    to_judge_.clear();
+    return verdicts;
+}
+
+void UnresponsiveVotes::reconsider_between(double min_votes, double last_min_votes) {
+    const auto [from, to] = std::minmax(min_votes, last_min_votes);
+    if (from >= to) return;
+    auto it = counts_.by_votes.lower_bound({static_cast<std::size_t>(std::max(0.0, from)), {}});
+    for (; it != counts_.by_votes.end() && static_cast<double>(it->first) < to; ++it)
+        to_judge_.insert(it->second);
+}
+
+}  // namespace tealcart::fleet
--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -37,15 +37,15 @@
 }
 
 void NodeView::agreed(const fleet::EndpointsObserved& seen) {
-    if (seen.whole) return look_at_all();
+    if (seen.full) return look_at_all();
     for (const auto& [name, node] : seen.nodes) look_at(name);
-    for (const std::string& name : seen.gone) look_at(name);
+    for (const std::string& name : seen.removed) look_at(name);
 }
 
 bool NodeView::stale(Nanos now) const { return heard_at_ > 0 && now - heard_at_ > stale_after; }
 
 fleet::Node NodeView::node_of(const ListedNode& listed, Nanos now) const {
-    fleet::Node node{listed.zone, listed.kind, {}, fleet::Health::whole, listed.started_at};
+    fleet::Node node{listed.zone, listed.kind, {}, fleet::Health::healthy, listed.started_at};
     // Shard s lies at places (s + j) mod all, for j below the width.
     const int place = static_cast<int>(listed.place);
     for (int j = 0; j < std::min(width_, places_); ++j)
@@ -83,7 +83,7 @@
         bool same = true;
         if (const auto listed = nodes_.find(name); listed == nodes_.end()) {
             same = known == state.nodes().end() || known->second.health == fleet::Health::gone;
-            if (!same) news.gone.insert(name);
+            if (!same) news.removed.insert(name);
         } else {
             fleet::Node node = node_of(listed->second, now);
             if (node.health == fleet::Health::cold) cold_ends_.emplace(node.started_at + cold_, name);
@@ -93,7 +93,7 @@
         // What is not agreed yet is looked at again: it may not come to be agreed.
         it = same ? look_at_.erase(it) : std::next(it);
     }
-    if (news.nodes.empty() && news.gone.empty()) return std::nullopt;
+    if (news.nodes.empty() && news.removed.empty()) return std::nullopt;
     return news;
 }
 
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -16,8 +16,8 @@
 fleet::Limit read_limit(BlockReader& in, const std::string& before) {
     fleet::Limit limit;
     const std::int64_t most = in.whole(before + "most", any_number, 0, any_number);
-    if (most < any_number) limit.most = static_cast<std::size_t>(most);
-    limit.share = in.number(before + "share", 1, 0, 1);
+    if (most < any_number) limit.max_count = static_cast<std::size_t>(most);
+    limit.max_share = in.number(before + "share", 1, 0, 1);
     return limit;
 }
 
@@ -82,9 +82,9 @@
         config.election = of.span("election", config.election, 100 * ms, 60 * second);
         b.lease = of.span("lease", b.lease, 500 * ms, hour);
         b.drift = of.span("drift", b.drift, 0, hour);
-        b.forget = of.span("forget", b.forget, 0, 365 * 24 * hour);
+        b.forget_after = of.span("forget", b.forget_after, 0, 365 * 24 * hour);
         b.wait_for_lost = of.flag("wait_for_lost", b.wait_for_lost);
-        b.max_open = static_cast<std::size_t>(of.whole("most_open", 1000, 1, 1'000'000));
+        b.max_open_requests = static_cast<std::size_t>(of.whole("most_open", 1000, 1, 1'000'000));
         if (b.lease < 2 * config.election)
             of.wrong(fleet->at, "'lease' is under two of 'election': no leader could be found within one");
         for (const HclBlock* manager : of.blocks("steward")) read_manager(*manager, mistakes, config);
@@ -93,26 +93,26 @@
             BlockReader n(*nodes, mistakes);
             n.no_label();
             b.nodes = read_limit(n, "");
-            b.nodes_a_zone = read_limit(n, "zone_");
-            b.nodes_a_kind = read_limit(n, "kind_");
+            b.nodes_per_zone = read_limit(n, "zone_");
+            b.nodes_per_kind = read_limit(n, "kind_");
             b.min_holders = static_cast<std::size_t>(n.whole("least_holders", 1, 0, 1000));
-            b.silent_share = n.number("silent_share", b.silent_share, 0.01, 1);
+            b.unresponsive_share = n.number("silent_share", b.unresponsive_share, 0.01, 1);
             n.finish();
         }
         if (const HclBlock* routers = of.only_block("routers")) {
             BlockReader r(*routers, mistakes);
             r.no_label();
             b.routers = read_limit(r, "");
-            b.routers_a_zone = read_limit(r, "zone_");
+            b.routers_per_zone = read_limit(r, "zone_");
             r.finish();
         }
         if (const HclBlock* halt = of.only_block("halt")) {
             BlockReader h(*halt, mistakes);
             h.no_label();
-            b.halt_failed = h.number("failed", b.halt_failed, 0, 1);
-            b.halt_failed_least = static_cast<std::uint64_t>(h.whole("failed_least", 100, 1, any_number));
-            b.halt_lost = h.number("lost", b.halt_lost, 0, 1);
-            b.halt_holders = static_cast<std::size_t>(h.whole("holders", 0, 0, 1000));
+            b.halt_failed_share = h.number("failed", b.halt_failed_share, 0, 1);
+            b.halt_failed_min_queries = static_cast<std::uint64_t>(h.whole("failed_least", 100, 1, any_number));
+            b.halt_lost_share = h.number("lost", b.halt_lost_share, 0, 1);
+            b.halt_min_holders = static_cast<std::size_t>(h.whole("holders", 0, 0, 1000));
             h.finish();
         }
         if (const HclBlock* block = of.only_block("changes")) {
--- a/src/fleet_manager/operator_requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -116,7 +116,7 @@
         return Json{{"listed", each ? "all" : "exceptions"}, {"exceptions_left_out", left_out}};
     };
     const auto member_exception = [&](const std::string& name, const fleet::Member& m) {
-        return m.lost || m.left || m.word.applied_generation != state.generation() || state.out(true, name);
+        return m.lost || m.left || m.report.applied_generation != state.generation() || state.out(true, name);
     };
     const auto write_member = [&](const std::string& name, const fleet::Member& m) {
         return Json({{"name", name},
@@ -125,13 +125,13 @@
                      {"version", m.version},
                      {"digest", m.digest},
                      {"life", m.incarnation},
-                     {"acts_on", m.word.applied_generation},
+                     {"acts_on", m.report.applied_generation},
                      {"lease_left_ms", (m.lease_until - state.now()) / ms},
                      {"lost", m.lost},
                      {"left", m.left},
                      {"out", state.out(true, name)},
-                     {"queries", m.word.queries},
-                     {"failed", m.word.failed}});
+                     {"queries", m.report.queries},
+                     {"failed", m.report.failed}});
     };
     const auto node_exception = [&](const std::string& name, const fleet::Node&) {
         return state.counts_as_out(false, name);
@@ -144,16 +144,17 @@
                      {"out", state.out(false, name)},
                      {"counts_as_out", state.counts_as_out(false, name)}});
     };
-    const auto counts_of = [](const fleet::Counts::Share& share, const auto& zones) {
+    const auto counts_of = [](const fleet::GroupCount& share, const auto& zones) {
         Json by_zone = Json::object();
         for (const auto& [zone, s] : zones) by_zone[zone] = {{"all", s.all}, {"out", s.out}};
         return Json{{"all", share.all}, {"out", share.out}, {"zones", std::move(by_zone)}};
     };
-    const fleet::Counts& counts = state.counts();
+    const fleet::MemberCounts& members_counted = state.member_counts();
+    const fleet::NodeCounts& nodes_counted = state.node_counts();
     out["members_listed"] = list(state.members(), members, member_exception, write_member);
     out["nodes_listed"] = list(state.nodes(), nodes, node_exception, write_node);
-    out["routers_counted"] = counts_of(counts.routers, counts.router_zones);
-    out["nodes_counted"] = counts_of(counts.nodes, counts.node_zones);
+    out["routers_counted"] = counts_of(members_counted.routers, members_counted.router_zones);
+    out["nodes_counted"] = counts_of(nodes_counted.nodes, nodes_counted.zones);
     out["requests"] = std::move(requests);
     out["members"] = std::move(members);
     out["nodes"] = std::move(nodes);
@@ -171,7 +172,7 @@
     fleet::Renew r{c.name,
                    c.incarnation,
                    {c.applied_generation, {}, {c.silent.begin(), c.silent.end()}, c.queries, c.failed}};
-    for (const TargetName& t : c.in_flight) r.word.in_flight.insert({t.router, t.name});
+    for (const TargetName& t : c.in_flight) r.report.in_flight.insert({t.router, t.name});
     return r;
 }
 
--- /dev/null
+++ b/src/replicated/command_envelope.cpp
@@ -0,0 +1,38 @@
+#include "replicated/command_envelope.hpp"
+
+namespace tealcart::replicated {
+
+using nlohmann::json;
+
+std::vector<std::uint8_t> write_envelope(const CommandEnvelope& envelope, int form) {
+    return json::to_cbor({{"form", form},
+                          {"id", envelope.id},
+                          {"at", envelope.at},
+                          {"what", json::array({envelope.kind, envelope.body})}});
+}
+
+CommandEnvelope read_envelope(const std::uint8_t* bytes, std::size_t size, int form,
+                              const std::string& subject) {
+    const json document = json::from_cbor(bytes, bytes + size);
+    check_form(document, form, subject);
+    const json& what = document.at("what");
+    return {document.at("id"), document.at("at"), what.at(0), what.at(1)};
+}
+
+void check_form(const json& document, int supported, const std::string& subject) {
+    const int form = document.at("form").get<int>();
+    if (form == supported) return;
+    throw CodecError(
+        CodecError::Fault::unsupported_form,
+        subject + " of form " + std::to_string(form) + ", this program reads " + std::to_string(supported));
+}
+
+CodecError unknown_command(const std::string& kind) {
+    return {CodecError::Fault::unknown_command, "a command '" + kind + "' that this program does not know"};
+}
+
+CodecError malformed(const std::string& subject, const std::string& why) {
+    return {CodecError::Fault::malformed, subject + " that can't be read: " + why};
+}
+
+}  // namespace tealcart::replicated
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -25,7 +25,7 @@
     explicit Sim(const SimPlan& plan)
         : plan_(plan), chance_(static_cast<unsigned>(plan.seed)), state_(plan.budgets) {
         for (int n = 0; n < plan_.nodes; ++n) {
-            Node node{n % 2 == 0 ? "a" : "b", "m", {}, Health::whole, 0};
+            Node node{n % 2 == 0 ? "a" : "b", "m", {}, Health::healthy, 0};
             for (int j = 0; j < width; ++j)
                 node.shards.push_back(static_cast<std::uint32_t>((n + plan_.nodes - j) % plan_.nodes));
             truth_["n" + std::to_string(n)] = node;
@@ -125,7 +125,7 @@
         std::size_t out = 0;
         std::map<std::uint32_t, std::size_t> holders;
         for (const auto& [name, n] : state_.nodes()) {
-            const bool is_out = n.health != Health::whole || state_.out({false, name});
+            const bool is_out = n.health != Health::healthy || state_.out({false, name});
             out += is_out;
             for (const std::uint32_t s : n.shards) holders[s] += !is_out;
         }
@@ -212,8 +212,8 @@
         const std::uint64_t number = ++m.call, incarnation = m.incarnation;
         Renew renew{"r" + std::to_string(i), incarnation, {m.applied_version, {}, {}, 0, 0}};
         for (const auto& [node, calls] : m.in_flight)
-            if (calls > 0 && m.out.contains(node)) renew.word.in_flight.insert({false, node});
-        const Nanos wait = m.lease->wait(!renew.word.in_flight.empty());
+            if (calls > 0 && m.out.contains(node)) renew.report.in_flight.insert({false, node});
+        const Nanos wait = m.lease->wait(!renew.report.in_flight.empty());
         Join join{renew.name,
                   Role::router,
                   i % 2 == 0 ? "a" : "b",
@@ -359,7 +359,7 @@
         set_health(node, Health::gone);
         at(second + pick(3 * second), [this, node] {
             set_health(node, Health::cold);
-            at(second, [this, node] { set_health(node, Health::whole); });
+            at(second, [this, node] { set_health(node, Health::healthy); });
         });
     }
     void set_health(const std::string& node, Health health) {
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -32,7 +32,7 @@
     b.nodes = {2, 1};
     b.min_holders = 2;
     b.routers = {1, 1};
-    b.lease = 20 * second, b.drift = second, b.forget = 40 * second;
+    b.lease = 20 * second, b.drift = second, b.forget_after = 40 * second;
     return b;
 }
 
@@ -69,7 +69,7 @@
     }
     bool is_out(const Target& t) {
         if (out(t)) return true;
-        if (!t.router) return health.at(t.name) != Health::whole;
+        if (!t.router) return health.at(t.name) != Health::healthy;
         const Who* w = member(t.name);
         return w == nullptr || over(*w);
     }
@@ -110,7 +110,7 @@
                 return w != nullptr && !over(*w) && w->applied_generation < r.generation;
             }
             const Health h = health.at(r.target.name);
-            return h != Health::gone && h != Health::whole;
+            return h != Health::gone && h != Health::healthy;
         };
         bool waits = false;
         for (Req& r : reqs) {
@@ -180,10 +180,10 @@
         std::map<std::string, Node> all;
         for (int n = 0; n < nodes; ++n) {
             Node& node = all[node_name(n)];
-            node = {"a", "m", {}, Health::whole, 0};
+            node = {"a", "m", {}, Health::healthy, 0};
             for (int j = 0; j < width; ++j)
                 node.shards.push_back(static_cast<std::uint32_t>((n + nodes - j) % nodes));
-            plain.health[node_name(n)] = Health::whole;
+            plain.health[node_name(n)] = Health::healthy;
         }
         state.apply({"", now, EndpointsObserved{all}});
         plain.now = now;
@@ -259,7 +259,7 @@
             }
             plain.settle();
             compare(state, plain);
-            RC_ASSERT(state.counts() == recount(state));
+            RC_ASSERT(kept_counts(state) == recount(state));
         }
     });
     CHECK(held);
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -9,59 +9,76 @@
 
 namespace tealcart::fleet {
 
+// All that is kept.
+struct Counts {
+    NodeCounts nodes;
+    MemberCounts members;
+    VoteCounts votes;
+    RequestCounts requests;
+
+    friend bool operator==(const Counts&, const Counts&) = default;
+};
+
+inline Counts kept_counts(const FleetState& state) {
+    return {state.node_counts(), state.member_counts(), state.vote_counts(), state.request_counts()};
+}
+
 inline Counts recount(const FleetState& state) {
     const Budgets& b = state.budgets();
     const Nanos now = state.now();
-    const auto over = [&](const Member& m) { return now > m.lease_until + b.drift; };
+    const auto expired = [&](const Member& m) { return now > m.lease_until + b.drift; };
     const auto until = [&](const Member& m) { return m.lease_until + m.serve_on + b.drift; };
     const auto acting = [&](const Member& m) { return !m.left && now <= until(m); };
     const auto out = [&](bool router, const std::string& name) {
         return std::any_of(state.all_out().begin(), state.all_out().end(),
                            [&](const auto& o) { return o.first.router == router && o.first.name == name; });
     };
-    Counts c;
+    Counts counts;
+    MemberCounts& c = counts.members;
     for (const auto& [name, m] : state.members()) {
-        (over(m) ? c.over_ends : c.live_ends).insert({m.lease_until, name});
+        (expired(m) ? c.expired_leases : c.live_leases).insert({m.lease_until, name});
         if (acting(m)) c.acting_ends.insert({until(m), name});
-        if (over(m) && acting(m)) c.lost_acting.insert({m.word.applied_generation, name});
-        if (b.wait_for_lost ? acting(m) : !over(m)) {
-            ++c.heard[m.word.applied_generation];
-            for (const Target& t : m.word.in_flight) ++c.in_flight[t];
+        if (expired(m) && acting(m)) c.lost_acting.insert({m.report.applied_generation, name});
+        if (b.wait_for_lost ? acting(m) : !expired(m)) {
+            ++c.applied[m.report.applied_generation];
+            for (const Target& t : m.report.in_flight) ++c.in_flight[t];
         }
         if (m.role != Role::router) continue;
-        const bool is_out = over(m) || out(true, name);
+        const bool is_out = expired(m) || out(true, name);
         ++c.routers.all, c.routers.out += is_out;
         ++c.router_zones[m.zone].all, c.router_zones[m.zone].out += is_out;
-        c.known_routers += !m.left, c.lost_routers += !m.left && over(m);
-        if (over(m)) continue;
+        c.known_routers += !m.left, c.lost_routers += !m.left && expired(m);
+        if (expired(m)) continue;
         ++c.live_routers;
-        if (!m.left) c.queries += m.word.queries, c.failed += m.word.failed;
-        for (const std::string& node : m.word.silent) ++c.silent[node];
+        if (!m.left) c.queries += m.report.queries, c.failed += m.report.failed;
+        for (const std::string& node : m.report.unresponsive) ++counts.votes.by_node[node];
     }
-    for (const auto& [node, routers] : c.silent) c.by_silent.insert({routers, node});
-    for (const auto& [name, n] : state.nodes()) {
-        const auto silent = c.silent.find(name);
-        const bool is_out =
-            n.health != Health::whole || out(false, name) ||
-            (silent != c.silent.end() &&
-             static_cast<double>(silent->second) >= b.silent_share * static_cast<double>(c.live_routers));
-        ++c.nodes.all, c.nodes.out += is_out;
-        ++c.node_zones[n.zone].all, c.node_zones[n.zone].out += is_out;
-        ++c.node_kinds[n.kind].all, c.node_kinds[n.kind].out += is_out;
-        for (const std::uint32_t s : n.shards) ++c.shards[s].listed, c.shards[s].whole += !is_out;
-        for (const std::uint32_t s : std::set<std::uint32_t>(n.shards.begin(), n.shards.end()))
-            ++c.shards[s].holders;
+    for (const auto& [node, routers] : counts.votes.by_node) counts.votes.by_votes.insert({routers, node});
+    NodeCounts& n = counts.nodes;
+    for (const auto& [name, node] : state.nodes()) {
+        const auto votes = counts.votes.by_node.find(name);
+        const bool is_out = node.health != Health::healthy || out(false, name) ||
+                            (votes != counts.votes.by_node.end() &&
+                             static_cast<double>(votes->second) >=
+                                 b.unresponsive_share * static_cast<double>(c.live_routers));
+        ++n.nodes.all, n.nodes.out += is_out;
+        ++n.zones[node.zone].all, n.zones[node.zone].out += is_out;
+        ++n.kinds[node.kind].all, n.kinds[node.kind].out += is_out;
+        for (const std::uint32_t s : node.shards) ++n.shards[s].listed, n.shards[s].healthy += !is_out;
+        for (const std::uint32_t s : std::set<std::uint32_t>(node.shards.begin(), node.shards.end()))
+            ++n.shards[s].holders;
     }
-    for (const auto& [s, shard] : c.shards)
-        if (shard.whole < b.halt_holders) c.short_shards.insert(s);
+    for (const auto& [s, shard] : n.shards)
+        if (shard.healthy < b.halt_min_holders) n.short_shards.insert(s);
+    RequestCounts& requests = counts.requests;
     for (const auto& [id, r] : state.requests()) {
-        c.open[r.target] = id;
-        if (r.stage == Stage::queued) c.queued[r.target.router].insert(id);
-        if (r.stage == Stage::granted) c.granted[r.generation] = id;
+        requests.open[r.target] = id;
+        if (r.stage == Stage::queued) requests.queued[r.target.router ? 1 : 0].insert(id);
+        if (r.stage == Stage::granted) requests.granted[r.generation] = id;
         if (r.stage == Stage::returning)
-            (out(r.target.router, r.target.name) ? c.returning : c.coming).insert(id);
+            (out(r.target.router, r.target.name) ? requests.returning_out : requests.returning_in).insert(id);
     }
-    return c;
+    return counts;
 }
 
 // Granted requests that no member holds up and that are not done: there are none, but for those that the last
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -30,7 +30,7 @@
     std::map<std::string, Node> all;
     for (int n = 0; n < nodes; ++n) {
         Node& node = all["n" + std::to_string(n)];
-        node = {n % 2 == 0 ? "a" : "b", "m", {}, Health::whole, 0};
+        node = {n % 2 == 0 ? "a" : "b", "m", {}, Health::healthy, 0};
         for (int j = 0; j < width; ++j)
             node.shards.push_back(static_cast<std::uint32_t>((n + nodes - j) % nodes));
     }
@@ -115,7 +115,7 @@
     CHECK(
         f.state.requests().at(2).unacknowledged.empty());  // it has said that it acts on no later word at all
     f.tell(Join{"r2", Role::router, "a", "1.0", "d1", 2});
-    CHECK(f.state.members().at("r2").word.applied_generation == 0);
+    CHECK(f.state.members().at("r2").report.applied_generation == 0);
     CHECK(kinds(f.says("r2", next.generation)) ==
           kinds_of<Effect, StaleReport>());  // of the incarnation before
     // A word for a generation that nobody agreed on is not taken.
@@ -131,7 +131,7 @@
     f.pass(1800 * second);
     CHECK(f.state.out({false, "n0"}));
     CHECK_FALSE(f.state.out({false, "n4"}));
-    f.seen("n3", Health::whole);
+    f.seen("n3", Health::healthy);
     CHECK(f.state.out({false, "n4"}));
     // Forgotten by discovery while it is out, it stays counted.
     f.nodes.erase("n0");
@@ -155,7 +155,7 @@
     CHECK(record_of(again).code == EffectCode::asked);
     CHECK(record_of(again).reason == "already granted");
     // Budgets lowered below what is out take nothing back, and grant nothing more.
-    b.nodes.most = 0;
+    b.nodes.max_count = 0;
     f.tell(SetBudgets{b});
     CHECK(f.state.out({false, "n0"}));
     CHECK(std::holds_alternative<CommandRejected>(f.tell(RequestRemoval{"ann", {false, "n3"}}).at(0)));
@@ -178,9 +178,9 @@
     CHECK(f.state.out({false, "n3"}));           // waits for n0
     f.seen("n0", Health::cold);
     CHECK(f.state.out({false, "n3"}));
-    CHECK(kinds(f.seen("n0", Health::whole)) == kinds_of<Effect, RequestEnded, TargetReturned>());
+    CHECK(kinds(f.seen("n0", Health::healthy)) == kinds_of<Effect, RequestEnded, TargetReturned>());
     CHECK_FALSE(f.state.out({false, "n3"}));
-    CHECK(kinds(f.seen("n3", Health::whole)) == kinds_of<Effect, RequestEnded>());
+    CHECK(kinds(f.seen("n3", Health::healthy)) == kinds_of<Effect, RequestEnded>());
     CHECK(kinds(f.tell(Resume{})) == kinds_of<Effect, GrantsResumed, RemovalGranted>());
 }
 
@@ -210,7 +210,7 @@
 
 TEST_CASE("a member that is lost counts as out until it is back, is forgotten, or its time is up") {
     Budgets b = small_budgets();
-    b.forget = 60 * second;
+    b.forget_after = 60 * second;
     Fleet f(b);
     f.pass(12 * second, true, false);
     CHECK(f.state.members().at("r2").lost);
@@ -277,9 +277,9 @@
 
 TEST_CASE("halts that come by themselves, once for each time that their condition begins to hold") {
     Budgets b = small_budgets();
-    b.halt_failed = 0.1;
-    b.halt_lost = 0.4;
-    b.halt_holders = 2;
+    b.halt_failed_share = 0.1;
+    b.halt_lost_share = 0.4;
+    b.halt_min_holders = 2;
     Fleet f(b);
     const auto say = [&](std::uint64_t queries, std::uint64_t failed) {
         return f.tell(Renew{"r1", 1, {0, {}, {}, queries, failed}});
@@ -299,7 +299,7 @@
     CHECK_FALSE(f.state.halted());
     CHECK(kinds(f.seen("n1", Health::cold)) == kinds_of<Effect, GrantsHalted>());
     CHECK(f.state.halted_for() == "shard 0 has 1 whole holders");
-    f.seen("n0", Health::whole), f.seen("n1", Health::whole);
+    f.seen("n0", Health::healthy), f.seen("n1", Health::healthy);
     f.tell(Resume{});
     f.pass(12 * second, true, false);
     CHECK(f.state.halted_for() == "1 of 2 routers are lost");
@@ -307,7 +307,7 @@
 
 TEST_CASE("a node that enough of the routers find silent counts as out") {
     Budgets b = small_budgets();
-    b.silent_share = 0.6;
+    b.unresponsive_share = 0.6;
     b.nodes = {1, 1};
     Fleet f(b);
     f.tell(Renew{"r1", 1, {0, {}, {"n3"}, 0, 0}});
@@ -336,7 +336,7 @@
     const auto pick = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
     Budgets b;
     b.nodes = {static_cast<std::size_t>(2 + pick(4)), 0.25 + 0.1 * pick(3)};
-    b.nodes_a_zone = {static_cast<std::size_t>(1 + pick(3)), 1};
+    b.nodes_per_zone = {static_cast<std::size_t>(1 + pick(3)), 1};
     b.min_holders = static_cast<std::size_t>(1 + pick(2));
     b.routers = {2, 1};
     b.lease = 16 * second;
@@ -365,7 +365,7 @@
         if (what == 7 && !state.requests().empty())
             c.what = Undo{std::next(state.requests().begin(), pick(int(state.requests().size())))->first};
         if (what >= 8 && what <= 10) {
-            nodes[node].health = pick(8) == 0 ? static_cast<Health>(1 + pick(4)) : Health::whole;
+            nodes[node].health = pick(8) == 0 ? static_cast<Health>(1 + pick(4)) : Health::healthy;
             if (pick(20) == 0) nodes.erase(node);
             if (pick(10) == 0) nodes[node] = ring(12)[node];
             c.what = EndpointsObserved{nodes};
@@ -381,7 +381,7 @@
         if (what == 11)
             c.what = pick(4) == 0 ? decltype(c.what)(Halt{"a person"}) : decltype(c.what)(Resume{});
         const auto effects = state.apply(c);
-        CHECK(state.counts() == recount(state));
+        CHECK(kept_counts(state) == recount(state));
         CHECK(left_undone(state, effects) == 0);
         const auto bytes = write_command(c);
         CHECK(replica.apply(read_command(bytes.data(), bytes.size())) == effects);
@@ -399,7 +399,7 @@
             std::map<std::string, std::size_t> zone;
             std::map<std::uint32_t, std::size_t> whole;
             for (const auto& [name, n] : state.nodes()) {
-                const bool is_out = n.health != Health::whole || state.out({false, name});
+                const bool is_out = n.health != Health::healthy || state.out({false, name});
                 out += is_out, zone[n.zone] += is_out;
                 for (const std::uint32_t s : n.shards) whole[s] += !is_out;
             }
@@ -408,13 +408,13 @@
             bool took_whole = false;
             for (const RemovalGranted& e : grants)
                 if (!state.requests().at(e.request).target.router)
-                    took_whole |= state.nodes().at(e.target).health == Health::whole;
+                    took_whole |= state.nodes().at(e.target).health == Health::healthy;
             if (took_whole) {  // else it was out already, and uses up nothing more
                 CHECK(out <= b.nodes.of(state.nodes().size()));
                 for (const RemovalGranted& e : grants)
                     if (!state.requests().at(e.request).target.router &&
-                        state.nodes().at(e.target).health == Health::whole) {
-                        CHECK(zone[state.nodes().at(e.target).zone] <= b.nodes_a_zone.most);
+                        state.nodes().at(e.target).health == Health::healthy) {
+                        CHECK(zone[state.nodes().at(e.target).zone] <= b.nodes_per_zone.max_count);
                         for (const std::uint32_t s : state.nodes().at(e.target).shards)
                             CHECK(whole[s] >= b.min_holders);
                     }
@@ -424,7 +424,7 @@
         for (const RemovalDone& e : of_kind<RemovalDone>(effects)) {
             CHECK(done.insert(e.request).second);
             for (const auto& [name, m] : state.members())
-                CHECK((m.word.applied_generation >= e.generation || m.lease_until + b.drift < now));
+                CHECK((m.report.applied_generation >= e.generation || m.lease_until + b.drift < now));
         }
         if (pick(20) != 0) continue;
         const auto saved = state.save();
@@ -434,7 +434,7 @@
         FleetState anew(b);
         anew.load(saved);
         CHECK(anew.save() == saved);
-        CHECK(anew.counts() == recount(anew));
+        CHECK(kept_counts(anew) == recount(anew));
         replica = anew;
     }
     CHECK(granted.size() > 3);
@@ -451,21 +451,21 @@
     const auto budgets = [&] {
         Budgets b;
         b.nodes = {2 + number(5), 0.3 + 0.1 * pick(8)};
-        b.nodes_a_zone = {1 + number(4), 1}, b.nodes_a_kind = {2 + number(8), 1};
-        b.routers = {1 + number(4), 1}, b.routers_a_zone = {1 + number(3), 1};
+        b.nodes_per_zone = {1 + number(4), 1}, b.nodes_per_kind = {2 + number(8), 1};
+        b.routers = {1 + number(4), 1}, b.routers_per_zone = {1 + number(3), 1};
         b.min_holders = number(3);
         b.lease = (8 + pick(12)) * second, b.drift = (1 + pick(4)) * second;
-        b.forget = (10 + pick(60)) * second;
+        b.forget_after = (10 + pick(60)) * second;
         b.wait_for_lost = pick(2) == 0;
-        b.halt_failed = 0.4, b.halt_failed_least = 50, b.halt_lost = 0.3 + 0.1 * pick(5);
-        b.halt_holders = 1 + number(2);
-        b.silent_share = 0.1 + 0.2 * pick(5);
+        b.halt_failed_share = 0.4, b.halt_failed_min_queries = 50, b.halt_lost_share = 0.3 + 0.1 * pick(5);
+        b.halt_min_holders = 1 + number(2);
+        b.unresponsive_share = 0.1 + 0.2 * pick(5);
         return b;
     };
     const auto node_of = [&](int n) {
         Node node = ring(12).at("n" + std::to_string(n));
         node.zone = pick(2) == 0 ? "a" : "b", node.kind = pick(3) == 0 ? "k" : "m";
-        node.health = pick(3) == 0 ? static_cast<Health>(1 + pick(4)) : Health::whole;
+        node.health = pick(3) == 0 ? static_cast<Health>(1 + pick(4)) : Health::healthy;
         return node;
     };
     FleetState state(budgets());
@@ -493,7 +493,7 @@
             if (pick(40) == 0) w.applied_generation += 2;
             if (pick(6) == 0) w.in_flight.insert({false, node});
             if (pick(12) == 0) w.in_flight.insert({true, router});
-            if (pick(4) == 0) w.silent = {node, "n" + std::to_string(pick(3))};
+            if (pick(4) == 0) w.unresponsive = {node, "n" + std::to_string(pick(3))};
             if (pick(8) == 0) w.failed = w.queries;
             return w;
         };
@@ -523,16 +523,17 @@
         if (what == 18) c.what = Resume{};
         if (what == 19 && pick(10) == 0) c.what = SetBudgets{budgets()};
         const auto effects = state.apply(c);
-        CHECK(state.counts() == recount(state));
+        CHECK(kept_counts(state) == recount(state));
         CHECK(left_undone(state, effects) == 0);
         for (const Effect& e : effects) ++came[e.index()];
-        found_silent += !state.counts().silent.empty(), short_shards += !state.counts().short_shards.empty();
-        acting_without_lease += !state.counts().lost_acting.empty();
-        in_flight += !state.counts().in_flight.empty();
+        found_silent += !state.vote_counts().by_node.empty(),
+            short_shards += !state.node_counts().short_shards.empty();
+        acting_without_lease += !state.member_counts().lost_acting.empty();
+        in_flight += !state.member_counts().in_flight.empty();
         if (pick(50) != 0) continue;
         FleetState anew({});
         anew.load(state.save());
-        CHECK(anew.counts() == recount(anew));
+        CHECK(kept_counts(anew) == recount(anew));
         state = anew;
     }
     // The runs go through all of it.
@@ -552,7 +553,7 @@
 
 Looked looked_at(int nodes, int routers) {
     Budgets b;
-    b.nodes = {2, 1}, b.halt_holders = 1;
+    b.nodes = {2, 1}, b.halt_min_holders = 1;
     FleetState state(b);
     Nanos now = 1000 * second;
     const auto tell = [&](auto what) {
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -286,9 +286,9 @@
     CHECK(t.managers.size() == 3);
     CHECK(t.managers.at(2).http.port == 7202);
     CHECK(t.managers.at(2).http_bind == t.managers.at(2).http);
-    CHECK(t.budgets.nodes.most == 1);
-    CHECK(t.budgets.nodes_a_zone.share == 0.5);
-    CHECK(t.budgets.halt_holders == 1);
+    CHECK(t.budgets.nodes.max_count == 1);
+    CHECK(t.budgets.nodes_per_zone.max_share == 0.5);
+    CHECK(t.budgets.halt_min_holders == 1);
     CHECK(t.budgets.lease == 10 * second);
     const auto mistakes = [](const char* text) {
         try {
@@ -330,11 +330,11 @@
     news = view.news(state, now + 7 * second);
     REQUIRE(news);
     CHECK(news->nodes.size() == 1);
-    CHECK(news->nodes.at("n1").health == fleet::Health::whole);
+    CHECK(news->nodes.at("n1").health == fleet::Health::healthy);
     view.take({2, false, {listed("n0", Lifecycle::removed)}, 0}, now + second);
     news = view.news(state, now + second);
     REQUIRE(news);
-    CHECK(news->gone == std::set<std::string>{"n0"});
+    CHECK(news->removed == std::set<std::string>{"n0"});
     news = view.news(state, now + 60 * second);
     REQUIRE(news);
     CHECK(news->nodes.at("n2").health == fleet::Health::unknown);
@@ -391,7 +391,7 @@
         REQUIRE(news.has_value() == slow.has_value());
         if (!news) continue;
         CHECK(news->nodes == slow->nodes);
-        CHECK(news->gone == slow->gone);
+        CHECK(news->removed == slow->removed);
         ++differing;
         for (const auto& [id, node] : news->nodes)
             unknown += node.health == fleet::Health::unknown, cold += node.health == fleet::Health::cold;
@@ -430,7 +430,7 @@
     CHECK(agree() == 0);
     now += 10 * second;
     CHECK(agree() == 1);
-    CHECK(state.nodes().at("n7").health == fleet::Health::whole);
+    CHECK(state.nodes().at("n7").health == fleet::Health::healthy);
     CHECK((agree(), agree()) == 0);
     view.look_at_all();
     CHECK(agree() == 1000);
@@ -447,7 +447,7 @@
     const int nodes = GENERATE(200, 201, 2000);
     fleet::EndpointsObserved seen;
     for (int n = 0; n < nodes; ++n)
-        seen.nodes["n" + std::to_string(n)] = {n % 2 == 0 ? "a" : "b", "k", {}, fleet::Health::whole, 0};
+        seen.nodes["n" + std::to_string(n)] = {n % 2 == 0 ? "a" : "b", "k", {}, fleet::Health::healthy, 0};
     seen.nodes["n3"].health = fleet::Health::cold;
     state.apply({"", now, seen});
     fleet::ReportBatch words;
