--- a/src/fleet_manager/operator_requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -89,7 +89,7 @@
         call.incarnation,
         {call.applied_generation, {}, {call.silent.begin(), call.silent.end()}, call.queries, call.failed}};
     for (const TargetName& target : call.in_flight)
-        renewal.word.in_flight.insert({target.router, target.name});
+        renewal.report.in_flight.insert({target.router, target.name});
     return renewal;
 }
 
--- a/src/fleet_manager/status_page.cpp
+++ b/src/fleet_manager/status_page.cpp
@@ -37,7 +37,7 @@
 }
 
 bool is_exception(const fleet::FleetState& state, const std::string& name, const fleet::Member& member) {
-    return member.lost || member.left || member.word.applied_generation != state.generation() ||
+    return member.lost || member.left || member.report.applied_generation != state.generation() ||
            state.out(true, name);
 }
 
@@ -52,13 +52,13 @@
             {"version", member.version},
             {"digest", member.digest},
             {"life", member.incarnation},
-            {"acts_on", member.word.applied_generation},
+            {"acts_on", member.report.applied_generation},
             {"lease_left_ms", (member.lease_until - state.now()) / millisecond},
             {"lost", member.lost},
             {"left", member.left},
             {"out", state.out(true, name)},
-            {"queries", member.word.queries},
-            {"failed", member.word.failed}};
+            {"queries", member.report.queries},
+            {"failed", member.report.failed}};
 }
 
 Json write_item(const fleet::FleetState& state, const std::string& name, const fleet::Node& node) {
@@ -93,7 +93,7 @@
 }
 
 template <class SharesByZone>
-Json write_counts(const fleet::Counts::Share& total, const SharesByZone& by_zone) {
+Json write_counts(const fleet::GroupCount& total, const SharesByZone& by_zone) {
     Json zones = Json::object();
     for (const auto& [zone, share] : by_zone) zones[zone] = {{"all", share.all}, {"out", share.out}};
     return {{"all", total.all}, {"out", total.out}, {"zones", std::move(zones)}};
@@ -102,7 +102,8 @@
 }  // namespace
 
 std::string write_status(const fleet::FleetState& state, const ManagerFigures& figures, bool all) {
-    const fleet::Counts& counts = state.counts();
+    const fleet::MemberCounts& member_counts = state.member_counts();
+    const fleet::NodeCounts& node_counts = state.node_counts();
     Listing members = write_listing(state, state.members(), all);
     Listing nodes = write_listing(state, state.nodes(), all);
     const Nanos held_for = std::max<Nanos>(0, state.hold_until() - state.now());
@@ -118,8 +119,8 @@
                       {"discovery_silent_ms", figures.discovery_silent / millisecond},
                       {"members_listed", std::move(members.summary)},
                       {"nodes_listed", std::move(nodes.summary)},
-                      {"routers_counted", write_counts(counts.routers, counts.router_zones)},
-                      {"nodes_counted", write_counts(counts.nodes, counts.node_zones)},
+                      {"routers_counted", write_counts(member_counts.routers, member_counts.router_zones)},
+                      {"nodes_counted", write_counts(node_counts.nodes, node_counts.zones)},
                       {"requests", write_requests(state)},
                       {"members", std::move(members.items)},
                       {"nodes", std::move(nodes.items)}};
