--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -111,7 +111,7 @@
     } catch (const HclMistakes& error) {
         std::fprintf(stderr, "%s\n", error.what());
     } catch (const std::exception& error) {
-        std::fprintf(stderr, "tealcart fleet-manager: %s\n", error.what());
+        std::fprintf(stderr, "tealcart steward: %s\n", error.what());
     }
     return exit_failed;
 }
--- a/src/fleet_manager/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -208,7 +208,7 @@
     for (int i = 0; i < 1000 && uv_loop_close(&loop_) == UV_EBUSY; ++i) uv_run(&loop_, UV_RUN_NOWAIT);
 }
 
-bool RaftNode::propose(std::vector<std::uint8_t> bytes, Done done) {
+bool RaftNode::propose(const std::vector<std::uint8_t>& bytes, Done done) {
     if (!leads()) return false;
     auto proposal = std::make_unique<Proposal>();
     proposal->done = std::move(done);
@@ -223,7 +223,7 @@
         raft_free(buf.base);
         return false;
     }
-    proposal.release();  // the library's until it is told
+    static_cast<void>(proposal.release());  // owned by the library until its callback
     return true;
 }
 
@@ -263,10 +263,10 @@
                                 done->changed(ended == 0 ? "" : raft_strerror(ended));
                             });
             if (next != 0) return added->changed(raft_strerror(next));
-            added.release();
+            static_cast<void>(added.release());  // owned by the library until the second callback
         });
     if (rv != 0) return change->changed(raft_strerror(rv));
-    change.release();
+    static_cast<void>(change.release());  // owned by the library until its callback
 }
 
 void RaftNode::remove(std::uint64_t id, Changed changed) {
@@ -278,7 +278,7 @@
         ended->changed(status == 0 ? "" : raft_strerror(status));
     });
     if (rv != 0) return change->changed(raft_strerror(rv));
-    change.release();
+    static_cast<void>(change.release());  // owned by the library until its callback
 }
 
 }  // namespace tealcart::manager
--- a/src/fleet_manager/raft_node.hpp
+++ b/src/fleet_manager/raft_node.hpp
@@ -64,7 +64,7 @@
     // Called once: true after the entry was applied here, false where it may or may not be committed later.
     using Done = std::function<void(bool applied)>;
     // False, and `done` is never called, where this node does not lead.
-    bool propose(std::vector<std::uint8_t> bytes, Done done);
+    bool propose(const std::vector<std::uint8_t>& bytes, Done done);
     bool leads() const;
     std::uint64_t leader() const;  // 0: none is known
     std::uint64_t applied() const;
