--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -37,9 +37,9 @@
 }
 
 void EndpointView::on_committed(const fleet::EndpointsObserved& observed) {
-    if (observed.whole) return compare_all();
+    if (observed.full) return compare_all();
     for (const auto& [name, node] : observed.nodes) compare_later(name);
-    for (const std::string& name : observed.gone) compare_later(name);
+    for (const std::string& name : observed.removed) compare_later(name);
 }
 
 bool EndpointView::stale(Nanos now) const { return heard_at_ > 0 && now - heard_at_ > stale_after; }
@@ -60,7 +60,7 @@
     if (stale(now)) return fleet::Health::unknown;
     if (listed.lifecycle == Lifecycle::draining) return fleet::Health::draining;
     if (listed.started_at > 0 && now < listed.started_at + slow_start_) return fleet::Health::cold;
-    return fleet::Health::whole;
+    return fleet::Health::healthy;
 }
 
 fleet::Node EndpointView::node_of(const ListedEndpoint& listed, Nanos now) const {
@@ -88,7 +88,7 @@
     const auto listed = nodes_.find(name);
     if (listed == nodes_.end()) {
         if (agreed == state.nodes().end() || agreed->second.health == fleet::Health::gone) return false;
-        news.gone.insert(name);
+        news.removed.insert(name);
         return true;
     }
     fleet::Node node = node_of(listed->second, now);
@@ -108,7 +108,7 @@
         // What differs is compared again: its proposal may not come to be committed.
         it = compare(*it, state, now, news) ? std::next(it) : to_compare_.erase(it);
     }
-    if (news.nodes.empty() && news.gone.empty()) return std::nullopt;
+    if (news.nodes.empty() && news.removed.empty()) return std::nullopt;
     return news;
 }
 
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -73,8 +73,8 @@
 fleet::Limit read_limit(BlockReader& in, const std::string& prefix) {
     fleet::Limit limit;
     const std::int64_t most = in.whole(prefix + "most", unlimited, 0, unlimited);
-    if (most < unlimited) limit.most = static_cast<std::size_t>(most);
-    limit.share = in.number(prefix + "share", 1, 0, 1);
+    if (most < unlimited) limit.max_count = static_cast<std::size_t>(most);
+    limit.max_share = in.number(prefix + "share", 1, 0, 1);
     return limit;
 }
 
@@ -82,10 +82,10 @@
     BlockReader in(block, mistakes);
     in.no_label();
     budgets.nodes = read_limit(in, "");
-    budgets.nodes_a_zone = read_limit(in, "zone_");
-    budgets.nodes_a_kind = read_limit(in, "kind_");
+    budgets.nodes_per_zone = read_limit(in, "zone_");
+    budgets.nodes_per_kind = read_limit(in, "kind_");
     budgets.min_holders = static_cast<std::size_t>(in.whole("least_holders", 1, 0, 1000));
-    budgets.silent_share = in.number("silent_share", budgets.silent_share, 0.01, 1);
+    budgets.unresponsive_share = in.number("silent_share", budgets.unresponsive_share, 0.01, 1);
     in.finish();
 }
 
@@ -93,17 +93,17 @@
     BlockReader in(block, mistakes);
     in.no_label();
     budgets.routers = read_limit(in, "");
-    budgets.routers_a_zone = read_limit(in, "zone_");
+    budgets.routers_per_zone = read_limit(in, "zone_");
     in.finish();
 }
 
 void read_halt(const HclBlock& block, Mistakes& mistakes, fleet::Budgets& budgets) {
     BlockReader in(block, mistakes);
     in.no_label();
-    budgets.halt_failed = in.number("failed", budgets.halt_failed, 0, 1);
-    budgets.halt_failed_least = static_cast<std::uint64_t>(in.whole("failed_least", 100, 1, unlimited));
-    budgets.halt_lost = in.number("lost", budgets.halt_lost, 0, 1);
-    budgets.halt_holders = static_cast<std::size_t>(in.whole("holders", 0, 0, 1000));
+    budgets.halt_failed_share = in.number("failed", budgets.halt_failed_share, 0, 1);
+    budgets.halt_failed_min_queries = static_cast<std::uint64_t>(in.whole("failed_least", 100, 1, unlimited));
+    budgets.halt_lost_share = in.number("lost", budgets.halt_lost_share, 0, 1);
+    budgets.halt_min_holders = static_cast<std::size_t>(in.whole("holders", 0, 0, 1000));
     in.finish();
 }
 
@@ -135,9 +135,9 @@
     config.election = in.span("election", config.election, 100 * millisecond, 60 * second);
     budgets.lease = in.span("lease", budgets.lease, min_lease, hour);
     budgets.drift = in.span("drift", budgets.drift, 0, hour);
-    budgets.forget = in.span("forget", budgets.forget, 0, year);
+    budgets.forget_after = in.span("forget", budgets.forget_after, 0, year);
     budgets.wait_for_lost = in.flag("wait_for_lost", budgets.wait_for_lost);
-    budgets.max_open = static_cast<std::size_t>(in.whole("most_open", 1000, 1, 1'000'000));
+    budgets.max_open_requests = static_cast<std::size_t>(in.whole("most_open", 1000, 1, 1'000'000));
     if (budgets.lease < 2 * config.election) in.wrong(block.at, short_lease);
 }
 
