--- a/measure/list_cost.cpp
+++ b/measure/list_cost.cpp
@@ -15,7 +15,7 @@
 #include <set>
 
 #include "members/agreed_list.hpp"
-#include "tables/node_list.hpp"
+#include "tables/node_table.hpp"
 #include "wire/bodies.hpp"
 
 namespace {
@@ -130,12 +130,12 @@
         return one;
     };
     const double whole = least(
-        times, [](int) { return NodeList(); }, [&](NodeList& to) { to.take(*list); });
-    NodeList known;
-    known.take(*list);
+        times, [](int) { return NodeTable(); }, [&](NodeTable& to) { to.apply(*list); });
+    NodeTable known;
+    known.apply(*list);
     const double again = least(
-        times, [](int) { return 0; }, [&](int) { known.take(*list); });
-    const double delta = mean(changes, [&](int i) { known.take(change(i)); });
+        times, [](int) { return 0; }, [&](int) { known.apply(*list); });
+    const double delta = mean(changes, [&](int i) { known.apply(change(i)); });
     const double ready = mean(changes, [&](int) { benchmark::DoNotOptimize(known.ready()); });
     // One zone goes and comes back.
     EndpointList zone{list->generation + 2, false, {}, 0};
@@ -145,15 +145,15 @@
     };
     turn(Lifecycle::removed);
     const auto zone_went = Clock::now();
-    known.take(zone);
+    known.apply(zone);
     const double zone_gone = ms_of(Clock::now() - zone_went);
     turn(Lifecycle::ready);
     const auto zone_came = Clock::now();
-    known.take(zone);
+    known.apply(zone);
     const double zone_back = ms_of(Clock::now() - zone_came);
 
     ListNews news;
-    news.entries = NodeList().take(*list).entries;
+    news.entries = NodeTable().apply(*list).entries;
     QueryRouter router(router_config_of(nodes), 1);
     Nanos now = 1'000'000'000;
     const auto tell = [&](int) { router.round(now += 5'000'000, news, news); };
--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -20,7 +20,7 @@
 #include "fleet_manager/endpoint_view.hpp"
 #include "fleet_manager/operator_requests.hpp"
 #include "members/agreed_list.hpp"
-#include "tables/node_list.hpp"
+#include "tables/node_table.hpp"
 #include "testing/fleet.hpp"
 #include "wire/http_server.hpp"
 #include "wire/node_connection_pool.hpp"
@@ -242,8 +242,8 @@
                          .size();
         }
         const double before = heap_bytes();
-        auto known = std::make_unique<NodeList>();
-        known->take(list);
+        auto known = std::make_unique<NodeTable>();
+        known->apply(list);
         const double of_nodes = heap_bytes();
         auto agreed = std::make_unique<AgreedList>();
         agreed->discovered(list);
@@ -255,7 +255,7 @@
 
 struct Nobody final : RequestHandler {
     void on_request(Handle, Request&, Nanos) override {}
-    void on_client_gone(Handle) override {}
+    void on_client_disconnected(Handle) override {}
 };
 
 void client_connections() {
@@ -287,12 +287,12 @@
     bool on_node_answer(Handle link, const NodeAnswer& answer) override {
         if (answer.outcome != Outcome::ok) return false;
         ++answered;
-        links->done(link, call);
+        links->complete(link, call);
         return true;
     }
     bool on_phase_answer(Handle, const PhaseAnswer&) override { return false; }
-    bool on_phases_refused(std::uint32_t) override { return false; }
-    void on_call_lost(Handle, Outcome) override { ++lost; }
+    bool on_two_phase_refused(std::uint32_t) override { return false; }
+    void on_attempt_lost(Handle, Outcome) override { ++lost; }
 
     NodeConnectionPool* links = nullptr;
     Handle call;
--- a/measure/two_phase.cpp
+++ b/measure/two_phase.cpp
@@ -128,8 +128,8 @@
         service.turn();
     }
     came.work = fleet.work();
-    came.counts = service.bridge().phase_counts();
-    came.memory_bytes = service.bridge().section_memory().bytes();
+    came.counts = service.dispatcher().phase_counts();
+    came.memory_bytes = service.dispatcher().section_memory().bytes();
     std::sort(came.ms.begin(), came.ms.end());
     return came;
 }
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -103,7 +103,7 @@
     front_.answer(client, {421, write_elsewhere(leader), 0});
 }
 
-void FleetManager::on_client_gone(Handle client) {
+void FleetManager::on_client_disconnected(Handle client) {
     waiting_.erase(client.slot);
     relays_waiting_.erase(client.slot);
 }
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -54,7 +54,7 @@
     };
 
     void on_request(Handle client, Request& request, Nanos began) override;
-    void on_client_gone(Handle client) override;
+    void on_client_disconnected(Handle client) override;
     void on_list(const EndpointList& list) override { view_.take(list, time_.now()); }
     void on_due(Handle who, std::uint64_t what) override;
     void apply(const std::uint8_t* bytes, std::size_t size) override;
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -41,7 +41,7 @@
     };
 
     void on_request(Handle client, Request& request, Nanos began) override;
-    void on_client_gone(Handle client) override { waiting_.erase(client.slot); }
+    void on_client_disconnected(Handle client) override { waiting_.erase(client.slot); }
     PostTaker::Call change_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
     void on_later_life(std::uint64_t last_incarnation) override;
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -27,11 +27,11 @@
 }  // namespace
 
 ConfigFollower::ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
-                               QueryDispatcher& bridge)
+                               QueryDispatcher& dispatcher)
     : time_(time), config_(lease_config(launch.operators.member)),
-      name_(config_.name.empty() ? launch.name : config_.name), bridge_(bridge), log_(launch.operators.log),
-      configuration_({launch.operators.log, launch.phases}, launch.config,
-                     launch.connection_config.query_classes),
+      name_(config_.name.empty() ? launch.name : config_.name), dispatcher_(dispatcher),
+      log_(launch.operators.log), configuration_({launch.operators.log, launch.phases}, launch.config,
+                                                 launch.connection_config.query_classes),
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
       watch_(io, time, *this, follower_path, "relay", config_.relays, std::hash<std::string>{}(name_),
              launch.seed | 1),
@@ -51,9 +51,9 @@
         log_line("configuration, as %s, life %llu: %s", name_.c_str(), number(lease_.incarnation()),
                  serving_states[static_cast<int>(serving_state)]);
     serving_state_ = serving_state;
-    bridge_.set_serving_state(ServingStateSource::configuration,
-                              {lease_.ready(now) && (caught_up_ || now >= ready_by_), lease_.admits(now),
-                               lease_.no_calls_after(now)});
+    dispatcher_.set_serving_state(ServingStateSource::configuration,
+                                  {lease_.ready(now) && (caught_up_ || now >= ready_by_), lease_.admits(now),
+                                   lease_.no_calls_after(now)});
 }
 
 Nanos ConfigFollower::next_change() const {
@@ -93,7 +93,7 @@
     log_line("configuration version %llu: %zu entries, %zu changed", number(taken_), copy_.document().size(),
              configuration_.acted_on(copy_.document()));
     if (quieter) start_log(log_);
-    bridge_.take_phases(std::move(settings.phases));
+    dispatcher_.take_phases(std::move(settings.phases));
 }
 
 void ConfigFollower::on_changes(Nanos sent, const ChangesAnswer& answer) {
@@ -135,7 +135,7 @@
 
 void ConfigFollower::go_on() {
     owes_next_ = true;
-    if (bridge_.next_round() == TimerQueue::never) after_round();
+    if (dispatcher_.next_round() == TimerQueue::never) after_round();
 }
 
 void ConfigFollower::after_round() {
--- a/src/service/config_follower.hpp
+++ b/src/service/config_follower.hpp
@@ -15,7 +15,7 @@
 class ConfigFollower final : public DueHandler, private ChangeTaker {
   public:
     ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
-                   QueryDispatcher& bridge);
+                   QueryDispatcher& dispatcher);
 
     void start() { watch_.start(); }
     void stop();
@@ -43,7 +43,7 @@
     EventClock& time_;
     const MemberConfig config_;
     const std::string name_;
-    QueryDispatcher& bridge_;
+    QueryDispatcher& dispatcher_;
     LogConfig log_;  // that it acts on
     changes::Copy copy_;
     Configuration configuration_;
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -131,7 +131,7 @@
     return last_id_;
 }
 
-void QueryDispatcher::on_client_gone(Handle client) {
+void QueryDispatcher::on_client_disconnected(Handle client) {
     const auto it = by_client_.find(client.slot);
     if (it == by_client_.end()) return;
     const Handle h = it->second;
@@ -141,12 +141,12 @@
 }
 
 void QueryDispatcher::take_list(const EndpointList& list, ListKind kind) {
-    NodeList::News news = nodes_.take(list);
+    NodeTable::Changes news = nodes_.apply(list);
     if (may_phase_) tell_speakers(news, kind);
-    for (const std::uint32_t n : news.met)
+    for (const std::uint32_t n : news.added)
         log_line("node %u is %s at %s", n, nodes_.name(n).c_str(), nodes_.address(n).c_str());
     arrived_.push_back(ListNews{kind, std::move(news.entries)});
-    for (const std::uint32_t n : news.changed) links_->retire(n, false);
+    for (const std::uint32_t n : news.moved) links_->retire(n, false);
     for (const std::uint32_t n : news.leaving) links_->retire(n, true);
 }
 
@@ -157,7 +157,7 @@
     if (links_->withdraw(call.link, who)) return call_ended(who, Outcome::not_sent);
     const Query& q = *queries_.find(call.query);
     const ShardRequest& shard_request = q.shard_requests[call.shard_request];
-    links_->give_up(call.link, *q.text, shard_request.shard, shard_request.leg);
+    links_->send_cancel(call.link, *q.text, shard_request.shard, shard_request.leg);
     call_ended(who, Outcome::timeout);
 }
 
@@ -178,7 +178,7 @@
     return false;
 }
 
-void QueryDispatcher::on_call_lost(Handle call, Outcome outcome) { call_ended(call, outcome); }
+void QueryDispatcher::on_attempt_lost(Handle call, Outcome outcome) { call_ended(call, outcome); }
 
 void QueryDispatcher::call_ended(Handle h, Outcome outcome, std::string_view value) {
     Attempt* call = calls_.find(h);
@@ -186,7 +186,7 @@
     time_.due.drop(call->due);
     const Attempt ended = *call;
     calls_.give_back(h);
-    links_->done(ended.link, h);
+    links_->complete(ended.link, h);
     if (outcomes_ != nullptr) outcomes_->on_call_end(ended.node, outcome);
     Query& q = *queries_.find(ended.query);
     ShardRequest& shard_request = q.shard_requests[ended.shard_request];
@@ -300,7 +300,7 @@
             call->due = time_.due.add(call->until, *this, outbox_[j], patience);
         }
         std::vector<Handle> sent;
-        for (const AttemptMessage& piece : pieces) sent.push_back(piece.call);
+        for (const AttemptMessage& piece : pieces) sent.push_back(piece.attempt);
         const Handle link = links_->send(node, nodes_.address(node), std::move(pieces), avoid);
         for (const Handle h : sent) {
             Attempt* call = calls_.find(h);
@@ -331,7 +331,7 @@
     if (call == nullptr) return;
     if (call->due == TimerQueue::none || links_->withdraw(call->link, h))
         return call_ended(h, Outcome::not_sent);
-    links_->give_up(call->link, *q.text, shard_request.shard, shard_request.leg);
+    links_->send_cancel(call->link, *q.text, shard_request.shard, shard_request.leg);
     call_ended(h, Outcome::cancelled);
 }
 
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -20,7 +20,7 @@
 #include "router/query_router.hpp"
 #include "service/startup_config.hpp"
 #include "tables/event_clock.hpp"
-#include "tables/node_list.hpp"
+#include "tables/node_table.hpp"
 #include "tables/slot_map.hpp"
 #include "wire/bodies.hpp"
 #include "wire/http_server.hpp"
@@ -47,11 +47,11 @@
     void connect(ResponseWriter& front, AttemptSender& links) { front_ = &front, links_ = &links; }
 
     void on_request(Handle client, Request& request, Nanos began) override;
-    void on_client_gone(Handle client) override;
+    void on_client_disconnected(Handle client) override;
     bool on_node_answer(Handle link, const NodeAnswer& answer) override;
     bool on_phase_answer(Handle link, const PhaseAnswer& answer) override;
-    bool on_phases_refused(std::uint32_t node) override;
-    void on_call_lost(Handle call, Outcome outcome) override;
+    bool on_two_phase_refused(std::uint32_t node) override;
+    void on_attempt_lost(Handle call, Outcome outcome) override;
     void on_list(const EndpointList& list) override {
         take_list(list, list.full ? ListKind::full : ListKind::delta);
     }
@@ -81,8 +81,8 @@
     }
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
     std::size_t held() const override { return held_; }
-    std::size_t calls_out() const { return calls_.used(); }
-    const NodeList& nodes() const { return nodes_; }
+    std::size_t attempts_in_flight() const { return calls_.used(); }
+    const NodeTable& nodes() const { return nodes_; }
     const PhaseCounts& phase_counts() const { return phase_counts_; }
     const Speakers& speakers() const { return speakers_; }
     const SectionMemory& section_memory() const { return memory_; }
@@ -180,7 +180,7 @@
     void begin_leg(Handle h, const Leg& leg);
     void end_leg(std::uint32_t id, Verdict verdict, Nanos not_before);
     void conclude(Query& q);
-    void tell_speakers(const NodeList::News& news, ListKind kind);
+    void tell_speakers(const NodeTable::Changes& news, ListKind kind);
     void doubt_words(const Query& q);
     char letter_for(const Query& q, const ShardRequest& shard_request, std::uint32_t node) const;
     bool audited(double share);
@@ -212,7 +212,7 @@
     PhaseCounts phase_counts_;
     std::knuth_b chance_;
     QueryRouter router_;
-    NodeList nodes_;
+    NodeTable nodes_;
     SlotMap<Query> queries_;
     SlotMap<Attempt> calls_;
     std::unordered_map<std::uint32_t, Handle> by_id_;                // the module's ids of queries
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -29,21 +29,21 @@
 
 Service::Service(boost::asio::io_context& io, std::function<StartupConfig()> read)
     : io_(io), signals_(io_, SIGTERM, SIGINT, SIGHUP), read_(std::move(read)), launch_(read_()),
-      bridge_(time_, launch_),
-      front_(io_, time_, bridge_, clients_of(launch_), launch_.connection_config.max_wait),
-      links_(io_, time_, launch_.connection_config, bridge_, links_of(launch_)),
-      member_(launch_.operators.member.on ? std::make_unique<Membership>(io_, time_, launch_, bridge_)
+      dispatcher_(time_, launch_),
+      front_(io_, time_, dispatcher_, clients_of(launch_), launch_.connection_config.max_wait),
+      links_(io_, time_, launch_.connection_config, dispatcher_, links_of(launch_)),
+      member_(launch_.operators.member.on ? std::make_unique<Membership>(io_, time_, launch_, dispatcher_)
                                           : nullptr),
       follower_(launch_.operators.member.relays.empty()
                     ? nullptr
-                    : std::make_unique<ConfigFollower>(io_, time_, launch_, bridge_)),
-      watch_(io_, time_, member_ ? static_cast<ListTaker&>(*member_) : bridge_, launch_.discovery,
+                    : std::make_unique<ConfigFollower>(io_, time_, launch_, dispatcher_)),
+      watch_(io_, time_, member_ ? static_cast<ListTaker&>(*member_) : dispatcher_, launch_.discovery,
              launch_.config.discovery, static_cast<std::uint32_t>(launch_.config.places), launch_.seed + 2,
              launch_.list_bound),
       timer_(io_) {
     start_log(launch_.operators.log);
-    bridge_.connect(front_, links_);
-    bridge_.take_list(launch_.known, ListKind::cached);
+    dispatcher_.connect(front_, links_);
+    dispatcher_.take_list(launch_.known, ListKind::cached);
     if (member_) member_->know(launch_.known);
     if (member_) member_->start();
     if (follower_) follower_->start();
@@ -52,7 +52,7 @@
     list_by_ = time_.now() + list_within;
     await_signal();
     log_line("%s serves at %s:%u with %zu data nodes of list %llu", launch_.name.c_str(),
-             launch_.listen.host.c_str(), front_.port(), bridge_.nodes().ready(),
+             launch_.listen.host.c_str(), front_.port(), dispatcher_.nodes().ready(),
              static_cast<unsigned long long>(launch_.known.generation));
     launch_.known = {};
 }
@@ -104,9 +104,9 @@
     time_.due.tell(time_.now());
     if (member_) member_->look();
     if (follower_) follower_->look();
-    if (!bridge_.begun() && (watch_.told() || time_.now() >= list_by_)) bridge_.begin();
-    if (bridge_.next_round() <= time_.now()) {
-        bridge_.run_round();
+    if (!dispatcher_.begun() && (watch_.told() || time_.now() >= list_by_)) dispatcher_.begin();
+    if (dispatcher_.next_round() <= time_.now()) {
+        dispatcher_.run_round();
         if (member_) member_->after_round();
         if (follower_) follower_->after_round();
     }
@@ -114,7 +114,7 @@
 }
 
 void Service::set_timer() {
-    Nanos at = std::min(time_.due.next(), bridge_.next_round());
+    Nanos at = std::min(time_.due.next(), dispatcher_.next_round());
     if (member_) at = std::min(at, member_->next_change());
     if (follower_) at = std::min(at, follower_->next_change());
     if (stop_began_ > 0) at = std::min(at, std::max(time_.now() + ms, stop_began_ + arrivals_after_stop));
@@ -130,9 +130,9 @@
 void Service::begin_stop() {
     if (stop_began_ > 0) return;
     stop_began_ = time_.now();
-    log_line("stopping: %zu queries and parts in hand, %zu connections of clients", bridge_.held(),
+    log_line("stopping: %zu queries and parts in hand, %zu connections of clients", dispatcher_.held(),
              front_.open());
-    bridge_.begin_stop();
+    dispatcher_.begin_stop();
     front_.begin_stop();
 }
 
--- a/src/service/service.hpp
+++ b/src/service/service.hpp
@@ -27,7 +27,7 @@
     void begin_stop();
 
     std::uint16_t port() const { return front_.port(); }
-    const QueryDispatcher& bridge() const { return bridge_; }
+    const QueryDispatcher& dispatcher() const { return dispatcher_; }
     const ConfigFollower* follower() const { return follower_.get(); }  // null: none
 
   private:
@@ -41,7 +41,7 @@
     const std::function<StartupConfig()> read_;
     StartupConfig launch_;
     EventClock time_;
-    QueryDispatcher bridge_;
+    QueryDispatcher dispatcher_;
     HttpServer front_;
     NodeConnectionPool links_;
     std::unique_ptr<Membership> member_;        // of a fleet, where the operators' file says so
--- a/src/service/two_phase_dispatcher.cpp
+++ b/src/service/two_phase_dispatcher.cpp
@@ -164,10 +164,10 @@
     return false;
 }
 
-void QueryDispatcher::tell_speakers(const NodeList::News& news, ListKind kind) {
+void QueryDispatcher::tell_speakers(const NodeTable::Changes& news, ListKind kind) {
     if (kind != ListKind::delta) speakers_.keep_only(news.entries);
-    std::unordered_set<std::uint32_t> anew(news.met.begin(), news.met.end());
-    anew.insert(news.changed.begin(), news.changed.end());
+    std::unordered_set<std::uint32_t> anew(news.added.begin(), news.added.end());
+    anew.insert(news.moved.begin(), news.moved.end());
     for (const Endpoint& entry : news.entries) speakers_.hear_entry(entry, anew.contains(entry.node));
 }
 
@@ -182,7 +182,7 @@
     }
 }
 
-bool QueryDispatcher::on_phases_refused(std::uint32_t node) {
+bool QueryDispatcher::on_two_phase_refused(std::uint32_t node) {
     if (speakers_.is_proved(node)) return false;
     if (!speakers_.is_one_phase(node)) log_line("data node %u does not speak two phases", node);
     speakers_.refused(node);
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -124,7 +124,7 @@
 void HollowRouter::look() { member_.look(); }
 
 void HollowRouter::on_list(const EndpointList& list) {
-    const NodeList::News news = nodes_.take(list);
+    const NodeTable::Changes news = nodes_.apply(list);
     arrived_.insert(arrived_.end(), news.entries.begin(), news.entries.end());
     if (round_ == TimerQueue::none) round_ = time_.due.add(last_round_ + step, *this, Handle{});
 }
@@ -180,7 +180,7 @@
     }
 }
 
-void HollowProcess::on_list(const EndpointList& list) { nodes_.take(list); }
+void HollowProcess::on_list(const EndpointList& list) { nodes_.apply(list); }
 
 void HollowProcess::run() {
     boost::asio::steady_timer timer(io_);
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "service/membership.hpp"
-#include "tables/node_list.hpp"
+#include "tables/node_table.hpp"
 #include "wire/discovery_watch.hpp"
 
 namespace tealcart::testing {
@@ -68,7 +68,7 @@
     void on_due(Handle, std::uint64_t what) override;
 
     EventClock& time_;
-    NodeList nodes_;
+    NodeTable nodes_;
     std::vector<Endpoint> arrived_;
     Nanos last_round_ = 0, lease_until_ = 0;
     TimerQueue::Ticket round_ = TimerQueue::none;
@@ -99,7 +99,7 @@
     EventClock time_;
     std::vector<std::unique_ptr<HollowRouter>> routers_;
     std::vector<std::unique_ptr<HollowRouter>> ended_;  // what completes for them is still on its way
-    NodeList nodes_;
+    NodeTable nodes_;
     DiscoveryWatch reader_;
     std::uint64_t lapses_before_ = 0;  // of routers that were started anew
     WireCount manager_before_, discovery_before_;
--- /dev/null
+++ b/src/wire/frame_queue.hpp
@@ -0,0 +1,74 @@
+// The outgoing frames of one connection to a data node, gathered into batches of one write each.
+#pragma once
+
+#include <boost/asio/buffer.hpp>
+#include <cstdint>
+#include <deque>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "wire/attempt_message.hpp"
+
+namespace tealcart {
+
+class FrameQueue {
+  public:
+    // A frame of attempts. Numbers are above 0, and each is given to one frame only.
+    void push_attempts(std::uint64_t number, std::vector<AttemptMessage> messages);
+    // A frame without attempts.
+    void push_control(char letter, std::string_view rest);
+
+    // Removes one attempt that no batch has taken yet; false if there is none.
+    bool withdraw(Handle attempt);
+    // Removes all attempts for which `matches(message)` holds, and returns them.
+    template <typename Predicate>
+    std::vector<Handle> remove_if(Predicate matches);
+
+    // Moves frames from the queue into the next batch, at most 64, and encodes them. The buffers stay valid
+    // until `finish_batch`. The queue must not be empty, and the batch before must be finished.
+    std::vector<boost::asio::const_buffer> begin_batch(Nanos now);
+    void finish_batch();
+    bool batch_has_attempts() const { return !batch_ends_.empty(); }
+
+    // Whether a frame of attempts has been written, given how many bytes of the current batch were.
+    bool was_written(std::uint64_t frame, std::size_t batch_bytes_written) const;
+
+    bool empty() const { return frames_.empty(); }
+    std::size_t size() const { return frames_.size(); }
+    void clear() { frames_.clear(); }
+
+  private:
+    struct Frame {
+        std::uint64_t number = 0;  // 0 for frames without attempts
+        std::vector<AttemptMessage> messages;
+        std::string bytes;  // of a frame without attempts
+    };
+
+    void append(std::vector<boost::asio::const_buffer>& buffers, std::string_view bytes);
+    void encode_attempts(const Frame& frame, Nanos now, std::vector<boost::asio::const_buffer>& buffers);
+
+    std::deque<Frame> frames_;
+    // Of the current batch: where each frame of attempts ends in it, and the bytes that its buffers refer to.
+    std::vector<std::pair<std::uint64_t, std::size_t>> batch_ends_;
+    std::size_t batch_size_ = 0;  // in bytes
+    std::deque<std::string> batch_bytes_;
+    std::vector<std::shared_ptr<const QueryText>> batch_texts_;
+};
+
+template <typename Predicate>
+std::vector<Handle> FrameQueue::remove_if(Predicate matches) {
+    std::vector<Handle> removed;
+    for (Frame& frame : frames_)
+        std::erase_if(frame.messages, [&](const AttemptMessage& message) {
+            if (!matches(message)) return false;
+            removed.push_back(message.attempt);
+            return true;
+        });
+    std::erase_if(frames_, [](const Frame& frame) { return frame.number != 0 && frame.messages.empty(); });
+    return removed;
+}
+
+}  // namespace tealcart
--- /dev/null
+++ b/src/wire/frame_receiver.cpp
@@ -0,0 +1,101 @@
+#include "wire/frame_receiver.hpp"
+
+#include <algorithm>
+
+#include "log/log.hpp"
+
+namespace tealcart {
+namespace {
+
+// Types of the frames that come from data nodes, each with its meaning in node_frames.hpp or
+// phase_frames.hpp.
+constexpr std::string_view node_frame_types = "YNGT", phase_frame_types = "SWNGT";
+constexpr char refusal = 'N', probe = 'G', probe_answer = 'T', node_answer = 'Y';
+constexpr std::size_t type_position = 4;  // behind the length
+constexpr std::size_t max_logged_reason = 200;
+
+}  // namespace
+
+FrameReceiver::Result FrameReceiver::process(Handle handle, NodeConnection& connection) {
+    const std::string received = connection.take_received();
+    const std::string_view known_types = connection.two_phase() ? phase_frame_types : node_frame_types;
+    std::string_view rest = received;
+    for (;;) {
+        Frame frame;
+        const Framing framing = take_frame(rest, frame);
+        if (framing == Framing::more &&
+            (rest.size() <= type_position || known_types.find(rest[type_position]) != known_types.npos)) {
+            connection.keep_received(rest);
+            return Result::ok;
+        }
+        if (framing != Framing::frame) {
+            log_malformed(connection.node());
+            return Result::malformed;
+        }
+        if (frame.letter == probe || frame.letter == probe_answer) continue;
+        const Result result = process_frame(handle, connection, frame);
+        if (result != Result::ok) return result;
+    }
+}
+
+FrameReceiver::Result FrameReceiver::process_frame(Handle handle, NodeConnection& connection,
+                                                   const Frame& frame) {
+    const AnswerStatus status = connection.two_phase() ? process_phase_answer(handle, connection, frame)
+                                                       : process_node_answer(handle, connection, frame);
+    if (connection.closed()) return Result::closed;
+    if (status == AnswerStatus::accepted) return Result::ok;
+    if (status == AnswerStatus::malformed) {
+        log_malformed(connection.node());
+        return Result::malformed_answer;
+    }
+    if (frame.letter != refusal) {
+        log_malformed(connection.node());
+        return Result::malformed;
+    }
+    if (two_phase_refused(connection)) return Result::two_phase_refused;
+    const auto logged = static_cast<int>(std::min(frame.rest.size(), max_logged_reason));
+    log_line("data node %u rejected a frame: %.*s", connection.node(), logged, frame.rest.data());
+    return Result::malformed;
+}
+
+FrameReceiver::AnswerStatus FrameReceiver::process_node_answer(Handle handle, NodeConnection& connection,
+                                                               const Frame& frame) {
+    if (frame.letter != node_answer) return AnswerStatus::unexpected;
+    const auto answer = read_node_answer(frame.rest);
+    if (!answer) return AnswerStatus::unexpected;
+    const bool in_flight = observer_.on_node_answer(handle, *answer);
+    return judge_answer(connection, in_flight, answer->outcome, answer->malformed,
+                        NodeConnection::request_hash(answer->query, answer->shard, 0));
+}
+
+FrameReceiver::AnswerStatus FrameReceiver::process_phase_answer(Handle handle, NodeConnection& connection,
+                                                                const Frame& frame) {
+    if (frame.letter != brings_word && frame.letter != brings_rows) return AnswerStatus::unexpected;
+    const auto answer = read_phase_answer(frame.letter, frame.rest);
+    if (!answer) return AnswerStatus::unexpected;
+    connection.set_two_phase_answered();
+    const bool in_flight = observer_.on_phase_answer(handle, *answer);
+    return judge_answer(connection, in_flight, answer->outcome, answer->malformed,
+                        NodeConnection::request_hash(answer->id.query, answer->id.shard, answer->id.leg));
+}
+
+FrameReceiver::AnswerStatus FrameReceiver::judge_answer(const NodeConnection& connection, bool in_flight,
+                                                        Outcome outcome, bool malformed,
+                                                        std::uint32_t request_hash) {
+    if (connection.closed()) return AnswerStatus::accepted;
+    if (in_flight && outcome == Outcome::ok) on_node_alive_(connection.node());
+    const bool expected = in_flight || connection.was_completed(request_hash);
+    if (expected && !malformed) return AnswerStatus::accepted;
+    return in_flight ? AnswerStatus::malformed : AnswerStatus::unexpected;
+}
+
+bool FrameReceiver::two_phase_refused(const NodeConnection& connection) {
+    return connection.two_phase() && !connection.two_phase_answered() &&
+           connection.silence().awaits_answer() && observer_.on_two_phase_refused(connection.node());
+}
+
+void FrameReceiver::log_malformed(std::uint32_t node) {
+    log_line("data node %u sent a malformed frame; its connection is closed", node);
+}
+
+}  // namespace tealcart
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -130,7 +130,7 @@
             // Guards against reading at full speed what nobody wants.
             if (c.state == State::lingering && (c.unwanted += n) > max_unread) close(h);
             if (c.state == State::reading) advance(h);
-            if (ec && c.state == State::asked) taker_.on_client_gone(h);
+            if (ec && c.state == State::asked) taker_.on_client_disconnected(h);
             if (ec && c.state != State::answering) close(h);
             c.reads = false;  // only now, so that the slot is kept while it is worked on
             if (c.state == State::closed) return settle(h);
@@ -190,7 +190,7 @@
     boost::asio::async_write(c.socket, buffers, [this, h](const error_code& ec, std::size_t) {
         Client& client = *clients_.find(h);
         if (client.state != State::closed && ec) {
-            if (client.state == State::asked) taker_.on_client_gone(h);
+            if (client.state == State::asked) taker_.on_client_disconnected(h);
             close(h);
         }
         client.writes = false;
--- a/src/wire/http_server.hpp
+++ b/src/wire/http_server.hpp
@@ -26,7 +26,7 @@
   public:
     virtual ~RequestHandler() = default;
     virtual void on_request(Handle client, Request& request, Nanos began) = 0;
-    virtual void on_client_gone(Handle client) = 0;
+    virtual void on_client_disconnected(Handle client) = 0;
 };
 
 // Where answers go.
--- a/src/wire/node_frames.cpp
+++ b/src/wire/node_frames.cpp
@@ -59,9 +59,9 @@
     answer.value = rest.substr(end + 1);
     if (how == "OK") answer.outcome = Outcome::ok;
     if (how == "REJECTED") answer.outcome = Outcome::overloaded;
-    answer.spoilt = !scored || (how != "OK" && how != "REJECTED" && how != "ERROR") ||
-                    (answer.outcome == Outcome::ok && !is_utf8(answer.value));
-    if (answer.spoilt) answer.outcome = Outcome::error;
+    answer.malformed = !scored || (how != "OK" && how != "REJECTED" && how != "ERROR") ||
+                       (answer.outcome == Outcome::ok && !is_utf8(answer.value));
+    if (answer.malformed) answer.outcome = Outcome::error;
     return answer;
 }
 
--- a/src/wire/node_frames.hpp
+++ b/src/wire/node_frames.hpp
@@ -41,7 +41,7 @@
     std::uint32_t shard = 0;
     Outcome outcome = Outcome::error;
     std::string_view value;
-    bool spoilt = false;  // whose shard request it is can be told, but not how that ended
+    bool malformed = false;  // whose shard request it is can be told, but not how that ended
 };
 
 // None if the line can't be read. An end that is not known counts as an error: the shard request may have
--- a/src/wire/phase_frames.cpp
+++ b/src/wire/phase_frames.cpp
@@ -230,7 +230,7 @@
             good && read_listed(list, 's', ranks) && take_ranks(body, ranks, answer.ranks) && is_utf8(body);
         answer.value = body;
     }
-    answer.spoilt = !good;
+    answer.malformed = !good;
     if (good) answer.outcome = Outcome::ok;
     return answer;
 }
--- a/src/wire/phase_frames.hpp
+++ b/src/wire/phase_frames.hpp
@@ -48,15 +48,15 @@
 struct PhaseAnswer {
     PhaseId id;
     Outcome outcome = Outcome::error;
-    bool spoilt = false;  // whose shard request it is can be told, but not what was said
-    SectionWord word;     // of S
+    bool malformed = false;  // whose shard request it is can be told, but not what was said
+    SectionWord word;        // of S
     std::uint64_t version = 0;
     std::vector<double> ranks;  // of W: its rows', highest first
     std::string_view value;     // of W
 };
 
 // What follows a letter S or W; none if whose shard request it is can't be told. Summaries that contradict
-// themselves (a row above the bound, ranks out of order, no numbers) are spoilt.
+// themselves (a row above the bound, ranks out of order, no numbers) are malformed.
 std::optional<PhaseAnswer> read_phase_answer(char letter, std::string_view rest);
 
 // The same, written; for whoever holds sections.
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -287,7 +287,7 @@
         return peer->got.find(" 200 ") != std::string::npos;
     }
     const ConfigFollower& follower() const { return *service->follower(); }
-    const PhaseCounts& counts() const { return service->bridge().phase_counts(); }
+    const PhaseCounts& counts() const { return service->dispatcher().phase_counts(); }
 
     std::string operators, step_;
 };
@@ -329,20 +329,21 @@
 TEST_CASE("a version counts as acted on once the round after it has been played") {
     World w(1, fleet_text("", "call_delay = \"900ms\"\n"), "", "", "300.0");
     ScriptedRelay& relay = w.called();
-    w.until([&] { return w.service->bridge().begun() && !relay.held.empty(); });
+    w.until([&] { return w.service->dispatcher().begun() && !relay.held.empty(); });
     // Right after a round, so that the next one is a step away.
     w.client->ask(w.asking());
-    w.until([&] { return w.service->bridge().calls_out() > 0; });
+    w.until([&] { return w.service->dispatcher().attempts_in_flight() > 0; });
     Client second(w.io, w.service->port(), [](Answered) {});
     second.ask(w.asking());
-    const std::size_t held = w.service->bridge().held(), out = w.service->bridge().calls_out();
-    w.until([&] { return w.service->bridge().held() > held; });
+    const std::size_t held = w.service->dispatcher().held(),
+                      out = w.service->dispatcher().attempts_in_flight();
+    w.until([&] { return w.service->dispatcher().held() > held; });
     relay.publish({{"log", "level = \"info\""}});
     w.until([&] {
-        if (w.service->bridge().calls_out() == out) CHECK(w.follower().applied_version() == 0);
+        if (w.service->dispatcher().attempts_in_flight() == out) CHECK(w.follower().applied_version() == 0);
         return w.follower().applied_version() == 1;
     });
-    CHECK(w.service->bridge().calls_out() > out);
+    CHECK(w.service->dispatcher().attempts_in_flight() > out);
     for (const FollowerCall& call : relay.calls) CHECK(call.word.applied_version == 0);
     w.until([&] { return relay.heard(1); });
 }
@@ -478,7 +479,7 @@
     relay.mute = true;
     w.start();
     const auto began = std::chrono::steady_clock::now();
-    w.until([&] { return w.service->bridge().begun() && !relay.calls.empty(); });
+    w.until([&] { return w.service->dispatcher().begun() && !relay.calls.empty(); });
     CHECK_FALSE(w.ready());
     CHECK(w.ask(w.asking()).status == 200);  // what comes is served
     if (how == "has no lease") relay.lease = 0;
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 
 #include "members/agreed_list.hpp"
-#include "tables/node_list.hpp"
+#include "tables/node_table.hpp"
 #include "wire/bodies.hpp"
 
 using namespace tealcart;
@@ -75,7 +75,7 @@
 }
 
 // The model of NodeList: what is gone in one line, and every node looked through.
-struct NodeList {
+struct NodeTable {
     struct Node {
         std::string id, address;
         Lifecycle lifecycle = Lifecycle::removed;
@@ -99,8 +99,8 @@
         }));
     }
 
-    tealcart::NodeList::News take(const EndpointList& list) {
-        tealcart::NodeList::News news;
+    tealcart::NodeTable::Changes take(const EndpointList& list) {
+        tealcart::NodeTable::Changes news;
         std::set<std::uint32_t> turned;
         for (auto& [n, node] : nodes) node.named = false;
         for (const ListedEndpoint& entry : list.nodes) {
@@ -110,7 +110,7 @@
             const std::uint32_t n = known ? *known : next++;
             Node& node = nodes[n];
             node.id = entry.id;
-            if (!known) news.met.push_back(n);
+            if (!known) news.added.push_back(n);
             node.named = true;
             const std::string group = entry.zone + '\n' + entry.kind;
             const auto at = std::find(groups.begin(), groups.end(), group) - groups.begin();
@@ -121,7 +121,7 @@
             if (entry.lifecycle != Lifecycle::ready && node.lifecycle == Lifecycle::ready)
                 news.leaving.push_back(n);
             else if (!goes && known && (entry.address != node.address || entry.started_at != node.started_at))
-                news.changed.push_back(n);
+                news.moved.push_back(n);
             node.lifecycle = entry.lifecycle;
             if (goes) continue;
             node.address = entry.address;
@@ -277,8 +277,8 @@
 
 TEST_CASE("the list of nodes over generated histories: zones gone and back, nodes forgotten, whole lists") {
     CHECK(rc::check([] {
-        NodeList nodes;
-        plain::NodeList model;
+        NodeTable nodes;
+        plain::NodeTable model;
         const int most = *rc::gen::inRange(2, 20);
         const int lists = *rc::gen::inRange(1, 40);
         for (int i = 0; i < lists; ++i) {
@@ -294,9 +294,9 @@
                                                 static_cast<Lifecycle>(*rc::gen::inRange(0, 3)),
                                                 *rc::gen::inRange(0, 8)));
             }
-            const auto got = nodes.take(list), want = model.take(list);
-            RC_ASSERT(got.met == want.met);
-            RC_ASSERT(got.changed == want.changed);
+            const auto got = nodes.apply(list), want = model.take(list);
+            RC_ASSERT(got.added == want.added);
+            RC_ASSERT(got.moved == want.moved);
             RC_ASSERT(got.leaving == want.leaving);
             RC_ASSERT(got.entries.size() == want.entries.size());
             for (std::size_t e = 0; e < got.entries.size(); ++e) {
@@ -321,19 +321,19 @@
     for (const int most : {1'000, 81'000}) {
         auto& counts = looked[most > 1'000];
         auto& of_agreed = agreed[most > 1'000];
-        NodeList nodes;
+        NodeTable nodes;
         AgreedList list;
         const auto take = [&](const EndpointList& news) {
-            const std::uint64_t before = nodes.looked();
-            nodes.take(news);
-            counts.push_back(nodes.looked() - before);
+            const std::uint64_t before = nodes.examined();
+            nodes.apply(news);
+            counts.push_back(nodes.examined() - before);
         };
         const auto count = [&](auto change) {
             const std::uint64_t before = list.looked();
             change();
             of_agreed.push_back(list.looked() - before);
         };
-        nodes.take(everything(most));
+        nodes.apply(everything(most));
         list.discovered(everything(most));
         for (const Lifecycle a : {Lifecycle::draining, Lifecycle::removed, Lifecycle::ready}) {
             take({2, false, {listed(7, a)}, 0});
@@ -348,9 +348,9 @@
         count([&] { list.agreed({"node 7", "node 9", "never met"}); });
         count([&] { list.agreed({"node 7", "node 9", "never met"}); });
         count([&] { list.cut(false); });
-        const std::uint64_t before = nodes.looked();
+        const std::uint64_t before = nodes.examined();
         CHECK(nodes.ready() == static_cast<std::size_t>(most));
-        CHECK(nodes.looked() == before);
+        CHECK(nodes.examined() == before);
     }
     CHECK(looked[0] == looked[1]);
     CHECK(looked[1] == std::vector<std::uint64_t>{1, 2, 2, 160, 160});
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -79,7 +79,7 @@
             REQUIRE(q.answers == 0);  // no shard request is sent after the final answer
             REQUIRE_FALSE(q.gone);
             REQUIRE(q.shards.contains(piece.shard));
-            REQUIRE(piece.until <= q.deadline_at);
+            REQUIRE(piece.deadline <= q.deadline_at);
             for (const Out& o : out)
                 REQUIRE_FALSE((o.link == link && o.piece.query->id == q.id && o.piece.shard == piece.shard));
             out.push_back({piece, link, node, false});
@@ -88,16 +88,16 @@
     }
     bool withdraw(Handle link, Handle call) override {
         const bool found = std::erase_if(out, [&](const Out& o) {
-                               return o.link == link && o.piece.call == call && !o.written;
+                               return o.link == link && o.piece.attempt == call && !o.written;
                            }) > 0;
         withdrawn += found;
         return found;
     }
-    void give_up(Handle link, const QueryText& query, std::uint32_t shard, std::uint8_t) override {
+    void send_cancel(Handle link, const QueryText& query, std::uint32_t shard, std::uint8_t) override {
         gave_up.emplace_back(link, query.id + "." + std::to_string(shard));
     }
-    void done(Handle, Handle call) override {
-        std::erase_if(out, [call](const Out& o) { return o.piece.call == call; });
+    void complete(Handle, Handle call) override {
+        std::erase_if(out, [call](const Out& o) { return o.piece.attempt == call; });
     }
     void retire(std::uint32_t, bool) override {}
 
@@ -123,12 +123,12 @@
 struct Rig {
     Model model;
     EventClock time{model.now};
-    QueryDispatcher bridge{time, small_launch()};
+    QueryDispatcher dispatcher{time, small_launch()};
     std::uint32_t clients = 0;
 
     Rig() {
-        bridge.connect(model, model);
-        bridge.begin();
+        dispatcher.connect(model, model);
+        dispatcher.begin();
         list(0, {Lifecycle::ready, Lifecycle::ready, Lifecycle::ready, Lifecycle::ready});
     }
     // Nodes 0 .. 3, two at each place.
@@ -137,7 +137,7 @@
         for (std::uint32_t n = 0; n < states.size(); ++n)
             list.nodes.push_back({"s" + std::to_string(n), "10.0.0." + std::to_string(n + 1) + ":1", "z", "k",
                                   n % 2, states[n], 0});
-        bridge.on_list(list);
+        dispatcher.on_list(list);
         for (std::uint32_t n = 0; n < states.size(); ++n)
             states[n] == Lifecycle::ready ? void(model.leaving.erase(n)) : void(model.leaving.insert(n));
     }
@@ -164,14 +164,14 @@
             request.body += "]}";
         }
         model.asked[client.slot] = q;
-        bridge.on_request(client, request, model.now);
+        dispatcher.on_request(client, request, model.now);
         return client.slot;
     }
     void leave(std::uint32_t client) {
         Asked& q = model.asked[client];
         if (q.answers > 0 || q.gone) return;
         q.gone = true;
-        bridge.on_client_gone({client, 1});
+        dispatcher.on_client_disconnected({client, 1});
         for (const Out& o : model.out) REQUIRE((o.written || o.piece.query->id != q.id));
     }
     void node_says(std::size_t at, Outcome outcome) {
@@ -180,9 +180,9 @@
         const std::string value = "v" + std::to_string(o.node) + "-" + std::to_string(o.piece.shard);
         if (outcome == Outcome::ok) q.given[o.piece.shard].insert(value);
         q.may_have_run -= outcome == Outcome::overloaded;  // which proves that it never ran
-        bridge.on_node_answer(o.link, {o.piece.query->id, o.piece.shard, outcome, value});
-        bridge.on_node_answer(o.link,
-                              {o.piece.query->id, o.piece.shard, Outcome::ok, "twice"});  // counts nothing
+        dispatcher.on_node_answer(o.link, {o.piece.query->id, o.piece.shard, outcome, value});
+        dispatcher.on_node_answer(
+            o.link, {o.piece.query->id, o.piece.shard, Outcome::ok, "twice"});  // counts nothing
     }
     void write(std::size_t at) {
         model.out[at].written = true;
@@ -191,7 +191,7 @@
     void step(Nanos span = 5 * ms) {
         model.now += span;
         time.due.tell(model.now);
-        if (bridge.next_round() <= model.now) bridge.run_round();
+        if (dispatcher.next_round() <= model.now) dispatcher.run_round();
     }
 };
 
@@ -219,15 +219,16 @@
             const std::size_t at = pick(model.out.size());
             const Out o = model.out[at];
             if (!o.written) {
-                rig.bridge.on_call_lost(o.piece.call, Outcome::connect_failed);
+                rig.dispatcher.on_attempt_lost(o.piece.attempt, Outcome::connect_failed);
             } else if (pick(10) == 0) {
-                rig.bridge.on_call_lost(o.piece.call, Outcome::reset);
+                rig.dispatcher.on_attempt_lost(o.piece.attempt, Outcome::reset);
             } else {
                 rig.node_says(at, pick(8) == 0   ? Outcome::error
                                   : pick(8) == 0 ? Outcome::overloaded
                                                  : Outcome::ok);
             }
-            rig.bridge.on_call_lost(o.piece.call, Outcome::reset);  // its life is over: counts nothing
+            rig.dispatcher.on_attempt_lost(o.piece.attempt,
+                                           Outcome::reset);  // its life is over: counts nothing
         }
         rig.step();
     }
@@ -235,8 +236,8 @@
     for (int i = 0; i < 300; ++i) rig.step();
     for (const auto& [slot, q] : model.asked) REQUIRE(q.answers + q.gone >= 1);
     CHECK(model.out.empty());
-    CHECK(rig.bridge.calls_out() == 0);
-    CHECK(rig.bridge.held() == 0);
+    CHECK(rig.dispatcher.attempts_in_flight() == 0);
+    CHECK(rig.dispatcher.held() == 0);
 }
 
 TEST_CASE("a leaf call's patience ends on the dot: given up if written, taken back if not") {
@@ -246,7 +247,7 @@
     REQUIRE(rig.model.out.size() == 2);
     rig.write(0);
     const AttemptMessage written = rig.model.out[0].piece;
-    const Nanos until = written.until;
+    const Nanos until = written.deadline;
     REQUIRE(until < rig.model.asked[1].deadline_at);
     rig.step(until - rig.model.now - 1);
     CHECK(rig.model.gave_up.empty());
@@ -279,7 +280,7 @@
 TEST_CASE("at the door: what is malformed is refused as such, and nothing is sent for it") {
     Rig rig;
     const auto says = [&](Request request) {
-        rig.bridge.on_request({900, 1}, request, rig.model.now);
+        rig.dispatcher.on_request({900, 1}, request, rig.model.now);
         return rig.model.answers.back().status;
     };
     const Request good{"POST", "/keyed/x", "id", "480",
@@ -304,13 +305,13 @@
     CHECK(says({"POST", "/-/ready", "", "", "", false, true, ""}) == 405);
     rig.step();
     CHECK(rig.model.out.empty());
-    CHECK(rig.bridge.held() == 0);
+    CHECK(rig.dispatcher.held() == 0);
 }
 
 TEST_CASE("with as much in hand as may be held, further queries are turned away unsent") {
     Rig rig;
     for (int i = 0; i < 12; ++i) rig.ask(false, 4);
-    CHECK(rig.bridge.held() == 40);  // eight of them, as the settings allow
+    CHECK(rig.dispatcher.held() == 40);  // eight of them, as the settings allow
     REQUIRE(rig.model.answers.size() == 4);
     for (const Answer& a : rig.model.answers) CHECK(a.status == 503);
     rig.step();
@@ -323,7 +324,7 @@
     rig.ask(false, 2);
     Request again{"POST", "/part", "q1", "480",
                   "",     false,   true, R"({"text":"","segments":[{"segment":0,"boost":1}]})"};
-    rig.bridge.on_request({900, 1}, again, rig.model.now);
+    rig.dispatcher.on_request({900, 1}, again, rig.model.now);
     REQUIRE(rig.model.answers.size() == 1);
     CHECK(rig.model.answers[0].status == 409);
 }
@@ -333,7 +334,7 @@
     rig.ask(true, 1);
     rig.step();
     const Out o = rig.model.out.at(0);
-    rig.bridge.on_node_answer(o.link, {o.piece.query->id, 0, Outcome::ok, std::string(65537, 'x')});
+    rig.dispatcher.on_node_answer(o.link, {o.piece.query->id, 0, Outcome::ok, std::string(65537, 'x')});
     for (int i = 0; i < 200 && rig.model.answers.empty(); ++i) rig.step();
     REQUIRE_FALSE(rig.model.answers.empty());
     CHECK(rig.model.answers[0].status == 504);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -97,7 +97,7 @@
             known += (n > 0 ? "," : "") + entry(n, "up");
         }
         service = std::make_unique<Service>(io, [this] { return ++reads, launch(); });
-        if (!silent) until([this] { return service->bridge().begun(); });
+        if (!silent) until([this] { return service->dispatcher().begun(); });
     }
     StartupConfig launch() const {
         StartupConfig made =
@@ -422,11 +422,11 @@
     }
     void end(Handle call) {
         out.erase(call.slot);
-        for (const Handle link : used) links->done(link, call);
+        for (const Handle link : used) links->complete(link, call);
     }
     bool on_phase_answer(Handle, const PhaseAnswer&) override { return false; }
-    bool on_phases_refused(std::uint32_t) override { return false; }
-    void on_call_lost(Handle call, Outcome outcome) override {
+    bool on_two_phase_refused(std::uint32_t) override { return false; }
+    void on_attempt_lost(Handle call, Outcome outcome) override {
         lost.emplace_back(call, outcome);
         end(call);
     }
@@ -702,7 +702,7 @@
         if (request.path == "/held") return;
         front.answer(client, {200, "{}", 0});
     }
-    void on_client_gone(Handle) override { ++gone; }
+    void on_client_disconnected(Handle) override { ++gone; }
     template <typename Happened>
     void until(Happened happened) {
         while (!happened()) REQUIRE(io.run_one_for(std::chrono::seconds(20)) > 0);
@@ -977,7 +977,7 @@
     CHECK(w.answer(*c).first == 503);
     c->send(query("A"));
     w.until([&] { return w.watches.size() == 1; });
-    w.until([&] { return w.service->bridge().held() == 3; });  // the query and its shard requests
+    w.until([&] { return w.service->dispatcher().held() == 3; });  // the query and its shard requests
     w.watches[0].second->send(
         reply(R"({"generation":5,"reset":false,"instances":[)" + w.entry(0, "draining") + "]}"));
     CHECK(w.answer(*c) == std::pair(200, whole_answer));
@@ -989,7 +989,7 @@
 TEST_CASE("with discovery silent, a process that starts is ready all the same, well within 10 s") {
     World w(2, 256, "", true);
     const auto began = std::chrono::steady_clock::now();
-    w.until([&] { return w.service->bridge().begun(); });
+    w.until([&] { return w.service->dispatcher().begun(); });
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(5));
     const auto c = w.client();
     c->send("GET /-/ready HTTP/1.1\r\n\r\n");
@@ -1022,7 +1022,7 @@
     w.until([&] { return held.size() == 1; });  // the other shard request's call waits for the dial
     leaver->socket.close();
     DataNode::say(held[0], "ERROR", "");
-    w.until([&] { return w.service->bridge().held() == 0; });
+    w.until([&] { return w.service->dispatcher().held() == 0; });
     std::vector<boost::asio::ip::tcp::socket> taken;
     std::function<void()> take = [&] {
         door.async_accept([&](auto ec, auto socket) {
--- a/tests/tables_test.cpp
+++ b/tests/tables_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "helpers.hpp"
-#include "tables/node_list.hpp"
+#include "tables/node_table.hpp"
 #include "tables/slot_map.hpp"
 #include "tables/timer_queue.hpp"
 
@@ -73,44 +73,44 @@
 }
 
 TEST_CASE("the list of nodes keeps its numbers, and tells who leaves or moves") {
-    NodeList nodes;
+    NodeTable nodes;
     const auto node = [](std::string id, std::string address, Lifecycle a, Nanos started = 0) {
         return ListedEndpoint{std::move(id), std::move(address), "z", "k", 1, a, started};
     };
     using enum Lifecycle;
-    auto news = nodes.take({1, true, {node("a", "h:1", ready), node("b", "h:2", ready)}, 0});
+    auto news = nodes.apply({1, true, {node("a", "h:1", ready), node("b", "h:2", ready)}, 0});
     CHECK(news.entries.size() == 2);
-    CHECK(news.changed.empty());
+    CHECK(news.moved.empty());
     CHECK(nodes.ready() == 2);
-    news = nodes.take({2, false, {node("b", "h:2", draining)}, 0});
+    news = nodes.apply({2, false, {node("b", "h:2", draining)}, 0});
     CHECK(news.leaving == std::vector<std::uint32_t>{1});
     CHECK(nodes.ready() == 1);
     // A new address or a new start means that connections lead to a process that is no more.
-    news = nodes.take({3, false, {node("a", "h:9", ready), node("b", "h:2", ready, 5)}, 0});
-    CHECK(news.changed == std::vector<std::uint32_t>{0, 1});
+    news = nodes.apply({3, false, {node("a", "h:9", ready), node("b", "h:2", ready, 5)}, 0});
+    CHECK(news.moved == std::vector<std::uint32_t>{0, 1});
     CHECK(news.leaving.empty());
     CHECK(nodes.address(0) == "h:9");
-    news = nodes.take({4, false, {node("a", "", removed)}, 0});
+    news = nodes.apply({4, false, {node("a", "", removed)}, 0});
     CHECK(news.entries[0].lifecycle == removed);
     CHECK(news.leaving == std::vector<std::uint32_t>{0});
     CHECK(nodes.address(0) == "h:9");
     // What a whole list does not name is gone; the next new node gets a number of its own.
-    news = nodes.take({5, true, {node("c", "h:3", ready)}, 0});
+    news = nodes.apply({5, true, {node("c", "h:3", ready)}, 0});
     CHECK(news.entries[0].node == 2);
     CHECK(news.leaving == std::vector<std::uint32_t>{1});
     CHECK(nodes.ready() == 1);
     // Two at a time were the most, so of those that are gone the last two are remembered.
-    news = nodes.take({6, false, {node("b", "h:2", ready, 5), node("never met", "", removed)}, 0});
-    CHECK(news.met.empty());
+    news = nodes.apply({6, false, {node("b", "h:2", ready, 5), node("never met", "", removed)}, 0});
+    CHECK(news.added.empty());
     CHECK(news.entries.size() == 1);
     CHECK(nodes.size() == 3);
-    nodes.take({7, false, {node("d", "h:4", ready), node("b", "", removed), node("c", "", removed)}, 0});
-    news = nodes.take({8, false, {node("a", "h:1", ready), node("d", "", removed)}, 0});
-    CHECK(news.met == std::vector<std::uint32_t>{4});  // a, forgotten meanwhile
+    nodes.apply({7, false, {node("d", "h:4", ready), node("b", "", removed), node("c", "", removed)}, 0});
+    news = nodes.apply({8, false, {node("a", "h:1", ready), node("d", "", removed)}, 0});
+    CHECK(news.added == std::vector<std::uint32_t>{4});  // a, forgotten meanwhile
 }
 
 TEST_CASE("lists that bring ever new nodes leave nothing behind") {
-    NodeList nodes;
+    NodeTable nodes;
     std::size_t held = 0;
     for (std::uint64_t life = 0; life < 2000; ++life) {
         const auto named = [&](std::uint64_t n, Lifecycle a) {
@@ -119,7 +119,7 @@
         std::vector<ListedEndpoint> list = {named(life, Lifecycle::ready)};
         const bool whole = life % 3 == 0;  // which does not name the one before
         if (life > 0 && !whole) list.push_back(named(life - 1, Lifecycle::removed));
-        nodes.take({life, whole, list, 0});
+        nodes.apply({life, whole, list, 0});
         REQUIRE(nodes.size() <= 4);
         if (life == 100) held = test::held_bytes();
     }
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -101,7 +101,7 @@
         CHECK(got.answered.sections + got.pruned.sections + got.missing.sections == a.shards.size());
         CHECK(std::abs(got.answered.weight + got.pruned.weight + got.missing.weight - 1) < 1e-6);
     }
-    const PhaseCounts& counts() const { return service->bridge().phase_counts(); }
+    const PhaseCounts& counts() const { return service->dispatcher().phase_counts(); }
 };
 
 }  // namespace
@@ -211,7 +211,7 @@
         how == "words" ? Refusal::words : Refusal::close;
     Asking a = w.asking();
     w.check_true(a, w.ask(a));
-    const auto& speakers = w.service->bridge().speakers();
+    const auto& speakers = w.service->dispatcher().speakers();
     const auto one_phase = [&] {
         int n = 0;
         for (std::uint32_t i = 0; i < 4; ++i) n += speakers.is_one_phase(i);
@@ -315,13 +315,13 @@
     w.client->ask(w.asking());
     w.until([&] { return w.fleet.work().words == 8; });
     w.client->leave();
-    w.until([&] { return w.service->bridge().held() == 0; });
+    w.until([&] { return w.service->dispatcher().held() == 0; });
     w.connect();
     Asking keyed = w.asking();
     keyed.query_class = "keyed", keyed.key = "k";
     CHECK(w.ask(keyed).whole);
     CHECK(w.fleet.work().rows == 0);
-    w.until([&] { return w.service->bridge().calls_out() == 0; });
+    w.until([&] { return w.service->dispatcher().attempts_in_flight() == 0; });
 }
 
 TEST_CASE("a holder that drains or crashes after the first phase is not needed for the second") {
@@ -392,7 +392,7 @@
     a = w.asking("nowhere-3");
     w.check_true(a, w.ask(a));
     CHECK(w.fleet.work().words - words >= 16);
-    CHECK(w.service->bridge().section_memory().bytes() <= SectionMemoryConfig().bytes);
+    CHECK(w.service->dispatcher().section_memory().bytes() <= SectionMemoryConfig().bytes);
 }
 
 TEST_CASE("the cap on a section's leaf calls holds over both phases together") {
@@ -413,7 +413,7 @@
                          .count();
     for (std::size_t n = 0; n < 4; ++n) w.fleet.behaviour(n).starts = static_cast<std::uint64_t>(now);
     w.fleet.tell();
-    w.until([&] { return w.service->bridge().nodes().ready() == 4; });
+    w.until([&] { return w.service->dispatcher().nodes().ready() == 4; });
     for (int i = 0; i < 5; ++i) {
         const Asking a = w.asking();
         const Answered got = w.ask(a);
@@ -431,8 +431,8 @@
         w.check_true(a, got);
         CHECK(got.whole);
     }
-    w.until([&] { return w.service->bridge().calls_out() == 0; });
-    CHECK(w.service->bridge().held() == 0);
+    w.until([&] { return w.service->dispatcher().attempts_in_flight() == 0; });
+    CHECK(w.service->dispatcher().held() == 0);
 }
 
 TEST_CASE("frames in two phases are read back as written, and told when cut or changed") {
@@ -463,7 +463,7 @@
     for (const auto& [letter, whole] : {std::pair(brings_word, body), std::pair(brings_rows, row_body)})
         for (std::size_t i = 0; i < whole.size(); ++i) {
             const auto cut = read_phase_answer(letter, whole.substr(0, i));
-            if (letter == brings_word && cut) CHECK(cut->spoilt);
+            if (letter == brings_word && cut) CHECK(cut->malformed);
             for (const char c : {'\0', '9', '\n', ' ', '\xff', ','}) {
                 std::string changed(whole);
                 changed[i] = c;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -238,7 +238,7 @@
             CHECK(answer->shard == ends.size() + 1);
             CHECK(answer->value == (ends.empty() ? "v" : ""));
             ends.push_back(answer->outcome);
-            spoilt += answer->spoilt;
+            spoilt += answer->malformed;
         }
         in.erase(0, in.size() - rest.size());
     }
