--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -63,9 +63,9 @@
     raft_.close();
 }
 
-void FleetManager::on_client_gone(Handle client) {
-    members_.on_client_gone(client);
-    relays_.on_client_gone(client);
+void FleetManager::on_client_disconnected(Handle client) {
+    members_.on_client_disconnected(client);
+    relays_.on_client_disconnected(client);
 }
 
 const FleetManager::Route* FleetManager::find_route(std::string_view path) {
--- a/src/fleet_manager/member_service.hpp
+++ b/src/fleet_manager/member_service.hpp
@@ -19,7 +19,7 @@
         : time_(time), state_(state), proposer_(proposer), responder_(responder) {}
 
     void on_call(Handle client, const std::string& body);
-    void on_client_gone(Handle client) { waiting_.erase(client.slot); }
+    void on_client_disconnected(Handle client) { waiting_.erase(client.slot); }
     // Answers the calls for which there is a later generation, or which have waited for as long as they may.
     void answer_waiting();
 
--- a/src/relay/follower_service.hpp
+++ b/src/relay/follower_service.hpp
@@ -23,7 +23,7 @@
           on_new_report_(std::move(on_new_report)) {}
 
     void on_call(Handle client, const std::string& body);
-    void on_client_gone(Handle client) { waiting_.erase(client.slot); }
+    void on_client_disconnected(Handle client) { waiting_.erase(client.slot); }
 
     // A follower is answered once there is a later version than it has, once it can be granted a lease that
     // it lacks, or once it has waited for as long as it may.
