--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -73,7 +73,7 @@
     const std::string text = all.str();
     for (std::size_t at = text.find('['), end; (at = text.find('"', at + 1)) != text.npos; at = end) {
         end = text.find('"', at + 1);
-        const auto address = read_host_port(text.substr(at + 1, end - at - 1));
+        const auto address = parse_host_port(text.substr(at + 1, end - at - 1));
         if (!address) break;
         found.push_back(*address);
     }
--- a/src/config/block_reader.hpp
+++ b/src/config/block_reader.hpp
@@ -1,11 +1,12 @@
-// Reads the attributes of a block of an operators' file by name and kind, and notes every mistake with its
-// place.
+// Typed access to the attributes and nested blocks of one block of an operators' file. Every error is
+// recorded with its position, so that a file's errors are all reported at once.
 #pragma once
 
 #include <cstdint>
 #include <initializer_list>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "config/hcl.hpp"
@@ -13,49 +14,52 @@
 
 namespace tealcart {
 
-// A time as operators write it, "250ms", "1.5s", units ns us ms s m h; none if it is no such text or beyond a
-// year.
-bool read_span(std::string_view text, Nanos& span);
-// So many bytes: "64KiB", "4MiB", "1GiB" or "300B".
-bool read_bytes(std::string_view text, std::uint64_t& bytes);
-std::string write_span(Nanos span);
-
+// Reads one block. Each getter returns `fallback` where the attribute is absent or wrong, and records an
+// error in the latter case; ranges include both ends. `reject_unknown` is called last: it records an error
+// for each attribute and block that no getter has asked for. The block and the list of errors must outlive
+// the reader.
 class BlockReader {
   public:
-    BlockReader(const HclBlock& block, std::vector<HclMistake>& mistakes)
-        : block_(block), mistakes_(mistakes) {}
-
-    // Each gives `otherwise` where the attribute is absent or wrong; the ranges hold both ends.
-    Nanos span(std::string_view name, Nanos otherwise, Nanos least, Nanos most);
-    double number(std::string_view name, double otherwise, double least, double most);
-    std::int64_t whole(std::string_view name, std::int64_t otherwise, std::int64_t least, std::int64_t most);
-    std::uint64_t bytes(std::string_view name, std::uint64_t otherwise, std::uint64_t least,
-                        std::uint64_t most);
-    bool flag(std::string_view name, bool otherwise);
-    std::string text(std::string_view name, std::string_view otherwise);
-    std::vector<std::string> texts(std::string_view name);
-    std::vector<std::pair<std::string, double>> numbers_by_name(std::string_view name);
-    // The place of the word in `words`.
-    std::size_t choice(std::string_view name, std::size_t otherwise,
-                       std::initializer_list<const char*> words);
-
-    // The one label of the block, or empty with a mistake noted.
+    BlockReader(const HclBlock& block, std::vector<HclError>& errors) : block_(block), errors_(errors) {}
+
+    // A duration such as "250ms".
+    Nanos duration(std::string_view name, Nanos fallback, Nanos min, Nanos max);
+    double number(std::string_view name, double fallback, double min, double max);
+    std::int64_t integer(std::string_view name, std::int64_t fallback, std::int64_t min, std::int64_t max);
+    // A size in bytes such as "4MiB".
+    std::uint64_t byte_size(std::string_view name, std::uint64_t fallback, std::uint64_t min,
+                            std::uint64_t max);
+    bool boolean(std::string_view name, bool fallback);
+    std::string string(std::string_view name, std::string_view fallback);
+    // A list of strings; empty where the attribute is absent. Elements that are no strings are left out.
+    std::vector<std::string> strings(std::string_view name);
+    // An object whose values are numbers, in the order of the file.
+    std::vector<std::pair<std::string, double>> numbers_by_key(std::string_view name);
+    // The index in `words` of the attribute's value.
+    std::size_t choice(std::string_view name, std::size_t fallback, std::initializer_list<const char*> words);
+
+    // The block's only label; empty, with an error that says `what` it should be, where it has none or
+    // several.
     std::string label(const char* what);
-    void no_label();
-    // The blocks of this type; noted as read.
+    void expect_no_label();
+    // The nested blocks of this type, in the order of the file.
     std::vector<const HclBlock*> blocks(std::string_view type);
-    // The block of this type, which may stand once.
-    const HclBlock* only_block(std::string_view type);
-    void wrong(HclAt at, std::string words) { mistakes_.push_back({at, std::move(words)}); }
-    // Notes what was asked by none of the above.
-    void finish();
+    // The nested block of a type that may occur once; null where there is none.
+    const HclBlock* single_block(std::string_view type);
+
+    void add_error(HclPosition position, std::string message) {
+        errors_.push_back({position, std::move(message)});
+    }
+    void reject_unknown();
 
   private:
     const HclAttribute* find(std::string_view name);
+    void add_type_error(const HclAttribute& attribute, std::string_view expected);
 
     const HclBlock& block_;
-    std::vector<HclMistake>& mistakes_;
-    std::vector<std::string> known_, known_blocks_;
+    std::vector<HclError>& errors_;
+    std::vector<std::string> known_attributes_;
+    std::vector<std::string> known_blocks_;
 };
 
 }  // namespace tealcart
--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -1,7 +1,9 @@
 #include "config/hcl.hpp"
 
 #include <algorithm>
+#include <array>
 #include <charconv>
+#include <optional>
 #include <tao/pegtl.hpp>
 #include <tao/pegtl/contrib/parse_tree.hpp>
 
@@ -36,28 +38,28 @@
 struct text_end : peg::until<peg::one<'"'>, peg::must<no_template>, peg::sor<escape, plain>> {};
 struct text : peg::if_must<peg::one<'"'>, text_end> {};
 
-struct yes : peg::keyword<'t', 'r', 'u', 'e'> {};
-struct no : peg::keyword<'f', 'a', 'l', 's', 'e'> {};
-struct null : peg::keyword<'n', 'u', 'l', 'l'> {};
+struct true_literal : peg::keyword<'t', 'r', 'u', 'e'> {};
+struct false_literal : peg::keyword<'f', 'a', 'l', 's', 'e'> {};
+struct null_literal : peg::keyword<'n', 'u', 'l', 'l'> {};
 
 struct value;
-struct wanted : peg::seq<value> {};  // a value that must stand here
+struct required_value : peg::seq<value> {};
 struct comma : peg::seq<space, peg::one<','>, space> {};
 struct list_end : peg::one<']'> {};
 struct list : peg::if_must<peg::one<'['>, space, peg::opt<peg::list<value, comma>, peg::opt<comma>>, space,
                            list_end> {};
-struct member_is : peg::sor<peg::one<'='>, peg::one<':'>> {};
-struct member : peg::if_must<peg::sor<name, text>, gap, member_is, space, wanted> {};
+struct member_assign : peg::sor<peg::one<'='>, peg::one<':'>> {};
+struct member : peg::if_must<peg::sor<name, text>, gap, member_assign, space, required_value> {};
 struct member_gap : peg::sor<comma, peg::seq<gap, peg::opt<line_comment>, peg::eol, space>> {};
 struct object_end : peg::one<'}'> {};
 struct object
     : peg::if_must<peg::one<'{'>, space, peg::opt<peg::list<member, member_gap>, peg::opt<member_gap>>, space,
                    object_end> {};
-struct value : peg::sor<text, number, yes, no, null, list, object> {};
+struct value : peg::sor<text, number, true_literal, false_literal, null_literal, list, object> {};
 
 struct item_end
     : peg::seq<gap, peg::sor<peg::at<peg::one<'}'>>, peg::seq<peg::opt<line_comment>, peg::eolf>>> {};
-struct attribute : peg::seq<name, gap, peg::if_must<peg::one<'='>, gap, wanted, item_end>> {};
+struct attribute : peg::seq<name, gap, peg::if_must<peg::one<'='>, gap, required_value, item_end>> {};
 struct label : peg::sor<text, name> {};
 struct body;
 struct block_end : peg::one<'}'> {};
@@ -71,63 +73,66 @@
 }  // namespace grammar
 
 template <typename>
-constexpr const char* wrong = nullptr;
+constexpr const char* error_message = nullptr;
 template <>
-constexpr auto wrong<grammar::comment_end> = "a comment that does not end";
+constexpr auto error_message<grammar::comment_end> = "a comment that does not end";
 template <>
-constexpr auto wrong<grammar::digits> = "digits are missing in a number";
+constexpr auto error_message<grammar::digits> = "digits are missing in a number";
 template <>
-constexpr auto wrong<grammar::four_hex> = "\\u needs four hexadecimal digits";
+constexpr auto error_message<grammar::four_hex> = "\\u needs four hexadecimal digits";
 template <>
-constexpr auto wrong<grammar::escape_code> =
+constexpr auto error_message<grammar::escape_code> =
     "an escape that is not known; there are \\n \\r \\t \\\" \\\\ \\uNNNN";
 template <>
-constexpr auto wrong<grammar::no_template> = "templates in strings are not part of this file's language";
+constexpr auto error_message<grammar::no_template> =
+    "templates in strings are not part of this file's language";
 template <>
-constexpr auto wrong<grammar::text_end> = "a string that does not end on its line";
+constexpr auto error_message<grammar::text_end> = "a string that does not end on its line";
 template <>
-constexpr auto wrong<grammar::list_end> = "a ',' or the list's ']' is missing";
+constexpr auto error_message<grammar::list_end> = "a ',' or the list's ']' is missing";
 template <>
-constexpr auto wrong<grammar::member_is> = "a '=' or ':' is missing behind a key";
+constexpr auto error_message<grammar::member_assign> = "a '=' or ':' is missing behind a key";
 template <>
-constexpr auto wrong<grammar::object_end> = "a ',', a new line or the object's '}' is missing";
+constexpr auto error_message<grammar::object_end> = "a ',', a new line or the object's '}' is missing";
 template <>
-constexpr auto wrong<grammar::wanted> =
+constexpr auto error_message<grammar::required_value> =
     "a value is missing, or is none: strings, numbers, true, false, null, lists, objects";
 template <>
-constexpr auto wrong<grammar::item_end> = "the line goes on where it should end";
+constexpr auto error_message<grammar::item_end> = "the line goes on where it should end";
 template <>
-constexpr auto wrong<grammar::block_end> = "neither an attribute, a block nor the block's '}'";
+constexpr auto error_message<grammar::block_end> = "neither an attribute, a block nor the block's '}'";
 template <>
-constexpr auto wrong<grammar::file_end> = "neither an attribute nor a block";
+constexpr auto error_message<grammar::file_end> = "neither an attribute nor a block";
 template <>
-constexpr auto wrong<grammar::space> = "";  // these three always match
+constexpr auto error_message<grammar::space> = "";  // these three always match
 template <>
-constexpr auto wrong<grammar::gap> = "";
+constexpr auto error_message<grammar::gap> = "";
 template <>
-constexpr auto wrong<grammar::body> = "";
+constexpr auto error_message<grammar::body> = "";
 
 struct Messages {
     template <typename Rule>
-    static constexpr const char* message = wrong<Rule>;
+    static constexpr const char* message = error_message<Rule>;
     template <typename Rule>
     static constexpr bool raise_on_failure = false;
 };
 template <typename Rule>
-using Control = peg::must_if<Messages, peg::normal, false>::control<Rule>;
+using ParseControl = peg::must_if<Messages, peg::normal, false>::control<Rule>;
 
+// The nodes of the parse tree that the builder uses.
 template <typename Rule>
-using Kept = peg::parse_tree::selector<
+using TreeSelector = peg::parse_tree::selector<
     Rule,
-    peg::parse_tree::store_content::on<grammar::name, grammar::number, grammar::text, grammar::yes,
-                                       grammar::no, grammar::null>,
+    peg::parse_tree::store_content::on<grammar::name, grammar::number, grammar::text, grammar::true_literal,
+                                       grammar::false_literal, grammar::null_literal>,
     peg::parse_tree::remove_content::on<grammar::list, grammar::object, grammar::member, grammar::attribute,
                                         grammar::label, grammar::block>>;
 using Node = peg::parse_tree::node;
 
-HclAt at_of(const Node& node) { return {node.begin().line, node.begin().column}; }
+HclPosition position_of(const Node& node) { return {node.begin().line, node.begin().column}; }
 
-void put_utf8(std::string& out, std::uint32_t code) {
+// Appends a code point of the basic plane.
+void append_utf8(std::string& out, std::uint32_t code) {
     if (code < 0x80) {
         out += static_cast<char>(code);
     } else if (code < 0x800) {
@@ -140,10 +145,23 @@
     }
 }
 
-// The grammar has seen to it that what follows a backslash is complete.
-std::string unquoted(std::string_view in) {
+char escaped_character(char code) {
+    switch (code) {
+        case 'n':
+            return '\n';
+        case 'r':
+            return '\r';
+        case 't':
+            return '\t';
+        default:
+            return code;
+    }
+}
+
+// The content of a quoted string. The grammar guarantees that every escape is complete.
+std::string unquote(std::string_view quoted) {
     std::string out;
-    in = in.substr(1, in.size() - 2);
+    const std::string_view in = quoted.substr(1, quoted.size() - 2);
     for (std::size_t i = 0; i < in.size(); ++i) {
         if (in[i] != '\\') {
             out += in[i];
@@ -153,123 +171,154 @@
         if (code == 'u') {
             std::uint32_t value = 0;
             std::from_chars(in.data() + i + 1, in.data() + i + 5, value, 16);
-            put_utf8(out, value);
+            append_utf8(out, value);
             i += 4;
         } else {
-            out += code == 'n' ? '\n' : code == 'r' ? '\r' : code == 't' ? '\t' : code;
+            out += escaped_character(code);
         }
     }
     return out;
 }
 
-std::string word_of(const Node& node) {
-    return node.is_type<grammar::text>() ? unquoted(node.string_view()) : node.string();
+// A label or key, which may be quoted.
+std::string name_of(const Node& node) {
+    return node.is_type<grammar::text>() ? unquote(node.string_view()) : node.string();
 }
 
-class Builder {
+// Turns the parse tree into blocks and values.
+class TreeBuilder {
   public:
-    explicit Builder(std::string_view source) : source_(source) {}
+    explicit TreeBuilder(std::string_view source) : source_(source) {}
 
-    HclBlock block(const Node& node, bool root) {
-        HclBlock made;
-        if (!root) made.at = at_of(node);
-        for (const auto& child : node.children) {
-            if (child->is_type<grammar::attribute>()) {
-                HclAttribute a{child->children[0]->string(), value(*child->children[1]), at_of(*child)};
-                const auto same = [&a](const HclAttribute& other) { return other.name == a.name; };
-                if (std::any_of(made.attributes.begin(), made.attributes.end(), same))
-                    throw HclMistakes(source_, {{a.at, "'" + a.name + "' is given twice"}});
-                made.attributes.push_back(std::move(a));
-            } else if (child->is_type<grammar::block>()) {
-                made.blocks.push_back(block(*child, false));
-            } else if (child->is_type<grammar::label>()) {
-                made.labels.push_back(word_of(*child->children[0]));
-            } else {
-                made.type = child->string();
-            }
-        }
-        return made;
+    HclBlock file(const Node& root) const {
+        HclBlock built = block(root);
+        built.position = {};
+        return built;
     }
 
   private:
-    HclValue value(const Node& node) {
-        HclValue made{{}, at_of(node)};
-        if (node.is_type<grammar::text>()) made.value = unquoted(node.string_view());
-        if (node.is_type<grammar::yes>()) made.value = true;
-        if (node.is_type<grammar::no>()) made.value = false;
-        if (node.is_type<grammar::number>()) {
-            double number = 0;
-            const std::string_view digits = node.string_view();
-            if (std::from_chars(digits.data(), digits.data() + digits.size(), number).ec != std::errc())
-                throw HclMistakes(source_, {{made.at, "a number out of range"}});
-            made.value = number;
-        }
-        if (node.is_type<grammar::list>()) {
-            auto& list = made.value.emplace<HclValue::List>();
-            for (const auto& child : node.children) list.push_back(value(*child));
+    HclBlock block(const Node& node) const {
+        HclBlock built;
+        built.position = position_of(node);
+        for (const auto& child : node.children) {
+            if (child->is_type<grammar::attribute>())
+                add_attribute(built, *child);
+            else if (child->is_type<grammar::block>())
+                built.blocks.push_back(block(*child));
+            else if (child->is_type<grammar::label>())
+                built.labels.push_back(name_of(*child->children[0]));
+            else
+                built.type = child->string();
         }
-        if (node.is_type<grammar::object>()) {
-            auto& object = made.value.emplace<HclValue::Object>();
-            for (const auto& child : node.children) {
-                std::string key = word_of(*child->children[0]);
-                for (const auto& [other, _] : object)
-                    if (other == key)
-                        throw HclMistakes(source_, {{at_of(*child), "'" + key + "' is given twice"}});
-                object.emplace_back(std::move(key), value(*child->children[1]));
-            }
+        return built;
+    }
+
+    void add_attribute(HclBlock& block, const Node& node) const {
+        HclAttribute attribute{node.children[0]->string(), value(*node.children[1]), position_of(node)};
+        for (const HclAttribute& other : block.attributes)
+            if (other.name == attribute.name) throw duplicate(attribute.position, attribute.name);
+        block.attributes.push_back(std::move(attribute));
+    }
+
+    HclValue value(const Node& node) const {
+        HclValue built{{}, position_of(node)};
+        if (node.is_type<grammar::text>()) built.value = unquote(node.string_view());
+        if (node.is_type<grammar::true_literal>()) built.value = true;
+        if (node.is_type<grammar::false_literal>()) built.value = false;
+        if (node.is_type<grammar::number>()) built.value = number(node);
+        if (node.is_type<grammar::list>()) built.value = list(node);
+        if (node.is_type<grammar::object>()) built.value = object(node);
+        return built;
+    }
+
+    double number(const Node& node) const {
+        double number = 0;
+        const std::string_view digits = node.string_view();
+        if (std::from_chars(digits.data(), digits.data() + digits.size(), number).ec != std::errc())
+            throw HclErrors(source_, {{position_of(node), "a number out of range"}});
+        return number;
+    }
+
+    HclValue::List list(const Node& node) const {
+        HclValue::List list;
+        for (const auto& child : node.children) list.push_back(value(*child));
+        return list;
+    }
+
+    HclValue::Object object(const Node& node) const {
+        HclValue::Object object;
+        for (const auto& child : node.children) {
+            std::string key = name_of(*child->children[0]);
+            for (const auto& [other, _] : object)
+                if (other == key) throw duplicate(position_of(*child), key);
+            object.emplace_back(std::move(key), value(*child->children[1]));
         }
-        return made;
+        return object;
+    }
+
+    HclErrors duplicate(HclPosition position, const std::string& name) const {
+        return {source_, {{position, "'" + name + "' is given twice"}}};
     }
 
     std::string source_;
 };
 
-// Brackets within strings and comments are no matter: it is a bound on the parser's stack, no check.
-std::optional<HclAt> too_deep(std::string_view text) {
+// Where brackets nest deeper than `max_hcl_depth`. Bounds the parser's stack, so it may count brackets within
+// strings and comments too.
+std::optional<HclPosition> find_too_deep(std::string_view text) {
     int depth = 0;
-    HclAt at;
+    HclPosition position;
     for (const char c : text) {
-        depth += c == '{' || c == '[';
-        if (depth > deepest_hcl) return at;
+        if (c == '{' || c == '[') ++depth;
+        if (depth > max_hcl_depth) return position;
         if ((c == '}' || c == ']') && depth > 0) --depth;
-        ++at.column;
-        if (c == '\n') ++at.line, at.column = 1;
+        ++position.column;
+        if (c == '\n') position = {position.line + 1, 1};
     }
     return std::nullopt;
 }
 
-std::string lines_of(std::string_view source, const std::vector<HclMistake>& found) {
+std::string error_lines(std::string_view source, const std::vector<HclError>& errors) {
     std::string out;
-    for (const HclMistake& m : found) {
+    for (const HclError& error : errors) {
         if (!out.empty()) out += '\n';
-        out.append(source).append(":").append(std::to_string(m.at.line));
-        out.append(":").append(std::to_string(m.at.column)).append(": ").append(m.words);
+        out.append(source).append(":").append(std::to_string(error.position.line));
+        out.append(":").append(std::to_string(error.position.column)).append(": ").append(error.message);
     }
     return out;
 }
 
 }  // namespace
 
-HclMistakes::HclMistakes(std::string_view source, std::vector<HclMistake> found)
-    : std::runtime_error(lines_of(source, found)), mistakes(std::move(found)) {}
+HclErrors::HclErrors(std::string_view source, std::vector<HclError> errors)
+    : std::runtime_error(error_lines(source, errors)), errors_(std::move(errors)) {}
+
+const char* HclValue::type_name() const {
+    constexpr std::array names = {"null", "a truth value", "a number", "a string", "a list", "an object"};
+    return names.at(value.index());
+}
 
-const char* HclValue::kind() const {
-    constexpr const char* kinds[] = {"null", "a truth value", "a number", "a string", "a list", "an object"};
-    return kinds[value.index()];
+void throw_if_any(std::string_view source, std::vector<HclError> errors) {
+    if (errors.empty()) return;
+    std::stable_sort(errors.begin(), errors.end(), [](const HclError& first, const HclError& second) {
+        return std::pair(first.position.line, first.position.column) <
+               std::pair(second.position.line, second.position.column);
+    });
+    throw HclErrors(source, std::move(errors));
 }
 
 HclBlock parse_hcl(std::string_view text, std::string_view source) {
-    if (text.size() > max_hcl) throw HclMistakes(source, {{{}, "the file is over 1 MiB"}});
-    if (const auto at = too_deep(text))
-        throw HclMistakes(source, {{*at, "blocks, lists or objects too deep in each other"}});
-    if (text.find('\0') != text.npos) throw HclMistakes(source, {{{}, "the file holds a zero byte"}});
+    if (text.size() > max_hcl_bytes) throw HclErrors(source, {{{}, "the file is over 1 MiB"}});
+    if (const auto position = find_too_deep(text))
+        throw HclErrors(source, {{*position, "blocks, lists or objects too deep in each other"}});
+    if (text.find('\0') != text.npos) throw HclErrors(source, {{{}, "the file holds a zero byte"}});
     peg::memory_input in(text.data(), text.data() + text.size(), std::string(source));
     try {
-        const auto root = peg::parse_tree::parse<grammar::file, Kept, peg::nothing, Control>(in);
-        return Builder(source).block(*root, true);
-    } catch (const peg::parse_error& e) {
-        const auto& p = e.positions().front();
-        throw HclMistakes(source, {{{p.line, p.column}, std::string(e.message())}});
+        const auto root = peg::parse_tree::parse<grammar::file, TreeSelector, peg::nothing, ParseControl>(in);
+        return TreeBuilder(source).file(*root);
+    } catch (const peg::parse_error& error) {
+        const auto& position = error.positions().front();
+        throw HclErrors(source, {{{position.line, position.column}, std::string(error.message())}});
     }
 }
 
--- a/src/config/hcl.hpp
+++ b/src/config/hcl.hpp
@@ -1,6 +1,6 @@
-// The operators' files: a subset of HCL's native syntax, as a tree whose every piece knows its line and
-// column. Which subset: docs/operator-file.md. Pure functions on text; what a name may stand for is the
-// reader's.
+// Parser of the operators' files: a subset of HCL's native syntax, as a tree in which every node knows its
+// line and column. docs/operator-file.md describes the subset. Pure functions on text; what a name means is
+// up to the readers (BlockReader).
 #pragma once
 
 #include <stdexcept>
@@ -12,51 +12,62 @@
 
 namespace tealcart {
 
-struct HclAt {
-    std::size_t line = 1, column = 1;
+// A place in a file, both counted from 1.
+struct HclPosition {
+    std::size_t line = 1;
+    std::size_t column = 1;
 };
 
+// A literal: there are no expressions.
 struct HclValue {
     using List = std::vector<HclValue>;
-    using Object = std::vector<std::pair<std::string, HclValue>>;
+    using Object = std::vector<std::pair<std::string, HclValue>>;  // in the order of the file
 
     std::variant<std::monostate, bool, double, std::string, List, Object> value;  // monostate: null
-    HclAt at;
+    HclPosition position;
 
-    // "a string", "a number" ...: for what is told of a wrong one.
-    const char* kind() const;
+    // "a string", "a number" ...: for error messages.
+    const char* type_name() const;
 };
 
 struct HclAttribute {
     std::string name;
     HclValue value;
-    HclAt at;
+    HclPosition position;  // of the name
 };
 
 struct HclBlock {
-    std::string type;
+    std::string type;  // empty for the file itself
     std::vector<std::string> labels;
-    std::vector<HclAttribute> attributes;
+    std::vector<HclAttribute> attributes;  // no name occurs twice
     std::vector<HclBlock> blocks;
-    HclAt at;
+    HclPosition position;
 };
 
-struct HclMistake {
-    HclAt at;
-    std::string words;
+struct HclError {
+    HclPosition position;
+    std::string message;
 };
 
-// All that is wrong with a file; what() holds a line `SOURCE:LINE:COLUMN: WORDS` for each.
-struct HclMistakes : std::runtime_error {
-    HclMistakes(std::string_view source, std::vector<HclMistake> found);
+// All errors of a file. `what()` has a line `SOURCE:LINE:COLUMN: MESSAGE` for each.
+class HclErrors : public std::runtime_error {
+  public:
+    HclErrors(std::string_view source, std::vector<HclError> errors);
 
-    std::vector<HclMistake> mistakes;
+    const std::vector<HclError>& errors() const { return errors_; }
+
+  private:
+    std::vector<HclError> errors_;
 };
 
-constexpr std::size_t max_hcl = 1 << 20;  // bytes; and blocks, lists and objects lie at most ...
-constexpr int deepest_hcl = 24;           // ... so deep in each other
+// Throws HclErrors with the errors in the order of the file; returns where there are none.
+void throw_if_any(std::string_view source, std::vector<HclError> errors);
+
+constexpr std::size_t max_hcl_bytes = 1 << 20;
+constexpr int max_hcl_depth = 24;  // of blocks, lists and objects in each other
 
-// The file as one block without a type. Throws HclMistakes with the first thing that can't be read.
+// Parses a file as one block without a type; `source` is its name in errors. Throws HclErrors with the first
+// syntax error.
 HclBlock parse_hcl(std::string_view text, std::string_view source);
 
 }  // namespace tealcart
--- a/src/config/host_port.cpp
+++ b/src/config/host_port.cpp
@@ -4,7 +4,7 @@
 
 namespace tealcart {
 
-std::optional<HostPort> read_host_port(std::string_view text) {
+std::optional<HostPort> parse_host_port(std::string_view text) {
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos || colon == 0) return std::nullopt;
     HostPort found{std::string(text.substr(0, colon)), 0};
--- a/src/config/host_port.hpp
+++ b/src/config/host_port.hpp
@@ -8,13 +8,14 @@
 
 namespace tealcart {
 
-// "a.b.c.d:port" with a port above 0.
 struct HostPort {
     std::string host;
     std::uint16_t port = 0;
 
     friend bool operator==(const HostPort&, const HostPort&) = default;
 };
-std::optional<HostPort> read_host_port(std::string_view text);
+
+// "HOST:PORT" with a port above 0. None where the text is no such address; the host is not checked.
+std::optional<HostPort> parse_host_port(std::string_view text);
 
 }  // namespace tealcart
--- a/src/config/migration.hpp
+++ b/src/config/migration.hpp
@@ -1,5 +1,5 @@
-// Carries an operators' file written for the earlier shape of deployment over to a new one: what holds there
-// is kept as it stands, what does not is left out, with its line and column and why. Pure: text in, text out.
+// Rewrites an operators' file for a new deployment (`tealcart migrate`): what is valid there stays as it is,
+// what isn't becomes a comment, with its position and the reason. Pure: text in, text out.
 #pragma once
 
 #include <string>
@@ -11,14 +11,14 @@
 
 namespace tealcart {
 
-struct Migration {
-    std::string text;                 // the file for the new shape
-    std::vector<HclMistake> left;     // what could not be carried over, where it stood
-    std::vector<std::string> stated;  // what the new deployment's settings state that the router now reads
+struct OperatorFileMigration {
+    std::string text;                 // the file for the new deployment
+    std::vector<HclError> left;       // blocks that are not valid there, at their position in the old file
+    std::vector<std::string> stated;  // what the new deployment's settings say, one line each
 };
 
-// `settings` is the object that the platform hands over as `settings`, of the new deployment. Throws
-// HclMistakes where the old file can't be read, Malformed where the settings can't.
-Migration migrate(std::string_view old_text, std::string_view source, std::string_view settings);
+// `settings` is the new deployment's JSON object of that name. Throws HclErrors where the old file is wrong,
+// ConfigError where the settings are.
+OperatorFileMigration migrate(std::string_view old_text, std::string_view source, std::string_view settings);
 
 }  // namespace tealcart
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -10,85 +10,146 @@
 namespace tealcart {
 namespace {
 
-constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-
-StatedPhases read_phases(const HclBlock& block, std::vector<HclMistake>& mistakes) {
-    BlockReader in(block, mistakes);
-    StatedPhases stated;
-    stated.at = block.at;
-    stated.query_class = in.label("the vertical's name");
-    TwoPhaseConfig& t = stated.config;
-    t.on = true;
-    t.share = in.number("share", t.share, 0.01, 0.9);
-    t.least = in.span("least", t.least, ms, 3600 * second);
-    t.most = in.span("most", t.most, ms, 3600 * second);
-    t.keep = in.span("keep", t.keep, 0, 3600 * second);
-    t.max_rows = static_cast<int>(in.whole("most_rows", t.max_rows, 1, max_words_rows));
-    t.audit = in.number("audit", t.audit, 0, 1);
-    t.remember = in.flag("remember", t.remember);
-    if (t.least > t.most) in.wrong(block.at, "'least' is over 'most'");
-    in.finish();
-    return stated;
+constexpr Nanos millisecond = 1'000'000;
+constexpr Nanos second = 1000 * millisecond;
+constexpr Nanos hour = 3600 * second;
+constexpr Nanos day = 24 * hour;
+constexpr std::size_t max_name_length = 128;
+
+// A name as it is shown and counted: printable and without blanks. Empty is allowed, for "not stated".
+std::string read_name(BlockReader& in, const HclBlock& block, const char* attribute) {
+    std::string name = in.string(attribute, "");
+    const bool printable = std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 0x7f; });
+    if (name.size() > max_name_length || !printable)
+        in.add_error(block.position,
+                     std::string("'") + attribute + "' is no name of up to 128 letters without blanks");
+    return name;
 }
 
-ControlConfig read_control(const HclBlock& block, std::vector<HclMistake>& mistakes) {
-    BlockReader in(block, mistakes);
-    in.no_label();
-    ControlConfig t;
-    t.on = true;
-    t.listen = in.text("listen", t.listen);
-    if (!read_host_port(t.listen)) in.wrong(block.at, "'listen' is no address with a port");
-    t.node_limit = static_cast<int>(in.whole("node_limit", t.node_limit, 1, 1'000'000));
-    t.panic = in.number("panic", t.panic, 0, 1);
-    t.panic_window = in.span("panic_window", t.panic_window, second, 3600 * second);
-    t.panic_hold = in.span("panic_hold", t.panic_hold, second, 24 * 3600 * second);
-    t.ramp_step = in.span("ramp_step", t.ramp_step, 10 * ms, 60 * second);
-    t.ack_wait = in.span("ack_wait", t.ack_wait, 10 * ms, 60 * second);
-    t.leave_grace = in.span("leave_grace", t.leave_grace, 0, 3600 * second);
-    t.yield_after = in.span("yield_after", t.yield_after, 0, 3600 * second);
-    t.max_proxies = static_cast<int>(in.whole("most_proxies", t.max_proxies, 1, 1'000'000));
-    in.finish();
-    return t;
+std::vector<HostPort> read_addresses(BlockReader& in, const HclBlock& block, const char* attribute,
+                                     const char* what) {
+    std::vector<HostPort> addresses;
+    for (const std::string& text : in.strings(attribute)) {
+        if (const auto address = parse_host_port(text))
+            addresses.push_back(*address);
+        else
+            in.add_error(block.position,
+                         std::string("the ") + what + " '" + text + "' is no address with a port");
+    }
+    return addresses;
 }
 
-MemberConfig read_member(const HclBlock& block, std::vector<HclMistake>& mistakes) {
-    BlockReader in(block, mistakes);
-    in.no_label();
-    MemberConfig t;
-    const auto name = [&](const char* attribute) {
-        std::string text = in.text(attribute, "");
-        if (text.size() > 128 ||
-            !std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; }))
-            in.wrong(block.at,
-                     std::string("'") + attribute + "' is no name of up to 128 letters without blanks");
-        return text;
-    };
-    t.name = name("name");
-    t.zone = name("zone");
-    const auto addresses = [&](const char* attribute, const char* what) {
-        std::vector<HostPort> read;
-        for (const std::string& text : in.texts(attribute)) {
-            if (const auto address = read_host_port(text))
-                read.push_back(*address);
-            else
-                in.wrong(block.at, std::string("the ") + what + " '" + text + "' is no address with a port");
-        }
-        return read;
-    };
-    t.managers = addresses("stewards", "steward");
-    t.relays = addresses("relays", "relay");
-    t.on = !t.managers.empty();
-    if (t.managers.empty() && t.relays.empty()) in.wrong(block.at, "'stewards' and 'relays' name none");
-    t.serve_on = in.span("serve_on", t.serve_on, 0, 365 * 24 * 3600 * second);
-    t.then_stop = in.choice("then", 0, {"leave", "stop"}) == 1;
-    t.first_word = in.span("first_word", t.first_word, 0, 3600 * second);
-    t.config_first_word = in.span("config_first_word", t.config_first_word, 0, 3600 * second);
-    in.finish();
-    return t;
+TwoPhaseBlock read_two_phase(const HclBlock& block, std::vector<HclError>& errors) {
+    BlockReader in(block, errors);
+    TwoPhaseBlock read;
+    read.position = block.position;
+    read.query_class = in.label("the vertical's name");
+    TwoPhaseConfig& config = read.config;
+    config.on = true;
+    config.share = in.number("share", config.share, 0.01, 0.9);
+    config.least = in.duration("least", config.least, millisecond, hour);
+    config.most = in.duration("most", config.most, millisecond, hour);
+    config.keep = in.duration("keep", config.keep, 0, hour);
+    config.max_rows = static_cast<int>(in.integer("most_rows", config.max_rows, 1, max_words_rows));
+    config.audit = in.number("audit", config.audit, 0, 1);
+    config.remember = in.boolean("remember", config.remember);
+    if (config.least > config.most) in.add_error(block.position, "'least' is over 'most'");
+    in.reject_unknown();
+    return read;
+}
+
+SectionMemoryConfig read_section_memory(const HclBlock& block, std::vector<HclError>& errors) {
+    constexpr std::uint64_t min_bytes = 4096;
+    constexpr std::uint64_t max_bytes = 1ULL << 30;
+    BlockReader in(block, errors);
+    in.expect_no_label();
+    SectionMemoryConfig config;
+    config.bytes = in.byte_size("bytes", config.bytes, min_bytes, max_bytes);
+    config.max_lease = in.duration("longest_lease", config.max_lease, millisecond, hour);
+    config.distrust = in.duration("distrust", config.distrust, second, day);
+    in.reject_unknown();
+    return config;
+}
+
+CallOverheadConfig read_calls(const HclBlock& block, std::vector<HclError>& errors) {
+    constexpr int max_shard_requests = 1024;
+    BlockReader in(block, errors);
+    in.expect_no_label();
+    CallOverheadConfig config;
+    config.stated = true;
+    config.shard_requests =
+        static_cast<int>(in.integer("parts", config.shard_requests, 1, max_shard_requests));
+    config.cost = in.duration("cost", config.cost, 0, 60 * second);
+    in.reject_unknown();
+    return config;
+}
+
+ControlConfig read_control(const HclBlock& block, std::vector<HclError>& errors) {
+    constexpr std::int64_t max_count = 1'000'000;
+    BlockReader in(block, errors);
+    in.expect_no_label();
+    ControlConfig config;
+    config.on = true;
+    config.listen = in.string("listen", config.listen);
+    if (!parse_host_port(config.listen)) in.add_error(block.position, "'listen' is no address with a port");
+    config.node_limit = static_cast<int>(in.integer("node_limit", config.node_limit, 1, max_count));
+    config.panic = in.number("panic", config.panic, 0, 1);
+    config.panic_window = in.duration("panic_window", config.panic_window, second, hour);
+    config.panic_hold = in.duration("panic_hold", config.panic_hold, second, day);
+    config.ramp_step = in.duration("ramp_step", config.ramp_step, 10 * millisecond, 60 * second);
+    config.ack_wait = in.duration("ack_wait", config.ack_wait, 10 * millisecond, 60 * second);
+    config.leave_grace = in.duration("leave_grace", config.leave_grace, 0, hour);
+    config.yield_after = in.duration("yield_after", config.yield_after, 0, hour);
+    config.max_proxies = static_cast<int>(in.integer("most_proxies", config.max_proxies, 1, max_count));
+    in.reject_unknown();
+    return config;
+}
+
+MemberConfig read_member(const HclBlock& block, std::vector<HclError>& errors) {
+    BlockReader in(block, errors);
+    in.expect_no_label();
+    MemberConfig config;
+    config.name = read_name(in, block, "name");
+    config.zone = read_name(in, block, "zone");
+    config.managers = read_addresses(in, block, "stewards", "steward");
+    config.relays = read_addresses(in, block, "relays", "relay");
+    config.on = !config.managers.empty();
+    if (config.managers.empty() && config.relays.empty())
+        in.add_error(block.position, "'stewards' and 'relays' name none");
+    config.serve_on = in.duration("serve_on", config.serve_on, 0, 365 * day);
+    config.then_stop = in.choice("then", 0, {"leave", "stop"}) == 1;
+    config.first_word = in.duration("first_word", config.first_word, 0, hour);
+    config.config_first_word = in.duration("config_first_word", config.config_first_word, 0, hour);
+    in.reject_unknown();
+    return config;
+}
+
+std::vector<TwoPhaseBlock> read_two_phase_blocks(BlockReader& in, std::vector<HclError>& errors) {
+    std::vector<TwoPhaseBlock> read;
+    for (const HclBlock* block : in.blocks("two_phase")) {
+        TwoPhaseBlock two_phase = read_two_phase(*block, errors);
+        const auto same = [&two_phase](const TwoPhaseBlock& other) {
+            return other.query_class == two_phase.query_class;
+        };
+        if (!two_phase.query_class.empty() && std::any_of(read.begin(), read.end(), same))
+            in.add_error(block->position, "a second 'two_phase' block for '" + two_phase.query_class + "'");
+        read.push_back(std::move(two_phase));
+    }
+    return read;
 }
 
 }  // namespace
 
+LogConfig read_log_config(const HclBlock& block, std::vector<HclError>& errors) {
+    BlockReader in(block, errors);
+    in.expect_no_label();
+    LogConfig config;
+    config.form = static_cast<LogForm>(in.choice("format", 0, {"text", "json"}));
+    config.level = static_cast<LogLevel>(in.choice("level", 1, {"debug", "info", "warn", "error"}));
+    in.reject_unknown();
+    return config;
+}
+
 OperatorConfig read_operator_config(std::string_view text, std::string_view source) {
     OperatorConfig config = read_operator_config(parse_hcl(text, source), source);
     config.text = text;
@@ -96,90 +157,67 @@
 }
 
 OperatorConfig read_operator_config(const HclBlock& root, std::string_view source) {
-    std::vector<HclMistake> mistakes;
+    std::vector<HclError> errors;
+    BlockReader in(root, errors);
     OperatorConfig config;
     config.source = source;
-    BlockReader in(root, mistakes);
-    if (const HclBlock* log = in.only_block("log")) {
-        BlockReader of(*log, mistakes);
-        of.no_label();
-        config.log.form = static_cast<LogForm>(of.choice("format", 0, {"text", "json"}));
-        config.log.level = static_cast<LogLevel>(of.choice("level", 1, {"debug", "info", "warn", "error"}));
-        of.finish();
-    }
-    if (const HclBlock* memory = in.only_block("section_memory")) {
-        BlockReader of(*memory, mistakes);
-        of.no_label();
-        SectionMemoryConfig& m = config.memory;
-        m.bytes = of.bytes("bytes", m.bytes, 4096, 1ULL << 30);
-        m.max_lease = of.span("longest_lease", m.max_lease, ms, 3600 * second);
-        m.distrust = of.span("distrust", m.distrust, second, 24 * 3600 * second);
-        of.finish();
-    }
-    if (const HclBlock* control = in.only_block("control")) config.control = read_control(*control, mistakes);
-    if (const HclBlock* member = in.only_block("member")) config.member = read_member(*member, mistakes);
-    if (const HclBlock* calls = in.only_block("calls")) {
-        BlockReader of(*calls, mistakes);
-        of.no_label();
-        CallConfig& c = config.calls;
-        c.stated = true;
-        c.shard_requests = static_cast<int>(of.whole("parts", c.shard_requests, 1, 1024));
-        c.cost = of.span("cost", c.cost, 0, 60 * second);
-        of.finish();
-    }
-    for (const HclBlock* block : in.blocks("two_phase")) {
-        StatedPhases stated = read_phases(*block, mistakes);
-        for (const StatedPhases& other : config.phases)
-            if (other.query_class == stated.query_class && !stated.query_class.empty())
-                in.wrong(block->at, "a second 'two_phase' block for '" + stated.query_class + "'");
-        config.phases.push_back(std::move(stated));
-    }
-    in.finish();
-    if (mistakes.empty()) return config;
-    std::stable_sort(mistakes.begin(), mistakes.end(), [](const HclMistake& a, const HclMistake& b) {
-        return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
-    });
-    throw HclMistakes(source, std::move(mistakes));
-}
-
-void follow_calls(const CallConfig& calls, RouterConfig& config, ConnectionConfig& link) {
-    if (!calls.stated) return;
-    config.max_requests_per_call = link.max_requests_per_call = calls.shard_requests;
-    config.call_overhead = calls.cost;
+    if (const HclBlock* block = in.single_block("log")) config.log = read_log_config(*block, errors);
+    if (const HclBlock* block = in.single_block("section_memory"))
+        config.memory = read_section_memory(*block, errors);
+    if (const HclBlock* block = in.single_block("control")) config.control = read_control(*block, errors);
+    if (const HclBlock* block = in.single_block("member")) config.member = read_member(*block, errors);
+    if (const HclBlock* block = in.single_block("calls")) config.calls = read_calls(*block, errors);
+    config.phases = read_two_phase_blocks(in, errors);
+    in.reject_unknown();
+    throw_if_any(source, std::move(errors));
+    return config;
 }
 
 OperatorConfig read_operator_file(const std::string& path) {
     std::ifstream file(path);
-    std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw Malformed("the operators' file " + path + " can't be read");
+    const std::string text{std::istreambuf_iterator<char>(file), {}};
+    if (!file) throw ConfigError("the operators' file " + path + " can't be read");
     return read_operator_config(text, path);
 }
 
-std::optional<std::size_t> two_phase_query_class(const StatedPhases& stated, const RouterConfig& config,
+void apply_call_config(const CallOverheadConfig& calls, RouterConfig& config, ConnectionConfig& connections) {
+    if (!calls.stated) return;
+    config.max_requests_per_call = calls.shard_requests;
+    connections.max_requests_per_call = calls.shard_requests;
+    config.call_overhead = calls.cost;
+}
+
+std::optional<std::size_t> two_phase_query_class(const TwoPhaseBlock& block, const RouterConfig& config,
                                                  const std::vector<std::string>& query_classes,
-                                                 std::vector<HclMistake>& mistakes) {
-    const auto found = std::find(query_classes.begin(), query_classes.end(), stated.query_class);
-    const auto v = static_cast<std::size_t>(found - query_classes.begin());
-    const std::size_t before = mistakes.size();
-    if (found == query_classes.end())
-        mistakes.push_back({stated.at, "the settings name no vertical '" + stated.query_class + "'"});
-    else if (config.query_classes[v].effect != Effect::idempotent)
-        mistakes.push_back(
-            {stated.at, "'" + stated.query_class + "' is not repeatable and can't be put in two phases"});
-    else if (config.query_classes[v].second_step_requests > 0)
-        mistakes.push_back(
-            {stated.at, "'" + stated.query_class + "' has a second step and can't be put in two phases"});
-    return mistakes.size() == before ? std::optional(v) : std::nullopt;
+                                                 std::vector<HclError>& errors) {
+    const auto found = std::find(query_classes.begin(), query_classes.end(), block.query_class);
+    if (found == query_classes.end()) {
+        errors.push_back({block.position, "the settings name no vertical '" + block.query_class + "'"});
+        return std::nullopt;
+    }
+    const auto index = static_cast<std::size_t>(found - query_classes.begin());
+    const QueryClassConfig& query_class = config.query_classes[index];
+    const std::string name = "'" + block.query_class + "'";
+    if (query_class.effect != Effect::idempotent) {
+        errors.push_back({block.position, name + " is not repeatable and can't be put in two phases"});
+        return std::nullopt;
+    }
+    if (query_class.second_step_requests > 0) {
+        errors.push_back({block.position, name + " has a second step and can't be put in two phases"});
+        return std::nullopt;
+    }
+    return index;
 }
 
-std::vector<TwoPhaseConfig> two_phase_by_query_class(const OperatorConfig& stated, const RouterConfig& config,
+std::vector<TwoPhaseConfig> two_phase_by_query_class(const OperatorConfig& operators,
+                                                     const RouterConfig& config,
                                                      const std::vector<std::string>& query_classes) {
     std::vector<TwoPhaseConfig> by_query_class(query_classes.size());
-    std::vector<HclMistake> mistakes;
-    for (const StatedPhases& s : stated.phases)
-        if (const auto v = two_phase_query_class(s, config, query_classes, mistakes))
-            by_query_class[*v] = s.config;
-    if (!mistakes.empty()) throw HclMistakes(stated.source, std::move(mistakes));
+    std::vector<HclError> errors;
+    for (const TwoPhaseBlock& block : operators.phases)
+        if (const auto index = two_phase_query_class(block, config, query_classes, errors))
+            by_query_class[*index] = block.config;
+    throw_if_any(operators.source, std::move(errors));
     return by_query_class;
 }
 
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -1,4 +1,4 @@
-// The operators' own file, deploy/tealcart.hcl by its usual name, turned into what the subsystems go by.
+// The operators' file (deploy/tealcart.hcl by its usual name) read into typed configuration.
 // docs/operator-file.md lists its blocks. Without a file everything here keeps its default, which is off.
 #pragma once
 
@@ -23,48 +23,53 @@
     LogLevel level = LogLevel::info;
 };
 
-// What a call to a data node carries, where the operators state it in place of the platform's settings.
-struct CallConfig {
-    bool stated = false;
-    int shard_requests = 1;  // shard requests one call carries at most
-    Nanos cost = 0;          // work a call costs a data node beside its shard requests
+// The `calls` block: what a call to a data node carries, in place of what the settings say.
+struct CallOverheadConfig {
+    bool stated = false;     // whether there is such a block
+    int shard_requests = 1;  // that one call carries at most
+    Nanos cost = 0;          // work that a call costs a data node beside its shard requests
 };
 
-struct StatedPhases {
-    std::string query_class;
-    HclAt at;
+// A `two_phase` block.
+struct TwoPhaseBlock {
+    std::string query_class;  // its label
+    HclPosition position;
     TwoPhaseConfig config;
 };
 
 struct OperatorConfig {
-    std::string source, text;
+    std::string source;  // the file's name
+    std::string text;    // the file, empty where it was read from blocks
     LogConfig log;
     SectionMemoryConfig memory;
     ControlConfig control;
-    CallConfig calls;
+    CallOverheadConfig calls;
     MemberConfig member;
-    std::vector<StatedPhases> phases;
+    std::vector<TwoPhaseBlock> phases;
 };
 
-// The calls block, where stated, over what the settings say; the settings are left as they are otherwise.
-void follow_calls(const CallConfig& calls, RouterConfig& config, ConnectionConfig& link);
+// Reads a `log` block, which operators' files of all programs may have.
+LogConfig read_log_config(const HclBlock& block, std::vector<HclError>& errors);
 
-// Throws HclMistakes with all that is wrong.
+// All three throw HclErrors with every error of the file. The second reads blocks that are parsed already;
+// the last throws ConfigError where the file can't be read.
 OperatorConfig read_operator_config(std::string_view text, std::string_view source);
-// The same of a file's blocks; without its text.
 OperatorConfig read_operator_config(const HclBlock& root, std::string_view source);
-// The same of a file; throws Malformed where it can't be read.
 OperatorConfig read_operator_file(const std::string& path);
 
-// The place of the query class that a block names; none, and the mistake noted, where the deployment has no
-// such query class, or it may not be put in two phases.
-std::optional<std::size_t> two_phase_query_class(const StatedPhases& stated, const RouterConfig& config,
+// Puts the `calls` block, where there is one, over what the settings say.
+void apply_call_config(const CallOverheadConfig& calls, RouterConfig& config, ConnectionConfig& connections);
+
+// The index of the query class that a block is for. None, with an error added, where the deployment has no
+// such query class or it may not have two phases: it is not idempotent, or has a second step.
+std::optional<std::size_t> two_phase_query_class(const TwoPhaseBlock& block, const RouterConfig& config,
                                                  const std::vector<std::string>& query_classes,
-                                                 std::vector<HclMistake>& mistakes);
+                                                 std::vector<HclError>& errors);
 
-// What is stated for each query class of the deployment, by its place. Throws HclMistakes where a block names
-// no query class, or one that may not be put in two phases.
-std::vector<TwoPhaseConfig> two_phase_by_query_class(const OperatorConfig& stated, const RouterConfig& config,
+// The two-phase configuration of each query class of the deployment, by index. Throws HclErrors where a
+// block's query class may not have one.
+std::vector<TwoPhaseConfig> two_phase_by_query_class(const OperatorConfig& operators,
+                                                     const RouterConfig& config,
                                                      const std::vector<std::string>& query_classes);
 
 }  // namespace tealcart
--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -139,7 +139,7 @@
         const bool drains = node.drains_since > 0;
         if (drains && now_ >= node.drains_since + drain_grace_) continue;  // what it had is over
         if (drains) next_change_ = std::min(next_change_, node.drains_since + drain_grace_);
-        const auto to = read_host_port(node.listed.address);
+        const auto to = parse_host_port(node.listed.address);
         if (!to) continue;
         const auto share = share_.find(node.number);
         const double of_warm = drains ? 0 : share == share_.end() ? 1 : share->second;
--- a/src/fleet_manager/command_main.cpp
+++ b/src/fleet_manager/command_main.cpp
@@ -39,13 +39,13 @@
 std::vector<HostPort> managers_of(const Asked& asked) {
     std::vector<HostPort> all;
     for (const std::string& text : asked.managers) {
-        const auto at = read_host_port(text);
-        if (!at) throw Malformed("'" + text + "' is no address with a port");
+        const auto at = parse_host_port(text);
+        if (!at) throw ConfigError("'" + text + "' is no address with a port");
         all.push_back(*at);
     }
     if (all.empty() && !asked.file.empty())
         for (const auto& [id, s] : read_fleet_manager_file(asked.file).managers) all.push_back(s.http);
-    if (all.empty()) throw Malformed("name the stewards: --stewards, TEALCART_STEWARDS or --file");
+    if (all.empty()) throw ConfigError("name the stewards: --stewards, TEALCART_STEWARDS or --file");
     return all;
 }
 
@@ -115,7 +115,7 @@
     }
     // The one that leads may not be among those that were named.
     if (found.is_object())
-        if (const auto leader = read_host_port(found["leader_at"].get<std::string>())) {
+        if (const auto leader = parse_host_port(found["leader_at"].get<std::string>())) {
             const Reply reply = ask_once(io, *leader, path, "", one_look);
             Json state = Json::parse(reply.body, nullptr, false);
             if (reply.status == 200 && state.is_object()) return state;
@@ -316,7 +316,7 @@
     try {
         body = call.dump();
     } catch (const Json::exception&) {
-        throw Malformed("what is to be set is no text in UTF-8");
+        throw ConfigError("what is to be set is no text in UTF-8");
     }
     const Reply reply = query_managers(managers, path, body, within(asked));
     const Json in = Json::parse(reply.body, nullptr, false);
@@ -350,7 +350,7 @@
         const std::string path = entry.substr(at + 1);
         std::ifstream file(path, std::ios::binary);
         const std::string text{std::istreambuf_iterator<char>(file), {}};
-        if (!file) throw Malformed("the file " + path + " can't be read");
+        if (!file) throw ConfigError("the file " + path + " can't be read");
         call["set"][entry.substr(0, at)] = text;
     }
     if (!asked.removed.empty()) call["removed"] = asked.removed;
@@ -485,7 +485,7 @@
         if (forget->parsed()) return change(asked, "/fleet/forget");
         if (add->parsed()) return change_managers(asked, "/fleet/stewards/add");
         return change_managers(asked, "/fleet/stewards/remove");
-    } catch (const HclMistakes& e) {
+    } catch (const HclErrors& e) {
         std::fprintf(stderr, "%s\n", e.what());
     } catch (const std::exception& e) {
         std::fprintf(stderr, "tealcart: %s\n", e.what());
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -360,7 +360,7 @@
         };
         changing_ = true;
         if (what == "stewards/remove") return raft_.remove(id, done);
-        if (!read_host_port(call->name)) {
+        if (!parse_host_port(call->name)) {
             changing_ = false;
             return refuse(client, 400, "'name' is no address with a port");
         }
--- a/src/fleet_manager/fleet_manager_config.hpp
+++ b/src/fleet_manager/fleet_manager_config.hpp
@@ -28,8 +28,8 @@
     LogConfig log;
 };
 
-// Throws HclMistakes with all that is wrong.
+// Throws HclErrors with all that is wrong.
 FleetManagerConfig read_fleet_manager_config(std::string_view text, std::string_view source);
-FleetManagerConfig read_fleet_manager_file(const std::string& path);  // and Malformed where it can't be read
+FleetManagerConfig read_fleet_manager_file(const std::string& path);  // and ConfigError where it can't be read
 
 }  // namespace tealcart::manager
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -25,7 +25,7 @@
 const OneManager& self_of(const FleetManagerConfig& config, std::uint64_t id) {
     const auto it = config.managers.find(id);
     if (it == config.managers.end())
-        throw Malformed(config.source + " names no steward " + std::to_string(id));
+        throw ConfigError(config.source + " names no steward " + std::to_string(id));
     return it->second;
 }
 
@@ -100,7 +100,7 @@
                         config.fleet.c_str());
         }
         return 0;
-    } catch (const HclMistakes& e) {
+    } catch (const HclErrors& e) {
         std::fprintf(stderr, "%s\n", e.what());
     } catch (const std::exception& e) {
         std::fprintf(stderr, "tealcart fleet-manager: %s\n", e.what());
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -84,7 +84,7 @@
         if (reply.status == 200 || (reply.status >= 400 && reply.status < 410)) return reply;
         if (reply.status != 0) last = reply;
         if (reply.status == 421)
-            if (const auto named = read_elsewhere(reply.body)) leader = read_host_port(*named);
+            if (const auto named = read_elsewhere(reply.body)) leader = parse_host_port(*named);
         if (!leader) std::this_thread::sleep_for(pause);
     }
     return {0, last.body};
--- a/src/members/configuration.cpp
+++ b/src/members/configuration.cpp
@@ -33,12 +33,12 @@
             if (dot != std::string::npos) block.labels = {key.substr(dot + 1)};
             const OperatorConfig stated = read_operator_config(root, key);
             if (type == "log") settings.log = stated.log;
-            std::vector<HclMistake> mistakes;
-            for (const StatedPhases& s : stated.phases)
+            std::vector<HclError> mistakes;
+            for (const TwoPhaseBlock& s : stated.phases)
                 if (const auto v = two_phase_query_class(s, config_, query_classes_, mistakes))
                     settings.phases[*v] = s.config;
-            if (!mistakes.empty()) throw HclMistakes(key, std::move(mistakes));
-        } catch (const HclMistakes& e) {
+            if (!mistakes.empty()) throw HclErrors(key, std::move(mistakes));
+        } catch (const HclErrors& e) {
             wrong(e.what());
         }
     }
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -51,7 +51,7 @@
                         config.zone.c_str(), config.managers.size());
         }
         return 0;
-    } catch (const HclMistakes& e) {
+    } catch (const HclErrors& e) {
         std::fprintf(stderr, "%s\n", e.what());
     } catch (const std::exception& e) {
         std::fprintf(stderr, "tealcart relay: %s\n", e.what());
--- a/src/relay/relay_config.hpp
+++ b/src/relay/relay_config.hpp
@@ -20,8 +20,8 @@
     LogConfig log;
 };
 
-// Throws HclMistakes with all that is wrong.
+// Throws HclErrors with all that is wrong.
 RelayConfig read_relay_config(std::string_view text, std::string_view source);
-RelayConfig read_relay_file(const std::string& path);  // and Malformed where it can't be read
+RelayConfig read_relay_file(const std::string& path);  // and ConfigError where it can't be read
 
 }  // namespace tealcart::relay
--- a/src/service/main.cpp
+++ b/src/service/main.cpp
@@ -55,7 +55,7 @@
 
 std::string whole_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw tealcart::Malformed(path + " can't be read");
+    if (!in) throw tealcart::ConfigError(path + " can't be read");
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -64,17 +64,17 @@
 int migrate(const Asked& asked) {
     const auto config = nlohmann::json::parse(whole_file(asked.launch), nullptr, false);
     if (config.is_discarded() || !config.is_object() || !config.contains("settings"))
-        throw tealcart::Malformed(asked.launch + " is no configuration with 'settings'");
-    const tealcart::Migration m =
+        throw tealcart::ConfigError(asked.launch + " is no configuration with 'settings'");
+    const tealcart::OperatorFileMigration m =
         tealcart::migrate(whole_file(asked.file), asked.file, config["settings"].dump());
     for (const std::string& line : m.stated) std::fprintf(stderr, "stated: %s\n", line.c_str());
-    for (const tealcart::HclMistake& left : m.left)
-        std::fprintf(stderr, "%s:%zu:%zu: not carried over: %s\n", asked.file.c_str(), left.at.line,
-                     left.at.column, left.words.c_str());
+    for (const tealcart::HclError& left : m.left)
+        std::fprintf(stderr, "%s:%zu:%zu: not carried over: %s\n", asked.file.c_str(), left.position.line,
+                     left.position.column, left.message.c_str());
     if (asked.dry_run || asked.to.empty()) return std::fputs(m.text.c_str(), stdout) < 0;
-    if (std::filesystem::exists(asked.to)) throw tealcart::Malformed(asked.to + " is there already");
+    if (std::filesystem::exists(asked.to)) throw tealcart::ConfigError(asked.to + " is there already");
     std::ofstream out(asked.to, std::ios::binary);
-    if (!(out << m.text) || !out.flush()) throw tealcart::Malformed(asked.to + " can't be written");
+    if (!(out << m.text) || !out.flush()) throw tealcart::ConfigError(asked.to + " can't be written");
     std::fprintf(stderr, "wrote %s: %zu left behind\n", asked.to.c_str(), m.left.size());
     return 0;
 }
@@ -152,7 +152,7 @@
             return std::fputs(tealcart::completion_script(app, asked.shell).c_str(), stdout) < 0;
         if (migrating->parsed()) return migrate(asked);
         return checking->parsed() ? check(asked) : serve(asked);
-    } catch (const tealcart::HclMistakes& e) {
+    } catch (const tealcart::HclErrors& e) {
         std::fprintf(stderr, "%s\n", e.what());
         return 1;
     } catch (const std::exception& e) {
--- a/src/service/startup_config.hpp
+++ b/src/service/startup_config.hpp
@@ -26,13 +26,13 @@
     std::vector<TwoPhaseConfig> phases;  // by query class
 };
 
-// Throws Malformed with one plain line where something is missing or can't be read.
+// Throws ConfigError with one plain line where something is missing or can't be read.
 StartupConfig read_startup_config(const std::string& text);
 
 // The same from a file, which ROUTER_CONFIG names as a rule.
 StartupConfig read_startup_config_file(const std::string& path);
 
-// Takes over what the operators' file states. Throws HclMistakes where it doesn't fit the settings.
+// Takes over what the operators' file states. Throws HclErrors where it doesn't fit the settings.
 void follow_operators(StartupConfig& launch, OperatorConfig operators);
 
 }  // namespace tealcart
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -306,7 +306,7 @@
         for (Row& row : section.rows) row.rank += change.rank_by;
         sort_rows(section.rows);
     }
-    std::vector<HclMistake> none;  // the script was checked as a whole
+    std::vector<HclError> none;  // the script was checked as a whole
     for (NodeScript& node : script_.nodes)
         if (node.name == change.node) node.behaviour = read_behaviour(change.block, node.behaviour, none);
     if (!change.node.empty()) tell();
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -46,7 +46,7 @@
 Json written(const WireCount& c) { return {{"calls", c.calls}, {"in", c.in}, {"out", c.out}}; }
 
 HostPort address_of(const std::string& text) {
-    const auto at = read_host_port(text);
+    const auto at = parse_host_port(text);
     if (!at) throw std::runtime_error(text + " is no address");
     return *at;
 }
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -57,7 +57,7 @@
     t.control = static_cast<std::uint16_t>(std::stoul(w[3]));
     t.zone = w[4];
     for (std::size_t i = words_before_relays; i < w.size(); ++i) {
-        const auto at = read_host_port(w[i]);
+        const auto at = parse_host_port(w[i]);
         if (!at) throw std::runtime_error(w[i] + " is no address");
         t.relays.push_back(*at);
     }
--- a/src/testing/main.cpp
+++ b/src/testing/main.cpp
@@ -55,7 +55,7 @@
                         entries.append(entries.empty() ? "" : ",")
                             .append(entry_of(node, "127.0.0.1:" + std::to_string(node.port)));
                 discovery.tell(entries);
-            } catch (const HclMistakes& e) {
+            } catch (const HclErrors& e) {
                 std::fprintf(stderr, "%s\n", e.what());
             }
         }
--- a/src/testing/rig.cpp
+++ b/src/testing/rig.cpp
@@ -121,7 +121,7 @@
 namespace {
 
 tcp::endpoint endpoint_of(const std::string& text) {
-    const auto at = read_host_port(text);
+    const auto at = parse_host_port(text);
     if (!at) throw std::runtime_error(text + " is no address");
     return {boost::asio::ip::make_address(at->host), at->port};
 }
--- a/src/testing/script.cpp
+++ b/src/testing/script.cpp
@@ -8,6 +8,7 @@
 
 #include "config/block_reader.hpp"
 #include "config/router_config_reader.hpp"
+#include "config/units.hpp"
 
 namespace tealcart::testing {
 namespace {
@@ -21,7 +22,7 @@
         std::uint32_t number = 0;
         const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
         if (ec != std::errc() || end != text.data() + text.size() || number >= below)
-            in.wrong(block.at, "'" + text + "' is no shard of the fleet");
+            in.add_error(block.position, "'" + text + "' is no shard of the fleet");
         else
             read.push_back(number);
     }
@@ -31,77 +32,80 @@
 void read_behaviour_into(BlockReader& in, const HclBlock& block, Behaviour& b) {
     b.refusal = static_cast<Refusal>(
         in.choice("refuses_phases", static_cast<std::size_t>(b.refusal), {"no", "words", "close"}));
-    b.word_delay = in.span("word_delay", b.word_delay, 0, hour);
-    b.rows_delay = in.span("rows_delay", b.rows_delay, 0, hour);
-    b.call_delay = in.span("call_delay", b.call_delay, 0, hour);
-    b.silent = in.flag("silent", b.silent);
-    b.silent_words = in.flag("silent_words", b.silent_words);
-    b.resets = in.flag("resets", b.resets);
-    b.rejects = in.flag("rejects", b.rejects);
-    b.errs = in.flag("errs", b.errs);
-    b.garbles_words = in.flag("garbles_words", b.garbles_words);
-    b.hides_rows = in.flag("hides_rows", b.hides_rows);
+    b.word_delay = in.duration("word_delay", b.word_delay, 0, hour);
+    b.rows_delay = in.duration("rows_delay", b.rows_delay, 0, hour);
+    b.call_delay = in.duration("call_delay", b.call_delay, 0, hour);
+    b.silent = in.boolean("silent", b.silent);
+    b.silent_words = in.boolean("silent_words", b.silent_words);
+    b.resets = in.boolean("resets", b.resets);
+    b.rejects = in.boolean("rejects", b.rejects);
+    b.errs = in.boolean("errs", b.errs);
+    b.garbles_words = in.boolean("garbles_words", b.garbles_words);
+    b.hides_rows = in.boolean("hides_rows", b.hides_rows);
     b.bound_error = in.number("bound_error", b.bound_error, -1e9, 1e9);
     b.behind =
-        static_cast<std::uint64_t>(in.whole("behind", static_cast<std::int64_t>(b.behind), 0, 1'000'000));
-    b.lease = in.span("lease", b.lease, 0, hour);
+        static_cast<std::uint64_t>(in.integer("behind", static_cast<std::int64_t>(b.behind), 0, 1'000'000));
+    b.lease = in.duration("lease", b.lease, 0, hour);
     b.starts = static_cast<std::uint64_t>(
-        in.whole("starts", static_cast<std::int64_t>(b.starts), 0, 9'000'000'000'000));
+        in.integer("starts", static_cast<std::int64_t>(b.starts), 0, 9'000'000'000'000));
     static const std::initializer_list<const char*> cycles = {"up", "draining", "removed"};
     const auto now = std::find(cycles.begin(), cycles.end(), b.lifecycle) - cycles.begin();
     b.lifecycle = *(cycles.begin() + in.choice("lifecycle", static_cast<std::size_t>(now), cycles));
-    if (const auto named = in.texts("silent_on"); !named.empty())
+    if (const auto named = in.strings("silent_on"); !named.empty())
         b.silent_on = numbers(named, UINT32_MAX, in, block);
 }
 
-Row read_row(const HclBlock& block, std::vector<HclMistake>& mistakes) {
+Row read_row(const HclBlock& block, std::vector<HclError>& mistakes) {
     BlockReader in(block, mistakes);
     Row row;
     const std::string doc = in.label("the document's number");
     if (std::from_chars(doc.data(), doc.data() + doc.size(), row.doc).ec != std::errc())
-        in.wrong(block.at, "a row's label is a number");
+        in.add_error(block.position, "a row's label is a number");
     row.rank = in.number("rank", 0, -1e12, 1e12);
-    row.terms = in.texts("terms");
-    for (const auto& [field, value] : in.numbers_by_name("fields")) row.fields[field] = value;
-    in.finish();
+    row.terms = in.strings("terms");
+    for (const auto& [field, value] : in.numbers_by_key("fields")) row.fields[field] = value;
+    in.reject_unknown();
     return row;
 }
 
-void read_sections(BlockReader& in, Script& script, std::vector<HclMistake>& mistakes) {
+void read_sections(BlockReader& in, Script& script, std::vector<HclError>& mistakes) {
     for (const HclBlock* block : in.blocks("section")) {
         BlockReader of(*block, mistakes);
         const auto named = numbers({of.label("the shard")}, script.shards, of, *block);
         Section section;
-        section.version = static_cast<std::uint64_t>(of.whole("version", 1, 1, 1'000'000'000));
+        section.version = static_cast<std::uint64_t>(of.integer("version", 1, 1, 1'000'000'000));
         for (const HclBlock* row : of.blocks("row")) section.rows.push_back(read_row(*row, mistakes));
         sort_rows(section.rows);
-        of.finish();
+        of.reject_unknown();
         if (!named.empty()) script.sections[named[0]] = std::move(section);
     }
 }
 
-void read_changes(BlockReader& in, Script& script, std::vector<HclMistake>& mistakes) {
+void read_changes(BlockReader& in, Script& script, std::vector<HclError>& mistakes) {
     for (const HclBlock* block : in.blocks("at")) {
         BlockReader of(*block, mistakes);
         Change change;
-        if (block->labels.size() != 2 || !read_span(block->labels[0], change.at)) {
-            of.wrong(block->at, "an 'at' block has two labels, a time and a node's name or \"contents\"");
+        const auto at = block->labels.size() == 2 ? parse_duration(block->labels[0]) : std::nullopt;
+        if (!at) {
+            of.add_error(block->position,
+                         "an 'at' block has two labels, a time and a node's name or \"contents\"");
             continue;
         }
+        change.at = *at;
         const std::string& who = block->labels[1];
         if (who == "contents") {
-            change.shards = numbers(of.texts("shards"), script.shards, of, *block);
+            change.shards = numbers(of.strings("shards"), script.shards, of, *block);
             change.rank_by = of.number("rank_by", 0, -1e9, 1e9);
         } else {
             change.node = who;
             change.block = *block;
             const auto known = [&who](const NodeScript& n) { return n.name == who; };
             if (std::none_of(script.nodes.begin(), script.nodes.end(), known))
-                of.wrong(block->at, "no node is named '" + who + "'");
+                of.add_error(block->position, "no node is named '" + who + "'");
             Behaviour read;
             read_behaviour_into(of, *block, read);
         }
-        of.finish();
+        of.reject_unknown();
         script.changes.push_back(std::move(change));
     }
     std::stable_sort(script.changes.begin(), script.changes.end(),
@@ -110,7 +114,7 @@
 
 }  // namespace
 
-Behaviour read_behaviour(const HclBlock& block, const Behaviour& before, std::vector<HclMistake>& mistakes) {
+Behaviour read_behaviour(const HclBlock& block, const Behaviour& before, std::vector<HclError>& mistakes) {
     BlockReader in(block, mistakes);
     Behaviour read = before;
     read_behaviour_into(in, block, read);
@@ -119,50 +123,50 @@
 
 Script read_script(std::string_view text, std::string_view source) {
     const HclBlock root = parse_hcl(text, source);
-    std::vector<HclMistake> mistakes;
+    std::vector<HclError> mistakes;
     BlockReader in(root, mistakes);
     Script script;
-    if (const HclBlock* fleet = in.only_block("fleet")) {
+    if (const HclBlock* fleet = in.single_block("fleet")) {
         BlockReader of(*fleet, mistakes);
-        of.no_label();
+        of.expect_no_label();
         Generated g;
-        g.shards = script.shards = static_cast<std::uint32_t>(of.whole("shards", 1, 1, 100'000));
-        script.places = static_cast<std::uint32_t>(of.whole("places", 1, 1, 10'000));
-        script.width = static_cast<std::uint32_t>(of.whole("width", 1, 1, 100));
-        script.record = static_cast<std::size_t>(of.bytes("record", 0, 0, 32 << 10));
-        script.discovery_port = static_cast<std::uint16_t>(of.whole("discovery_port", 0, 0, 65535));
-        g.rows = static_cast<int>(of.whole("rows", 0, 0, 100'000));
+        g.shards = script.shards = static_cast<std::uint32_t>(of.integer("shards", 1, 1, 100'000));
+        script.places = static_cast<std::uint32_t>(of.integer("places", 1, 1, 10'000));
+        script.width = static_cast<std::uint32_t>(of.integer("width", 1, 1, 100));
+        script.record = static_cast<std::size_t>(of.byte_size("record", 0, 0, 32 << 10));
+        script.discovery_port = static_cast<std::uint16_t>(of.integer("discovery_port", 0, 0, 65535));
+        g.rows = static_cast<int>(of.integer("rows", 0, 0, 100'000));
         g.matching = of.number("matching", 1, 0, 1);
         g.top = of.number("top", 1, 0, 1);
-        g.seed = static_cast<std::uint64_t>(of.whole("seed", 1, 0, 1'000'000'000));
-        of.finish();
+        g.seed = static_cast<std::uint64_t>(of.integer("seed", 1, 0, 1'000'000'000));
+        of.reject_unknown();
         if (mistakes.empty()) script.sections = generate(g);
     } else {
-        in.wrong(root.at, "there is no 'fleet' block");
+        in.add_error(root.position, "there is no 'fleet' block");
     }
     script.sections.resize(script.shards);
     for (const HclBlock* block : in.blocks("node")) {
         BlockReader of(*block, mistakes);
         NodeScript node;
         node.name = of.label("the node's name");
-        node.zone = of.text("zone", node.zone);
-        node.place = static_cast<std::uint32_t>(of.whole("place", 0, 0, script.places - 1));
-        node.port = static_cast<std::uint16_t>(of.whole("port", 0, 0, 65535));
+        node.zone = of.string("zone", node.zone);
+        node.place = static_cast<std::uint32_t>(of.integer("place", 0, 0, script.places - 1));
+        node.port = static_cast<std::uint16_t>(of.integer("port", 0, 0, 65535));
         read_behaviour_into(of, *block, node.behaviour);
-        of.finish();
+        of.reject_unknown();
         script.nodes.push_back(std::move(node));
     }
     read_sections(in, script, mistakes);
     read_changes(in, script, mistakes);
-    in.finish();
-    if (!mistakes.empty()) throw HclMistakes(source, std::move(mistakes));
+    in.reject_unknown();
+    if (!mistakes.empty()) throw HclErrors(source, std::move(mistakes));
     return script;
 }
 
 Script read_script_file(const std::string& path) {
     std::ifstream file(path);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw Malformed("the script " + path + " can't be read");
+    if (!file) throw ConfigError("the script " + path + " can't be read");
     return read_script(text, path);
 }
 
--- a/src/testing/script.hpp
+++ b/src/testing/script.hpp
@@ -56,12 +56,12 @@
     std::vector<Change> changes;  // by time
 };
 
-// Throws HclMistakes.
+// Throws HclErrors.
 Script read_script(std::string_view text, std::string_view source);
-Script read_script_file(const std::string& path);  // and Malformed where it can't be read
+Script read_script_file(const std::string& path);  // and ConfigError where it can't be read
 
 // `block` over what was before.
-Behaviour read_behaviour(const HclBlock& block, const Behaviour& before, std::vector<HclMistake>& mistakes);
+Behaviour read_behaviour(const HclBlock& block, const Behaviour& before, std::vector<HclError>& mistakes);
 
 // The node as discovery tells it.
 std::string entry_of(const NodeScript& node, const std::string& address);
--- a/src/wire/bodies.cpp
+++ b/src/wire/bodies.cpp
@@ -183,7 +183,7 @@
             node.lifecycle = Lifecycle::ready;
         else
             return std::nullopt;
-        if (!in.has[place] || !in.has[address] || !read_host_port(node.address) || !in.has[zone] ||
+        if (!in.has[place] || !in.has[address] || !parse_host_port(node.address) || !in.has[zone] ||
             !in.has[kind])
             return std::nullopt;
         if (in.has[started] && in.since < 9e12) node.started_at = static_cast<Nanos>(in.since) * 1'000'000;
--- a/src/wire/long_poll.cpp
+++ b/src/wire/long_poll.cpp
@@ -104,7 +104,7 @@
     if (reader.status() == 421) {
         // Only to one that the operators' file names.
         const auto leader = read_elsewhere(reader.body());
-        const auto address = leader ? read_host_port(*leader) : std::nullopt;
+        const auto address = leader ? parse_host_port(*leader) : std::nullopt;
         const auto found = std::find(addresses_.begin(), addresses_.end(), address.value_or(HostPort{}));
         if (!address || found == addresses_.end()) return give_up("it does not lead, and names nobody known");
         const Nanos pause = failed_++ == 0 ? 0 : again_after;
--- a/src/wire/node_connection_pool.cpp
+++ b/src/wire/node_connection_pool.cpp
@@ -166,7 +166,7 @@
 
 bool NodeConnectionPool::open(Handle h) {
     Link& link = *links_.find(h);
-    const auto to = read_host_port(link.address);
+    const auto to = parse_host_port(link.address);
     error_code ec;
     const auto host = boost::asio::ip::make_address(to ? to->host : "", ec);
     if (ec) return false;
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -35,7 +35,7 @@
         return launch;
     }();
     const ControlConfig& control = read.operators.control;
-    if (!control.on) throw Malformed("the operators' file " + file + " has no 'control' block");
+    if (!control.on) throw ConfigError("the operators' file " + file + " has no 'control' block");
     start_log(read.operators.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
@@ -103,7 +103,7 @@
     }
     try {
         return run(config, file);
-    } catch (const HclMistakes& e) {
+    } catch (const HclErrors& e) {
         std::fprintf(stderr, "%s\n", e.what());
     } catch (const std::exception& e) {
         std::fprintf(stderr, "tealcart control: %s\n", e.what());
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -61,7 +61,7 @@
                            peer.got.erase(0, end + 4);
                            if (on_call) on_call(peer, heads.size() - 1);
                        }};
-    DiscoveryWatch watch{io, time, *this, *read_host_port(agent.address()), mode_, 4, seed_, bound};
+    DiscoveryWatch watch{io, time, *this, *parse_host_port(agent.address()), mode_, 4, seed_, bound};
 };
 
 }  // namespace
@@ -195,7 +195,7 @@
         }
         line.push_back({busy_until += 200 * ms, peer.shared_from_this()});
     });
-    const HostPort address = *read_host_port(discovery.address());
+    const HostPort address = *parse_host_port(discovery.address());
     std::vector<std::unique_ptr<DiscoveryWatch>> watches;
     for (std::size_t i = 0; i < routers; ++i) {
         watches.push_back(
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -6,6 +6,7 @@
 #include "config/block_reader.hpp"
 #include "config/migration.hpp"
 #include "config/operator_config.hpp"
+#include "config/units.hpp"
 #include "helpers.hpp"
 
 using namespace tealcart;
@@ -15,7 +16,7 @@
 std::string wrong_in(const std::string& text) {
     try {
         read_operator_config(text, "f");
-    } catch (const HclMistakes& e) {
+    } catch (const HclErrors& e) {
         return e.what();
     }
     return "";
@@ -35,13 +36,13 @@
     const HclBlock& b = file.blocks[0];
     CHECK(b.type == "b");
     CHECK(b.labels == std::vector<std::string>{"x y", "z"});
-    CHECK((b.at.line == 3 && b.at.column == 1));
+    CHECK((b.position.line == 3 && b.position.column == 1));
     CHECK(std::get<std::string>(b.attributes[0].value.value) == "q\n\xc3\xa9\\");
     const auto& list = std::get<HclValue::List>(b.attributes[1].value.value);
     REQUIRE(list.size() == 3);
     CHECK(std::get<double>(list[0].value) == -15);
     CHECK(std::get<bool>(list[1].value));
-    CHECK((list[2].at.line == 6 && list[2].at.column == 2));
+    CHECK((list[2].position.line == 6 && list[2].position.column == 2));
     const auto& object = std::get<HclValue::Object>(b.attributes[2].value.value);
     REQUIRE(object.size() == 3);
     CHECK(object[1].first == "m n");
@@ -67,7 +68,7 @@
 
 TEST_CASE("depth, size and bytes that are no text are bounded") {
     CHECK(wrong_in("a = " + std::string(5000, '[')).find("too deep") != std::string::npos);
-    CHECK(wrong_in(std::string(max_hcl + 1, ' ')).find("over 1 MiB") != std::string::npos);
+    CHECK(wrong_in(std::string(max_hcl_bytes + 1, ' ')).find("over 1 MiB") != std::string::npos);
     CHECK(wrong_in(std::string("a = 1\0", 6)).find("zero byte") != std::string::npos);
 }
 
@@ -111,7 +112,7 @@
     const auto told = [&](const std::string& text) -> std::string {
         try {
             two_phase_by_query_class(read_operator_config(text, "f"), config, query_classes);
-        } catch (const HclMistakes& e) {
+        } catch (const HclErrors& e) {
             return e.what();
         }
         return "";
@@ -128,16 +129,14 @@
 }
 
 TEST_CASE("times and sizes are read and written as operators do") {
-    Nanos span = 0;
-    std::uint64_t bytes = 0;
-    CHECK((read_span("1.5s", span) && span == 1500 * test::ms));
-    CHECK((read_span("30us", span) && span == 30'000));
-    CHECK_FALSE((read_span("5", span) || read_span("ms", span) || read_span("1e99h", span) ||
-                 read_span("-1s", span)));
-    CHECK((read_bytes("4MiB", bytes) && bytes == 4U << 20));
-    CHECK_FALSE((read_bytes("4MB", bytes) || read_bytes("nanB", bytes)));
-    CHECK(write_span(1500 * test::ms) == "1500ms");
-    CHECK(write_span(120'000 * test::ms) == "2m");
+    CHECK(parse_duration("1.5s") == 1500 * test::ms);
+    CHECK(parse_duration("30us") == 30'000);
+    CHECK_FALSE(
+        (parse_duration("5") || parse_duration("ms") || parse_duration("1e99h") || parse_duration("-1s")));
+    CHECK(parse_byte_size("4MiB") == 4U << 20);
+    CHECK_FALSE((parse_byte_size("4MB") || parse_byte_size("nanB")));
+    CHECK(format_duration(1500 * test::ms) == "1500ms");
+    CHECK(format_duration(120'000 * test::ms) == "2m");
 }
 
 TEST_CASE("a file of the earlier shape keeps what holds at the new deployment and tells what it leaves") {
@@ -145,12 +144,12 @@
         "log { level = \"warn\" }\n\ntwo_phase \"part\" {\n  share = 0.3\n}\n\n"
         "two_phase \"gone\" {\n  share = 0.2\n}\ntwo_phase \"keyed\" { share = 0.2 }\n"
         "section_memory { bytes = \"8MiB\" }\n";
-    const Migration m = migrate(old_file, "old.hcl", test::settings_text);
+    const OperatorFileMigration m = migrate(old_file, "old.hcl", test::settings_text);
     REQUIRE(m.left.size() == 2);
-    CHECK(m.left[0].at.line == 7);
-    CHECK(m.left[0].words == "the new deployment has no vertical 'gone'");
-    CHECK(m.left[1].at.line == 10);
-    CHECK(m.left[1].words.find("not repeatable") != std::string::npos);
+    CHECK(m.left[0].position.line == 7);
+    CHECK(m.left[0].message == "the new deployment has no vertical 'gone'");
+    CHECK(m.left[1].position.line == 10);
+    CHECK(m.left[1].message.find("not repeatable") != std::string::npos);
     // What is written reads back, with the left blocks as comments and the rest as it was.
     const OperatorConfig back = read_operator_config(m.text, "new.hcl");
     REQUIRE(back.phases.size() == 1);
@@ -162,9 +161,8 @@
 }
 
 TEST_CASE("a file that can't be read is not carried over, and its mistakes are told by place") {
-    CHECK_THROWS_AS(migrate("two_phase \"part\" { share = 2 }\n", "old.hcl", test::settings_text),
-                    HclMistakes);
-    CHECK_THROWS_AS(migrate("", "old.hcl", "{}"), Malformed);
+    CHECK_THROWS_AS(migrate("two_phase \"part\" { share = 2 }\n", "old.hcl", test::settings_text), HclErrors);
+    CHECK_THROWS_AS(migrate("", "old.hcl", "{}"), ConfigError);
 }
 
 TEST_CASE("a call's own cost and its most parts come from the settings, checked, and default to none") {
@@ -178,20 +176,20 @@
     CHECK(t.call_overhead == 45 * test::ms);
     std::string wrong = test::settings_text;
     wrong.replace(wrong.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 0.5");
-    CHECK_THROWS_AS(read_router_config(wrong), Malformed);
+    CHECK_THROWS_AS(read_router_config(wrong), ConfigError);
 }
 
 TEST_CASE("the operators may state what a call carries; a wrong value is told by line and column") {
     const OperatorConfig stated = read_operator_config("calls {\n  parts = 8\n  cost = \"45ms\"\n}\n", "f");
     RouterConfig config = read_router_config(test::settings_text);
     ConnectionConfig link = read_connection_config(test::settings_text);
-    follow_calls(stated.calls, config, link);
+    apply_call_config(stated.calls, config, link);
     CHECK(config.max_requests_per_call == 8);
     CHECK(link.max_requests_per_call == 8);
     CHECK(config.call_overhead == 45 * test::ms);
     // Not stated: the settings stand.
     RouterConfig plain = read_router_config(test::settings_text);
-    follow_calls(read_operator_config("", "f").calls, plain, link);
+    apply_call_config(read_operator_config("", "f").calls, plain, link);
     CHECK(plain.max_requests_per_call == 2);
     CHECK(wrong_in("calls {\n  parts = 0\n}\n").find("f:2:") == 0);
     CHECK(wrong_in("calls {\n  cost = 45\n}\n").find("f:2:") == 0);
@@ -200,7 +198,7 @@
 TEST_CASE("a new deployment whose calls cost work gets a calls block to state, left as a comment") {
     std::string costly = test::settings_text;
     costly.replace(costly.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 8, \"call_cost\": 45.0");
-    const Migration m = migrate("log { level = \"warn\" }\n", "old.hcl", costly);
+    const OperatorFileMigration m = migrate("log { level = \"warn\" }\n", "old.hcl", costly);
     CHECK(m.text.find("#   parts = 8") != std::string::npos);
     CHECK(m.text.find("#   cost  = \"45ms\"") != std::string::npos);
     CHECK(read_operator_config(m.text, "new.hcl").calls.stated == false);
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -49,7 +49,7 @@
         node.lifecycle = Lifecycle::ready;
     else
         return std::nullopt;
-    if (!placed || !address || !read_host_port(*address) || !zone || !kind) return std::nullopt;
+    if (!placed || !address || !parse_host_port(*address) || !zone || !kind) return std::nullopt;
     const Json* started = member(in, "startedAtMs");
     const double at = started != nullptr && started->is_number() ? started->get<double>() : -1;
     if (std::isfinite(at) && at >= 0 && at < 9e12) node.started_at = static_cast<Nanos>(at) * 1'000'000;
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -80,7 +80,7 @@
         R"("settings":)" +
         test::settings_text + "}");
     launch.operators.member.on = true;
-    launch.operators.member.managers = {*read_host_port(manager.address())};
+    launch.operators.member.managers = {*parse_host_port(manager.address())};
     Host host;
     Membership member(io, time, launch, host);
     const TargetList known{1, true, {listed("n0"), listed("n1")}, 0};
@@ -293,7 +293,7 @@
     const auto mistakes = [](const char* text) {
         try {
             read_fleet_manager_config(text, "f");
-        } catch (const HclMistakes& e) {
+        } catch (const HclErrors& e) {
             return std::string(e.what());
         }
         return std::string("none");
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -16,7 +16,7 @@
 std::string wrong_relay(const std::string& text) {
     try {
         relay::read_relay_config(text, "relay.hcl");
-    } catch (const HclMistakes& e) {
+    } catch (const HclErrors& e) {
         return e.what();
     }
     return {};
@@ -31,7 +31,7 @@
 std::string wrong_managers(const std::string& block) {
     try {
         manager::read_fleet_manager_config(managers(block), "fleet.hcl");
-    } catch (const HclMistakes& e) {
+    } catch (const HclErrors& e) {
         return e.what();
     }
     return {};
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -944,7 +944,7 @@
 TEST_CASE(
     "a file carried over to the new shape is served: both parts of a query go to one node in one call") {
     const std::string old_file = "log { level = \"warn\" }\ntwo_phase \"gone\" { share = 0.2 }\n";
-    const Migration m = migrate(old_file, "old.hcl", test::settings_text);
+    const OperatorFileMigration m = migrate(old_file, "old.hcl", test::settings_text);
     REQUIRE(m.left.size() == 1);
     const auto nodes_asked = [](const std::string& file) {
         World world(2, 256, file);
--- a/tests/simwire_test.cpp
+++ b/tests/simwire_test.cpp
@@ -3,7 +3,7 @@
 
 #include "helpers.hpp"
 #include "simwire/adapter.hpp"
-#include "simwire/frame.hpp"
+#include "simwire/byte_codec.hpp"
 
 using namespace tealcart;
 using namespace tealcart::simwire;
@@ -22,7 +22,7 @@
 template <typename... Values>
 std::string packed(Values... values) {
     std::string out;
-    (put(out, values), ...);
+    (append(out, values), ...);
     return out;
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -205,9 +205,9 @@
          {"", "[]", R"({"generation":1})", R"({"generation":-1,"reset":true,"instances":[]})",
           R"({"generation":1,"reset":true,"instances":[{"inst)"})
         CHECK_FALSE(read_targets(body, 2));
-    CHECK_FALSE(read_host_port("127.0.0.1:0"));
-    CHECK_FALSE(read_host_port(":80"));
-    CHECK_FALSE(read_host_port("127.0.0.1:70000"));
+    CHECK_FALSE(parse_host_port("127.0.0.1:0"));
+    CHECK_FALSE(parse_host_port(":80"));
+    CHECK_FALSE(parse_host_port("127.0.0.1:70000"));
 }
 
 TEST_CASE("frames are written as the page shows and taken from pieces of any size") {
