--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -118,8 +118,8 @@
         in.add_error(block.position, "'stewards' and 'relays' name none");
     config.serve_on = in.duration("serve_on", config.serve_on, 0, 365 * day);
     config.then_stop = in.choice("then", 0, {"leave", "stop"}) == 1;
-    config.first_word = in.duration("first_word", config.first_word, 0, hour);
-    config.config_first_word = in.duration("config_first_word", config.config_first_word, 0, hour);
+    config.startup_wait = in.duration("first_word", config.startup_wait, 0, hour);
+    config.config_startup_wait = in.duration("config_first_word", config.config_startup_wait, 0, hour);
     in.reject_unknown();
     return config;
 }
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -5,7 +5,8 @@
 
 #include "fleet_manager/change_requests.hpp"
 #include "fleet_manager/log_entries.hpp"
-#include "service/log.hpp"
+#include "log/log.hpp"
+#include "wire/bodies.hpp"
 
 namespace tealcart::manager {
 namespace {
@@ -19,12 +20,16 @@
 constexpr int handlers_a_turn = 4096;
 enum Due : std::uint64_t { flush, flush_of_relays };
 
-// Why a relay's word was not taken, where to say all of it would not help.
-std::string refusal_of(const std::vector<changes::Effect>& effects, const std::string& relay) {
-    for (const changes::Effect& e : effects)
-        if (e.kind == changes::Effect::stale && !e.names.empty() && e.names[0] == relay &&
-            (e.why == "malformed" || e.why.rfind("no room", 0) == 0))
-            return e.why;
+// Why a relay's report was not applied, where a full report would not help.
+std::string refusal_of(const changes::Effects& effects, const std::string& relay) {
+    using changes::StaleReason;
+    for (const changes::Effect& effect : effects) {
+        const auto* stale = std::get_if<changes::StaleReport>(&effect);
+        if (stale == nullptr || stale->sender != relay) continue;
+        if (stale->reason == StaleReason::malformed || stale->reason == StaleReason::too_many_members ||
+            stale->reason == StaleReason::too_many_relays)
+            return changes::describe(stale->reason);
+    }
     return {};
 }
 
@@ -44,7 +49,7 @@
              config.election},
             *this),
       timer_(io) {
-    const OneManager& self = config_.managers.at(id);
+    const ManagerAddresses& self = config_.managers.at(id);
     raft_.start();
     front_.listen(self.http_bind.host, self.http_bind.port);
     watch_.start(0);  // its view begins with nothing, whatever the configuration knows
@@ -99,7 +104,7 @@
 void FleetManager::send_elsewhere(Handle client) {
     const std::string leader = leader_address();
     if (leader.empty() || raft_.leader() == id_) return refuse(client, 503, "no steward leads now");
-    front_.answer(client, {421, write_elsewhere(leader), 0});
+    front_.answer(client, {421, write_not_leader(leader), 0});
 }
 
 void FleetManager::on_client_gone(Handle client) {
@@ -142,13 +147,12 @@
 
 // ReportBatch that come within a few ms go into the log as one entry.
 void FleetManager::on_member(Handle client, const std::string& body) {
-    std::string wrong;
-    auto call = read_member_call(body, wrong);
-    if (!call) return refuse(client, 400, wrong);
+    auto call = read_member_call(body);
+    if (!call) return refuse(client, 400, call.error().reason);
     if (!raft_.leads()) return send_elsewhere(client);
     const auto known = state_.members().find(call->name);
     if (known != state_.members().end() && known->second.incarnation > call->incarnation)
-        return front_.answer(client, {409, write_outlived(known->second.incarnation), 0});
+        return front_.answer(client, {409, write_superseded(known->second.incarnation), 0});
     if (call->leaves) {
         propose({{"", 0, fleet::Leave{call->name, call->incarnation}}}, [this, client](bool agreed, auto) {
             if (!agreed) return refuse(client, 503, "not agreed");
@@ -191,7 +195,7 @@
             }
             const auto known = state_.members().find(call.name);
             if (known != state_.members().end() && known->second.incarnation > call.incarnation)
-                front_.answer(client, {409, write_outlived(known->second.incarnation), 0});
+                front_.answer(client, {409, write_superseded(known->second.incarnation), 0});
             else
                 waiting_[client.slot] = {client, {call.knows, time_.now() + call.wait, true}};
         }
@@ -216,13 +220,13 @@
 }
 
 void FleetManager::on_relay(Handle client, const std::string& body) {
-    std::string wrong;
-    auto call = read_relay_call(body, wrong);
-    if (!call) return refuse(client, 400, wrong);
+    auto call = read_relay_call(body);
+    if (!call) return refuse(client, 400, call.error().reason);
     if (!raft_.leads()) return send_elsewhere(client);
-    if (changes_.knows_later_life(call->word.relay, call->word.incarnation))
-        return front_.answer(client, {409, write_outlived(changes_.last_incarnation(call->word.relay)), 0});
-    relay_batch_.words.words.push_back(call->word);
+    if (changes_.knows_later_life(call->report.relay, call->report.incarnation))
+        return front_.answer(client,
+                             {409, write_superseded(changes_.last_incarnation(call->report.relay)), 0});
+    relay_batch_.words.words.push_back(call->report);
     relay_batch_.calls.emplace_back(client, std::move(*call));
     if (relay_batch_.calls.size() >= max_words) return flush_relays();
     if (flush_relays_due_ == TimerQueue::none)
@@ -236,14 +240,14 @@
     auto calls = std::make_shared<decltype(batch.calls)>(std::move(batch.calls));
     propose_change(changes::Command{"", 0, std::move(batch.words)}, [this, calls](bool agreed, auto effects) {
         for (const auto& [client, call] : *calls) {
-            const changes::RelayReport& word = call.word;
+            const changes::RelayReport& word = call.report;
             if (!agreed) {
                 send_elsewhere(client);
             } else if (changes_.knows_later_life(word.relay, word.incarnation)) {
-                front_.answer(client, {409, write_outlived(changes_.last_incarnation(word.relay)), 0});
+                front_.answer(client, {409, write_superseded(changes_.last_incarnation(word.relay)), 0});
             } else if (changes_.last_number(word.relay, word.incarnation) >= word.number) {
-                relays_waiting_[client.slot] = {client, call.watched, word.number,
-                                                time_.now() + call.watched.wait};
+                relays_waiting_[client.slot] = {client, call.position, word.number,
+                                                time_.now() + call.position.wait};
             } else if (const std::string why = refusal_of(effects, word.relay); !why.empty()) {
                 refuse(client, 503, why);
             } else {  // its lease was over, or it is new to them; a whole word may have been taken before
@@ -263,7 +267,7 @@
     answer.lease = changes_.limits().lease;
     answer.taken = w.number;
     answer.drift = changes_.limits().drift;
-    put_news(changes_, w.watched, answer);
+    put_news(changes_, w.position, answer);
     front_.answer(w.client, {200, write_changes_answer(answer), 0});
 }
 
@@ -271,7 +275,7 @@
     const Nanos now = time_.now();
     for (auto it = relays_waiting_.begin(); it != relays_waiting_.end();) {
         // What a relay knows may also be of a manager that was ahead: then it waits its time.
-        if (changes_.version() <= it->second.watched.knows && now < it->second.until) {
+        if (changes_.version() <= it->second.position.knows && now < it->second.until) {
             ++it;
             continue;
         }
@@ -301,12 +305,10 @@
             command.what = changes::Publish{std::move(call->asker), std::move(call->set),
                                             std::move(call->removed), call->based_on};
         if (what == "back") command.what = changes::Rollback{std::move(call->asker), call->to};
-        propose_change(std::move(command),
-                       [this, client](bool agreed, const std::vector<changes::Effect>& effects) {
-                           if (!agreed)
-                               return refuse(client, 503, "not agreed: ask again, under the same id");
-                           front_.answer(client, {200, write_effects(effects), 0});
-                       });
+        propose_change(std::move(command), [this, client](bool agreed, const changes::Effects& effects) {
+            if (!agreed) return refuse(client, 503, "not agreed: ask again, under the same id");
+            front_.answer(client, {200, write_effects(effects), 0});
+        });
     }
     return true;
 }
@@ -368,7 +370,7 @@
     } else {
         return refuse(client, 404, "no such path");
     }
-    propose(std::move(commands), [this, client](bool agreed, const std::vector<fleet::Effect>& effects) {
+    propose(std::move(commands), [this, client](bool agreed, const fleet::Effects& effects) {
         if (!agreed) return refuse(client, 503, "not agreed: ask again, under the same id");
         front_.answer(client, {200, write_effects(effects), 0});
     });
@@ -378,7 +380,7 @@
     struct All {
         std::size_t left;
         bool agreed = true;
-        std::vector<fleet::Effect> effects;
+        fleet::Effects effects;
         Told told;
     };
     auto all = std::make_shared<All>(All{commands.size(), true, {}, std::move(told)});
@@ -398,7 +400,7 @@
     command.at = time_.now() + clock_error_;
     ticked_changes_at_ = time_.now();
     const auto ended = [this, told](bool applied) {
-        told(applied, applied ? last_change_effects_ : std::vector<changes::Effect>{});
+        told(applied, applied ? last_change_effects_ : changes::Effects{});
     };
     if (!raft_.propose(entry_of_changes(changes::write_command(command)), ended)) ended(false);
 }
@@ -423,23 +425,26 @@
     const Entry entry = read_entry(bytes, size);
     if (entry.of_changes) {
         last_change_effects_ = changes_.apply(changes::read_command(entry.bytes, entry.size));
-        for (const changes::Effect& e : last_change_effects_) {
+        for (const changes::Effect& effect : last_change_effects_) {
+            const changes::EffectRecord e = changes::record_of(effect);
             std::string names;
             for (const std::string& name : e.names) names += (names.empty() ? ": " : ", ") + name;
-            log_line("changes: %s: version %llu%s%s%s", word_of(e.kind),
-                     static_cast<unsigned long long>(e.version), names.c_str(), e.why.empty() ? "" : ": ",
-                     e.why.c_str());
+            log_line("changes: %s: version %llu%s%s%s", word_of(e.code),
+                     static_cast<unsigned long long>(e.version), names.c_str(), e.reason.empty() ? "" : ": ",
+                     e.reason.c_str());
         }
         return;
     }
     const fleet::Command command = fleet::read_command(entry.bytes, entry.size);
     last_effects_ = state_.apply(command);
     if (const auto* seen = std::get_if<fleet::EndpointsObserved>(&command.what)) view_.agreed(*seen);
-    for (const fleet::Effect& e : last_effects_)
-        log_line("%s: request %llu fence %llu generation %llu %s%s%s", word_of(e.kind),
+    for (const fleet::Effect& effect : last_effects_) {
+        const fleet::EffectRecord e = fleet::record_of(effect);
+        log_line("%s: request %llu fence %llu generation %llu %s%s%s", word_of(e.code),
                  static_cast<unsigned long long>(e.request), static_cast<unsigned long long>(e.fence),
-                 static_cast<unsigned long long>(e.generation), e.about.c_str(), e.why.empty() ? "" : ": ",
-                 e.why.c_str());
+                 static_cast<unsigned long long>(e.generation), e.subject.c_str(),
+                 e.reason.empty() ? "" : ": ", e.reason.c_str());
+    }
 }
 
 // What only the one that leads does: time goes on, the data nodes as discovery tells of them, the budgets of
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -21,7 +21,10 @@
 
 namespace tealcart::manager {
 
-class FleetManager final : private RequestHandler, private ListTaker, private DueHandler, private LogMachine {
+class FleetManager final : private RequestHandler,
+                           private ListTaker,
+                           private DueHandler,
+                           private StateMachine {
   public:
     // `clock_error` is added to the clock that commands carry: for tests of clocks that run apart.
     FleetManager(boost::asio::io_context& io, const FleetManagerConfig& config, std::uint64_t id,
@@ -39,7 +42,7 @@
     // A relay's call that waits for a later version.
     struct RelayWaiting {
         Handle client;
-        Watched watched;
+        WatchPosition position;
         std::uint64_t number = 0;  // of its word, which was taken
         Nanos until = 0;
     };
@@ -55,7 +58,7 @@
 
     void on_request(Handle client, Request& request, Nanos began) override;
     void on_client_gone(Handle client) override;
-    void on_list(const TargetList& list) override { view_.take(list, time_.now()); }
+    void on_list(const EndpointList& list) override { view_.take(list, time_.now()); }
     void on_due(Handle who, std::uint64_t what) override;
     void apply(const std::uint8_t* bytes, std::size_t size) override;
     std::vector<std::uint8_t> save() const override;
@@ -71,9 +74,9 @@
     void answer_relay(const RelayWaiting& w);
     void tell_relays();
     // All of the commands, in this order; told once the last is applied, with what came of them.
-    using Told = std::function<void(bool agreed, std::vector<fleet::Effect> effects)>;
+    using Told = std::function<void(bool agreed, fleet::Effects effects)>;
     void propose(std::vector<fleet::Command> commands, Told told);
-    using ChangesTold = std::function<void(bool agreed, std::vector<changes::Effect> effects)>;
+    using ChangesTold = std::function<void(bool agreed, changes::Effects effects)>;
     void propose_change(changes::Command command, ChangesTold told);
     void tell_waiting();
     void lead();
@@ -90,7 +93,7 @@
     EventClock time_;
     fleet::FleetState state_;
     changes::ChangeState changes_;
-    NodeView view_;
+    EndpointView view_;
     HttpServer front_;
     DiscoveryWatch watch_;
     RaftNode raft_;
@@ -100,8 +103,8 @@
     std::map<std::uint32_t, RelayWaiting> relays_waiting_;  // by the client's slot
     RelayBatch relay_batch_;
     TimerQueue::Ticket flush_due_ = TimerQueue::none, flush_relays_due_ = TimerQueue::none;
-    std::vector<fleet::Effect> last_effects_;
-    std::vector<changes::Effect> last_change_effects_;
+    fleet::Effects last_effects_;
+    changes::Effects last_change_effects_;
     std::uint64_t told_generation_ = 0, led_by_ = 0;
     Nanos timer_at_ = TimerQueue::never, proposed_at_ = 0, ticked_changes_at_ = 0, stop_began_ = 0,
           view_at_ = 0;
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -33,7 +33,7 @@
     const auto [end, ec] = std::from_chars(label.data(), label.data() + label.size(), id);
     if (ec != std::errc() || end != label.data() + label.size() || id == 0)
         in.add_error(block.position, "a steward's id is a whole number above 0");
-    OneManager s;
+    ManagerAddresses s;
     const auto address = [&](const char* name, bool needed) {
         const std::string text = in.string(name, "");
         const auto at = parse_host_port(text);
