--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -12,6 +12,8 @@
 
 namespace peg = tao::pegtl;
 
+// Rules are named in lower case, as PEGTL names its own.
+// NOLINTBEGIN(readability-identifier-naming)
 namespace grammar {
 
 struct line_comment
@@ -71,6 +73,7 @@
 struct file : peg::must<body, file_end> {};
 
 }  // namespace grammar
+// NOLINTEND(readability-identifier-naming)
 
 template <typename>
 constexpr const char* error_message = nullptr;
--- a/src/relay/relay_config.cpp
+++ b/src/relay/relay_config.cpp
@@ -5,6 +5,7 @@
 #include <iterator>
 
 #include "config/block_reader.hpp"
+#include "config/operator_config.hpp"
 
 namespace tealcart::relay {
 namespace {
@@ -14,8 +15,8 @@
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
-void read_relay(const HclBlock& block, std::vector<HclError>& mistakes, RelayConfig& config) {
-    BlockReader in(block, mistakes);
+void read_relay(const HclBlock& block, std::vector<HclError>& errors, RelayConfig& config) {
+    BlockReader in(block, errors);
     config.name = in.label("the relay's name");
     if (!config.name.empty() && !is_name(config.name))
         in.add_error(block.position, "the relay's name has blanks or over 128 letters");
@@ -47,27 +48,18 @@
 
 RelayConfig read_relay_config(std::string_view text, std::string_view source) {
     const HclBlock root = parse_hcl(text, source);
-    std::vector<HclError> mistakes;
+    std::vector<HclError> errors;
     RelayConfig config;
     config.source = source;
-    BlockReader in(root, mistakes);
-    if (const HclBlock* log = in.single_block("log")) {
-        BlockReader of(*log, mistakes);
-        of.expect_no_label();
-        config.log.form = static_cast<LogForm>(of.choice("format", 0, {"text", "json"}));
-        config.log.level = static_cast<LogLevel>(of.choice("level", 1, {"debug", "info", "warn", "error"}));
-        of.reject_unknown();
-    }
+    BlockReader in(root, errors);
+    if (const HclBlock* log = in.single_block("log")) config.log = read_log_config(*log, errors);
     if (const HclBlock* relay = in.single_block("relay"))
-        read_relay(*relay, mistakes, config);
+        read_relay(*relay, errors, config);
     else
         in.add_error(root.position, "there is no 'relay' block");
     in.reject_unknown();
-    if (mistakes.empty()) return config;
-    std::stable_sort(mistakes.begin(), mistakes.end(), [](const HclError& a, const HclError& b) {
-        return std::pair(a.position.line, a.position.column) < std::pair(b.position.line, b.position.column);
-    });
-    throw HclErrors(source, std::move(mistakes));
+    throw_if_any(source, std::move(errors));
+    return config;
 }
 
 RelayConfig read_relay_file(const std::string& path) {
