--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -254,7 +254,7 @@
             std::string key = name_of(*child->children[0]);
             for (const auto& [other, _] : object)
                 if (other == key) throw duplicate(position_of(*child), key);
-            object.emplace_back(std::move(key), value(*child->children[1]));
+            object.push_back({std::move(key), value(*child->children[1])});
         }
         return object;
     }
--- a/src/config/hcl.hpp
+++ b/src/config/hcl.hpp
@@ -6,7 +6,6 @@
 #include <stdexcept>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <variant>
 #include <vector>
 
@@ -18,10 +17,12 @@
     std::size_t column = 1;
 };
 
+struct HclMember;
+
 // A literal: there are no expressions.
 struct HclValue {
     using List = std::vector<HclValue>;
-    using Object = std::vector<std::pair<std::string, HclValue>>;  // in the order of the file
+    using Object = std::vector<HclMember>;  // in the order of the file; no key occurs twice
 
     std::variant<std::monostate, bool, double, std::string, List, Object> value;  // monostate: null
     HclPosition position;
@@ -30,6 +31,12 @@
     const char* type_name() const;
 };
 
+// A member of an object.
+struct HclMember {
+    std::string key;
+    HclValue value;
+};
+
 struct HclAttribute {
     std::string name;
     HclValue value;
--- a/src/simwire/byte_codec.hpp
+++ b/src/simwire/byte_codec.hpp
@@ -45,7 +45,7 @@
     // value.
     Nanos take_time(const char* name) {
         constexpr double max_ms = 1e12;
-        const double milliseconds = take<double>();
+        const auto milliseconds = take<double>();
         if (!std::isfinite(milliseconds) || std::abs(milliseconds) > max_ms)
             throw WireError(std::string(name) + " is not a time");
         return std::llround(milliseconds * nanos_per_ms);
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -45,7 +45,7 @@
     CHECK((list[2].position.line == 6 && list[2].position.column == 2));
     const auto& object = std::get<HclValue::Object>(b.attributes[2].value.value);
     REQUIRE(object.size() == 3);
-    CHECK(object[1].first == "m n");
+    CHECK(object[1].key == "m n");
     CHECK(b.blocks.size() == 1);
     CHECK(file.blocks[1].attributes.size() == 1);
 }
