--- a/src/fleet_manager/command_main.cpp
+++ b/src/fleet_manager/command_main.cpp
@@ -139,7 +139,7 @@
     }
     try {
         return line.run();
-    } catch (const HclMistakes& error) {
+    } catch (const HclErrors& error) {
         std::fprintf(stderr, "%s\n", error.what());
     } catch (const std::exception& error) {
         std::fprintf(stderr, "tealcart: %s\n", error.what());
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -28,7 +28,7 @@
 const ManagerAddresses& self_of(const FleetManagerConfig& config, std::uint64_t id) {
     const auto self = config.managers.find(id);
     if (self == config.managers.end())
-        throw Malformed(config.source + " names no steward " + std::to_string(id));
+        throw ConfigError(config.source + " names no steward " + std::to_string(id));
     return self->second;
 }
 
@@ -108,7 +108,7 @@
         if (init_command->parsed()) return init(options);
         if (serve_command->parsed()) return serve(options);
         return check(options);
-    } catch (const HclMistakes& error) {
+    } catch (const HclErrors& error) {
         std::fprintf(stderr, "%s\n", error.what());
     } catch (const std::exception& error) {
         std::fprintf(stderr, "tealcart steward: %s\n", error.what());
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -98,7 +98,7 @@
         if (is_final(reply.status)) return reply;
         if (reply.status != 0) last = reply;
         if (reply.status == 421)
-            if (const auto named = read_not_leader(reply.body)) leader = read_host_port(*named);
+            if (const auto named = read_not_leader(reply.body)) leader = parse_host_port(*named);
         if (!leader) std::this_thread::sleep_for(retry_pause);
     }
     return {0, last.body};
--- a/src/fleet_manager/operator_client.hpp
+++ b/src/fleet_manager/operator_client.hpp
@@ -27,7 +27,7 @@
 
     std::chrono::milliseconds within() const;
     std::string id_or_new() const;
-    // Throws Malformed where none are named, or a name is no address.
+    // Throws ConfigError where none are named, or a name is no address.
     std::vector<HostPort> manager_addresses() const;
 };
 
--- a/src/fleet_manager/operator_service.cpp
+++ b/src/fleet_manager/operator_service.cpp
@@ -115,7 +115,7 @@
 void OperatorService::add_manager(Handle client, const OperatorCall& call) {
     const std::uint64_t id = manager_to_change(client, call);
     if (id == 0) return;
-    if (!read_host_port(call.name)) return responder_.error(client, 400, "'name' is no address with a port");
+    if (!parse_host_port(call.name)) return responder_.error(client, 400, "'name' is no address with a port");
     raft_.add({id, call.name}, begin_manager_change(client));
 }
 
--- a/src/members/config_overlay.cpp
+++ b/src/members/config_overlay.cpp
@@ -43,8 +43,8 @@
         }
         try {
             apply(key, value, settings);
-        } catch (const HclMistakes& mistakes) {
-            reject(mistakes.what());
+        } catch (const HclErrors& errors) {
+            reject(errors.what());
         }
     }
     if (reason.empty()) return settings;
