--- a/src/members/config_overlay.cpp
+++ b/src/members/config_overlay.cpp
@@ -20,11 +20,11 @@
     if (dot != std::string::npos) block.labels = {key.substr(dot + 1)};
     const OperatorConfig stated = read_operator_config(root, key);
     if (type == "log") settings.log = stated.log;
-    std::vector<HclMistake> mistakes;
-    for (const StatedPhases& phases : stated.phases)
+    std::vector<HclError> mistakes;
+    for (const TwoPhaseBlock& phases : stated.phases)
         if (const auto query_class = two_phase_query_class(phases, config_, query_classes_, mistakes))
             settings.phases[*query_class] = phases.config;
-    if (!mistakes.empty()) throw HclMistakes(key, std::move(mistakes));
+    if (!mistakes.empty()) throw HclErrors(key, std::move(mistakes));
 }
 
 std::variant<ConfigOverlay::Settings, ConfigOverlay::Rejection> ConfigOverlay::read(
