--- /dev/null
+++ b/src/changes/member_table.cpp
@@ -0,0 +1,357 @@
+#include "changes/member_table.hpp"
+
+#include <algorithm>
+
+#include "replicated/state_clock.hpp"
+
+namespace tealcart::changes {
+namespace {
+
+using replicated::saturating_add;
+
+std::uint64_t agreed(std::uint64_t version, std::uint64_t latest) { return version > latest ? 0 : version; }
+
+Hold* hold_of(Member& member, const std::string& relay) {
+    const auto hold = std::find_if(member.holds.begin(), member.holds.end(),
+                                   [&](const Hold& one) { return one.relay == relay; });
+    return hold == member.holds.end() ? nullptr : &*hold;
+}
+
+void clear_refusal(Member& member) {
+    member.refused = 0;
+    member.why.clear();
+}
+
+// A refusal stands while a relay that has the member says so, or no relay has it.
+void clear_unsupported_refusal(Member& member) {
+    const bool supported = std::any_of(member.holds.begin(), member.holds.end(),
+                                       [](const Hold& hold) { return hold.exception; });
+    if (!supported) clear_refusal(member);
+}
+
+// When its last lease has ended.
+Nanos end_of(const Member& member) { return std::max(member.held_until, member.ended); }
+
+}  // namespace
+
+std::map<std::string, Member> MemberTable::stored() const {
+    std::map<std::string, Member> members;
+    for (const auto& [name, entry] : members_) members.emplace_hint(members.end(), name, entry.member);
+    return members;
+}
+
+bool MemberTable::lease_expired(Nanos until) const { return now_ > saturating_add(until, limits_.drift); }
+
+// What is known of the member by name, and what its relays say of all that they don't name.
+std::uint64_t MemberTable::applied_version(const Member& member) const {
+    std::uint64_t version = member.stated;
+    for (const Hold& hold : member.holds)
+        if (!hold.exception) version = std::max(version, index_.lowest_of(hold.relay));
+    return version;
+}
+
+bool MemberTable::may_act(const Entry& entry) const {
+    const Member& member = entry.member;
+    if (member.left) return false;
+    if (entry.place != Place::gone) return true;
+    return now_ <= saturating_add(saturating_add(end_of(member), member.serve_on), limits_.drift);
+}
+
+template <typename Change>
+void MemberTable::change(const std::string& name, Entry& entry, Change change) {
+    take_out(name, entry);
+    change(entry.member);
+    put_in(name, entry);
+}
+
+void MemberTable::take_out(const std::string& name, Entry& entry) {
+    ++looked_at_;
+    Member& member = entry.member;
+    const Place place = std::exchange(entry.place, Place::nowhere);
+    if (place == Place::of_relay) {
+        const Hold& hold = member.holds.front();
+        index_.erase_of_relay(hold.relay, name, member.stated, hold.exception);
+    } else if (place == Place::single) {
+        index_.erase_single(name, entry.counted_applied);
+        if (member.holds.empty()) lease_ends_.erase({member.held_until, name});
+        for (const Hold& hold : member.holds) shared_[hold.relay].erase(name);
+    } else if (place == Place::gone) {
+        gone_.erase({entry.forget_at, name});
+    }
+    if (place != Place::of_relay && place != Place::single) return;
+    --live_;
+    if (member.refused > 0 && --refusing_[member.refused] == 0) refusing_.erase(member.refused);
+}
+
+void MemberTable::put_in(const std::string& name, Entry& entry) {
+    Member& member = entry.member;
+    if (member.holds.empty() && (member.left || lease_expired(member.held_until)))
+        return put_in_gone(name, entry);
+    if (member.holds.size() == 1) {
+        const Hold& hold = member.holds.front();
+        index_.insert_of_relay(hold.relay, name, member.stated, hold.exception);
+        entry.place = Place::of_relay;
+    } else {
+        put_in_single(name, entry);
+    }
+    ++live_;
+    if (member.refused > 0) ++refusing_[member.refused];
+}
+
+void MemberTable::put_in_gone(const std::string& name, Entry& entry) {
+    const Member& member = entry.member;
+    const Nanos may_act_for = saturating_add(member.serve_on, limits_.drift);
+    const Nanos remembered = member.left ? limits_.forget_after : std::max(limits_.forget_after, may_act_for);
+    entry.forget_at = saturating_add(end_of(member), remembered);
+    gone_.emplace(entry.forget_at, name);
+    entry.place = Place::gone;
+}
+
+void MemberTable::put_in_single(const std::string& name, Entry& entry) {
+    Member& member = entry.member;
+    entry.counted_applied = applied_version(member);
+    if (member.refused <= entry.counted_applied) clear_refusal(member);
+    index_.insert_single(name, entry.counted_applied);
+    if (member.holds.empty()) lease_ends_.emplace(member.held_until, name);
+    for (const Hold& hold : member.holds) shared_[hold.relay].insert(name);
+    entry.place = Place::single;
+}
+
+// What the relay said of the member while it had it stays true: no incarnation gives a version up for an
+// earlier one.
+void MemberTable::release(Member& member, const std::string& relay) {
+    member.stated = applied_version(member);
+    std::erase_if(member.holds, [&](const Hold& hold) { return hold.relay == relay; });
+    if (!member.holds.empty()) clear_unsupported_refusal(member);
+}
+
+void MemberTable::release_all(const std::string& relay, Nanos lease_until) {
+    std::vector<std::string> names = index_.members_of(relay);
+    if (const auto shared = shared_.find(relay); shared != shared_.end())
+        names.insert(names.end(), shared->second.begin(), shared->second.end());
+    for (const std::string& name : names)
+        change(name, members_.at(name), [&](Member& member) {
+            release(member, relay);
+            member.held_until = std::max(member.held_until, lease_until);
+        });
+    exceptions_.erase(relay);
+}
+
+void MemberTable::drop_relay(const std::string& relay) {
+    ++looked_at_;
+    index_.drop_relay(relay);
+    shared_.erase(relay);
+    exceptions_.erase(relay);
+}
+
+void MemberTable::set_lowest(const std::string& relay, std::uint64_t lowest, std::uint64_t latest) {
+    const std::uint64_t version = agreed(lowest, latest);
+    if (version == index_.lowest_of(relay)) return;
+    index_.set_lowest(relay, version);
+    const auto shared = shared_.find(relay);
+    if (shared == shared_.end()) return;
+    const std::set<std::string> names = shared->second;
+    for (const std::string& name : names) change(name, members_.at(name), [](Member&) {});
+}
+
+std::optional<StaleReason> MemberTable::join(const std::string& relay, const MemberReport& report,
+                                             std::uint64_t latest) {
+    ++looked_at_;
+    Entry& entry = members_[report.name];
+    if (report.incarnation < entry.member.incarnation) return StaleReason::earlier_incarnation;
+    change(report.name, entry, [&](Member& member) {
+        if (report.incarnation > member.incarnation) {
+            for (const Hold& hold : member.holds) exceptions_[hold.relay].erase(report.name);
+            member = Member{};
+        }
+        member.incarnation = report.incarnation;
+        member.left = false;
+        member.serve_on = report.serve_on;
+        member.stated = std::max(member.stated, agreed(report.applied_version, latest));
+        if (hold_of(member, relay) == nullptr) member.holds.push_back({relay, false});
+        clear_unsupported_refusal(member);
+    });
+    return std::nullopt;
+}
+
+void MemberTable::leave(const std::string& name, std::uint64_t incarnation) {
+    ++looked_at_;
+    const auto it = members_.find(name);
+    if (it == members_.end() || it->second.member.incarnation != incarnation || it->second.member.left)
+        return;
+    change(name, it->second, [&](Member& member) {
+        member.stated = applied_version(member);
+        for (const Hold& hold : member.holds) exceptions_[hold.relay].erase(name);
+        member.holds.clear();
+        member.left = true;
+        member.refused = 0;
+        member.ended = now_;
+    });
+}
+
+void MemberTable::lose(const std::string& relay, const std::string& name, std::uint64_t incarnation) {
+    ++looked_at_;
+    const auto it = members_.find(name);
+    if (it == members_.end() || it->second.member.incarnation != incarnation) return;
+    if (hold_of(it->second.member, relay) == nullptr) return;
+    change(name, it->second, [&](Member& member) {
+        release(member, relay);
+        exceptions_[relay].erase(name);
+        member.ended = std::max(member.ended, now_);
+    });
+}
+
+std::vector<MemberRefused> MemberTable::set_exceptions(const std::string& relay,
+                                                       const std::vector<MemberReport>& reports,
+                                                       std::uint64_t latest) {
+    std::vector<MemberRefused> refusals;
+    std::set<std::string> no_more = std::exchange(exceptions_[relay], {});
+    std::set<std::string> now;
+    for (const MemberReport& report : reports) {
+        ++looked_at_;
+        const auto it = members_.find(report.name);
+        if (it == members_.end() || it->second.member.incarnation != report.incarnation) continue;
+        Hold* hold = hold_of(it->second.member, relay);
+        if (hold == nullptr) continue;
+        change(report.name, it->second, [&](Member& member) {
+            if (auto refusal = set_exception(member, *hold, report, latest)) refusals.push_back(*refusal);
+        });
+        now.insert(report.name);
+        no_more.erase(report.name);
+    }
+    clear_exceptions(relay, no_more);
+    exceptions_[relay] = std::move(now);
+    return refusals;
+}
+
+std::optional<MemberRefused> MemberTable::set_exception(Member& member, Hold& hold,
+                                                        const MemberReport& report, std::uint64_t latest) {
+    hold.exception = true;
+    member.stated = std::max(member.stated, agreed(report.applied_version, latest));
+    const std::uint64_t refused = agreed(report.refused, latest);
+    if (refused > applied_version(member)) {
+        member.refused = refused;
+        member.why = cut(report.why, max_why);
+    } else {
+        clear_refusal(member);
+    }
+    if (member.refused <= member.refusal_emitted) return std::nullopt;
+    member.refusal_emitted = member.refused;
+    return MemberRefused{member.refused, report.name, member.why};
+}
+
+void MemberTable::clear_exceptions(const std::string& relay, const std::set<std::string>& names) {
+    for (const std::string& name : names) {
+        Entry& entry = members_.at(name);
+        Hold* hold = hold_of(entry.member, relay);
+        if (hold == nullptr) continue;
+        change(name, entry, [&](Member& member) {
+            hold->exception = false;
+            clear_unsupported_refusal(member);
+        });
+    }
+}
+
+void MemberTable::set_limits(const Limits& limits) {
+    limits_ = limits;
+    recount();
+}
+
+void MemberTable::extend_leases(Nanos interruption) {
+    Ends extended;
+    for (const auto& [until, name] : lease_ends_) {
+        Member& member = members_.at(name).member;
+        member.held_until = saturating_add(until, interruption);
+        extended.emplace_hint(extended.end(), member.held_until, name);
+    }
+    lease_ends_ = std::move(extended);
+    looked_at_ += lease_ends_.size();
+}
+
+void MemberTable::expire_leases() {
+    while (!lease_ends_.empty() && lease_expired(lease_ends_.begin()->first)) {
+        const std::string name = lease_ends_.begin()->second;
+        change(name, members_.at(name), [](Member&) {});
+    }
+}
+
+void MemberTable::drop_forgotten() {
+    while (!gone_.empty() && gone_.begin()->first < now_) {
+        ++looked_at_;
+        members_.erase(gone_.begin()->second);
+        gone_.erase(gone_.begin());
+    }
+}
+
+std::optional<std::string> MemberTable::forget(const std::string& name) {
+    const auto it = members_.find(name);
+    if (it == members_.end()) return "no such member";
+    if (it->second.place != Place::gone) return "its lease is not over";
+    take_out(name, it->second);
+    members_.erase(it);
+    return std::nullopt;
+}
+
+std::size_t MemberTable::refusing(std::uint64_t version) const {
+    const auto it = refusing_.find(version);
+    return it == refusing_.end() ? 0 : it->second;
+}
+
+std::vector<std::string> MemberTable::may_lag(std::uint64_t version) const {
+    std::vector<std::string> names;
+    for (const auto& [forget_at, name] : gone_) {
+        ++looked_at_;
+        const Entry& entry = members_.at(name);
+        if (entry.member.stated < version && may_act(entry)) names.push_back(name);
+    }
+    std::sort(names.begin(), names.end());
+    return names;
+}
+
+RolloutProgress MemberTable::progress(std::uint64_t version, std::size_t max_names) const {
+    RolloutProgress progress;
+    const auto append = [max_names](std::vector<std::string>& names, const std::string& name) {
+        if (names.size() < max_names) names.push_back(name);
+    };
+    for (const auto& [name, entry] : members_) {
+        const bool applied = applied_version(entry.member) >= version;
+        if (entry.place == Place::gone) {
+            if (!applied && may_act(entry)) append(progress.unacknowledged, name);
+            continue;
+        }
+        ++progress.live;
+        if (applied)
+            ++progress.applied;
+        else
+            append(progress.behind, name);
+        if (entry.member.refused > 0) append(progress.refusing, name);
+    }
+    return progress;
+}
+
+void MemberTable::restore(std::map<std::string, Member> members,
+                          const std::map<std::string, std::uint64_t>& lowest) {
+    index_ = {};
+    for (const auto& [relay, version] : lowest) index_.set_lowest(relay, version);
+    members_.clear();
+    for (auto& [name, member] : members) members_.emplace_hint(members_.end(), name, Entry{member});
+    recount();
+}
+
+void MemberTable::recount() {
+    index_.clear_members();
+    shared_.clear();
+    exceptions_.clear();
+    lease_ends_.clear();
+    gone_.clear();
+    refusing_.clear();
+    live_ = 0;
+    for (auto& [name, entry] : members_) {
+        for (const Hold& hold : entry.member.holds)
+            if (hold.exception) exceptions_[hold.relay].insert(name);
+        put_in(name, entry);
+        ++looked_at_;
+    }
+}
+
+}  // namespace tealcart::changes
--- a/src/changes/reports.hpp
+++ b/src/changes/reports.hpp
@@ -1,6 +1,7 @@
 // What is said of members upward: by a member itself, and by a relay of all its members at once.
 #pragma once
 
+#include <algorithm>
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -13,11 +14,19 @@
 
 constexpr std::size_t max_name = 128, max_why = 256;  // bytes
 
+// Not empty, not longer, and without control characters.
+inline bool well_formed(const std::string& text, std::size_t max_bytes) {
+    return !text.empty() && text.size() <= max_bytes && std::none_of(text.begin(), text.end(), [](char c) {
+        return static_cast<unsigned char>(c) < 0x20 || c == 0x7f;
+    });
+}
+
 // Not in the middle of a character of UTF-8, which no JSON would take.
-inline std::string cut(const std::string& text, std::size_t most) {
-    if (text.size() <= most) return text;
-    while (most > 0 && (static_cast<unsigned char>(text[most]) & 0xc0) == 0x80) --most;
-    return text.substr(0, most);
+inline std::string cut(const std::string& text, std::size_t max_bytes) {
+    if (text.size() <= max_bytes) return text;
+    std::size_t end = max_bytes;
+    while (end > 0 && (static_cast<unsigned char>(text[end]) & 0xc0) == 0x80) --end;
+    return text.substr(0, end);
 }
 
 // What a relay says of one member: at its first word, and later where it is an exception.
--- /dev/null
+++ b/src/changes/snapshot.cpp
@@ -0,0 +1,171 @@
+// Snapshots are a CBOR map; what it holds are lists, whose order is the format.
+#include "changes/snapshot.hpp"
+
+#include <nlohmann/json.hpp>
+#include <set>
+#include <utility>
+
+#include "changes/codec_parts.hpp"
+#include "replicated/codec_error.hpp"
+#include "replicated/command_envelope.hpp"
+
+namespace tealcart::changes {
+namespace {
+
+using nlohmann::json;
+using replicated::CodecError;
+
+// Goes up with every change that an earlier release can't read.
+constexpr int snapshot_form = 1;
+constexpr const char* snapshot_subject = "a state of changes";
+
+json json_of(const DocumentChange& change) {
+    return json::array({json_of_entries(change.set), change.removed});
+}
+DocumentChange read_change(const json& in) {
+    return {read_entries(in.at(0)), in.at(1).get<std::set<std::string>>()};
+}
+
+json json_of(const std::deque<KeptVersion>& kept) {
+    json list = json::array();
+    for (const KeptVersion& one : kept)
+        list.push_back(
+            {one.version, one.published_at, one.asker, json_of(one.forward), json_of(one.back), one.digest});
+    return list;
+}
+std::deque<KeptVersion> read_kept(const json& in) {
+    std::deque<KeptVersion> kept;
+    for (const json& one : in)
+        kept.push_back(
+            {one.at(0), one.at(1), one.at(2), read_change(one.at(3)), read_change(one.at(4)), one.at(5)});
+    return kept;
+}
+
+json json_of(const Member& member) {
+    json holds = json::array();
+    for (const Hold& hold : member.holds) holds.push_back(json::array({hold.relay, hold.exception}));
+    return {member.incarnation, member.stated,    member.refused,    member.refusal_emitted, member.why,
+            member.serve_on,    std::move(holds), member.held_until, member.ended,           member.left};
+}
+Member read_member(const json& in, const std::map<std::string, Relay>& relays) {
+    Member member;
+    member.incarnation = in.at(0);
+    member.stated = in.at(1);
+    member.refused = in.at(2);
+    member.refusal_emitted = in.at(3);
+    member.why = in.at(4);
+    member.serve_on = in.at(5);
+    for (const json& hold : in.at(6)) {
+        member.holds.push_back({hold.at(0), hold.at(1)});
+        if (!relays.contains(member.holds.back().relay))
+            throw CodecError(CodecError::Fault::dangling_reference,
+                             "a state of changes with a relay that is not there");
+    }
+    member.held_until = in.at(7);
+    member.ended = in.at(8);
+    member.left = in.at(9);
+    return member;
+}
+
+json json_of_members(const std::map<std::string, Member>& members) {
+    json all = json::object();
+    for (const auto& [name, member] : members) all[name] = json_of(member);
+    return all;
+}
+std::map<std::string, Member> read_members(const json& in, const std::map<std::string, Relay>& relays) {
+    std::map<std::string, Member> members;
+    for (const auto& [name, member] : in.items()) members[name] = read_member(member, relays);
+    return members;
+}
+
+json json_of_relays(const SnapshotView& view) {
+    json all = json::object();
+    for (const auto& [name, relay] : view.relays)
+        all[name] = {relay.zone,        relay.incarnation, relay.number, view.lowest_by_relay.at(name),
+                     relay.lease_until, relay.live};
+    return all;
+}
+void read_relays(const json& in, Snapshot& snapshot) {
+    for (const auto& [name, fields] : in.items()) {
+        Relay& relay = snapshot.relays[name];
+        relay.zone = fields.at(0);
+        relay.incarnation = fields.at(1);
+        relay.number = fields.at(2);
+        snapshot.lowest_by_relay[name] = fields.at(3);
+        relay.lease_until = fields.at(4);
+        relay.live = fields.at(5);
+    }
+}
+
+json json_of(const replicated::CommandHistory<Effect>& history) {
+    json list = json::array();
+    for (const std::string& id : history.ids()) {
+        json effects = json::array();
+        for (const Effect& effect : *history.find(id)) {
+            const EffectRecord e = record_of(effect);
+            effects.push_back({static_cast<int>(e.code), e.version, e.reason, json(e.names)});
+        }
+        list.push_back({id, std::move(effects)});
+    }
+    return list;
+}
+replicated::CommandHistory<Effect> read_history(const json& in) {
+    replicated::CommandHistory<Effect> history;
+    for (const json& command : in) {
+        Effects effects;
+        for (const json& e : command.at(1))
+            effects.push_back(effect_of({static_cast<EffectCode>(e.at(0).get<int>()), e.at(1), e.at(2),
+                                         e.at(3).get<std::vector<std::string>>()}));
+        history.record(command.at(0), std::move(effects));
+    }
+    return history;
+}
+
+SnapshotScalars read_scalars(const json& in) {
+    SnapshotScalars scalars;
+    scalars.version = in.at("versions").at(0);
+    scalars.applied_everywhere = in.at("versions").at(1);
+    scalars.halted_version = in.at("versions").at(2);
+    scalars.halted = in.at("halted");
+    scalars.halt_reason = in.at("halted_for");
+    scalars.now = in.at("times").at(0);
+    scalars.hold_until = in.at("times").at(1);
+    return scalars;
+}
+
+}  // namespace
+
+std::vector<std::uint8_t> write_snapshot(const SnapshotView& view) {
+    const SnapshotScalars& scalars = view.scalars;
+    return json::to_cbor({{"form", snapshot_form},
+                          {"limits", json_of(view.limits)},
+                          {"document", json_of_entries(view.document)},
+                          {"versions", {scalars.version, scalars.applied_everywhere, scalars.halted_version}},
+                          {"kept", json_of(view.kept)},
+                          {"halted", scalars.halted},
+                          {"halted_for", scalars.halt_reason},
+                          {"members", json_of_members(view.members)},
+                          {"relays", json_of_relays(view)},
+                          {"remembered", json_of(view.history)},
+                          {"times", {scalars.now, scalars.hold_until}}});
+}
+
+Snapshot read_snapshot(const std::vector<std::uint8_t>& bytes) {
+    try {
+        const json document = json::from_cbor(bytes);
+        replicated::check_form(document, snapshot_form, snapshot_subject);
+        Snapshot snapshot;
+        snapshot.limits = read_limits(document.at("limits"));
+        snapshot.document = read_entries(document.at("document"));
+        snapshot.kept = read_kept(document.at("kept"));
+        read_relays(document.at("relays"), snapshot);
+        snapshot.members = read_members(document.at("members"), snapshot.relays);
+        snapshot.history = read_history(document.at("remembered"));
+        snapshot.scalars = read_scalars(document);
+        return snapshot;
+    } catch (const json::exception& e) {
+        throw replicated::malformed(snapshot_subject, e.what());
+    }
+}
+
+}  // namespace tealcart::changes
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -90,14 +90,14 @@
 }
 
 std::string write_changes(const changes::ChangeState& state, const ChangeFigures& figures) {
-    const changes::RolloutProgress reach = state.reach(state.version(), max_named);
+    const changes::RolloutProgress progress = state.progress(state.version(), max_named);
     Json history = Json::array(), keys = Json::array();
     for (const auto& p : state.history(max_history))
         history.push_back({{"version", p.version},
                            {"at_ms", p.at / ms},
                            {"asker", p.asker},
                            {"entries", p.entries},
-                           {"in_force", p.in_force}});
+                           {"in_force", p.applied_everywhere}});
     for (const auto& [key, value] : state.document()) {
         if (keys.size() >= max_keys) break;
         keys.push_back({key, value.size()});
@@ -112,18 +112,18 @@
                 {"leader_at", figures.leader_address},
                 {"version", state.version()},
                 {"digest", state.digest()},
-                {"in_force", state.in_force()},
+                {"in_force", state.applied_everywhere()},
                 {"halted", state.halted()},
                 {"halted_for", state.halted_for()},
                 {"halted_version", state.halted_version()},
                 {"held_for_ms", std::max<Nanos>(0, state.hold_until() - state.now()) / ms},
                 {"members", state.members()},
                 {"relays_waiting", figures.waiting}};
-    out["reach"] = {{"live", reach.live},
-                    {"acting", reach.acting},
-                    {"behind", some(reach.behind)},
-                    {"refusing", some(reach.refusing)},
-                    {"unheard", some(reach.unacknowledged)}};
+    out["reach"] = {{"live", progress.live},
+                    {"acting", progress.applied},
+                    {"behind", some(progress.behind)},
+                    {"refusing", some(progress.refusing)},
+                    {"unheard", some(progress.unacknowledged)}};
     out["history"] = std::move(history);
     out["keys"] = std::move(keys);
     return written(out);
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -224,9 +224,9 @@
     auto call = read_relay_call(body, wrong);
     if (!call) return refuse(client, 400, wrong);
     if (!raft_.leads()) return send_elsewhere(client);
-    if (changes_.knows_later_life(call->word.relay, call->word.incarnation))
+    if (changes_.knows_later_incarnation(call->word.relay, call->word.incarnation))
         return front_.answer(client, {409, write_outlived(changes_.last_incarnation(call->word.relay)), 0});
-    relay_batch_.words.words.push_back(call->word);
+    relay_batch_.words.reports.push_back(call->word);
     relay_batch_.calls.emplace_back(client, std::move(*call));
     if (relay_batch_.calls.size() >= max_words) return flush_relays();
     if (flush_relays_due_ == TimerQueue::none)
@@ -243,7 +243,7 @@
             const changes::RelayReport& word = call.word;
             if (!agreed) {
                 send_elsewhere(client);
-            } else if (changes_.knows_later_life(word.relay, word.incarnation)) {
+            } else if (changes_.knows_later_incarnation(word.relay, word.incarnation)) {
                 front_.answer(client, {409, write_outlived(changes_.last_incarnation(word.relay)), 0});
             } else if (changes_.last_number(word.relay, word.incarnation) >= word.number) {
                 relays_waiting_[client.slot] = {client, call.watched, word.number,
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -125,11 +125,11 @@
             config.takes_changes = true;
             l.lease = c.span("lease", l.lease, 500 * ms, hour);
             l.drift = c.span("drift", l.drift, 0, hour);
-            l.forget = c.span("forget", l.forget, 0, 365 * 24 * hour);
-            l.halt_refused = c.number("halt_refused", l.halt_refused, 0, 1);
-            count("halt_refused_least", l.halt_refused_least, any_number);
+            l.forget_after = c.span("forget", l.forget_after, 0, 365 * 24 * hour);
+            l.halt_refused_share = c.number("halt_refused", l.halt_refused_share, 0, 1);
+            count("halt_refused_least", l.halt_min_refusals, any_number);
             count("most_entries", l.max_entries, 10'000);
-            l.max_entry = c.bytes("longest_entry", l.max_entry, 16, 256 * 1024);
+            l.max_entry_bytes = c.bytes("longest_entry", l.max_entry_bytes, 16, 256 * 1024);
             count("most_kept", l.max_kept, 100'000);
             count("most_members", l.max_members, 1'000'000);
             count("most_relays", l.max_relays, 100'000);
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -120,11 +120,13 @@
     void forget() {
         std::erase_if(members, [&](const Who& w) {
             if (lives(w)) return false;
-            const Nanos kept = w.left ? limits.forget : std::max(limits.forget, w.serve_on + limits.drift);
+            const Nanos kept =
+                w.left ? limits.forget_after : std::max(limits.forget_after, w.serve_on + limits.drift);
             return now > std::max(w.bound, w.ended) + kept;
         });
-        std::erase_if(
-            relays, [&](const Relay& r) { return !r.live && now > r.lease + limits.forget + limits.drift; });
+        std::erase_if(relays, [&](const Relay& r) {
+            return !r.live && now > r.lease + limits.forget_after + limits.drift;
+        });
     }
 
     std::optional<StaleReason> fault(const RelayReport& w) {
@@ -230,7 +232,7 @@
         effects.push_back(PublishingResumed{version()});
     }
     void on(const ReportBatch& c) {
-        for (const RelayReport& w : c.words) take(w);
+        for (const RelayReport& w : c.reports) take(w);
     }
     void on(const Forget& c) {
         const Who* m = member(c.name);
@@ -263,8 +265,8 @@
             refusing += w.refused > 0 && w.refused == version();
             least = std::min(least, applied_version(w));
         }
-        if (tripped != version() && refusing > 0 && refusing >= limits.halt_refused_least &&
-            static_cast<double>(refusing) > limits.halt_refused * static_cast<double>(live)) {
+        if (tripped != version() && refusing > 0 && refusing >= limits.halt_min_refusals &&
+            static_cast<double>(refusing) > limits.halt_refused_share * static_cast<double>(live)) {
             tripped = version();
             halted = true;
             halted_for = std::to_string(refusing) + " of " + std::to_string(live) +
@@ -285,8 +287,8 @@
 
 Limits limits_of_test() {
     Limits l;
-    l.lease = 12 * second, l.drift = second, l.forget = 30 * second;
-    l.halt_refused = 0.2, l.halt_refused_least = 1;
+    l.lease = 12 * second, l.drift = second, l.forget_after = 30 * second;
+    l.halt_refused_share = 0.2, l.halt_min_refusals = 1;
     l.max_kept = 6;
     return l;
 }
@@ -359,7 +361,7 @@
                 Limits l = limits_of_test();
                 l.drift = (1 + below(random, 3)) * second;
                 l.lease = (10 + below(random, 4)) * second;
-                l.forget = (20 + below(random, 20)) * second;
+                l.forget_after = (20 + below(random, 20)) * second;
                 c.what = SetLimits{l};
                 break;
             }
@@ -375,7 +377,7 @@
                 break;
             default: {
                 ReportBatch words;
-                for (int i = 1 + below(random, 2); i > 0; --i) words.words.push_back(relay_word(v));
+                for (int i = 1 + below(random, 2); i > 0; --i) words.reports.push_back(relay_word(v));
                 c.what = std::move(words);
             }
         }
@@ -394,12 +396,13 @@
 
 void compare(const ChangeState& state, Plain& plain) {
     REQUIRE(state.version() == plain.version());
-    REQUIRE(state.in_force() == plain.in_force);
+    REQUIRE(state.applied_everywhere() == plain.in_force);
     REQUIRE(state.halted() == plain.halted);
     REQUIRE(state.document() == plain.versions.back());
     REQUIRE(state.digest() == digest_of(plain.versions.back()));
     REQUIRE(state.members() == plain.members.size());
-    for (const std::uint64_t v : {state.version(), state.in_force(), state.in_force() + 1}) {
+    for (const std::uint64_t v :
+         {state.version(), state.applied_everywhere(), state.applied_everywhere() + 1}) {
         RolloutProgress want;
         for (Plain::Who& w : plain.members) {
             const std::uint64_t acts = plain.applied_version(w);
@@ -408,13 +411,13 @@
                 continue;
             }
             ++want.live;
-            want.acting += acts >= v;
+            want.applied += acts >= v;
             if (acts < v) want.behind.push_back(w.name);
             if (w.refused > 0) want.refusing.push_back(w.name);
         }
-        const RolloutProgress is = state.reach(v, 100);
+        const RolloutProgress is = state.progress(v, 100);
         REQUIRE(is.live == want.live);
-        REQUIRE(is.acting == want.acting);
+        REQUIRE(is.applied == want.applied);
         for (auto* list : {&want.behind, &want.refusing, &want.unacknowledged})
             std::sort(list->begin(), list->end());
         REQUIRE(is.behind == want.behind);
@@ -512,8 +515,8 @@
     explicit World(std::uint64_t seed)
         : random(seed), state([] {
               Limits l;
-              l.lease = lease, l.drift = drift, l.forget = 20 * second;
-              l.halt_refused = 0.4;
+              l.lease = lease, l.drift = drift, l.forget_after = 20 * second;
+              l.halt_refused_share = 0.4;
               return l;
           }()) {
         for (int i = 0; i < all_relays; ++i) relays.emplace_back().name = "r" + std::to_string(i);
@@ -635,11 +638,11 @@
                 apply(Tick{});
         }
         // Who holds a lease by its own clock lives, as the managers see it.
-        const RolloutProgress reach = state.reach(UINT64_MAX, 1000);
+        const RolloutProgress progress = state.progress(UINT64_MAX, 1000);
         for (const MemberAt& m : members) {
             if (!m.runs || m.clock(now) > m.lease_until) continue;
             CAPTURE(m.name);
-            REQUIRE(std::binary_search(reach.behind.begin(), reach.behind.end(), m.name));
+            REQUIRE(std::binary_search(progress.behind.begin(), progress.behind.end(), m.name));
         }
     }
 
@@ -705,7 +708,7 @@
         world.apply(Publish{"ann", {{"last", "1"}}, {}, {}});
         world.publishes = false;
         for (int i = 0; i < 300; ++i) world.turn();
-        CHECK(world.state.in_force() == world.state.version());
+        CHECK(world.state.applied_everywhere() == world.state.version());
         in_force += world.in_force, named += world.named, published += world.state.version();
     }
     CHECK(in_force > 1000);
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -18,8 +18,8 @@
 
 Limits small_limits() {
     Limits l;
-    l.lease = 10 * second, l.drift = second, l.forget = 60 * second;
-    l.halt_refused = 0.25, l.halt_refused_least = 2;
+    l.lease = 10 * second, l.drift = second, l.forget_after = 60 * second;
+    l.halt_refused_share = 0.25, l.halt_min_refusals = 2;
     return l;
 }
 
@@ -108,10 +108,10 @@
     CHECK(kinds(c.set("a", "1")) == kinds_of<Effect, VersionPublished>());
     CHECK(c.says(c.word("r1", 1)).empty());
     CHECK(c.says(c.word("r2", 0)).empty());
-    CHECK(c.state.reach(1, 10).behind == Names{"m3"});
+    CHECK(c.state.progress(1, 10).behind == Names{"m3"});
     const auto done = c.says(c.word("r2", 1));
     CHECK(done == Effects{AppliedEverywhere{1, {}}});
-    CHECK(c.state.in_force() == 1);
+    CHECK(c.state.applied_everywhere() == 1);
     // Two at once: only the later is told; one member that is behind by name holds it up.
     c.set("a", "2");
     c.set("a", "3");
@@ -133,13 +133,13 @@
     }
     c.now += 1;
     CHECK(c.tell(Tick{}) == Effects{RelayLeaseExpired{1, "r2"}, AppliedEverywhere{1, {"m2"}}});
-    CHECK(c.state.reach(1, 10).unacknowledged == Names{"m2"});
+    CHECK(c.state.progress(1, 10).unacknowledged == Names{"m2"});
     // Its relay is back, of the same incarnation: it must say all, since nobody knows what it granted in
     // between.
     CHECK(kinds(c.says(c.word("r2", 1))) == kinds_of<Effect, StaleReport>());
     CHECK(c.state.last_number("r2", 1) == 0);
     CHECK(c.says(c.first("r2", {member("m2", 1)}, 1)).empty());
-    CHECK(c.state.reach(1, 10).unacknowledged.empty());
+    CHECK(c.state.progress(1, 10).unacknowledged.empty());
 }
 
 TEST_CASE("a refusal is told once, too many halt, and the way back stays open") {
@@ -150,7 +150,7 @@
     c.set("a", "bad");
     CHECK(c.says(c.word("r1", 2, {refuses("m1", 1, 2)})) == Effects{MemberRefused{2, "m1", "it can't"}});
     CHECK(c.says(c.word("r1", 2, {refuses("m1", 1, 2)})).empty());
-    CHECK(c.state.reach(2, 9).refusing == Names{"m1"});
+    CHECK(c.state.progress(2, 9).refusing == Names{"m1"});
     const auto halted = c.says(c.word("r1", 2, {refuses("m1", 1, 2), refuses("m3", 1, 2)}));
     CHECK(kinds(halted) == kinds_of<Effect, MemberRefused, PublishingHalted>());
     CHECK(std::get<PublishingHalted>(halted[1]).reason == "2 of 4 members refuse version 2");
@@ -160,7 +160,7 @@
     CHECK(c.state.document() == Document{{"a", "1"}});
     CHECK(c.state.halted());
     CHECK(kinds(c.says(c.word("r1", 3))) == kinds_of<Effect, AppliedEverywhere>());
-    CHECK(c.state.reach(3, 9).refusing.empty());
+    CHECK(c.state.progress(3, 9).refusing.empty());
     CHECK(kinds(c.tell(Resume{})) == kinds_of<Effect, PublishingResumed>());
     CHECK(kinds(c.set("b", "1")) == kinds_of<Effect, VersionPublished>());
 }
@@ -176,10 +176,10 @@
     not_whole.whole = false;
     CHECK(kinds(c.says(not_whole)) == kinds_of<Effect, StaleReport>());
     CHECK(c.says(again).empty());
-    CHECK(c.state.knows_later_life("r1", 1));
+    CHECK(c.state.knows_later_incarnation("r1", 1));
     CHECK(c.state.last_number("r1", 2) == 1);
     CHECK(kinds(c.says(c.word("r1", 1))) == kinds_of<Effect, StaleReport>());  // of the incarnation before
-    CHECK(c.state.reach(1, 9).behind == Names{"m2"});
+    CHECK(c.state.progress(1, 9).behind == Names{"m2"});
     // m2 does not come back: for a lease and its drift from the old incarnation's last word it may go on.
     for (int i = 0; i < 11; ++i) {
         again = c.word("r1", 1);
@@ -212,12 +212,12 @@
     joins.joined = {member("m1", 0)};
     joins.exceptions = {member("m1", 0)};
     CHECK(c.says(joins).empty());
-    CHECK(c.state.reach(1, 9).behind == Names{"m1"});
+    CHECK(c.state.progress(1, 9).behind == Names{"m1"});
     // The new one loses it; the first one has not.
     RelayReport loses = c.word("r2", 1);
     loses.lost = {{"m1", 1}};
     CHECK(c.says(loses).empty());
-    CHECK(c.state.reach(1, 9).live == 2);
+    CHECK(c.state.progress(1, 9).live == 2);
     loses = c.word("r1", 1);
     loses.lost = {{"m1", 2}};  // of another incarnation
     loses.exceptions = {member("m1", 0)};
@@ -225,16 +225,16 @@
     loses = c.word("r1", 1);
     loses.lost = {{"m1", 1}};
     CHECK(c.says(loses) == Effects{AppliedEverywhere{1, {"m1"}}});
-    CHECK(c.state.reach(1, 9).unacknowledged == Names{"m1"});
+    CHECK(c.state.progress(1, 9).unacknowledged == Names{"m1"});
     // A version that either relay says of it is one that it acts on.
     joins = c.word("r1", 0);
     joins.joined = {member("m1", 0)};
     c.says(joins);
-    CHECK(c.state.reach(1, 9).behind == Names{"m1"});
+    CHECK(c.state.progress(1, 9).behind == Names{"m1"});
     joins = c.word("r2", 1);
     joins.joined = {member("m1", 0)};
     c.says(joins);
-    CHECK(c.state.reach(1, 9).behind.empty());
+    CHECK(c.state.progress(1, 9).behind.empty());
 }
 
 TEST_CASE(
@@ -245,20 +245,20 @@
     RelayReport w = c.word("r1", 1, {member("m1")});
     w.left = {{"m1", 1}};
     CHECK(c.says(w) == Effects{AppliedEverywhere{1, {}}});
-    CHECK(c.state.reach(1, 9).unacknowledged.empty());
+    CHECK(c.state.progress(1, 9).unacknowledged.empty());
     w = c.word("r1", 1, {member("m1", 0, 2)});
     w.joined = {member("m1", 0, 2)};
     CHECK(c.says(w).empty());
-    CHECK(c.state.reach(1, 9).behind == Names{"m1"});
-    CHECK(c.state.in_force() == 1);  // it was, of those that lived
+    CHECK(c.state.progress(1, 9).behind == Names{"m1"});
+    CHECK(c.state.applied_everywhere() == 1);  // it was, of those that lived
     RelayReport other = c.first("r2", {member("m1", 1, 1)}, 1);
     CHECK(c.says(other) == Effects{StaleReport{1, "m1", StaleReason::earlier_incarnation}});
-    CHECK(c.state.reach(1, 9).behind == Names{"m1"});
+    CHECK(c.state.progress(1, 9).behind == Names{"m1"});
     CHECK(kinds(c.tell(Forget{"m1"})) == kinds_of<Effect, CommandRejected>());
     w = c.word("r1", 1);
     w.lost = {{"m1", 2}};
     c.says(w);
-    CHECK(c.state.reach(1, 9).unacknowledged == Names{"m1"});
+    CHECK(c.state.progress(1, 9).unacknowledged == Names{"m1"});
     CHECK(kinds(c.tell(Forget{"m1"})) == kinds_of<Effect, MemberForgotten>());
     CHECK(c.state.members() == 1);
     CHECK(kinds(c.tell(Forget{"m1"})) == kinds_of<Effect, CommandRejected>());
@@ -272,7 +272,7 @@
     c.now += 30 * second;
     CHECK(c.says(c.word("r1", 1)).empty());
     CHECK(c.says(c.word("r2", 1)).empty());
-    CHECK(c.state.reach(1, 9).live == 2);
+    CHECK(c.state.progress(1, 9).live == 2);
     c.now -= 5 * second;  // a leader whose clock is behind: time stands
     c.tell(Tick{});
     CHECK(c.state.now() == 1030 * second);
@@ -292,8 +292,8 @@
     Changes c;
     c.says(c.first("r1", {member("m1", 7), member("m2", 1)}, 9));
     c.set("a", "1");
-    CHECK(c.state.in_force() == 0);
-    CHECK(c.state.reach(1, 9).behind == Names{"m1", "m2"});
+    CHECK(c.state.applied_everywhere() == 0);
+    CHECK(c.state.progress(1, 9).behind == Names{"m1", "m2"});
     CHECK(kinds(c.says(c.word("r1", 1))) == kinds_of<Effect, AppliedEverywhere>());
 }
 
@@ -321,7 +321,7 @@
     REQUIRE(history.size() == 2);
     CHECK(history[0].version == 7);
     CHECK(history[0].asker == "ann");
-    CHECK(history[0].in_force);
+    CHECK(history[0].applied_everywhere);
     // Of long deltas fewer are kept, the latest always.
     l.max_kept_bytes = 1;
     c.tell(SetLimits{l});
@@ -388,8 +388,8 @@
         one_behind.push_back(c.state.looked_at());
         c.says(c.word("r0", 1));
         raised.push_back(c.state.looked_at());
-        CHECK(c.state.in_force() == (relays == 1 ? 1 : 0));
-        CHECK(c.state.reach(1, 0).live == 300u * static_cast<unsigned>(relays));
+        CHECK(c.state.applied_everywhere() == (relays == 1 ? 1 : 0));
+        CHECK(c.state.progress(1, 0).live == 300u * static_cast<unsigned>(relays));
     }
     CHECK(plain == std::vector<std::uint64_t>{1, 1});
     CHECK(one_behind[0] == one_behind[1]);
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -75,8 +75,8 @@
         "fleet.hcl");
     CHECK(config.takes_changes);
     CHECK(config.changes.lease == 19'000'000'000);
-    CHECK(config.changes.halt_refused == 0.2);
-    CHECK(config.changes.max_entry == 1024);
+    CHECK(config.changes.halt_refused_share == 0.2);
+    CHECK(config.changes.max_entry_bytes == 1024);
     CHECK(config.changes.max_kept == 9);
     CHECK(config.changes.drift == changes::Limits{}.drift);
     CHECK(wrong_managers("changes {\n lease = \"1s\"\n halt_refused = 2\n most_pages = 1\n}") ==
