--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -115,11 +115,11 @@
     };
     limits.lease = in.span("lease", limits.lease, min_lease, hour);
     limits.drift = in.span("drift", limits.drift, 0, hour);
-    limits.forget = in.span("forget", limits.forget, 0, year);
-    limits.halt_refused = in.number("halt_refused", limits.halt_refused, 0, 1);
-    read_count("halt_refused_least", limits.halt_refused_least, unlimited);
+    limits.forget_after = in.span("forget", limits.forget_after, 0, year);
+    limits.halt_refused_share = in.number("halt_refused", limits.halt_refused_share, 0, 1);
+    read_count("halt_refused_least", limits.halt_min_refusals, unlimited);
     read_count("most_entries", limits.max_entries, 10'000);
-    limits.max_entry = in.bytes("longest_entry", limits.max_entry, 16, 256 * 1024);
+    limits.max_entry_bytes = in.bytes("longest_entry", limits.max_entry_bytes, 16, 256 * 1024);
     read_count("most_kept", limits.max_kept, 100'000);
     read_count("most_members", limits.max_members, 1'000'000);
     read_count("most_relays", limits.max_relays, 100'000);
--- a/src/fleet_manager/relay_service.cpp
+++ b/src/fleet_manager/relay_service.cpp
@@ -28,9 +28,9 @@
     if (!call) return responder_.malformed(client, call.error());
     if (!proposer_.leads()) return responder_.not_leader(client);
     const changes::RelayReport& report = call->report;
-    if (state_.changes().knows_later_life(report.relay, report.incarnation))
+    if (state_.changes().knows_later_incarnation(report.relay, report.incarnation))
         return responder_.superseded(client, state_.changes().last_incarnation(report.relay));
-    batch_.reports.words.push_back(report);
+    batch_.reports.reports.push_back(report);
     batch_.calls.emplace_back(client, std::move(*call));
     if (batch_.calls.size() >= max_batch_calls) return propose_batch();
     if (batch_due_ == TimerQueue::none)
@@ -61,7 +61,7 @@
                                        const changes::Effects& effects) {
     const changes::ChangeState& changes = state_.changes();
     const changes::RelayReport& report = call.report;
-    if (changes.knows_later_life(report.relay, report.incarnation))
+    if (changes.knows_later_incarnation(report.relay, report.incarnation))
         return responder_.superseded(client, changes.last_incarnation(report.relay));
     if (changes.last_number(report.relay, report.incarnation) >= report.number) {
         const Nanos until = time_.now() + call.position.wait;
