--- a/src/fleet_manager/config_command.hpp
+++ b/src/fleet_manager/config_command.hpp
@@ -19,7 +19,7 @@
     bool wait = false;          // until the version is applied everywhere
 };
 
-// Each returns the status to exit with; throws Malformed on wrong options.
+// Each returns the status to exit with; throws ConfigError on wrong options.
 int set_entries(const ClientOptions& client, const ConfigOptions& options);
 int show_changes(const ClientOptions& client, const ConfigOptions& options);
 int roll_back(const ClientOptions& client, const ConfigOptions& options);
--- a/src/fleet_manager/drain_command.hpp
+++ b/src/fleet_manager/drain_command.hpp
@@ -18,7 +18,7 @@
     bool names_targets() const { return !nodes.empty() || !routers.empty() || !zone.empty(); }
 };
 
-// Each returns the status to exit with; throws Malformed on wrong options.
+// Each returns the status to exit with; throws ConfigError on wrong options.
 int drain(const ClientOptions& client, const DrainOptions& options);
 int undrain(const ClientOptions& client, const DrainOptions& options);
 int halt(const ClientOptions& client, const DrainOptions& options);
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -44,7 +44,7 @@
     static const Route* find_route(std::string_view path);
 
     void on_request(Handle client, Request& request, Nanos began) override;
-    void on_client_gone(Handle client) override;
+    void on_client_disconnected(Handle client) override;
     void on_list(const EndpointList& list) override { endpoints_.on_endpoints(list, time_.now()); }
 
     void show_ready(Handle client, const Request& request);
--- a/src/fleet_manager/operator_client.cpp
+++ b/src/fleet_manager/operator_client.cpp
@@ -28,14 +28,14 @@
 std::vector<HostPort> ClientOptions::manager_addresses() const {
     std::vector<HostPort> addresses;
     for (const std::string& text : managers) {
-        const auto address = read_host_port(text);
-        if (!address) throw Malformed("'" + text + "' is no address with a port");
+        const auto address = parse_host_port(text);
+        if (!address) throw ConfigError("'" + text + "' is no address with a port");
         addresses.push_back(*address);
     }
     if (addresses.empty() && !file.empty())
         for (const auto& [manager_id, manager] : read_fleet_manager_file(file).managers)
             addresses.push_back(manager.http);
-    if (addresses.empty()) throw Malformed("name the stewards: --stewards, TEALCART_STEWARDS or --file");
+    if (addresses.empty()) throw ConfigError("name the stewards: --stewards, TEALCART_STEWARDS or --file");
     return addresses;
 }
 
@@ -75,7 +75,7 @@
     }
     if (!found.is_object()) return found;
     // The leader may not be among those that were named.
-    if (const auto leader = read_host_port(text_of(found, "leader_at"))) {
+    if (const auto leader = parse_host_port(text_of(found, "leader_at"))) {
         Json state = fetch_state_of(io, *leader, path);
         if (state.is_object()) return state;
     }
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -55,7 +55,7 @@
     }
     try {
         return serve_command->parsed() ? serve(file) : check(file);
-    } catch (const HclMistakes& error) {
+    } catch (const HclErrors& error) {
         std::fprintf(stderr, "%s\n", error.what());
     } catch (const std::exception& error) {
         std::fprintf(stderr, "tealcart relay: %s\n", error.what());
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -31,7 +31,7 @@
 
   private:
     void on_request(Handle client, Request& request, Nanos began) override;
-    void on_client_gone(Handle client) override { followers_.on_client_gone(client); }
+    void on_client_disconnected(Handle client) override { followers_.on_client_disconnected(client); }
     LongPollObserver::Call next_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
     void on_superseded(std::uint64_t last_incarnation) override;
--- a/src/wire/long_poll.cpp
+++ b/src/wire/long_poll.cpp
@@ -122,7 +122,7 @@
 // A leader is followed only to an address that the configuration names.
 void LongPoll::on_not_leader(std::string_view body) {
     const auto leader = read_not_leader(body);
-    const auto address = leader ? read_host_port(*leader) : std::nullopt;
+    const auto address = leader ? parse_host_port(*leader) : std::nullopt;
     const auto known = std::find(addresses_.begin(), addresses_.end(), address.value_or(HostPort{}));
     if (!address || known == addresses_.end()) return fail("it does not lead, and names nobody known");
     const Nanos pause = failures_++ == 0 ? 0 : min_backoff;
