--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -59,7 +59,7 @@
         return names;
     };
     return {{"live", progress.live},
-            {"acting", progress.acting},
+            {"acting", progress.applied},
             {"behind", first_names(progress.behind)},
             {"refusing", first_names(progress.refusing)},
             {"unheard", first_names(progress.unacknowledged)}};
@@ -72,7 +72,7 @@
                         {"at_ms", published.at / millisecond},
                         {"asker", published.asker},
                         {"entries", published.entries},
-                        {"in_force", published.in_force}});
+                        {"in_force", published.applied_everywhere}});
     return list;
 }
 
@@ -129,14 +129,14 @@
                  {"leader_at", figures.leader_address},
                  {"version", state.version()},
                  {"digest", state.digest()},
-                 {"in_force", state.in_force()},
+                 {"in_force", state.applied_everywhere()},
                  {"halted", state.halted()},
                  {"halted_for", state.halted_for()},
                  {"halted_version", state.halted_version()},
                  {"held_for_ms", held_for / millisecond},
                  {"members", state.members()},
                  {"relays_waiting", figures.waiting},
-                 {"reach", write_rollout(state.reach(state.version(), max_named))},
+                 {"reach", write_rollout(state.progress(state.version(), max_named))},
                  {"history", write_history(state)},
                  {"keys", write_keys(state)}});
 }
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -103,7 +103,8 @@
     BlockReader in(block, errors);
     in.expect_no_label();
     budgets.halt_failed_share = in.number("failed", budgets.halt_failed_share, 0, 1);
-    budgets.halt_failed_min_queries = static_cast<std::uint64_t>(in.integer("failed_least", 100, 1, unlimited));
+    budgets.halt_failed_min_queries =
+        static_cast<std::uint64_t>(in.integer("failed_least", 100, 1, unlimited));
     budgets.halt_lost_share = in.number("lost", budgets.halt_lost_share, 0, 1);
     budgets.halt_min_holders = static_cast<std::size_t>(in.integer("holders", 0, 0, 1000));
     in.reject_unknown();
@@ -117,11 +118,11 @@
     };
     limits.lease = in.duration("lease", limits.lease, min_lease, hour);
     limits.drift = in.duration("drift", limits.drift, 0, hour);
-    limits.forget = in.duration("forget", limits.forget, 0, year);
-    limits.halt_refused = in.number("halt_refused", limits.halt_refused, 0, 1);
-    read_count("halt_refused_least", limits.halt_refused_least, unlimited);
+    limits.forget_after = in.duration("forget", limits.forget_after, 0, year);
+    limits.halt_refused_share = in.number("halt_refused", limits.halt_refused_share, 0, 1);
+    read_count("halt_refused_least", limits.halt_min_refusals, unlimited);
     read_count("most_entries", limits.max_entries, 10'000);
-    limits.max_entry = in.byte_size("longest_entry", limits.max_entry, 16, 256 * 1024);
+    limits.max_entry_bytes = in.byte_size("longest_entry", limits.max_entry_bytes, 16, 256 * 1024);
     read_count("most_kept", limits.max_kept, 100'000);
     read_count("most_members", limits.max_members, 1'000'000);
     read_count("most_relays", limits.max_relays, 100'000);
@@ -133,7 +134,8 @@
 void read_fleet_values(const HclBlock& block, BlockReader& in, FleetManagerConfig& config) {
     fleet::Budgets& budgets = config.budgets;
     config.fleet = in.label("the fleet's name");
-    if (!is_name(config.fleet)) in.add_error(block.position, "the fleet's name has blanks or over 128 letters");
+    if (!is_name(config.fleet))
+        in.add_error(block.position, "the fleet's name has blanks or over 128 letters");
     config.election = in.duration("election", config.election, 100 * millisecond, 60 * second);
     budgets.lease = in.duration("lease", budgets.lease, min_lease, hour);
     budgets.drift = in.duration("drift", budgets.drift, 0, hour);
--- a/src/members/config_overlay.hpp
+++ b/src/members/config_overlay.hpp
@@ -42,7 +42,7 @@
     std::size_t on_applied(const changes::Document& document);
 
   private:
-    // Throws HclMistakes.
+    // Throws HclErrors.
     void apply(const std::string& key, const std::string& value, Settings& settings) const;
 
     const Settings started_;
