--- a/measure/fleet_cost.cpp
+++ b/measure/fleet_cost.cpp
@@ -113,9 +113,10 @@
     bool cold = false;
     for (auto _ : run) {
         cold = !cold;
-        const Command c{"", fleet.now,
-                        EndpointsObserved{
-                            {{node_name(7), fleet.node(7, cold ? Health::cold : Health::healthy)}}, false, {}}};
+        const Command c{
+            "", fleet.now,
+            EndpointsObserved{
+                {{node_name(7), fleet.node(7, cold ? Health::cold : Health::healthy)}}, false, {}}};
         run.SetIterationTime(seconds_of([&] { fleet.state.apply(c); }));
     }
 }
--- a/src/changes/change_state.cpp
+++ b/src/changes/change_state.cpp
@@ -195,7 +195,7 @@
     loaded.relays_.set_now(scalars.now);
     loaded.relays_.restore(std::move(stored.relays));
     loaded.members_.set_now(scalars.now);
-    loaded.members_.restore(std::move(stored.members), stored.lowest_by_relay);
+    loaded.members_.restore(stored.members, stored.lowest_by_relay);
     loaded.halt_.restore(scalars.halted, scalars.halt_reason, scalars.halted_version);
     loaded.applied_everywhere_ = scalars.applied_everywhere;
     loaded.history_ = std::move(stored.history);
--- a/src/changes/document.hpp
+++ b/src/changes/document.hpp
@@ -41,7 +41,7 @@
 class Copy {
   public:
     // `max_bytes`: of keys and values that are still coming in pages; more is taken as spoilt.
-    explicit Copy(std::size_t max_bytes = 64u << 20) : max_bytes_(max_bytes) {}
+    explicit Copy(std::size_t max_bytes = std::size_t{64} << 20) : max_bytes_(max_bytes) {}
 
     enum class Taken : std::uint8_t {
         taken,  // the copy is at the delta's or the last page's version now
--- a/src/changes/member_table.cpp
+++ b/src/changes/member_table.cpp
@@ -329,12 +329,12 @@
     return progress;
 }
 
-void MemberTable::restore(std::map<std::string, Member> members,
+void MemberTable::restore(const std::map<std::string, Member>& members,
                           const std::map<std::string, std::uint64_t>& lowest) {
     index_ = {};
     for (const auto& [relay, version] : lowest) index_.set_lowest(relay, version);
     members_.clear();
-    for (auto& [name, member] : members) members_.emplace_hint(members_.end(), name, Entry{member});
+    for (const auto& [name, member] : members) members_.emplace_hint(members_.end(), name, Entry{member});
     recount();
 }
 
--- a/src/changes/member_table.hpp
+++ b/src/changes/member_table.hpp
@@ -91,7 +91,8 @@
     RolloutProgress progress(std::uint64_t version, std::size_t max_names) const;
 
     // From a snapshot: members, and the lowest version of each relay.
-    void restore(std::map<std::string, Member> members, const std::map<std::string, std::uint64_t>& lowest);
+    void restore(const std::map<std::string, Member>& members,
+                 const std::map<std::string, std::uint64_t>& lowest);
 
     // Members and entries that were looked at since the last reset.
     std::uint64_t looked_at() const { return looked_at_; }
--- a/src/changes/report_aggregator.cpp
+++ b/src/changes/report_aggregator.cpp
@@ -1,131 +1,171 @@
 #include "changes/report_aggregator.hpp"
 
 #include <algorithm>
+#include <iterator>
+#include <utility>
 
 namespace tealcart::changes {
+namespace {
+
+constexpr std::size_t max_unacknowledged = 64;  // reports of which is known when they were made
+
+}  // namespace
 
 ReportAggregator::ReportAggregator(std::string relay, std::string zone, std::uint64_t incarnation,
                                    std::size_t max_members, std::size_t max_exceptions)
     : relay_(std::move(relay)), zone_(std::move(zone)), incarnation_(incarnation), max_members_(max_members),
       max_exceptions_(max_exceptions) {}
 
-// ReportBatch may overtake each other: an older one renews, and says nothing else.
-bool ReportAggregator::heard(Nanos now, const MemberReport& said) {
-    if (said.name.empty() || said.name.size() > max_name) return false;
-    MemberReport word = said;
-    word.why = cut(word.why, max_why);
-    const auto it = members_.find(word.name);
+// Reports may overtake each other: an older one shows that the member lives, and nothing else.
+bool ReportAggregator::heard(Nanos now, const MemberReport& report) {
+    if (report.name.empty() || report.name.size() > max_name) return false;
+    MemberReport kept = report;
+    kept.why = cut(kept.why, max_why);
+    const auto it = members_.find(kept.name);
     if (it == members_.end()) {
         if (members_.size() >= max_members_) return false;
-        members_[word.name] = {word, now};
-        gone_.erase(word.name);
+        members_[kept.name] = {kept, now};
+        departed_.erase(kept.name);
         return true;
     }
-    Known& m = it->second;
-    if (word.incarnation < m.word.incarnation) return false;
-    if (word.incarnation > m.word.incarnation)
-        m = {word, now};
-    else if (word.applied_version >= m.word.applied_version)
-        m.word = word;
-    m.heard = std::max(m.heard, now);
+    Member& member = it->second;
+    if (kept.incarnation < member.report.incarnation) return false;
+    if (kept.incarnation > member.report.incarnation)
+        member = {kept, now};
+    else if (kept.applied_version >= member.report.applied_version)
+        member.report = kept;
+    member.heard_at = std::max(member.heard_at, now);
     return true;
 }
 
-// More of them than there may be members are not kept one by one: all is said anew instead.
-void ReportAggregator::gone(const std::string& name, std::uint64_t incarnation, bool lost) {
-    if (gone_.size() >= max_members_ && !gone_.contains(name)) return say_all();
-    gone_[name] = {incarnation, lost};
+// More of them than there may be members are not kept one by one: the next report is full instead.
+void ReportAggregator::depart(const std::string& name, std::uint64_t incarnation, bool lost) {
+    if (departed_.size() >= max_members_ && !departed_.contains(name)) return say_all();
+    departed_[name] = {incarnation, lost};
 }
 
 void ReportAggregator::left(const std::string& name, std::uint64_t incarnation) {
     const auto it = members_.find(name);
     if (it != members_.end()) {
-        if (it->second.word.incarnation > incarnation) return;
+        if (it->second.report.incarnation > incarnation) return;
         members_.erase(it);
     }
-    gone(name, incarnation, false);
+    depart(name, incarnation, false);
 }
 
 Nanos ReportAggregator::grant(Nanos now, const std::string& name) {
     const auto it = members_.find(name);
-    if (it == members_.end() || !it->second.said || lease_until_ <= now) return 0;
+    if (it == members_.end() || !it->second.acknowledged || lease_until_ <= now) return 0;
     it->second.granted_until = std::max(it->second.granted_until, lease_until_);
     return lease_until_ - now;
 }
 
-// The greatest version that all but so many members act on at least.
 std::uint64_t ReportAggregator::lowest() const {
     if (members_.empty()) return 0;
-    std::vector<std::uint64_t> acts;
-    acts.reserve(members_.size());
-    for (const auto& [name, m] : members_) acts.push_back(m.word.applied_version);
-    const auto nth = acts.begin() + static_cast<std::ptrdiff_t>(std::min(max_exceptions_, acts.size() - 1));
-    std::nth_element(acts.begin(), nth, acts.end());
+    std::vector<std::uint64_t> applied;
+    applied.reserve(members_.size());
+    for (const auto& [name, member] : members_) applied.push_back(member.report.applied_version);
+    const std::size_t excepted = std::min(max_exceptions_, applied.size() - 1);
+    const auto nth = applied.begin() + static_cast<std::ptrdiff_t>(excepted);
+    std::nth_element(applied.begin(), nth, applied.end());
     return *nth;
 }
 
 RelayReport ReportAggregator::word(Nanos now, Nanos drift) {
+    depart_lost(now, drift);
+    RelayReport report = current_report();
+    if (last_report_) {
+        report.number = last_report_->number;
+        if (report == *last_report_) return report;
+    }
+    report.number = number_ + 1;
+    number_report(now);
+    last_report_ = report;
+    return report;
+}
+
+void ReportAggregator::depart_lost(Nanos now, Nanos drift) {
+    // Before the first answer nothing was granted, and nobody knows for how long a member may be silent.
+    if (lease_ == 0) return;
     for (auto it = members_.begin(); it != members_.end();) {
-        const Known& m = it->second;
-        // Before the first answer nothing was granted, and nobody knows for how long one may be silent.
-        if (lease_ == 0 || now <= std::max(m.granted_until, m.heard + lease_) + drift) {
+        const Member& member = it->second;
+        if (now <= std::max(member.granted_until, member.heard_at + lease_) + drift) {
             ++it;
             continue;
         }
         const std::string name = it->first;
-        const std::uint64_t incarnation = m.word.incarnation;
+        const std::uint64_t incarnation = member.report.incarnation;
         it = members_.erase(it);
-        gone(name, incarnation, true);
-    }
-    RelayReport word{relay_, zone_, incarnation_, number_ + 1, whole_, {}, {}, {}, lowest(), {}};
-    for (const auto& [name, g] : gone_) (g.lost ? word.lost : word.left).emplace_back(name, g.incarnation);
-    for (const auto& [name, m] : members_) {
-        if (!m.said) word.joined.push_back(m.word);
-        if (m.word.applied_version < word.lowest) word.exceptions.push_back(m.word);
+        depart(name, incarnation, true);
     }
+}
+
+// Without its number.
+RelayReport ReportAggregator::current_report() const {
+    RelayReport report{relay_, zone_, incarnation_, 0, full_, {}, {}, {}, lowest(), {}};
+    for (const auto& [name, departed] : departed_)
+        (departed.lost ? report.lost : report.left).emplace_back(name, departed.incarnation);
+    for (const auto& [name, member] : members_)
+        if (!member.acknowledged) report.joined.push_back(member.report);
+    report.exceptions = exceptions(report.lowest);
+    return report;
+}
+
+std::vector<MemberReport> ReportAggregator::exceptions(std::uint64_t lowest) const {
+    std::vector<MemberReport> named;
+    for (const auto& [name, member] : members_)
+        if (member.report.applied_version < lowest) named.push_back(member.report);
     // Who refuses is named too, as far as there is room: it acts on an earlier version by that alone.
-    for (const auto& [name, m] : members_)
-        if (m.word.applied_version >= word.lowest && m.word.refused > m.word.applied_version &&
-            word.exceptions.size() < max_exceptions_)
-            word.exceptions.push_back(m.word);
-    std::sort(word.exceptions.begin(), word.exceptions.end(),
-              [](const MemberReport& a, const MemberReport& b) { return a.name < b.name; });
-    if (last_) {
-        word.number = last_->number;
-        if (word == *last_) return word;
-        word.number = number_ + 1;
+    for (const auto& [name, member] : members_) {
+        if (named.size() >= max_exceptions_) break;
+        const MemberReport& report = member.report;
+        if (report.applied_version >= lowest && report.refused > report.applied_version)
+            named.push_back(report);
     }
+    std::sort(named.begin(), named.end(),
+              [](const MemberReport& a, const MemberReport& b) { return a.name < b.name; });
+    return named;
+}
+
+void ReportAggregator::number_report(Nanos now) {
     ++number_;
-    made_[number_] = now;
-    while (made_.size() > 64) made_.erase(made_.begin());
-    if (whole_ && whole_since_ == 0) whole_since_ = number_;
-    for (auto& [name, m] : members_)
-        if (!m.said && m.since == 0) m.since = number_;
-    for (auto& [name, g] : gone_)
-        if (g.since == 0) g.since = number_;
-    last_ = word;
-    return word;
+    made_at_[number_] = now;
+    while (made_at_.size() > max_unacknowledged) made_at_.erase(made_at_.begin());
+    if (full_ && full_since_ == 0) full_since_ = number_;
+    for (auto& [name, member] : members_)
+        if (!member.acknowledged && member.reported_since == 0) member.reported_since = number_;
+    for (auto& [name, departed] : departed_)
+        if (departed.reported_since == 0) departed.reported_since = number_;
 }
 
 void ReportAggregator::taken(std::uint64_t number, Nanos sent, Nanos lease) {
-    const auto made = made_.find(number);
-    if (made == made_.end()) return;
+    const auto made = made_at_.find(number);
+    if (made == made_at_.end()) return;
     lease_ = lease;
     lease_until_ = std::max(lease_until_, std::min(sent, made->second) + lease);
-    made_.erase(made_.begin(), std::next(made));
-    if (whole_since_ > 0 && number >= whole_since_) whole_ = false, whole_since_ = 0;
-    for (auto& [name, m] : members_)
-        if (m.since > 0 && number >= m.since) m.said = true;
-    std::erase_if(gone_, [&](const auto& g) { return g.second.since > 0 && number >= g.second.since; });
-    if (last_ && number >= last_->number) last_.reset();
+    made_at_.erase(made_at_.begin(), std::next(made));
+    const auto is_acknowledged = [number](std::uint64_t reported_since) {
+        return reported_since > 0 && number >= reported_since;
+    };
+    if (is_acknowledged(full_since_)) {
+        full_ = false;
+        full_since_ = 0;
+    }
+    for (auto& [name, member] : members_)
+        if (is_acknowledged(member.reported_since)) member.acknowledged = true;
+    std::erase_if(departed_, [&](const auto& entry) { return is_acknowledged(entry.second.reported_since); });
+    if (last_report_ && number >= last_report_->number) last_report_.reset();
 }
 
 void ReportAggregator::say_all() {
-    whole_ = true;
-    whole_since_ = 0;
-    gone_.clear();
-    for (auto& [name, m] : members_) m.said = false, m.since = 0;
-    last_.reset();
+    full_ = true;
+    full_since_ = 0;
+    departed_.clear();
+    for (auto& [name, member] : members_) {
+        member.acknowledged = false;
+        member.reported_since = 0;
+    }
+    last_report_.reset();
 }
 
 }  // namespace tealcart::changes
--- a/src/fleet/removal.hpp
+++ b/src/fleet/removal.hpp
@@ -1,7 +1,6 @@
 // What can be taken out of service by agreement, and how far a request for it has come.
 #pragma once
 
-#include <compare>
 #include <cstdint>
 #include <set>
 #include <string>
@@ -14,7 +13,10 @@
     bool router = false;
     std::string name;
 
-    friend auto operator<=>(const Target&, const Target&) = default;
+    friend bool operator==(const Target&, const Target&) = default;
+    friend bool operator<(const Target& a, const Target& b) {
+        return a.router != b.router ? a.router < b.router : a.name < b.name;
+    }
 };
 
 // Looks a target up by a name that need not be copied.
@@ -25,7 +27,7 @@
 
 // The order of Target, over both.
 struct TargetLess {
-    using is_transparent = void;
+    using is_transparent = void;  // NOLINT(readability-identifier-naming): the standard library looks for it
     template <typename A, typename B>
     bool operator()(const A& a, const B& b) const {
         return a.router != b.router ? a.router < b.router
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -110,7 +110,8 @@
             BlockReader h(*halt, mistakes);
             h.no_label();
             b.halt_failed_share = h.number("failed", b.halt_failed_share, 0, 1);
-            b.halt_failed_min_queries = static_cast<std::uint64_t>(h.whole("failed_least", 100, 1, any_number));
+            b.halt_failed_min_queries =
+                static_cast<std::uint64_t>(h.whole("failed_least", 100, 1, any_number));
             b.halt_lost_share = h.number("lost", b.halt_lost_share, 0, 1);
             b.halt_min_holders = static_cast<std::size_t>(h.whole("holders", 0, 0, 1000));
             h.finish();
