--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr double warm_weight = 100;
-constexpr double weight_step =
-    5;  // a ramp climbs by so much at a time, so that proxies aren't told of every instant
+constexpr double weight_step = 5;  // a ramp moves in such steps, so that proxies aren't sent every change
 
-class ListNews final : public RoundEvents {
+// One endpoint list, as the only event of a round.
+class ListEvent final : public RoundEvents {
   public:
-    ListNews(ListKind kind, std::vector<Endpoint> entries) : kind_(kind), entries_(std::move(entries)) {}
+    ListEvent(ListKind kind, std::vector<Endpoint> entries) : kind_(kind), entries_(std::move(entries)) {}
     void play(RoundEventHandler& handler) override { handler.on_nodes(kind_, entries_); }
 
   private:
@@ -22,7 +22,7 @@
     std::vector<Endpoint> entries_;
 };
 
-// The module hears of lists here and is asked for its judgement; it has no queries to decide on.
+// Drops all decisions: the module is given lists and asked for capacity shares, but has no queries here.
 class NoQueries final : public DecisionSink {
   public:
     void send_attempt(std::uint32_t, std::uint32_t, Nanos) override {}
@@ -45,131 +45,166 @@
       module_(config, seed) {}
 
 std::size_t Decider::ready() const {
-    return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), [](const auto& n) {
-        return n.second.gone_since == 0 && n.second.listed.lifecycle == Lifecycle::ready;
+    return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), [](const auto& entry) {
+        const Node& node = entry.second;
+        return node.missing_since == 0 && node.listed.lifecycle == Lifecycle::ready;
     }));
 }
 
-// Drains are kept whatever else a list says. What goes is not believed where too much of the fleet goes at
-// once: guards against a discovery that has lost its own list.
+std::vector<std::string> Decider::removed_by(const EndpointList& list) const {
+    std::map<std::string, Lifecycle> listed;
+    for (const ListedEndpoint& entry : list.nodes) listed[entry.id] = entry.lifecycle;
+    std::vector<std::string> removed;
+    for (const auto& [id, node] : nodes_) {
+        const auto found = listed.find(id);
+        const bool is_removed = found == listed.end() ? list.full : found->second == Lifecycle::removed;
+        if (is_removed && node.missing_since == 0) removed.push_back(id);
+    }
+    return removed;
+}
+
+void Decider::update_node(const ListedEndpoint& entry) {
+    const auto [found, is_new] = nodes_.try_emplace(entry.id);
+    Node& node = found->second;
+    if (is_new) node.number = next_number_++;
+    const bool restarted = is_new || node.listed.started_at != entry.started_at;
+    node.listed = entry;
+    node.missing_since = 0;
+    const bool drains = entry.lifecycle == Lifecycle::draining;
+    if (!drains || restarted) node.drains_since = 0;
+    if (drains && node.drains_since == 0) node.drains_since = now_;
+}
+
+// Drains are applied whatever else a list says. Removals are not applied where too much of the fleet is
+// removed at once: guards against a discovery that has lost its own list.
 void Decider::take(const EndpointList& list, Nanos now) {
     now_ = std::max(now_, now);
     heard_at_ = now_;
     generation_ = list.generation;
-    std::map<std::string, const ListedEndpoint*> named;
-    for (const ListedEndpoint& entry : list.nodes) named[entry.id] = &entry;
-    std::vector<std::string> gone;
-    for (auto& [id, node] : nodes_) {
-        const auto at = named.find(id);
-        const bool goes = at == named.end() ? list.full : at->second->lifecycle == Lifecycle::removed;
-        if (goes && node.gone_since == 0) gone.push_back(id);
-    }
-    for (const auto& [id, entry] : named) {
-        if (entry->lifecycle == Lifecycle::removed) continue;
-        const auto [at, fresh] = nodes_.try_emplace(id);
-        Node& node = at->second;
-        if (fresh) node.number = next_number_++;
-        const bool anew = fresh || node.listed.started_at != entry->started_at;
-        node.listed = *entry;
-        node.gone_since = 0;
-        const bool drains = entry->lifecycle == Lifecycle::draining;
-        if (!drains || anew) node.drains_since = 0;
-        if (drains && node.drains_since == 0) node.drains_since = now_;
-    }
+    const std::vector<std::string> removed = removed_by(list);
+    // Of several entries with one id the last one holds; new ids are numbered in their order.
+    std::map<std::string, const ListedEndpoint*> listed;
+    for (const ListedEndpoint& entry : list.nodes) listed[entry.id] = &entry;
+    for (const auto& [id, entry] : listed)
+        if (entry->lifecycle != Lifecycle::removed) update_node(*entry);
     while (!max_ready_.empty() && max_ready_.front().first < now_ - control_.panic_window)
         max_ready_.pop_front();
-    std::size_t going = 0;
-    for (const std::string& id : gone) going += nodes_[id].listed.lifecycle == Lifecycle::ready;
-    const std::size_t before = ready(),
-                      most = std::max(before, max_ready_.empty() ? 0 : max_ready_.front().second);
-    const std::size_t left = before - going;
-    if (going > 0 && static_cast<double>(left) < control_.panic * static_cast<double>(most)) {
+    remove_or_panic(removed);
+    while (!max_ready_.empty() && max_ready_.back().second <= ready()) max_ready_.pop_back();
+    max_ready_.emplace_back(now_, ready());
+    update_module(now_);
+}
+
+void Decider::remove_or_panic(const std::vector<std::string>& removed) {
+    std::size_t removed_ready = 0;
+    for (const std::string& id : removed)
+        if (nodes_[id].listed.lifecycle == Lifecycle::ready) ++removed_ready;
+    const std::size_t before = ready();
+    const std::size_t max_in_window = std::max(before, max_ready_.empty() ? 0 : max_ready_.front().second);
+    const std::size_t left = before - removed_ready;
+    const bool too_few = static_cast<double>(left) < control_.panic * static_cast<double>(max_in_window);
+    if (removed_ready > 0 && too_few) {
         if (panic_until_ == 0) {
             panic_until_ = now_ + control_.panic_hold;
             lines_.push_back("list " + std::to_string(generation_) + " leaves " + std::to_string(left) +
-                             " of " + std::to_string(most) +
+                             " of " + std::to_string(max_in_window) +
                              " data nodes: not believed for a while, what went stays");
         }
-        for (const std::string& id : gone) nodes_[id].gone_since = now_;
-    } else {
-        for (const std::string& id : gone) nodes_.erase(id);
-        if (panic_until_ > 0 && static_cast<double>(left) >= control_.panic * static_cast<double>(most)) {
-            panic_until_ = 0;
-            lines_.push_back("list " + std::to_string(generation_) +
-                             " is believed again: " + std::to_string(left) + " data nodes");
-            std::erase_if(nodes_, [](const auto& n) { return n.second.gone_since > 0; });
-        }
+        for (const std::string& id : removed) nodes_[id].missing_since = now_;
+        return;
     }
-    while (!max_ready_.empty() && max_ready_.back().second <= ready()) max_ready_.pop_back();
-    max_ready_.emplace_back(now_, ready());
-    capacity_shares(now_);
+    for (const std::string& id : removed) nodes_.erase(id);
+    if (panic_until_ == 0 || too_few) return;
+    panic_until_ = 0;
+    lines_.push_back("list " + std::to_string(generation_) + " is believed again: " + std::to_string(left) +
+                     " data nodes");
+    forget_missing();
+}
+
+void Decider::forget_missing() {
+    std::erase_if(nodes_, [](const auto& entry) { return entry.second.missing_since > 0; });
 }
 
-// Which nodes are cold, and by how much, is the module's to say.
-void Decider::capacity_shares(Nanos now) {
+void Decider::update_module(Nanos now) {
     std::vector<Endpoint> entries;
     for (const auto& [id, node] : nodes_)
         entries.push_back({node.number, node.listed.place, node.listed.lifecycle, node.listed.started_at, 0});
-    ListNews news(ListKind::full, std::move(entries));
+    ListEvent event(ListKind::full, std::move(entries));
     NoQueries none;
-    module_.round(now, news, none);
+    module_.round(now, event, none);
 }
 
-Decisions Decider::decide(Nanos now) {
-    now_ = std::max(now_, now);
-    if (panic_until_ > 0 && now_ >= panic_until_) {
-        panic_until_ = 0;
-        lines_.push_back("what went from the list stays away: " + std::to_string(ready()) +
-                         " data nodes are left");
-        std::erase_if(nodes_, [](const auto& n) { return n.second.gone_since > 0; });
-        max_ready_.clear();
-        capacity_shares(now_);
-    }
+void Decider::end_expired_panic() {
+    if (panic_until_ == 0 || now_ < panic_until_) return;
+    panic_until_ = 0;
+    lines_.push_back("what went from the list stays away: " + std::to_string(ready()) +
+                     " data nodes are left");
+    forget_missing();
+    max_ready_.clear();
+    update_module(now_);
+}
+
+void Decider::update_shares() {
     share_.clear();
-    bool ramps = false;
-    for (const NodeCapacityShare& j : module_.capacity_shares(now_)) {
-        share_[j.node] = j.share;
-        ramps |= j.share < 1;
+    bool any_ramps = false;
+    for (const NodeCapacityShare& capacity : module_.capacity_shares(now_)) {
+        share_[capacity.node] = capacity.share;
+        any_ramps |= capacity.share < 1;
     }
-    next_change_ = ramps ? now_ + control_.ramp_step : INT64_MAX;
+    next_change_ = any_ramps ? now_ + control_.ramp_step : INT64_MAX;
     if (panic_until_ > 0) next_change_ = std::min(next_change_, panic_until_);
+}
 
-    Decisions made;
-    made.generation = generation_;
-    made.pools.resize(places_);
-    for (const auto& [id, node] : nodes_) {
-        const bool drains = node.drains_since > 0;
-        if (drains && now_ >= node.drains_since + drain_grace_) continue;  // what it had is over
-        if (drains) next_change_ = std::min(next_change_, node.drains_since + drain_grace_);
-        const auto to = parse_host_port(node.listed.address);
-        if (!to) continue;
-        const auto share = share_.find(node.number);
-        const double of_warm = drains ? 0 : share == share_.end() ? 1 : share->second;
-        PoolEndpoint endpoint{id,
-                              to->host,
-                              node.listed.zone,
-                              to->port,
-                              drains ? EndpointState::draining : EndpointState::healthy,
-                              1};
-        if (!drains) {
-            // Rounded down, so that a node is never told to take more than it may.
-            const double weight = warm_weight * of_warm;
-            endpoint.weight =
-                static_cast<std::uint32_t>(std::max(1.0, std::floor(weight / weight_step) * weight_step));
-        }
-        for (std::uint32_t j = 0; j < width_; ++j) {
-            Pool& pool = made.pools[(node.listed.place % places_ + places_ - j) % places_];
-            pool.endpoints.push_back(endpoint);
-            if (!drains)
-                pool.limit += static_cast<std::uint32_t>(std::max(1.0, control_.node_limit * of_warm));
-        }
+// Rounded down, so that a node is never given more than it may get; 1 at least, since 0 is no weight in xDS.
+std::uint32_t Decider::weight_of(double share) {
+    const double weight = warm_weight * share;
+    return static_cast<std::uint32_t>(std::max(1.0, std::floor(weight / weight_step) * weight_step));
+}
+
+void Decider::add_to_pools(const std::string& id, const Node& node, std::vector<Pool>& pools) {
+    const bool drains = node.drains_since > 0;
+    const Nanos drained_at = node.drains_since + drain_grace_;
+    if (drains && now_ >= drained_at) return;
+    if (drains) next_change_ = std::min(next_change_, drained_at);
+    const auto address = parse_host_port(node.listed.address);
+    if (!address) return;
+    const auto found = share_.find(node.number);
+    const double share = found == share_.end() ? 1 : found->second;
+    PoolEndpoint endpoint;
+    endpoint.id = id;
+    endpoint.host = address->host;
+    endpoint.zone = node.listed.zone;
+    endpoint.port = address->port;
+    endpoint.state = drains ? EndpointState::draining : EndpointState::healthy;
+    endpoint.weight = drains ? 1 : weight_of(share);
+    const double limit = drains ? 0 : std::max(1.0, control_.node_limit * share);
+    for (std::uint32_t replica = 0; replica < width_; ++replica) {
+        Pool& pool = pools[(node.listed.place % places_ + places_ - replica) % places_];
+        pool.endpoints.push_back(endpoint);
+        pool.limit += static_cast<std::uint32_t>(limit);
     }
-    for (std::size_t v = 0; v < query_classes_.size(); ++v) {
-        const RetryLimits retry_limits = module_.retry_limits(static_cast<std::uint16_t>(v));
-        made.query_classes.push_back({query_classes_[v], config_[v].deadline, config_[v].latency_objective,
-                                      retry_limits.max_attempts, retry_limits.within});
+}
+
+std::vector<QueryClassRoute> Decider::routes() const {
+    std::vector<QueryClassRoute> routes;
+    for (std::size_t i = 0; i < query_classes_.size(); ++i) {
+        const RetryLimits limits = module_.retry_limits(static_cast<std::uint16_t>(i));
+        routes.push_back({query_classes_[i], config_[i].deadline, config_[i].latency_objective,
+                          limits.max_attempts, limits.within});
     }
-    return made;
+    return routes;
+}
+
+Decisions Decider::decide(Nanos now) {
+    now_ = std::max(now_, now);
+    end_expired_panic();
+    update_shares();
+    Decisions decisions;
+    decisions.generation = generation_;
+    decisions.pools.resize(places_);
+    for (const auto& [id, node] : nodes_) add_to_pools(id, node, decisions.pools);
+    decisions.query_classes = routes();
+    return decisions;
 }
 
 }  // namespace tealcart
--- a/src/control/decisions.hpp
+++ b/src/control/decisions.hpp
@@ -1,4 +1,5 @@
-// From the list of data nodes, the clock and the decision module's judgement: what proxies are to do. No I/O.
+// What other proxies are to do, decided from the endpoint list, the clock and the decision module's capacity
+// shares. No I/O.
 #pragma once
 
 #include <deque>
@@ -27,7 +28,7 @@
 // The holders of all shards that begin at one place, by id.
 struct Pool {
     std::vector<PoolEndpoint> endpoints;
-    std::uint32_t limit = 0;  // requests that all proxies together may have in hand here
+    std::uint32_t limit = 0;  // requests that all proxies together may have in flight here
 
     friend bool operator==(const Pool&, const Pool&) = default;
 };
@@ -36,8 +37,8 @@
 struct QueryClassRoute {
     std::string name;
     Nanos timeout = 0, latency_objective = 0;
-    int tries = 1;      // leaf calls of one shard request
-    Nanos try_for = 0;  // a further one may begin within this; 0: no bound of its own
+    int tries = 1;      // attempts of one shard request
+    Nanos try_for = 0;  // a retry may begin within this; 0: no bound of its own
 
     friend bool operator==(const QueryClassRoute&, const QueryClassRoute&) = default;
 };
@@ -53,9 +54,9 @@
     Decider(const RouterConfig& config, const std::vector<std::string>& query_classes,
             const ControlConfig& control, std::uint64_t seed);
 
-    // A list as discovery tells it. Lines for the log are kept until taken.
+    // Applies a list from discovery. Lines for the log are kept until `take_lines`.
     void take(const EndpointList& list, Nanos now);
-    // What holds now; the clock may stand still but is never believed to go back.
+    // The decisions at this time. A `now` before an earlier one counts as that.
     Decisions decide(Nanos now);
     // When `decide` may come to something else without a new list.
     Nanos next_change() const { return next_change_; }
@@ -67,12 +68,27 @@
   private:
     struct Node {
         ListedEndpoint listed;
-        std::uint32_t number = 0;  // the module's
-        Nanos drains_since = 0;    // 0: it does not
-        Nanos gone_since = 0;      // kept while a list is not believed
+        std::uint32_t number = 0;  // the module's id
+        Nanos drains_since = 0;    // 0: it does not drain
+        Nanos missing_since = 0;   // removed by a list that is not applied; 0: it is listed
     };
 
-    void capacity_shares(Nanos now);
+    // The ids of known nodes that this list removes.
+    std::vector<std::string> removed_by(const EndpointList& list) const;
+    void update_node(const ListedEndpoint& entry);
+    // Removes these nodes, or keeps them for `panic_hold` where too few would be left of the most in the
+    // window.
+    void remove_or_panic(const std::vector<std::string>& removed);
+    void end_expired_panic();
+    void forget_missing();
+    // Gives the module the list, by which it knows which nodes are warming up.
+    void update_module(Nanos now);
+    void update_shares();
+    static std::uint32_t weight_of(double share);
+    // Puts a node into the pools of all shards that it has replicas of.
+    void add_to_pools(const std::string& id, const Node& node, std::vector<Pool>& pools);
+    std::vector<QueryClassRoute> routes() const;
+    // Data nodes that are listed as ready.
     std::size_t ready() const;
 
     const std::vector<std::string> query_classes_;
@@ -83,7 +99,7 @@
     QueryRouter module_;
     std::map<std::string, Node> nodes_;
     std::map<std::uint32_t, double> share_;                // of a warm node's load, by the module's number
-    std::deque<std::pair<Nanos, std::size_t>> max_ready_;  // counts in the window, falling
+    std::deque<std::pair<Nanos, std::size_t>> max_ready_;  // by time, in the window; counts fall
     std::vector<std::string> lines_;
     std::uint64_t generation_ = 0;
     std::uint32_t next_number_ = 0;
