--- a/src/control/proxy_stream.cpp
+++ b/src/control/proxy_stream.cpp
@@ -150,68 +150,103 @@
     return to_come.put.empty() && to_come.removed.empty();
 }
 
-ProxyStream::Change ProxyStream::change(XdsType type, const XdsView& view) const {
-    const Of& of = of_[index(type)];
-    const ResourceMap& all = *view.of[index(type)];
-    Change change;
-    // All are in the order of names: they are walked side by side.
-    auto held = of.held.begin();
-    const auto look = [&](const std::string& name, const ResourcePtr* here) {
-        while (held != of.held.end() && held->first < name) ++held;
-        const bool has = held != of.held.end() && held->first == name;
+// Finds what differs between what a proxy holds of a type and what it is to hold. Names are given in their
+// order, so that the held ones are walked beside them.
+class ProxyStream::ChangeFinder {
+  public:
+    ChangeFinder(const ProxyStream& stream, const Of& of, const ResourceMap& resources)
+        : stream_(stream), of_(of), resources_(resources), held_(of.held.begin()) {}
+
+    // All resources, for a wildcard subscription.
+    void add_all() {
+        for (const auto& [name, resource] : resources_) add(name, &resource);
+    }
+
+    // The names that the proxy subscribes to, without those that the wildcard has covered.
+    void add_named() {
+        held_ = of_.held.begin();
+        auto resource = resources_.begin();
+        for (const std::string& name : of_.names) {
+            while (resource != resources_.end() && resource->first < name) ++resource;
+            const bool exists = resource != resources_.end() && resource->first == name;
+            if (!of_.wildcard || !exists) add(name, exists ? &resource->second : nullptr);
+        }
+    }
+
+    void add_removed() {
+        auto resource = resources_.begin();
+        for (const auto& [name, held] : of_.held) {
+            while (resource != resources_.end() && resource->first < name) ++resource;
+            const bool exists = resource != resources_.end() && resource->first == name;
+            if (!held.version.empty() && !exists) change_.removed.push_back(name);
+        }
+    }
+
+    Change take() { return std::move(change_); }
+
+  private:
+    // `resource` is null where there is none of this name.
+    void add(const std::string& name, const ResourcePtr* resource) {
+        while (held_ != of_.held.end() && held_->first < name) ++held_;
+        const bool is_held = held_ != of_.held.end() && held_->first == name;
         ResourcePtr wanted;
-        if (here != nullptr) wanted = of.rejected.empty() ? *here : target(of, all, name);
+        if (resource != nullptr)
+            wanted = of_.rejected.empty() ? *resource : stream_.target(of_, resources_, name);
         if (wanted == nullptr) {
-            if (!has && delta_ && here == nullptr) change.put.emplace_back(name, nullptr);
+            if (!is_held && stream_.delta_ && resource == nullptr) change_.put.emplace_back(name, nullptr);
             return;
         }
-        if (has && held->second.version == wanted->version) return;
-        change.adds |= !has || held->second.version.empty();
-        change.put.emplace_back(name, std::move(wanted));
-    };
-    if (of.wildcard)
-        for (const auto& [name, what] : all) look(name, &what);
-    held = of.held.begin();
-    auto at = all.begin();
-    for (const std::string& name : of.names) {
-        while (at != all.end() && at->first < name) ++at;
-        const bool here = at != all.end() && at->first == name;
-        if (!of.wildcard || !here) look(name, here ? &at->second : nullptr);
-    }
-    at = all.begin();
-    for (const auto& [name, was] : of.held) {
-        while (at != all.end() && at->first < name) ++at;
-        if (!was.version.empty() && (at == all.end() || at->first != name)) change.removed.push_back(name);
+        if (is_held && held_->second.version == wanted->version) return;
+        change_.adds |= !is_held || held_->second.version.empty();
+        change_.put.emplace_back(name, std::move(wanted));
     }
+
+    const ProxyStream& stream_;
+    const Of& of_;
+    const ResourceMap& resources_;
+    std::map<std::string, Held>::const_iterator held_;
+    Change change_;
+};
+
+ProxyStream::Change ProxyStream::change(XdsType type, const XdsView& view) const {
+    const Of& of = of_[index(type)];
+    ChangeFinder finder(*this, of, *view.of[index(type)]);
+    if (of.wildcard) finder.add_all();
+    finder.add_named();
+    finder.add_removed();
+    Change change = finder.take();
     if (of.one_by_one && change.put.size() > 1) change.put.resize(1);
     return change;
 }
 
-// Endpoints go before clusters where no cluster is new, so that a drain waits for no limits.
+void ProxyStream::adopt_initial_versions(Of& of, const ResourceMap& resources) {
+    for (auto& [name, held] : of.held) {
+        if (held.what != nullptr || held.version.empty()) continue;
+        const auto found = resources.find(name);
+        if (found == resources.end() || found->second->version != held.version) continue;
+        held.what = found->second;
+        of.good[name].what = found->second;
+    }
+}
+
 std::optional<ToProxy> ProxyStream::next(const XdsView& view, Nanos now) {
     wake_at_ = INT64_MAX;
+    // Endpoints go before clusters where no cluster is new, so that a drain waits for no limits.
     constexpr std::array order = {XdsType::cluster, XdsType::endpoint, XdsType::listener, XdsType::route};
     std::optional<Change> limits;
     for (const XdsType type : order) {
         Of& of = of_[index(type)];
-        if (!of.asked || (of.looked && of.looked_at == view.changed[index(type)] && !of.owes)) continue;
-        // What it brought along from another stream, as far as it is what it would be told.
-        for (auto& [name, held] : of.held)
-            if (held.what == nullptr && !held.version.empty())
-                if (const auto found = view.of[index(type)]->find(name);
-                    found != view.of[index(type)]->end() && found->second->version == held.version)
-                    held.what = of.good[name].what = found->second;
+        const std::uint64_t changed = view.changed[index(type)];
+        if (!of.asked || (of.looked && of.looked_at == changed && !of.owes)) continue;
+        adopt_initial_versions(of, *view.of[index(type)]);
         Change due = change(type, view);
         const bool held_back = !due.removed.empty() && !may_remove(type, view);
         if (held_back) due.removed.clear();
-        // One that was told of nothing it subscribed to has nothing to be told, in the state of the world.
-        if (!delta_ && !whole_only(type) && due.put.empty()) {
-            for (const std::string& name : due.removed) of.held.erase(name), of.good.erase(name);
-            due.removed.clear();
-        }
-        if (due.put.empty() && due.removed.empty() && !of.owes) {
+        // In the state of the world a removal of single resources is not sent, only forgotten.
+        if (!delta_ && !whole_only(type) && due.put.empty()) forget_removed(of, due);
+        if (due.empty() && !of.owes) {
             of.looked = !held_back;
-            of.looked_at = view.changed[index(type)];
+            of.looked_at = changed;
             continue;
         }
         if (of.in_flight && now < of.sent_at + ack_wait_) {
@@ -224,14 +259,22 @@
             continue;
         }
         of.looked = !held_back && !of.one_by_one;
-        of.looked_at = view.changed[index(type)];
-        return compose(type, std::move(due), view, now);
+        of.looked_at = changed;
+        return compose(type, due, view, now);
     }
-    if (limits) return compose(XdsType::cluster, std::move(*limits), view, now);
+    if (limits) return compose(XdsType::cluster, *limits, view, now);
     return std::nullopt;
 }
 
-ToProxy ProxyStream::compose(XdsType type, Change due, const XdsView& view, Nanos now) {
+void ProxyStream::forget_removed(Of& of, Change& due) {
+    for (const std::string& name : due.removed) {
+        of.held.erase(name);
+        of.good.erase(name);
+    }
+    due.removed.clear();
+}
+
+ToProxy ProxyStream::compose(XdsType type, const Change& due, const XdsView& view, Nanos now) {
     Of& of = of_[index(type)];
     ToProxy out;
     out.type = type;
@@ -276,8 +319,7 @@
 bool ProxyStream::settled(const XdsView& view) const {
     for (std::size_t t = 0; t < xds_types; ++t) {
         const Change due = change(static_cast<XdsType>(t), view);
-        if (of_[t].asked && (of_[t].in_flight || of_[t].owes || !due.put.empty() || !due.removed.empty()))
-            return false;
+        if (of_[t].asked && (of_[t].in_flight || of_[t].owes || !due.empty())) return false;
     }
     return true;
 }
--- a/src/control/proxy_stream.hpp
+++ b/src/control/proxy_stream.hpp
@@ -86,7 +86,10 @@
         std::vector<std::pair<std::string, ResourcePtr>> put;  // null: there is none
         std::vector<std::string> removed;
         bool adds = false;  // something that it has never held
+
+        bool empty() const { return put.empty() && removed.empty(); }
     };
+    class ChangeFinder;
 
     static std::size_t index(XdsType type) { return static_cast<std::size_t>(type); }
     static bool whole_only(XdsType type) { return type == XdsType::cluster || type == XdsType::listener; }
@@ -97,7 +100,13 @@
     Change change(XdsType type, const XdsView& view) const;
     ResourcePtr target(const Of& of, const ResourceMap& view, const std::string& name) const;
     bool may_remove(XdsType type, const XdsView& view) const;
-    ToProxy compose(XdsType type, Change change, const XdsView& view, Nanos now);
+    // Completes resources of which only the version is known, from another stream, where `resources` has that
+    // version.
+    static void adopt_initial_versions(Of& of, const ResourceMap& resources);
+    // Takes the removals out of `due` and out of what the proxy holds.
+    static void forget_removed(Of& of, Change& due);
+    // The response for `due`, which counts as sent from here on.
+    ToProxy compose(XdsType type, const Change& due, const XdsView& view, Nanos now);
 
     const bool delta_;
     const Nanos ack_wait_;
