--- a/src/control/shares.hpp
+++ b/src/control/shares.hpp
@@ -22,7 +22,7 @@
     void leave(std::uint64_t proxy, Nanos until);
     void pass(Nanos now);  // forgets those whose grace is over
 
-    // What this proxy may be told now: its even shard request or, where others hold more than theirs, what is
+    // What this proxy may be told now: its even share or, where others hold more than theirs, what is
     // left of the total, but never less than it could have in use without passing anything.
     std::vector<std::uint32_t> due(std::uint64_t proxy) const;  // by pool
     // It is being told these limits under this number; larger numbers are later.
--- a/src/phases/section_memory.hpp
+++ b/src/phases/section_memory.hpp
@@ -1,5 +1,5 @@
-// What sections said of themselves, kept between queries for as long as their word holds. Bounded in bytes:
-// what was used longest ago goes first. No I/O; the clock is given.
+// A cache of sections' filters, each valid for its lease. Bounded in bytes: the least recently used one is
+// evicted first. No I/O; the clock is passed in.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace tealcart {
 
-// A query's terms as hashes, reckoned once for all sections.
+// A query's terms as hashes, computed once for all sections.
 struct FindKeys {
     explicit FindKeys(const Find& find);
 
--- a/src/phases/two_phase.hpp
+++ b/src/phases/two_phase.hpp
@@ -1,10 +1,10 @@
-// The incarnation of one query in two phases, as a state machine without I/O.
+// One query in two phases, as a state machine without I/O.
 //
 //     begun -> finding -> fetching -> rechecking -> judging -> ended
 //
 // Each state but the first and last is a leg: a question put to the decision module, with shard requests and
 // weights, which it answers as it does any query's (an answer, a rejection, an abort). Any state may be
-// passed over. What the module decides (nodes, further leaf calls, giving up) is not decided here; what is:
+// passed over. What the module decides (nodes, retries, giving up) is not decided here; what is:
 // which sections are asked in which leg, how long the first may take, which weight counts, and whether an
 // answer may be called whole.
 #pragma once
@@ -27,7 +27,7 @@
 struct LegShardRequest {
     std::uint32_t section = 0;  // by its place in the query
     double weight = 0;
-    int spent = 0;    // leaf calls of the section's cap that are used up, or kept back
+    int spent = 0;    // attempts of the section's cap that are used up, or reserved
     bool in = false;  // its rows are in already; it is there for its weight
 };
 
@@ -56,12 +56,12 @@
         std::function<bool(std::uint32_t)> worth_asking;
     };
 
-    // `max_attempts`: most leaf calls of a section over all legs; one is kept for the second phase.
+    // `max_attempts`: attempts of a section over all legs; one is reserved for the second phase.
     TwoPhase(const TwoPhaseConfig& config, int rows, int max_attempts, const std::vector<double>& weights);
 
     Leg begin(Nanos now, Nanos useful_by, const Outlook& outlook);
 
-    // First phase: a section's word, and leaf calls of it that went out, in any leg.
+    // First phase: a section's summary, and attempts for it that were sent, in any leg.
     void hear(std::uint32_t section, std::uint32_t node, const SectionWord& word);
     void spend(std::uint32_t section) { ++sections_[section].spent; }
 
--- a/src/phases/two_phase_capability.hpp
+++ b/src/phases/two_phase_capability.hpp
@@ -1,4 +1,5 @@
-// Which data nodes speak two phases, as far as is known, and whose word is not used for a while. No I/O.
+// Which data nodes support queries in two phases, as far as is known, and whose summaries are not used for a
+// while because one was wrong. No I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/service/startup_config.cpp
+++ b/src/service/startup_config.cpp
@@ -29,7 +29,8 @@
 
 HostPort address(const Json& in, const char* key) {
     const auto found = parse_host_port(text(in, key));
-    if (!found) throw ConfigError(std::string("'") + key + "' in the configuration is no address with a port");
+    if (!found)
+        throw ConfigError(std::string("'") + key + "' in the configuration is no address with a port");
     return *found;
 }
 
--- a/src/testing/script.hpp
+++ b/src/testing/script.hpp
@@ -1,4 +1,4 @@
-// The script that a stand-in fleet plays: who is there, what they hold, how they behave and when that
+// The script that a fake fleet plays: who is there, what they hold, how they behave and when that
 // changes. docs/testing.md has its form, which is the operators' file's (HCL).
 #pragma once
 
@@ -14,7 +14,7 @@
 
 enum class Refusal : std::uint8_t { none, words, close };  // of frames in two phases
 
-// How a data node behaves; each figure stays until a later shard request of the script changes it.
+// How a data node behaves; each figure stays until a later block of the script changes it.
 struct Behaviour {
     Refusal refusal = Refusal::none;
     Nanos word_delay = 0, rows_delay = 0, call_delay = 0;  // before answers to P, F and R
--- a/src/xds/encode.cpp
+++ b/src/xds/encode.cpp
@@ -85,7 +85,7 @@
     }
     for (auto& [_, locality] : by_zone)
         if (!locality->has_load_balancing_weight()) locality->mutable_load_balancing_weight()->set_value(1);
-    // Shares are as told, whatever shard request of the pool is healthy.
+    // Shares hold as sent, however much of the pool is healthy.
     a.mutable_policy()->mutable_overprovisioning_factor()->set_value(100);
     return packed(a.cluster_name(), version, a, pool);
 }
