--- a/measure/module_cost.cpp
+++ b/measure/module_cost.cpp
@@ -20,10 +20,10 @@
 
 using namespace tealcart;
 
-constexpr Nanos ms = 1'000'000, second = 1000 * ms, step = 5 * ms;
-constexpr Nanos latency_objective = 120 * ms, warm_up = 4 * second, length = 16 * second;
+constexpr Nanos ms = 1'000'000, second = 1000 * ms, round_interval = 5 * ms;
+constexpr Nanos latency_objective = 120 * ms, warm_up = 4 * second, measured_time = 16 * second;
 constexpr int holders = 3, zones = 12, kinds = 4, shard_requests = 74;
-constexpr double queries_a_second = 556, leaf_median_ms = 12, leaf_spread = 0.4;
+constexpr double queries_per_second = 556, leaf_median_ms = 12, leaf_spread = 0.4;
 
 double cpu_s() {
     timespec t{};
@@ -37,35 +37,35 @@
 }
 
 RouterConfig router_config_of(int places) {
-    RouterConfig t;
-    t.query_classes = {
+    RouterConfig config;
+    config.query_classes = {
         {Effect::idempotent, latency_objective, 4 * latency_objective, 2 * latency_objective, 0.3, 0.9}};
-    t.routers = 3600;
-    t.round_interval = step;
-    t.places = t.shards = places;
-    t.max_attempts = 3;
-    t.max_requests_per_call = 16;
-    t.may_cancel = t.may_hedge = t.retry_after = true;
-    t.max_retry_after = latency_objective;
-    t.drain_grace = second;
-    t.slow_start_min_fraction = 0.3;
-    t.slow_start_duration = 10 * second;
-    t.overload_multiple = 4;
-    t.overload_window = 2 * second;
-    return t;
+    config.routers = 3600;
+    config.round_interval = round_interval;
+    config.places = config.shards = places;
+    config.max_attempts = 3;
+    config.max_requests_per_call = 16;
+    config.may_cancel = config.may_hedge = config.retry_after = true;
+    config.max_retry_after = latency_objective;
+    config.drain_grace = second;
+    config.slow_start_min_fraction = 0.3;
+    config.slow_start_duration = 10 * second;
+    config.overload_multiple = 4;
+    config.overload_window = 2 * second;
+    return config;
 }
 
-struct End {
+struct PendingResult {
     Nanos at;
-    AttemptResult what;
-    bool operator>(const End& other) const { return at > other.at; }
+    AttemptResult result;
+    bool operator>(const PendingResult& other) const { return at > other.at; }
 };
 
 // One router, its clients and its data nodes.
 class Day final : public RoundEvents, public DecisionSink {
   public:
     explicit Day(int nodes)
-        : nodes_(nodes), places_(nodes / holders), chance_(7), router_(router_config_of(places_), 11) {}
+        : nodes_(nodes), places_(nodes / holders), random_(7), router_(router_config_of(places_), 11) {}
 
     std::vector<Endpoint> list() const {
         std::vector<Endpoint> all;
@@ -75,78 +75,82 @@
         return all;
     }
 
-    void take(ListKind kind, std::vector<Endpoint> entries) {
-        list_kind_ = kind, list_ = std::move(entries);
-        router_.round(now_ += step, *this, *this);
+    void apply_list(ListKind kind, std::vector<Endpoint> entries) {
+        list_kind_ = kind;
+        list_ = std::move(entries);
+        router_.round(now_ += round_interval, *this, *this);
     }
 
     void run(Nanos until) {
-        tries_.resize(1 << 18), tried_.resize(1 << 18);
+        attempts_of_.resize(1 << 18);
+        shard_request_of_.resize(1 << 18);
         while (now_ < until) {
-            now_ += step;
-            due_ += queries_a_second * static_cast<double>(step) / static_cast<double>(second);
+            now_ += round_interval;
+            queries_due_ +=
+                queries_per_second * static_cast<double>(round_interval) / static_cast<double>(second);
             router_.round(now_, *this, *this);
         }
     }
 
-    std::uint64_t calls = 0, answers = 0, others = 0;
+    std::uint64_t attempts_sent = 0, answers = 0, failures = 0;
 
   private:
     void play(RoundEventHandler& handler) override {
         if (!list_.empty()) handler.on_nodes(list_kind_, list_);
         list_ = {};
-        while (!ends_.empty() && ends_.top().at <= now_) {
-            handler.on_attempt_result(ends_.top().what);
-            ends_.pop();
+        while (!results_.empty() && results_.top().at <= now_) {
+            handler.on_attempt_result(results_.top().result);
+            results_.pop();
         }
         while (!timers_.empty() && timers_.top().first <= now_) {
             handler.on_timer(timers_.top().second);
             timers_.pop();
         }
-        for (; due_ >= 1; due_ -= 1) {
-            const std::uint32_t id = next_;
-            next_ += shard_requests + 1;
+        for (; queries_due_ >= 1; queries_due_ -= 1) {
+            const std::uint32_t id = next_id_;
+            next_id_ += shard_requests + 1;
             handler.on_query({id, id, 0, 0, now_ + 4 * latency_objective});
             for (std::uint32_t p = 1; p <= shard_requests; ++p)
                 handler.on_shard_request(
-                    {id + p, id, static_cast<std::uint32_t>(chance_() % places_), 1.0 / shard_requests});
+                    {id + p, id, static_cast<std::uint32_t>(random_() % places_), 1.0 / shard_requests});
         }
     }
 
     void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
-        ++calls;
-        std::uint8_t& tries = tries_[shard_request % tries_.size()];
-        if (shard_request != tried_[shard_request % tries_.size()])
-            tries = 0, tried_[shard_request % tries_.size()] = shard_request;
-        const double u1 = share(), u2 = share();
+        ++attempts_sent;
+        std::uint8_t& attempts = attempts_of_[shard_request % attempts_of_.size()];
+        std::uint32_t& counted = shard_request_of_[shard_request % shard_request_of_.size()];
+        if (shard_request != counted) attempts = 0;
+        counted = shard_request;
+        const double u1 = random_fraction(), u2 = random_fraction();
         const double normal = std::sqrt(-2 * std::log(u1)) * std::cos(2 * M_PI * u2);
-        const auto took = static_cast<Nanos>(leaf_median_ms * std::exp(leaf_spread * normal) * 1e6);
-        const bool late = took > patience;
-        const Nanos span = late ? patience : took;
-        ends_.push(
-            {now_ + span, {shard_request, node, tries++, late ? Outcome::timeout : Outcome::ok, span}});
+        const auto latency = static_cast<Nanos>(leaf_median_ms * std::exp(leaf_spread * normal) * 1e6);
+        const bool late = latency > patience;
+        const Nanos span = late ? patience : latency;
+        results_.push(
+            {now_ + span, {shard_request, node, attempts++, late ? Outcome::timeout : Outcome::ok, span}});
     }
     void cancel(std::uint32_t, std::uint8_t) override {}
     void answer(std::uint32_t, bool) override { ++answers; }
-    void reject(std::uint32_t, Nanos) override { ++others; }
-    void fail_query(std::uint32_t) override { ++others; }
+    void reject(std::uint32_t, Nanos) override { ++failures; }
+    void fail_query(std::uint32_t) override { ++failures; }
     void set_timer(std::uint64_t cookie, Nanos wait) override { timers_.push({now_ + wait, cookie}); }
     void watch_endpoints() override {}
     void log(const std::string&) override {}
-    double share() { return (static_cast<double>(chance_() >> 11) + 0.5) / 9007199254740992.0; }
+    double random_fraction() { return (static_cast<double>(random_() >> 11) + 0.5) / 9007199254740992.0; }
 
     const int nodes_, places_;
-    std::mt19937_64 chance_;
+    std::mt19937_64 random_;
     QueryRouter router_;
     ListKind list_kind_ = ListKind::full;
     std::vector<Endpoint> list_;
-    std::priority_queue<End, std::vector<End>, std::greater<>> ends_;
+    std::priority_queue<PendingResult, std::vector<PendingResult>, std::greater<>> results_;
     using Timer = std::pair<Nanos, std::uint64_t>;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-    std::vector<std::uint8_t> tries_;  // by the shard request's id, of the last ones
-    std::vector<std::uint32_t> tried_;
-    double due_ = 0;
-    std::uint32_t next_ = 1;
+    std::vector<std::uint8_t> attempts_of_;  // by the shard request's id, of the last ones
+    std::vector<std::uint32_t> shard_request_of_;
+    double queries_due_ = 0;
+    std::uint32_t next_id_ = 1;
     Nanos now_ = 0;
 };
 
@@ -161,40 +165,41 @@
 
 int main() {
     std::string all;
-    bool sound = true;
+    bool is_within_bounds = true;
     for (const int nodes : {1000, 10'000, 40'000, 81'000}) {
         const double before_mb = heap_mb();
         Day day(nodes);
-        double began = cpu_s();
-        day.take(ListKind::full, day.list());
-        const double whole_ms = (cpu_s() - began) * 1e3;
-        const double taken_mb = heap_mb() - before_mb;
+        double began_at_s = cpu_s();
+        day.apply_list(ListKind::full, day.list());
+        const double full_list_ms = (cpu_s() - began_at_s) * 1e3;
+        const double list_mb = heap_mb() - before_mb;
 
         constexpr int changes = 200;
-        Endpoint one = day.list()[17];
-        began = cpu_s();
+        Endpoint changed = day.list()[17];
+        began_at_s = cpu_s();
         for (int i = 0; i < changes; ++i) {
-            one.lifecycle = i % 2 == 0 ? Lifecycle::draining : Lifecycle::ready;
-            day.take(ListKind::delta, {one});
+            changed.lifecycle = i % 2 == 0 ? Lifecycle::draining : Lifecycle::ready;
+            day.apply_list(ListKind::delta, {changed});
         }
-        const double change_ms = (cpu_s() - began) * 1e3 / changes;
+        const double change_ms = (cpu_s() - began_at_s) * 1e3 / changes;
 
         day.run(warm_up);
-        const std::uint64_t calls = day.calls, answers = day.answers;
-        began = cpu_s();
-        day.run(warm_up + length);
-        const double seconds = static_cast<double>(length) / static_cast<double>(second);
-        const double core = (cpu_s() - began) / seconds * 100;
-        const double calls_a_second = static_cast<double>(day.calls - calls) / seconds;
-        const double answers_a_second = static_cast<double>(day.answers - answers) / seconds;
-        sound &= answers_a_second > 0.98 * queries_a_second && day.others * 100 < day.answers;
+        const std::uint64_t attempts_sent = day.attempts_sent, answers = day.answers;
+        began_at_s = cpu_s();
+        day.run(warm_up + measured_time);
+        const double seconds = static_cast<double>(measured_time) / static_cast<double>(second);
+        const double core = (cpu_s() - began_at_s) / seconds * 100;
+        const double attempts_per_second = static_cast<double>(day.attempts_sent - attempts_sent) / seconds;
+        const double answers_per_second = static_cast<double>(day.answers - answers) / seconds;
+        is_within_bounds &=
+            answers_per_second > 0.98 * queries_per_second && day.failures * 100 < day.answers;
         std::printf("%d nodes: %.0f leaf calls and %.0f answers a second, %.1f%% of a core\n", nodes,
-                    calls_a_second, answers_a_second, core);
+                    attempts_per_second, answers_per_second, core);
         point(all, "router.module_load", nodes, core);
-        point(all, "router.module_whole", nodes, whole_ms);
+        point(all, "router.module_whole", nodes, full_list_ms);
         point(all, "router.module_change", nodes, change_ms);
-        point(all, "router.module_memory", nodes, taken_mb);
+        point(all, "router.module_memory", nodes, list_mb);
     }
-    std::printf("module_cost:%s %s\n", all.c_str(), sound ? "kept" : "MISSED");
-    return sound ? 0 : 1;
+    std::printf("module_cost:%s %s\n", all.c_str(), is_within_bounds ? "kept" : "MISSED");
+    return is_within_bounds ? 0 : 1;
 }
