--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -127,9 +127,9 @@
     }
     share_.clear();
     bool ramps = false;
-    for (const NodeCapacityShare& j : module_.capacity_shares(now_)) {
-        share_[j.node] = j.share;
-        ramps |= j.share < 1;
+    for (const NodeCapacityShare& node : module_.capacity_shares(now_)) {
+        share_[node.node] = node.share;
+        ramps |= node.share < 1;
     }
     next_change_ = ramps ? now_ + control_.ramp_step : INT64_MAX;
     if (panic_until_ > 0) next_change_ = std::min(next_change_, panic_until_);
