--- a/measure/leaf_times.cpp
+++ b/measure/leaf_times.cpp
@@ -84,7 +84,7 @@
         R"(","seed":"00ff","limits":{"sockets":1024},"known":{"generation":1,)" +
         R"("reset":true,"instances":[)" + far.entries + "]},\"settings\":" + settings + "}");
     made.listen.port = 0;
-    follow_operators(made, read_operator_config("log { level = \"error\" }", "operators"));
+    apply_operator_config(made, read_operator_config("log { level = \"error\" }", "operators"));
     return made;
 }
 
--- a/measure/list_cost.cpp
+++ b/measure/list_cost.cpp
@@ -16,7 +16,7 @@
 
 #include "members/agreed_list.hpp"
 #include "tables/node_table.hpp"
-#include "wire/bodies.hpp"
+#include "wire/endpoint_list_codec.hpp"
 
 namespace {
 std::size_t held = 0, max_in_flight = 0;
--- a/measure/two_phase.cpp
+++ b/measure/two_phase.cpp
@@ -70,7 +70,7 @@
         R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
         fleet.entries() + "]},\"settings\":" + settings + "}");
     made.listen.port = 0;
-    follow_operators(made, read_operator_config(operators + "\nlog { level = \"error\" }", "operators"));
+    apply_operator_config(made, read_operator_config(operators + "\nlog { level = \"error\" }", "operators"));
     return made;
 }
 
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -6,7 +6,7 @@
 #include "fleet_manager/change_requests.hpp"
 #include "fleet_manager/log_entries.hpp"
 #include "log/log.hpp"
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 
 namespace tealcart::manager {
 namespace {
@@ -64,7 +64,7 @@
         io_.run_one();
         for (int i = 0; i < handlers_a_turn && io_.poll_one() > 0; ++i) {
         }
-        time_.due.tell(time_.now());
+        time_.due.fire_due(time_.now());
         lead();
         wait = raft_.turn();
         tell_waiting();
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -6,7 +6,7 @@
 #include <stdexcept>
 
 #include "log/log.hpp"
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 #include "wire/member_messages.hpp"
 
 namespace tealcart::relay {
@@ -56,7 +56,7 @@
         io_.run_one();
         for (int i = 0; i < handlers_a_turn && io_.poll_one() > 0; ++i) {
         }
-        time_.due.tell(time_.now());
+        time_.due.fire_due(time_.now());
         look_at_lease();
         tell_waiting();
     }
--- /dev/null
+++ b/src/service/decision_executor.hpp
@@ -0,0 +1,45 @@
+// Carries out what the decision module decides in a round. Makes no decisions of its own.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "router/query_router.hpp"
+#include "service/attempt_dispatcher.hpp"
+#include "service/event_queue.hpp"
+#include "service/query_completion.hpp"
+#include "service/query_table.hpp"
+#include "service/two_phase_coordinator.hpp"
+#include "tables/event_clock.hpp"
+
+namespace tealcart {
+
+class DecisionExecutor final : public DecisionSink, public DueHandler {
+  public:
+    DecisionExecutor(EventClock& clock, QueryTable& queries, EventQueue& events, AttemptDispatcher& attempts,
+                     QueryCompletion& completion, TwoPhaseCoordinator& two_phase)
+        : clock_(clock), queries_(queries), events_(events), attempts_(attempts), completion_(completion),
+          two_phase_(two_phase) {}
+
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override;
+    void cancel(std::uint32_t shard_request, std::uint8_t attempt) override;
+    void answer(std::uint32_t query, bool complete) override;
+    void reject(std::uint32_t query, Nanos not_before) override;
+    void fail_query(std::uint32_t query) override;
+    void set_timer(std::uint64_t cookie, Nanos wait) override;
+    void watch_endpoints() override {}  // discovery is always watched
+    void log(const std::string& line) override;
+
+    // One of the module's timers is due.
+    void on_due(Handle, std::uint64_t cookie) override { events_.push(RouterTimerFired{cookie}); }
+
+  private:
+    EventClock& clock_;
+    QueryTable& queries_;
+    EventQueue& events_;
+    AttemptDispatcher& attempts_;
+    QueryCompletion& completion_;
+    TwoPhaseCoordinator& two_phase_;
+};
+
+}  // namespace tealcart
--- /dev/null
+++ b/src/service/event_queue.cpp
@@ -0,0 +1,54 @@
+#include "service/event_queue.hpp"
+
+#include <utility>
+
+namespace tealcart {
+
+void EventQueue::begin_round(Nanos now) {
+    round_began_at_ = now;
+    playing_.clear();
+    std::swap(playing_, pending_);
+}
+
+void EventQueue::play(RoundEventHandler& handler) {
+    for (const RouterEvent& event : playing_) {
+        if (const auto* endpoints = std::get_if<EndpointsChanged>(&event))
+            handler.on_nodes(endpoints->kind, endpoints->entries);
+        else if (const auto* arrived = std::get_if<QueryArrived>(&event))
+            play_query(handler, arrived->query);
+        else if (const auto* result = std::get_if<AttemptResult>(&event))
+            handler.on_attempt_result(*result);
+        else if (const auto* disconnected = std::get_if<ClientDisconnected>(&event))
+            handler.on_query_dropped(disconnected->query);
+        else
+            handler.on_timer(std::get<RouterTimerFired>(event).cookie);
+    }
+}
+
+void EventQueue::play_query(RoundEventHandler& handler, Handle handle) {
+    Query* query = queries_.find(handle);
+    if (query == nullptr || query->ended) return;  // its client left before the module heard of it
+    query->announced = true;
+    constexpr std::uint32_t no_tenant = UINT32_MAX;
+    QueryArrival arrival{
+        query->id, query->id, query->query_class, no_tenant, query->deadline_at, query->is_retry, 0, 0};
+    std::size_t first = 0;
+    if (query->two_phase) {
+        TwoPhaseQuery& two_phase = *query->two_phase;
+        first = two_phase.leg_begins;
+        arrival.began_at =
+            std::exchange(two_phase.began, two_phase.began > 0 ? two_phase.began : round_began_at_);
+        // A round ends the leg, so it is the one before its time.
+        if (two_phase.machine.state() == TwoPhase::State::finding)
+            arrival.answer_by = two_phase.first_phase_until - round_interval_;
+    }
+    handler.on_query(arrival);
+    for (std::size_t i = first; i < query->shard_requests.size(); ++i) {
+        const ShardRequest& shard_request = query->shard_requests[i];
+        handler.on_shard_request({shard_request.id, query->id, shard_request.shard, shard_request.weight,
+                                  shard_request.cost_hint, shard_request.attempts_used,
+                                  shard_request.answered_before});
+    }
+}
+
+}  // namespace tealcart
--- /dev/null
+++ b/src/service/query_completion.cpp
@@ -0,0 +1,34 @@
+#include "service/query_completion.hpp"
+
+#include "log/log.hpp"
+#include "wire/answer_body.hpp"
+
+namespace tealcart {
+
+void QueryCompletion::respond(std::uint32_t id, Answer response) {
+    const Query* query = queries_.find_active(id);
+    if (query == nullptr) return;
+    if (outcomes_ != nullptr) outcomes_->on_query_end(response.status);
+    writer_->answer(query->client, std::move(response));
+    end(queries_.handle_of(id));
+}
+
+void QueryCompletion::respond_with_results(std::uint32_t id, std::string body) {
+    if (body.size() > max_body) {
+        log_about(LogLevel::warn, queries_.find_active(id)->text->id, "a response of %zu bytes is too long",
+                  body.size());
+        return respond(id, {500, write_error("the answer is too long"), 0});
+    }
+    respond(id, {200, std::move(body), 0});
+}
+
+void QueryCompletion::end(Handle handle) {
+    queries_.mark_ended(handle);
+    Query& query = *queries_.find(handle);
+    ++query.in_flight;  // keeps the query while its attempts end
+    attempts_.withdraw_unsent(query, 0);
+    --query.in_flight;
+    queries_.release_if_ended(handle);
+}
+
+}  // namespace tealcart
--- a/src/service/startup_config.cpp
+++ b/src/service/startup_config.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 
 #include "log/log.hpp"
-#include "wire/bodies.hpp"
+#include "wire/endpoint_list_codec.hpp"
 
 namespace tealcart {
 namespace {
@@ -33,48 +33,69 @@
     return *found;
 }
 
-}  // namespace
+std::uint64_t hexadecimal(const Json& in, const char* key) {
+    const std::string digits = text(in, key);
+    std::uint64_t number = 0;
+    const char* const last = digits.data() + digits.size();
+    const auto [end, failure] = std::from_chars(digits.data(), last, number, 16);
+    if (failure != std::errc() || end != last)
+        throw Malformed(std::string("'") + key +
+                        "' in the configuration is no hexadecimal number of 64 bits");
+    return number;
+}
 
-StartupConfig read_startup_config(const std::string& configuration) {
-    const Json in = Json::parse(configuration, nullptr, false);
-    if (in.is_discarded()) throw Malformed("the configuration is not JSON");
-    StartupConfig launch;
-    launch.name = text(in, "name");
-    launch.listen = address(in, "listen");
-    launch.discovery = address(in, "discovery");
-    const std::string seed = text(in, "seed");
-    const auto [end, ec] = std::from_chars(seed.data(), seed.data() + seed.size(), launch.seed, 16);
-    if (ec != std::errc() || end != seed.data() + seed.size())
-        throw Malformed("'seed' in the configuration is no hexadecimal number of 64 bits");
-    const Json& sockets = required(required(in, "limits"), "sockets");
-    if (!sockets.is_number_unsigned() || sockets.get<std::uint64_t>() < 64)
+constexpr std::size_t min_sockets = 64;
+constexpr std::size_t max_memory_mb = 1 << 24, bytes_per_mb = 1'000'000;
+
+void read_limits(const Json& limits, StartupConfig& startup) {
+    const Json& sockets = required(limits, "sockets");
+    if (!sockets.is_number_unsigned() || sockets.get<std::uint64_t>() < min_sockets)
         throw Malformed("'limits.sockets' in the configuration is no number of at least 64");
-    launch.sockets = sockets.get<std::size_t>();
-    const Json& limits = in["limits"];
+    startup.sockets = sockets.get<std::size_t>();
     if (const auto memory = limits.find("memory_mb"); memory != limits.end() && memory->is_number_unsigned())
-        launch.memory = std::min<std::size_t>(memory->get<std::size_t>(), 1 << 24) * 1'000'000;
-    launch.settings = required(in, "settings").dump();
-    launch.config = read_router_config(launch.settings);
-    launch.connection_config = read_connection_config(launch.settings);
-    launch.list_bound = bound_of_list(launch.config, launch.memory);
-    launch.agreed_bound = bound_of_agreed(launch.config, launch.memory);
-    launch.phases.resize(launch.connection_config.query_classes.size());
-    for (const QueryClassConfig& v : launch.config.query_classes)
-        if (v.second_step_requests > 0)
+        startup.memory = std::min(memory->get<std::size_t>(), max_memory_mb) * bytes_per_mb;
+}
+
+void read_settings(const Json& settings, StartupConfig& startup) {
+    startup.settings = settings.dump();
+    startup.config = read_router_config(startup.settings);
+    startup.connection_config = read_connection_config(startup.settings);
+    startup.list_bound = bound_of_list(startup.config, startup.memory);
+    startup.agreed_bound = bound_of_agreed(startup.config, startup.memory);
+    startup.phases.resize(startup.connection_config.query_classes.size());
+    for (const QueryClassConfig& query_class : startup.config.query_classes)
+        if (query_class.second_step_requests > 0)
             throw Malformed("a vertical has a second step, which is not served on sockets yet");
-    if (const auto known = in.find("known"); known != in.end() && !known->is_null()) {
-        const std::string stated = known->dump();
-        if (stated.size() > launch.list_bound.bytes) {
-            log_line("'known' in the configuration, %zu bytes, is over its bound of %zu: %s; it is left out",
-                     stated.size(), launch.list_bound.bytes, launch.list_bound.why.c_str());
-        } else {
-            auto list = read_endpoint_list(stated, static_cast<std::uint32_t>(launch.config.places));
-            if (!list) throw Malformed("'known' in the configuration is no list of data nodes");
-            launch.known = std::move(*list);
-        }
+}
+
+EndpointList read_known(const Json& known, const StartupConfig& startup) {
+    const std::string stated = known.dump();
+    if (stated.size() > startup.list_bound.bytes) {
+        log_line("'known' in the configuration, %zu bytes, is over its bound of %zu: %s; it is left out",
+                 stated.size(), startup.list_bound.bytes, startup.list_bound.why.c_str());
+        return {};
     }
-    launch.known.full = true;
-    return launch;
+    auto list = read_endpoint_list(stated, static_cast<std::uint32_t>(startup.config.places));
+    if (!list) throw Malformed("'known' in the configuration is no list of data nodes");
+    return std::move(*list);
+}
+
+}  // namespace
+
+StartupConfig read_startup_config(const std::string& configuration) {
+    const Json in = Json::parse(configuration, nullptr, false);
+    if (in.is_discarded()) throw Malformed("the configuration is not JSON");
+    StartupConfig startup;
+    startup.name = text(in, "name");
+    startup.listen = address(in, "listen");
+    startup.discovery = address(in, "discovery");
+    startup.seed = hexadecimal(in, "seed");
+    read_limits(required(in, "limits"), startup);
+    read_settings(required(in, "settings"), startup);
+    if (const auto known = in.find("known"); known != in.end() && !known->is_null())
+        startup.known = read_known(*known, startup);
+    startup.known.full = true;
+    return startup;
 }
 
 StartupConfig read_startup_config_file(const std::string& path) {
@@ -84,11 +105,11 @@
     return read_startup_config({std::istreambuf_iterator<char>(file), {}});
 }
 
-void follow_operators(StartupConfig& launch, OperatorConfig operators) {
-    follow_calls(operators.calls, launch.config, launch.connection_config);
-    launch.phases =
-        two_phase_by_query_class(operators, launch.config, launch.connection_config.query_classes);
-    launch.operators = std::move(operators);
+void apply_operator_config(StartupConfig& startup, OperatorConfig operators) {
+    follow_calls(operators.calls, startup.config, startup.connection_config);
+    startup.phases =
+        two_phase_by_query_class(operators, startup.config, startup.connection_config.query_classes);
+    startup.operators = std::move(operators);
 }
 
 }  // namespace tealcart
--- a/src/service/startup_config.hpp
+++ b/src/service/startup_config.hpp
@@ -3,6 +3,7 @@
 
 #include <cstdint>
 #include <string>
+#include <vector>
 
 #include "config/operator_config.hpp"
 #include "config/router_config_reader.hpp"
@@ -15,7 +16,7 @@
     std::string name;
     HostPort listen, discovery;
     std::uint64_t seed = 0;
-    std::size_t sockets = 0;  // file descriptors that the process may hold
+    std::size_t sockets = 0;  // file descriptors that the process may have open
     std::size_t memory = 0;   // bytes that it may have; 0 where none are stated
     std::string settings;     // as stated
     RouterConfig config;
@@ -26,13 +27,14 @@
     std::vector<TwoPhaseConfig> phases;  // by query class
 };
 
-// Throws Malformed with one plain line where something is missing or can't be read.
+// Reads the platform's configuration, JSON. Throws Malformed, with one plain line that names the member,
+// where one is missing or can't be read.
 StartupConfig read_startup_config(const std::string& text);
 
 // The same from a file, which ROUTER_CONFIG names as a rule.
 StartupConfig read_startup_config_file(const std::string& path);
 
-// Takes over what the operators' file states. Throws HclMistakes where it doesn't fit the settings.
-void follow_operators(StartupConfig& launch, OperatorConfig operators);
+// Applies what the operators' file states. Throws HclMistakes where it doesn't fit the settings.
+void apply_operator_config(StartupConfig& startup, OperatorConfig operators);
 
 }  // namespace tealcart
--- /dev/null
+++ b/src/service/two_phase_coordinator.cpp
@@ -0,0 +1,245 @@
+#include "service/two_phase_coordinator.hpp"
+
+#include <algorithm>
+#include <memory>
+#include <unordered_set>
+
+#include "log/log.hpp"
+#include "wire/answer_body.hpp"
+
+namespace tealcart {
+namespace {
+
+bool may_be_used(const StartupConfig& startup) {
+    // With relays a later version of the configuration may bring two phases.
+    return !startup.operators.member.relays.empty() ||
+           std::any_of(startup.phases.begin(), startup.phases.end(),
+                       [](const TwoPhaseConfig& config) { return config.on; });
+}
+
+}  // namespace
+
+TwoPhaseCoordinator::TwoPhaseCoordinator(EventClock& clock, QueryTable& queries, EventQueue& events,
+                                         AttemptDispatcher& attempts, QueryCompletion& completion,
+                                         const StartupConfig& startup)
+    : clock_(clock), queries_(queries), events_(events), attempts_(attempts), completion_(completion),
+      max_attempts_(startup.config.max_attempts), by_query_class_(startup.phases),
+      may_be_used_(may_be_used(startup)), remembers_sections_(any_remembers(by_query_class_)),
+      capability_(startup.config.places, startup.config.replicas_per_shard,
+                  startup.operators.memory.distrust),
+      section_memory_(startup.operators.memory, static_cast<std::uint32_t>(startup.config.shards)),
+      random_(startup.seed + 1) {
+    for (const QueryClassConfig& query_class : startup.config.query_classes)
+        latency_objective_.push_back(query_class.latency_objective);
+}
+
+void TwoPhaseCoordinator::set_config(std::vector<TwoPhaseConfig> by_query_class) {
+    by_query_class_ = std::move(by_query_class);
+    remembers_sections_ = any_remembers(by_query_class_);
+    if (!remembers_sections_) section_memory_.forget_all();
+}
+
+void TwoPhaseCoordinator::begin(Handle handle, QueryBody body, Nanos began) {
+    Query& query = *queries_.find(handle);
+    auto text = std::make_shared<QueryText>(*query.text);
+    text->find = write_find(body.find);
+    query.text = std::move(text);
+    std::vector<double> weights;
+    for (const QueryShardRequest& section : body.shard_requests) weights.push_back(section.weight);
+    query.two_phase = std::make_unique<TwoPhaseQuery>(
+        std::move(body.find), by_query_class_[query.query_class], max_attempts_, weights);
+    TwoPhaseQuery& two_phase = *query.two_phase;
+    two_phase.sections = std::move(body.shard_requests);
+    const Nanos now = clock_.now(), objective = began + latency_objective_[query.query_class];
+    const TwoPhase::Outlook outlook{
+        [&](std::uint32_t section) {
+            return section_memory_.rules_out(two_phase.sections[section].shard, two_phase.keys, now);
+        },
+        [&](std::uint32_t section) {
+            return capability_.worth_asking(two_phase.sections[section].shard, now);
+        }};
+    const Nanos useful_by = objective > now ? std::min(objective, query.deadline_at) : query.deadline_at;
+    const Leg leg = two_phase.machine.begin(now, useful_by, outlook);
+    ++counts_.queries;
+    counts_.sections += two_phase.sections.size();
+    counts_.remembered += two_phase.machine.covered().pruned;
+    counts_.first_phases += leg.kind == Leg::find;
+    queries_.register_id(handle);
+    begin_leg(handle, leg);
+}
+
+// The module hears of the leg with the next round.
+void TwoPhaseCoordinator::begin_leg(Handle handle, const Leg& leg) {
+    Query& query = *queries_.find(handle);
+    TwoPhaseQuery& two_phase = *query.two_phase;
+    if (leg.kind == Leg::end) return respond(query);
+    if (two_phase.leg++ > 0) queries_.renew_id(handle);
+    query.announced = false;
+    two_phase.first_phase_until = leg.until;
+    two_phase.leg_begins = query.shard_requests.size();
+    for (const LegShardRequest& stated : leg.shard_requests) add_section(handle, leg, stated);
+    events_.push(QueryArrived{handle});
+}
+
+void TwoPhaseCoordinator::add_section(Handle handle, const Leg& leg, const LegShardRequest& stated) {
+    Query& query = *queries_.find(handle);
+    QueryShardRequest section = query.two_phase->sections[stated.section];
+    section.weight = stated.weight;
+    queries_.add_shard_request(handle, section);
+    ShardRequest& shard_request = query.shard_requests.back();
+    shard_request.leg = query.two_phase->leg;
+    shard_request.section = stated.section;
+    shard_request.first_phase = leg.kind == Leg::find;
+    shard_request.answered_before = stated.in;
+    shard_request.attempts_used = stated.spent;
+}
+
+char TwoPhaseCoordinator::frame_type(const ShardRequest& shard_request, std::uint32_t node) const {
+    if (shard_request.first_phase) return capability_.is_one_phase(node) ? 0 : asks_word;
+    return capability_.is_proved(node) ? asks_rows : 'R';
+}
+
+bool TwoPhaseCoordinator::audited(double share) {
+    if (share <= 0) return false;
+    const double drawn = static_cast<double>(random_() - random_.min());
+    return drawn < share * static_cast<double>(random_.max() - random_.min());
+}
+
+void TwoPhaseCoordinator::end_leg(std::uint32_t id, Verdict verdict, Nanos retry_after) {
+    const Handle handle = queries_.handle_of(id);
+    Query& query = *queries_.find(handle);
+    TwoPhaseQuery& two_phase = *query.two_phase;
+    const Nanos now = clock_.now();
+    two_phase.retry_after = retry_after;
+    // Nothing of an ended leg is sent. The count keeps the query while its attempts end.
+    ++query.in_flight;
+    attempts_.withdraw_unsent(query, two_phase.leg_begins);
+    --query.in_flight;
+    const bool was_first = two_phase.machine.state() == TwoPhase::State::finding;
+    if (was_first) {
+        counts_.kept_budget += now <= two_phase.first_phase_until;
+        counts_.worst_overrun = std::max(counts_.worst_overrun, now - two_phase.first_phase_until);
+    }
+    const bool had_recheck = two_phase.machine.rechecked();
+    const Leg leg =
+        two_phase.machine.end_leg(verdict, now, [&] { return audited(two_phase.machine.config().audit); });
+    if (was_first) counts_.pruned += two_phase.machine.pruned_in_first();
+    if (two_phase.machine.rechecked() && !had_recheck) {
+        ++counts_.rechecked;
+        log_about(LogLevel::info, query.text->id, "pruned sections are queried after all");
+    }
+    begin_leg(handle, leg);
+}
+
+void TwoPhaseCoordinator::respond(const Query& query) {
+    const TwoPhaseQuery& two_phase = *query.two_phase;
+    const TwoPhase& machine = two_phase.machine;
+    if (machine.verdict() == Verdict::reject)
+        return completion_.respond(query.id, {503, write_error("rejected"), two_phase.retry_after});
+    if (machine.verdict() == Verdict::fail_query)
+        return completion_.respond(query.id, {504, write_error("aborted"), 0});
+    AnswerBody body(machine.whole());
+    for (const ShardRequest& shard_request : query.shard_requests)
+        if (shard_request.answered && !shard_request.first_phase)
+            body.add(shard_request.shard, shard_request.value);
+    const Covered covered = machine.covered();
+    SectionsStated stated{{covered.answered, covered.answered_weight},
+                          {covered.pruned, covered.pruned_weight},
+                          {covered.missing, covered.missing_weight},
+                          {}};
+    for (const std::uint32_t section : machine.missing())
+        stated.missing_shards.push_back(two_phase.sections[section].shard);
+    completion_.respond_with_results(query.id, body.finish(stated));
+}
+
+// An answer counts for the attempt that is in flight for this shard request, in this leg, on this connection.
+// What comes for a leg that has ended still tells of versions.
+bool TwoPhaseCoordinator::on_answer(Handle connection, const PhaseAnswer& answer) {
+    const Handle handle = queries_.find_by_request_id(answer.id.query);
+    Query* query = queries_.find(handle);
+    if (query == nullptr) return false;
+    for (std::size_t i = 0; i < query->shard_requests.size(); ++i) {
+        const ShardRequest& shard_request = query->shard_requests[i];
+        if (shard_request.shard != answer.id.shard || shard_request.leg != answer.id.leg) continue;
+        const Handle attempt = attempts_.find_in_flight(shard_request, connection);
+        if (attempts_.find(attempt) == nullptr) continue;
+        capability_.proved(attempts_.find(attempt)->node);
+        if (answer.outcome != Outcome::ok) {
+            attempts_.end(attempt, answer.outcome);
+            return true;
+        }
+        section_memory_.hear_version(shard_request.shard, answer.version);
+        if (shard_request.first_phase)
+            process_summary(shard_request, attempt, *query, answer);
+        else
+            process_rows(handle, i, attempt, answer);
+        return true;
+    }
+    return false;
+}
+
+void TwoPhaseCoordinator::process_summary(const ShardRequest& shard_request, Handle attempt, Query& query,
+                                          const PhaseAnswer& answer) {
+    const AttemptDispatcher::Attempt& answered = *attempts_.find(attempt);
+    const Nanos now = clock_.now();
+    if (capability_.trusted(answered.node, now)) {
+        query.two_phase->machine.hear(shard_request.section, answered.node, answer.word);
+        if (remembers_sections_)
+            section_memory_.learn(shard_request.shard, answered.node, answer.word, answered.sent_at, now);
+    }
+    attempts_.end(attempt, Outcome::ok);
+}
+
+void TwoPhaseCoordinator::process_rows(Handle handle, std::size_t index, Handle attempt,
+                                       const PhaseAnswer& answer) {
+    Query& query = *queries_.find(handle);
+    const ShardRequest& shard_request = query.shard_requests[index];
+    const std::uint32_t section = shard_request.section;
+    TwoPhase& machine = query.two_phase->machine;
+    if (machine.is_stale(section, answer.version)) {
+        ++counts_.stale_rows;
+        log_about(LogLevel::info, query.text->id,
+                  "data node %u holds an older version of shard %u than its summary stated",
+                  attempts_.find(attempt)->node, shard_request.shard);
+        return attempts_.end(attempt, Outcome::error);
+    }
+    const bool is_first =
+        !shard_request.answered && !query.ended && shard_request.leg == query.two_phase->leg;
+    attempts_.end(attempt, Outcome::ok, answer.value);
+    // The end of its last attempt may have released an ended query, and the value may have been refused.
+    if (!is_first || queries_.find(handle) == nullptr || !query.shard_requests[index].answered) return;
+    if (machine.take_rows(section, answer.version, answer.ranks) == TwoPhase::Rows::wrong)
+        distrust_sections(query);
+}
+
+// Nodes whose summary was found wrong are not believed for a while.
+void TwoPhaseCoordinator::distrust_sections(const Query& query) {
+    const Nanos now = clock_.now();
+    for (const std::uint32_t node : query.two_phase->machine.take_wrong()) {
+        ++counts_.wrong_words;
+        if (capability_.trusted(node, now))
+            log_about(LogLevel::warn, query.text->id,
+                      "data node %u gave a wrong summary; its summaries are not used for a while", node);
+        capability_.distrust(node, now);
+        section_memory_.forget_words_of(node);
+    }
+}
+
+void TwoPhaseCoordinator::on_endpoints(const NodeTable::Changes& changes, ListKind kind) {
+    if (!may_be_used_) return;
+    if (kind != ListKind::delta) capability_.keep_only(changes.entries);
+    std::unordered_set<std::uint32_t> restarted(changes.added.begin(), changes.added.end());
+    restarted.insert(changes.moved.begin(), changes.moved.end());
+    for (const Endpoint& entry : changes.entries)
+        capability_.hear_entry(entry, restarted.contains(entry.node));
+}
+
+bool TwoPhaseCoordinator::on_refused(std::uint32_t node) {
+    if (capability_.is_proved(node)) return false;
+    if (!capability_.is_one_phase(node))
+        log_line("data node %u does not support queries in two phases", node);
+    capability_.refused(node);
+    return true;
+}
+
+}  // namespace tealcart
--- a/src/tables/event_clock.hpp
+++ b/src/tables/event_clock.hpp
@@ -1,5 +1,4 @@
-// The service's clock and deadlines. The clock counts from the Unix epoch, as lists of data nodes do, and
-// only goes forward: it is read once from the system's clock and then follows the steady one.
+// The clock of an event loop, with its timers.
 #pragma once
 
 #include <chrono>
@@ -8,42 +7,45 @@
 
 namespace tealcart {
 
+// Counts nanoseconds from the Unix epoch, as endpoint lists do, and only goes forward: it is read once from
+// the system's clock and then follows the steady one.
 class EventClock {
   public:
     EventClock()
         : base_(std::chrono::duration_cast<std::chrono::nanoseconds>(
                     std::chrono::system_clock::now().time_since_epoch())
                     .count()),
-          began_(std::chrono::steady_clock::now()) {}
+          started_(std::chrono::steady_clock::now()) {}
 
-    // A clock that someone else sets.
+    // A clock that the caller sets, for tests.
     explicit EventClock(const Nanos& given) : given_(&given) {}
 
     Nanos now() const {
-        return given_ != nullptr ? *given_ : base_ + (std::chrono::steady_clock::now() - began_).count();
+        return given_ != nullptr ? *given_ : base_ + (std::chrono::steady_clock::now() - started_).count();
     }
-    // The same for a time point of the steady clock, which is what a timer is set to.
+    // A time of this clock as a time point of the steady clock, to which asio's timers are set.
     std::chrono::steady_clock::time_point steady(Nanos at) const {
-        return began_ + std::chrono::nanoseconds(at - base_);
+        return started_ + std::chrono::nanoseconds(at - base_);
     }
 
-    // The earliest at which what is read now may have come in: after a stall, when the stall began. Looked at
-    // by the reader itself, since the first handler after a stall may be the one that reads.
+    // The earliest time at which what is read now may have come in: after a stall of the process, when that
+    // began. To be called by the reader itself, since the first handler after a stall may be the one that
+    // reads.
     Nanos earliest() const {
-        const Nanos n = now();
-        return n - stalled_after > awake_by ? awake_by : n;
+        const Nanos current = now();
+        return current - min_stall > awake_by ? awake_by : current;
     }
 
     TimerQueue due;
     Nanos awake_by = TimerQueue::never;  // when the loop has asked to be woken at the latest
 
   private:
-    // One shorter than the rules' slack on sockets is no stall.
-    static constexpr Nanos stalled_after = 50'000'000;
+    // A delay shorter than the platform's slack on sockets is no stall.
+    static constexpr Nanos min_stall = 50'000'000;
 
     const Nanos* given_ = nullptr;
     Nanos base_ = 0;
-    std::chrono::steady_clock::time_point began_;
+    std::chrono::steady_clock::time_point started_;
 };
 
 }  // namespace tealcart
--- a/src/tables/slot_map.hpp
+++ b/src/tables/slot_map.hpp
@@ -1,5 +1,4 @@
-// A table of numbered slots. A handle holds the slot and the life it was taken for: once given back, old
-// handles find nothing, so that a completion of an old life can't touch a new one.
+// A table of values in numbered slots, found by handles that outlive them safely.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +9,21 @@
 
 namespace tealcart {
 
+// A slot and the generation of its value. A default one finds nothing.
 struct Handle {
-    std::uint32_t slot = UINT32_MAX, life = 0;
+    std::uint32_t slot = UINT32_MAX, generation = 0;
 
     friend bool operator==(const Handle&, const Handle&) = default;
 };
 
+// Once a value is released, its handles find nothing, so that a completion that comes late can't touch the
+// value that has the slot then. Addresses of values stay the same until they are released.
 template <typename T>
 class SlotMap {
   public:
+    // Makes a value of these arguments in a free slot.
     template <typename... Args>
-    Handle take(Args&&... args) {
+    Handle emplace(Args&&... args) {
         std::uint32_t slot = 0;
         if (free_.empty()) {
             slot = static_cast<std::uint32_t>(cells_.size());
@@ -29,49 +32,54 @@
             slot = free_.back();
             free_.pop_back();
         }
-        cells_[slot].value.emplace(std::forward<Args>(args)...);
-        ++used_;
-        return {slot, cells_[slot].life};
+        Cell& cell = cells_[slot];
+        cell.value.emplace(std::forward<Args>(args)...);
+        ++size_;
+        return {slot, cell.generation};
     }
 
-    // Null where the handle's life is over. The address stays the same while it lasts.
-    const T* find(Handle h) const {
-        if (h.slot >= cells_.size() || cells_[h.slot].life != h.life || !cells_[h.slot].value) return nullptr;
-        return &*cells_[h.slot].value;
+    // Null where the value has been released.
+    const T* find(Handle handle) const {
+        if (handle.slot >= cells_.size()) return nullptr;
+        const Cell& cell = cells_[handle.slot];
+        return cell.generation == handle.generation && cell.value ? &*cell.value : nullptr;
     }
-    T* find(Handle h) { return const_cast<T*>(std::as_const(*this).find(h)); }
+    T* find(Handle handle) { return const_cast<T*>(std::as_const(*this).find(handle)); }
 
-    void give_back(Handle h) {
-        if (find(h) == nullptr) return;
-        cells_[h.slot].value.reset();
-        ++cells_[h.slot].life;
-        free_.push_back(h.slot);
-        --used_;
+    // Destroys the value; does nothing where that has been done.
+    void release(Handle handle) {
+        if (find(handle) == nullptr) return;
+        Cell& cell = cells_[handle.slot];
+        cell.value.reset();
+        ++cell.generation;
+        free_.push_back(handle.slot);
+        --size_;
     }
 
-    std::size_t used() const { return used_; }
+    std::size_t size() const { return size_; }
 
-    // Calls see(handle, value) for all in use; what it gives back or takes meanwhile may be seen or not.
-    template <typename See>
-    void each(See&& see) {
+    // Calls visit(handle, value) for all values, in the order of slots. Those that `visit` releases or makes
+    // may be visited or not.
+    template <typename Visit>
+    void for_each(Visit&& visit) {
         for (std::uint32_t slot = 0; slot < cells_.size(); ++slot)
-            if (cells_[slot].value) see(Handle{slot, cells_[slot].life}, *cells_[slot].value);
+            if (cells_[slot].value) visit(Handle{slot, cells_[slot].generation}, *cells_[slot].value);
     }
-    template <typename See>
-    void each(See&& see) const {
+    template <typename Visit>
+    void for_each(Visit&& visit) const {
         for (std::uint32_t slot = 0; slot < cells_.size(); ++slot)
-            if (cells_[slot].value) see(Handle{slot, cells_[slot].life}, *cells_[slot].value);
+            if (cells_[slot].value) visit(Handle{slot, cells_[slot].generation}, *cells_[slot].value);
     }
 
   private:
     struct Cell {
         std::optional<T> value;
-        std::uint32_t life = 1;
+        std::uint32_t generation = 1;
     };
 
     std::deque<Cell> cells_;
     std::vector<std::uint32_t> free_;
-    std::size_t used_ = 0;
+    std::size_t size_ = 0;
 };
 
 }  // namespace tealcart
--- a/src/tables/timer_queue.cpp
+++ b/src/tables/timer_queue.cpp
@@ -3,55 +3,59 @@
 namespace tealcart {
 
 TimerQueue::Ticket TimerQueue::add(Nanos at, DueHandler& handler, Handle who, std::uint64_t what) {
-    const auto place = static_cast<std::uint32_t>(heap_.size());
-    const Ticket ticket = entries_.take(Entry{at, order_++, &handler, who, what, place});
+    const auto position = static_cast<std::uint32_t>(heap_.size());
+    const Ticket ticket = entries_.emplace(Entry{at, next_order_++, &handler, who, what, position});
     heap_.push_back(ticket);
-    rise(place);
+    sift_up(position);
     return ticket;
 }
 
 void TimerQueue::drop(Ticket& ticket) {
     if (ticket == none) return;
-    const std::uint32_t place = entries_.find(ticket)->place;
-    entries_.give_back(ticket);
+    const std::uint32_t position = entries_.find(ticket)->position;
+    entries_.release(ticket);
     ticket = none;
     const Ticket last = heap_.back();
     heap_.pop_back();
-    if (place == heap_.size()) return;
-    put(place, last);
-    rise(place);
-    sink(entries_.find(last)->place);
+    if (position == heap_.size()) return;
+    place(position, last);
+    sift_up(position);
+    sift_down(entries_.find(last)->position);
 }
 
-void TimerQueue::tell(Nanos now) {
+void TimerQueue::fire_due(Nanos now) {
     while (next() <= now) {
         Ticket first = heap_[0];
-        const Entry due = at(0);
+        const Entry due = entry_at(0);
         drop(first);
         due.handler->on_due(due.who, due.what);
     }
 }
 
-void TimerQueue::rise(std::uint32_t place) {
-    const Ticket entry = heap_[place];
-    const Entry& own = at(place);
-    for (; place > 0 && before(own, at((place - 1) / 2)); place = (place - 1) / 2)
-        put(place, heap_[(place - 1) / 2]);
-    put(place, entry);
+void TimerQueue::sift_up(std::uint32_t position) {
+    const Ticket ticket = heap_[position];
+    const Entry& entry = entry_at(position);
+    while (position > 0) {
+        const std::uint32_t parent = (position - 1) / 2;
+        if (!is_before(entry, entry_at(parent))) break;
+        place(position, heap_[parent]);
+        position = parent;
+    }
+    place(position, ticket);
 }
 
-void TimerQueue::sink(std::uint32_t place) {
-    const Ticket entry = heap_[place];
-    const Entry& own = at(place);
+void TimerQueue::sift_down(std::uint32_t position) {
+    const Ticket ticket = heap_[position];
+    const Entry& entry = entry_at(position);
     for (;;) {
-        std::uint32_t child = 2 * place + 1;
+        std::uint32_t child = 2 * position + 1;
         if (child >= heap_.size()) break;
-        if (child + 1 < heap_.size() && before(at(child + 1), at(child))) ++child;
-        if (!before(at(child), own)) break;
-        put(place, heap_[child]);
-        place = child;
+        if (child + 1 < heap_.size() && is_before(entry_at(child + 1), entry_at(child))) ++child;
+        if (!is_before(entry_at(child), entry)) break;
+        place(position, heap_[child]);
+        position = child;
     }
-    put(place, entry);
+    place(position, ticket);
 }
 
 }  // namespace tealcart
--- a/src/tables/timer_queue.hpp
+++ b/src/tables/timer_queue.hpp
@@ -1,5 +1,5 @@
-// All deadlines of the service in one ordered structure: a binary heap that knows where each entry lies, so
-// that one can be dropped before its time.
+// All timers of a process in one binary heap that knows where each entry lies, so that one can be dropped
+// before its time.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace tealcart {
 
-// Whoever hangs deadlines in is told when one is due.
+// Notified when one of its timers is due, with what the timer was added with.
 class DueHandler {
   public:
     virtual ~DueHandler() = default;
@@ -23,50 +23,52 @@
     static constexpr Ticket none = {};
     static constexpr Nanos never = INT64_MAX;
 
+    // Adds a timer that is due at this time. The handler must outlive it.
     Ticket add(Nanos at, DueHandler& handler, Handle who, std::uint64_t what = 0);
 
-    // Drops a deadline that is no longer wanted; the ticket is void from then on.
+    // Drops a timer, and sets its ticket to none. Does nothing for none.
     void drop(Ticket& ticket);
 
-    // Drops the ticket's deadline, if any, and hangs a new one in.
+    // Drops the ticket's timer, if any, and adds a new one.
     void move(Ticket& ticket, Nanos at, DueHandler& handler, Handle who, std::uint64_t what = 0) {
         drop(ticket);
         ticket = add(at, handler, who, what);
     }
 
-    Nanos next() const { return heap_.empty() ? never : at(0).at; }
+    // When the earliest timer is due.
+    Nanos next() const { return heap_.empty() ? never : entry_at(0).at; }
     std::size_t size() const { return heap_.size(); }
 
-    // Tells the handlers of all that is due by now, the earliest first, in the order of adding where times
-    // are equal. A handler's own ticket is void when it is told. What is added meanwhile waits for the next
-    // call when it is due after `now`.
-    void tell(Nanos now);
+    // Calls the handlers of all timers that are due by now, the earliest first, in the order of adding where
+    // times are equal. A handler's own ticket is void when it is called. A timer that is added meanwhile
+    // waits for the next call where it is due after `now`.
+    void fire_due(Nanos now);
 
   private:
     struct Entry {
         Nanos at = 0;
-        std::uint64_t order = 0;
+        std::uint64_t order = 0;  // of adding
         DueHandler* handler = nullptr;
         Handle who;
         std::uint64_t what = 0;
-        std::uint32_t place = 0;
+        std::uint32_t position = 0;  // in the heap
     };
 
-    Entry& at(std::uint32_t place) { return *entries_.find(heap_[place]); }
-    const Entry& at(std::uint32_t place) const { return *entries_.find(heap_[place]); }
-    static bool before(const Entry& a, const Entry& b) {
+    Entry& entry_at(std::uint32_t position) { return *entries_.find(heap_[position]); }
+    const Entry& entry_at(std::uint32_t position) const { return *entries_.find(heap_[position]); }
+    static bool is_before(const Entry& a, const Entry& b) {
         return a.at != b.at ? a.at < b.at : a.order < b.order;
     }
-    void put(std::uint32_t place, Ticket entry) {
-        heap_[place] = entry;
-        at(place).place = place;
+    void place(std::uint32_t position, Ticket ticket) {
+        heap_[position] = ticket;
+        entry_at(position).position = position;
     }
-    void rise(std::uint32_t place);
-    void sink(std::uint32_t place);
+    void sift_up(std::uint32_t position);
+    void sift_down(std::uint32_t position);
 
     SlotMap<Entry> entries_;
     std::vector<Ticket> heap_;
-    std::uint64_t order_ = 0;
+    std::uint64_t next_order_ = 0;
 };
 
 }  // namespace tealcart
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -111,7 +111,7 @@
     timer_->expires_after(Ms(2));
     timer_->async_wait([this](const boost::system::error_code& ec) {
         if (ec) return;
-        time_.due.tell(time_.now());
+        time_.due.fire_due(time_.now());
         tick();
     });
 }
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -198,7 +198,7 @@
         io_.run_one();
         for (int i = 0; i < handlers_a_turn && io_.poll_one() > 0; ++i) {
         }
-        time_.due.tell(time_.now());
+        time_.due.fire_due(time_.now());
         if (time_.now() - looked < heartbeat) continue;
         looked = time_.now();
         ended_.clear();
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -162,7 +162,7 @@
         io_.run_one();
         for (int i = 0; i < handlers_a_turn && io_.poll_one() > 0; ++i) {
         }
-        time_.due.tell(time_.now());
+        time_.due.fire_due(time_.now());
     }
 }
 
--- a/src/testing/script.hpp
+++ b/src/testing/script.hpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "config/hcl.hpp"
+#include "phases/word.hpp"
 #include "testing/contents.hpp"
-#include "wire/bodies.hpp"
 
 namespace tealcart::testing {
 
--- /dev/null
+++ b/src/wire/answer_body.cpp
@@ -0,0 +1,72 @@
+#include "wire/answer_body.hpp"
+
+#include <charconv>
+#include <nlohmann/json.hpp>
+#include <utility>
+
+namespace tealcart {
+namespace {
+
+constexpr unsigned char first_printable = 0x20;
+
+void append_escaped(std::string& out, char c) {
+    if (c == '"' || c == '\\') {
+        out += '\\';
+        out += c;
+    } else if (static_cast<unsigned char>(c) < first_printable) {
+        constexpr char digits[] = "0123456789abcdef";
+        out += "\\u00";
+        out += digits[c >> 4];
+        out += digits[c & 15];
+    } else {
+        out += c;
+    }
+}
+
+}  // namespace
+
+AnswerBody::AnswerBody(bool complete)
+    : out_(complete ? R"({"all_in":true,"matches":[)" : R"({"all_in":false,"matches":[)") {}
+
+// The value's bytes as they are, escaped as far as JSON needs it.
+void AnswerBody::add(std::uint32_t shard, std::string_view value) {
+    if (!first_) out_ += ',';
+    first_ = false;
+    out_ += "{\"segment\":";
+    out_ += std::to_string(shard);
+    out_ += ",\"payload\":\"";
+    for (const char c : value) append_escaped(out_, c);
+    out_ += "\"}";
+}
+
+std::string AnswerBody::finish() { return std::move(out_ += "]}"); }
+
+std::string AnswerBody::finish(const SectionsStated& stated) {
+    add_count("],\"answered\":", stated.answered);
+    add_count("},\"pruned\":", stated.pruned);
+    add_count("},\"missing\":", stated.missing);
+    out_ += ",\"segments\":[";
+    for (std::size_t i = 0; i < stated.missing_shards.size(); ++i)
+        out_.append(i > 0 ? "," : "").append(std::to_string(stated.missing_shards[i]));
+    return std::move(out_ += "]}}");
+}
+
+void AnswerBody::add_count(const char* opening, const SectionsStated::Count& count) {
+    char weight[32];
+    const auto end = std::to_chars(weight, weight + sizeof weight, count.weight).ptr;
+    out_.append(opening).append("{\"sections\":").append(std::to_string(count.sections));
+    out_.append(",\"weight\":").append(weight, end);
+}
+
+bool is_utf8(std::string_view text) {
+    AnswerBody body(true);
+    body.add(0, text);
+    return nlohmann::json::accept(body.finish());
+}
+
+std::string write_error(std::string_view message) {
+    std::string out = "{\"error\":\"";
+    return out.append(message).append("\"}");
+}
+
+}  // namespace tealcart
--- a/src/wire/discovery_watch.hpp
+++ b/src/wire/discovery_watch.hpp
@@ -1,12 +1,10 @@
-// The watch on discovery's list of data nodes: one long poll after the other on a kept connection, made anew
-// with backoff and jitter when it breaks or stays silent for longer than the call may wait. Whatever happens,
-// a change is heard within 6 s of when discovery had it and could be reached. Once told of another address it
-// goes there at once; the call that is out at the old one may still bring news until the new one has spoken.
+// The watch on discovery's list of data nodes: one long poll after the other on a kept connection.
 #pragma once
 
 #include <array>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
+#include <memory>
 #include <random>
 #include <string>
 
@@ -19,66 +17,76 @@
 
 namespace tealcart {
 
+// Receives the lists that a watch brings.
 class ListTaker {
   public:
     virtual ~ListTaker() = default;
     virtual void on_list(const EndpointList& list) = 0;
 };
 
+// A connection that breaks, or stays silent for longer than the poll may wait, is replaced after a backoff
+// with jitter: a change is heard within 6 s of when discovery had it and could be reached.
 class DiscoveryWatch final : public DueHandler {
   public:
-    DiscoveryWatch(boost::asio::io_context& io, EventClock& time, ListTaker& taker, HostPort address,
+    // Entries at a place that is not below `places` are left out. All references must outlive the watch.
+    DiscoveryWatch(boost::asio::io_context& io, EventClock& clock, ListTaker& taker, HostPort address,
                    Discovery mode, std::uint32_t places, std::uint64_t seed, ListBound bound = {});
 
     // Watches for what is newer than `generation`.
     void start(std::uint64_t generation);
     void stop();
+    // Goes to another address at once and polls its full list. The poll that is in flight at the old one may
+    // still bring a list until the new one has answered.
     void follow(HostPort address);
-    // Whether discovery has told the list since the start.
-    bool told() const { return told_; }
-    const WireCount& wire() const { return wire_; }
+    // Whether discovery has answered with a list since the start.
+    bool told() const { return has_list_; }
+    const WireCount& wire() const { return traffic_; }
     void on_due(Handle, std::uint64_t what) override;
 
   private:
-    struct Connection;
-    using Life = std::shared_ptr<Connection>;
+    // What completes for a connection that is neither the current nor the former one is void.
+    struct Connection {
+        Connection(boost::asio::io_context& io, std::size_t max_answer) : socket(io), reader(max_answer) {}
+
+        boost::asio::ip::tcp::socket socket;
+        std::string request, received;
+        std::array<char, 8192> buffer;
+        AnswerReader reader;
+        bool poll_in_flight = false;
+    };
+    using ConnectionPtr = std::shared_ptr<Connection>;
 
     void connect();
-    void ask();
-    void read(const Life& c);
-    void take_answer(const Life& c, bool ended);
-    void lose(const Life& c, const char* why);
-    static void end(Life& connection);
-    void tell_long(const AnswerReader& reader);
-    void give_up(const char* why);
+    void poll();
+    void read(const ConnectionPtr& connection);
+    void parse_answer(const ConnectionPtr& connection, bool ended);
+    const char* reason_unusable(const AnswerReader& reader, Reading reading, bool has_list);
+    void apply_answer(const ConnectionPtr& connection, const EndpointList& list);
+    void lose(const ConnectionPtr& connection, const char* reason);
+    void fail(const char* reason);
+    void log_too_long(const AnswerReader& reader);
+    static void close(ConnectionPtr& connection);
 
     boost::asio::io_context& io_;
-    EventClock& time_;
+    EventClock& clock_;
     ListTaker& taker_;
     HostPort address_;
     const std::uint32_t places_;
     const ListBound bound_;
-    const Nanos first_answer_, max_backoff_;  // as discovery is asked
+    const Nanos first_answer_timeout_, max_backoff_;  // by the mode of discovery
     std::uint64_t generation_ = 0;
-    std::knuth_b chance_;
-    Nanos asked_at_ = 0, waits_ = 0;     // the call that is out, and for how long it may wait for news
-    Nanos backoff_;                      // after the next failure
-    bool told_ = false, sound_ = false;  // sound: the last call was answered
-    bool whole_ = false;                 // the next call asks for the whole list
-    bool silent_before_ = false;         // told in the log
-    bool told_long_ = false;             // and that a list is over its bound
-    // Each connection has a life of its own: what completes for an earlier one is void.
-    struct Connection {
-        Connection(boost::asio::io_context& io, std::size_t longest);
-        boost::asio::ip::tcp::socket socket;
-        std::string out, in;
-        std::array<char, 8192> buffer;
-        AnswerReader reader;
-        bool asked = false;  // a call is out on it
-    };
-    WireCount wire_;
-    Life connection_, former_;  // former_: at the address before
-    TimerQueue::Ticket due_ = TimerQueue::none;
+    std::knuth_b random_;
+    Nanos polled_at_ = 0;           // when the current poll was sent
+    Nanos poll_wait_ = 0;           // for how long discovery may hold it
+    Nanos backoff_;                 // after the next failure
+    bool has_list_ = false;         // discovery has answered with a list
+    bool healthy_ = false;          // the last poll was answered
+    bool needs_full_list_ = false;  // the next poll asks for it
+    bool failure_logged_ = false, too_long_logged_ = false;
+    WireCount traffic_;
+    ConnectionPtr connection_;
+    ConnectionPtr former_;  // at the address before
+    TimerQueue::Ticket timer_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -16,25 +16,25 @@
 
 std::string to_string(string_view text) { return {text.data(), text.size()}; }
 
-// Beast parses a head in place once it is there as a whole and tells its fields; the body is gathered here.
+// Beast parses a head in place once it is complete and reports its fields; the body is gathered here.
 template <bool is_request>
-class Gatherer : public http::basic_parser<is_request> {
+class MessageParser : public http::basic_parser<is_request> {
   public:
-    explicit Gatherer(std::size_t longest) {
+    explicit MessageParser(std::size_t max_size) {
         this->eager(true);
         this->header_limit(max_head);
-        this->body_limit(longest);
+        this->body_limit(max_size);
     }
 
     Reading feed(std::string& in) {
-        std::size_t taken = 0;
+        std::size_t consumed = 0;
         error_code ec;
-        while (!this->is_done() && !ec && taken < in.size()) {
-            const std::size_t n = this->put({in.data() + taken, in.size() - taken}, ec);
-            taken += n;
+        while (!this->is_done() && !ec && consumed < in.size()) {
+            const std::size_t n = this->put({in.data() + consumed, in.size() - consumed}, ec);
+            consumed += n;
             if (n == 0) break;
         }
-        in.erase(0, taken);
+        in.erase(0, consumed);
         if (ec && ec != http::error::need_more) {
             error = ec;
             return Reading::bad;
@@ -59,10 +59,10 @@
     void on_field_impl(http::field name, string_view, string_view value, error_code& ec) override {
         // Any other coding than one chunked would leave the body's end open to dispute.
         if (name == http::field::transfer_encoding &&
-            (std::exchange(coded_, true) || !iequals(value, "chunked")))
+            (std::exchange(has_coding_, true) || !iequals(value, "chunked")))
             ec = http::error::bad_transfer_encoding;
         if (name == http::field::content_length &&
-            (std::exchange(measured_, true) || value.find_first_not_of("0123456789") != value.npos))
+            (std::exchange(has_length_, true) || value.find_first_not_of("0123456789") != value.npos))
             ec = http::error::bad_content_length;
         if (name == http::field::content_length)
             std::from_chars(value.data(), value.data() + value.size(), stated_length);
@@ -81,20 +81,20 @@
     void on_finish_impl(error_code&) override {}
 
   private:
-    bool coded_ = false, measured_ = false;  // the body's coding, and its length, have been said
+    bool has_coding_ = false, has_length_ = false;  // the body's coding, and its length, have been stated
 };
 
 // A field that goes on in the next line reads differently elsewhere, and could hide what follows.
-bool folded(std::string_view in) {
+bool is_folded(std::string_view in) {
     const std::string_view head = in.substr(0, in.find("\r\n\r\n"));
     return head.find("\n ") != head.npos || head.find("\n\t") != head.npos;
 }
 
 }  // namespace
 
-class RequestReader::Parser final : public Gatherer<true> {
+class RequestReader::Parser final : public MessageParser<true> {
   public:
-    using Gatherer::Gatherer;
+    using MessageParser::MessageParser;
 
     Request request;
     bool owes_continue = false, begun = false;
@@ -107,10 +107,10 @@
         request.query = mark == string_view::npos ? std::string() : to_string(target.substr(mark + 1));
     }
     void on_field_impl(http::field name, string_view text, string_view value, error_code& ec) override {
-        Gatherer::on_field_impl(name, text, value, ec);
+        MessageParser::on_field_impl(name, text, value, ec);
         if (name == http::field::expect) owes_continue = iequals(value, "100-continue");
-        if (is_header_done()) return;  // behind the body nothing is said that counts
-        // Said twice, nobody could tell which holds.
+        if (is_header_done()) return;  // trailers behind the body don't count
+        // Stated twice, nobody could tell which holds.
         const auto once = [&](std::string& to) {
             if (!to.empty()) ec = http::error::bad_field;
             to = to_string(value);
@@ -126,13 +126,13 @@
     }
 };
 
-RequestReader::RequestReader(std::size_t longest)
-    : parser_(std::make_unique<Parser>(longest)), longest_(longest) {}
+RequestReader::RequestReader(std::size_t max_size)
+    : parser_(std::make_unique<Parser>(max_size)), max_size_(max_size) {}
 RequestReader::~RequestReader() = default;
 
 Reading RequestReader::feed(std::string& in) {
     parser_->begun |= !in.empty();
-    if (!parser_->is_header_done() && folded(in)) return Reading::bad;
+    if (!parser_->is_header_done() && is_folded(in)) return Reading::bad;
     return parser_->feed(in);
 }
 
@@ -148,15 +148,15 @@
 
 bool RequestReader::begun() const { return parser_->begun; }
 Request& RequestReader::request() { return parser_->request; }
-void RequestReader::next() { parser_ = std::make_unique<Parser>(longest_); }
+void RequestReader::next() { parser_ = std::make_unique<Parser>(max_size_); }
 
-class AnswerReader::Parser final : public Gatherer<false> {
+class AnswerReader::Parser final : public MessageParser<false> {
   public:
-    using Gatherer::Gatherer;
+    using MessageParser::MessageParser;
 };
 
-AnswerReader::AnswerReader(std::size_t longest)
-    : parser_(std::make_unique<Parser>(longest)), longest_(longest) {}
+AnswerReader::AnswerReader(std::size_t max_size)
+    : parser_(std::make_unique<Parser>(max_size)), max_size_(max_size) {}
 AnswerReader::~AnswerReader() = default;
 
 Reading AnswerReader::feed(std::string& in) { return parser_->feed(in); }
@@ -166,7 +166,7 @@
 bool AnswerReader::too_long() const { return parser_->error == http::error::body_limit; }
 std::uint64_t AnswerReader::stated_length() const { return parser_->stated_length; }
 const std::string& AnswerReader::body() const { return parser_->body; }
-void AnswerReader::next() { parser_ = std::make_unique<Parser>(longest_); }
+void AnswerReader::next() { parser_ = std::make_unique<Parser>(max_size_); }
 
 std::string write_answer_head(const AnswerHead& head) {
     const auto reason = http::obsolete_reason(static_cast<http::status>(head.status));
--- a/src/wire/http.hpp
+++ b/src/wire/http.hpp
@@ -8,58 +8,67 @@
 
 namespace tealcart {
 
+// In bytes, by the protocol's page.
 constexpr std::size_t max_head = 8 * 1024;
-constexpr std::size_t max_body = 64 * 1024;  // of the protocol's page
+constexpr std::size_t max_body = 64 * 1024;
 
+// What reading a message came to: more bytes are needed, it is complete, or it is malformed.
 enum class Reading : std::uint8_t { more, done, bad };
 
 struct Request {
     std::string method, path;  // the path without its query
-    std::string id, deadline, key;
-    bool retry = false, keep_alive = true;
+    std::string id, deadline,
+        key;             // the headers X-Request-Id, X-Deadline-Ms and Idempotency-Key; empty: none
+    bool retry = false;  // X-Retry: 1
+    bool keep_alive = true;
     std::string body;
     std::string query = {};  // what stands behind the path's '?'
 };
 
-// Of a watch since its start: calls made, and bytes over its connections as they are written and read.
+// Traffic of a watch since its start: polls sent, and bytes over its connections as they are read and
+// written.
 struct WireCount {
     std::uint64_t calls = 0, in = 0, out = 0;
 };
 
-// Reads requests one after the other; a body is let in up to `longest`.
+// Reads requests one after the other; bodies are accepted up to `max_size` bytes.
 class RequestReader {
   public:
-    explicit RequestReader(std::size_t longest = max_body);
+    explicit RequestReader(std::size_t max_size = max_body);
     ~RequestReader();
 
-    // Takes what it can from the front of `in`. With `done`, the rest belongs to the next request.
+    // Reads what it can from the front of `in`, and removes it. With `done`, the rest belongs to the next
+    // request.
     Reading feed(std::string& in);
-    // What a malformed request is answered with; the connection is to be closed then.
+    // The status that a malformed request is answered with; the connection is to be closed then.
     int error_status() const;
-    // True once for a request whose client waits for word before it sends the body.
+    // True once for a request whose client expects "100 Continue" before it sends the body.
     bool owes_continue();
+    // Whether any byte of the current request has been read.
     bool begun() const;
     Request& request();
-    void next();  // forgets the request that is done
+    // Begins with the next request, once one is done.
+    void next();
 
   private:
     class Parser;
     std::unique_ptr<Parser> parser_;
-    std::size_t longest_;
+    std::size_t max_size_;
 };
 
-// Reads answers one after the other; the body is let in up to `longest`.
+// Reads responses one after the other; bodies are accepted up to `max_size` bytes.
 class AnswerReader {
   public:
-    explicit AnswerReader(std::size_t longest);
+    explicit AnswerReader(std::size_t max_size);
     ~AnswerReader();
 
+    // As RequestReader::feed.
     Reading feed(std::string& in);
-    // The stream has ended cleanly, and all of it has been fed: done if that is where the answer ends.
+    // The stream has ended cleanly, and all of it has been fed: `done` if that is where the response ends.
     Reading end();
     int status() const;
     bool keep_alive() const;
-    // With `bad`: the body is longer than `longest`; its length as stated, 0 where none was.
+    // With `bad`: the body is longer than `max_size`; its length as stated, 0 where none was.
     bool too_long() const;
     std::uint64_t stated_length() const;
     const std::string& body() const;
@@ -68,15 +77,16 @@
   private:
     class Parser;
     std::unique_ptr<Parser> parser_;
-    std::size_t longest_;
+    std::size_t max_size_;
 };
 
+// The head of a response.
 struct AnswerHead {
     int status = 200;
     std::size_t length = 0;
     std::int64_t retry_after_ms = 0;  // 0 for none
     bool close = false;
-    std::string_view allow = {};  // the method that would be taken, with 405
+    std::string_view allow = {};  // the method that would be accepted, with 405
 };
 
 std::string write_answer_head(const AnswerHead& head);
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -1,6 +1,8 @@
 #include "wire/http_server.hpp"
 
+#include <algorithm>
 #include <boost/asio/write.hpp>
+#include <utility>
 
 #include "log/log.hpp"
 
@@ -10,294 +12,328 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr Nanos ms = 1'000'000;
-// Of the platform's page: a connection with no request open may be closed after 2 s; whoever sends what is no
-// request is owed an error or the end within 3 s of connecting, of which a quarter is left for the way.
-constexpr Nanos idle_timeout = 2000 * ms;
-constexpr Nanos request_timeout = 2750 * ms;
-constexpr Nanos linger = 1000 * ms;       // for the far side to take an answer before its connection ends
-constexpr Nanos accept_pause = 100 * ms;  // after a failed accept
-constexpr std::size_t max_unread = max_head + max_body;  // of further requests, while one is out
-constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr Nanos millisecond = 1'000'000;
+// By the platform's page a connection without a request may be closed after 2 s, and whoever sends what is no
+// request is owed an error or the end within 3 s of connecting, of which a quarter of a second is left for
+// the way.
+constexpr Nanos idle_timeout = 2000 * millisecond;
+constexpr Nanos request_timeout = 2750 * millisecond;
+constexpr Nanos linger_timeout = 1000 * millisecond;     // for the client to take its last response
+constexpr Nanos accept_retry_pause = 100 * millisecond;  // after a failed accept
+constexpr std::size_t max_unread = max_head + max_body;  // of further requests, while one is in progress
+constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
+
+boost::asio::const_buffer buffer_of(std::string_view text) { return {text.data(), text.size()}; }
 
 }  // namespace
 
-HttpServer::HttpServer(boost::asio::io_context& io, EventClock& time, RequestHandler& taker, std::size_t most,
-                       Nanos stall, std::size_t longest)
-    : io_(io), time_(time), taker_(taker), most_(most), stall_(stall), longest_(longest), acceptor_(io) {}
+HttpServer::HttpServer(boost::asio::io_context& io, EventClock& clock, RequestHandler& handler,
+                       std::size_t max_connections, Nanos write_timeout, std::size_t max_request_body)
+    : io_(io), clock_(clock), handler_(handler), max_connections_(max_connections),
+      write_timeout_(write_timeout), max_request_body_(max_request_body), acceptor_(io) {}
 
 void HttpServer::listen(const std::string& host, std::uint16_t port) {
-    const tcp::endpoint at(boost::asio::ip::make_address(host), port);
-    acceptor_.open(at.protocol());
+    const tcp::endpoint endpoint(boost::asio::ip::make_address(host), port);
+    acceptor_.open(endpoint.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    acceptor_.bind(at);
+    acceptor_.bind(endpoint);
     acceptor_.listen(boost::asio::socket_base::max_listen_connections);
     acceptor_.non_blocking(true);
     accept();
 }
 
-// Where no more connections may be held and none can be ended, clients wait in the backlog for one that is
-// given back.
 void HttpServer::accept() {
-    if (accepting_ || !acceptor_.is_open()) return;
-    time_.due.drop(accept_again_);
-    accepting_ = true;
-    acceptor_.async_wait(tcp::acceptor::wait_read, [this](const error_code& failed) {
-        accepting_ = false;
-        if (failed || !acceptor_.is_open()) return;
-        const auto pause = [this] {
-            time_.due.move(accept_again_, time_.now() + accept_pause, *this, Handle{});
-        };
-        if (clients_.used() >= most_ && !make_room()) return pause();
-        tcp::socket socket(io_);
-        error_code ec;
-        acceptor_.accept(socket, ec);
-        if (!ec) {
-            take(std::move(socket));
-        } else if (ec != boost::asio::error::connection_aborted && ec != boost::asio::error::would_block) {
-            log_line("a connection can't be accepted: %s", ec.message().c_str());
-            make_room();
-            return pause();
-        }
-        accept();
+    if (accept_pending_ || !acceptor_.is_open()) return;
+    clock_.due.drop(accept_timer_);
+    accept_pending_ = true;
+    acceptor_.async_wait(tcp::acceptor::wait_read, [this](const error_code& failure) {
+        accept_pending_ = false;
+        if (!failure && acceptor_.is_open()) on_acceptable();
     });
 }
 
-void HttpServer::take(tcp::socket socket) {
-    error_code ec;
-    socket.set_option(tcp::no_delay(true), ec);
-    socket.non_blocking(true, ec);  // for the last reads before it is closed
-    const Handle h = clients_.take(std::move(socket), longest_);
-    clients_.find(h)->idle_since = time_.earliest();  // it may have waited in the backlog
-    await_request(h);
-    read(h);
+// Where no more connections may be held and none can be evicted, clients wait in the backlog for one that is
+// released.
+void HttpServer::on_acceptable() {
+    if (connections_.size() >= max_connections_ && !evict_one()) return retry_accept_later();
+    tcp::socket socket(io_);
+    error_code failure;
+    acceptor_.accept(socket, failure);
+    if (!failure) {
+        add_connection(std::move(socket));
+    } else if (failure != boost::asio::error::connection_aborted &&
+               failure != boost::asio::error::would_block) {
+        log_line("a connection can't be accepted: %s", failure.message().c_str());
+        evict_one();
+        return retry_accept_later();
+    }
+    accept();
 }
 
-// Guards against clients that connect, or ask once, and keep their connection without a word.
-void HttpServer::await_request(Handle h) {
-    Client& c = *clients_.find(h);
-    time_.due.move(c.due, c.idle_since + idle_timeout, *this, h);
+void HttpServer::retry_accept_later() {
+    clock_.due.move(accept_timer_, clock_.now() + accept_retry_pause, *this, Handle{});
 }
 
-// Nothing of a next request has come in.
-bool HttpServer::idle(const Client& c) const {
-    error_code ec;
-    return c.state == State::reading && !c.reader.begun() && c.socket.available(ec) == 0;
+void HttpServer::add_connection(tcp::socket socket) {
+    error_code ignored;
+    socket.set_option(tcp::no_delay(true), ignored);
+    socket.non_blocking(true, ignored);  // for the last reads before it is closed
+    const Handle handle = connections_.emplace(std::move(socket), max_request_body_);
+    connections_.find(handle)->idle_since = clock_.earliest();  // it may have waited in the backlog
+    await_request(handle);
+    read(handle);
 }
 
-// Makes room for a client that waits: ends the connection that would be missed least, of those that only wait
-// for their far side to close, then of idle ones, then of those in the middle of a request; the longest
-// first. One from which more has come in is not ended. Guards against clients that connect by the hundreds
-// and say nothing, or little: those that come to ask need not wait until the others' time is up.
-bool HttpServer::make_room() {
-    Handle least;
-    auto rank = std::pair(3, TimerQueue::never);
-    clients_.each([&](Handle h, const Client& c) {
-        error_code ec;
-        auto own = std::pair(3, TimerQueue::never);
-        if (c.state == State::lingering)
-            own = {0, c.idle_since};
-        else if (c.state == State::reading)
-            own = c.reader.begun() ? std::pair(2, c.began) : std::pair(1, c.idle_since);
-        if (own < rank && (own.first == 0 || c.socket.available(ec) == 0)) least = h, rank = own;
+// Makes room for a client that waits: ends the connection that would be missed least, of those that only
+// linger, then of idle ones, then of those in the middle of a request; the longest first. One from which more
+// has come in is not ended. Guards against clients that connect by the hundreds and say nothing, or little:
+// those that come to ask need not wait until the others' time is up.
+bool HttpServer::evict_one() {
+    enum Rank : std::uint8_t { lingering, idle, in_request, never };
+    using Candidate = std::pair<Rank, Nanos>;
+    Handle chosen;
+    Candidate least(never, TimerQueue::never);
+    connections_.for_each([&](Handle handle, const Connection& connection) {
+        Candidate candidate(never, TimerQueue::never);
+        if (connection.state == State::lingering)
+            candidate = {lingering, connection.idle_since};
+        else if (connection.state == State::reading)
+            candidate = connection.reader.begun() ? Candidate(in_request, connection.request_began)
+                                                  : Candidate(idle, connection.idle_since);
+        if (candidate >= least) return;
+        error_code ignored;
+        if (candidate.first != lingering && connection.socket.available(ignored) > 0) return;
+        chosen = handle;
+        least = candidate;
     });
-    if (clients_.find(least) == nullptr) return false;
-    close(least);
+    if (connections_.find(chosen) == nullptr) return false;
+    close(chosen);
     return true;
 }
 
-// Reads all the time, so that a client that leaves is seen. Of further requests it keeps so much; what goes
-// beyond that is read and left, and the answer that is owed is the last. Guards against sending on for a
-// client that sent much at once and went, whose end stands behind all that it sent.
-void HttpServer::read(Handle h) {
-    Client& client = *clients_.find(h);
-    if (client.reads || client.ended || client.state == State::closed) return;
-    client.reads = true;
-    client.socket.async_read_some(
-        boost::asio::buffer(client.buffer), [this, h](const error_code& ec, std::size_t n) {
-            Client& c = *clients_.find(h);
-            if (c.state == State::closed) {
-                c.reads = false;
-                return settle(h);
-            }
-            c.ended = static_cast<bool>(ec);
-            if (!ec && c.in.empty() && c.state != State::reading) c.ahead_since = time_.now();
-            const bool owing = c.state == State::asked || c.state == State::answering;
-            if (owing && c.in.size() + n > max_unread)
-                c.last = true;
-            else if (!ec && c.state != State::lingering)
-                c.in.append(c.buffer.data(), n);
-            // Guards against reading at full speed what nobody wants.
-            if (c.state == State::lingering && (c.unwanted += n) > max_unread) close(h);
-            if (c.state == State::reading) advance(h);
-            if (ec && c.state == State::asked) taker_.on_client_disconnected(h);
-            if (ec && c.state != State::answering) close(h);
-            c.reads = false;  // only now, so that the slot is kept while it is worked on
-            if (c.state == State::closed) return settle(h);
-            read(h);
-        });
+// Guards against clients that connect, or send one request, and keep their connection without a word.
+void HttpServer::await_request(Handle handle) {
+    Connection& connection = *connections_.find(handle);
+    clock_.due.move(connection.timer, connection.idle_since + idle_timeout, *this, handle);
 }
 
-void HttpServer::advance(Handle h) {
-    Client& c = *clients_.find(h);
-    const bool begun = c.reader.begun();
-    const Reading reading = c.reader.feed(c.in);
-    if (!begun && c.reader.begun()) {
-        // Its client may have waited through a stall, or while the request before it was out.
-        c.began = c.ahead_since > 0 ? c.ahead_since : std::max(c.idle_since, time_.earliest());
-        time_.due.move(c.due, (c.served ? time_.now() : c.idle_since) + request_timeout, *this, h);
+// Nothing of a next request has come in.
+bool HttpServer::is_idle(const Connection& connection) const {
+    error_code ignored;
+    return connection.state == State::reading && !connection.reader.begun() &&
+           connection.socket.available(ignored) == 0;
+}
+
+// Reads all the time, so that a client that leaves is seen.
+void HttpServer::read(Handle handle) {
+    Connection& connection = *connections_.find(handle);
+    if (connection.read_pending || connection.peer_ended || connection.state == State::closed) return;
+    connection.read_pending = true;
+    connection.socket.async_read_some(
+        boost::asio::buffer(connection.buffer),
+        [this, handle](const error_code& failure, std::size_t size) { on_received(handle, failure, size); });
+}
+
+void HttpServer::on_received(Handle handle, const error_code& failure, std::size_t size) {
+    Connection& connection = *connections_.find(handle);
+    if (connection.state == State::closed) {
+        connection.read_pending = false;
+        return release_if_ended(handle);
     }
-    if (c.in.empty()) c.ahead_since = 0;
+    connection.peer_ended = static_cast<bool>(failure);
+    if (!failure && connection.unread.empty() && connection.state != State::reading)
+        connection.next_request_began = clock_.now();
+    keep_received(handle, connection, failure ? 0 : size);
+    if (connection.state == State::reading) parse(handle);
+    if (failure && connection.state == State::waiting) handler_.on_client_disconnected(handle);
+    if (failure && connection.state != State::writing) close(handle);
+    connection.read_pending = false;  // only now, so that it is not released while it is worked on
+    if (connection.state == State::closed) return release_if_ended(handle);
+    read(handle);
+}
+
+// Keeps what belongs to this request and, up to a bound, to further ones; what goes beyond that is discarded,
+// and the response that is owed is the last. Guards against working for a client that sent much at once and
+// left, whose end stands behind all that it sent.
+void HttpServer::keep_received(Handle handle, Connection& connection, std::size_t size) {
+    const bool in_progress = connection.state == State::waiting || connection.state == State::writing;
+    if (in_progress && connection.unread.size() + size > max_unread)
+        connection.is_last = true;
+    else if (connection.state != State::lingering)
+        connection.unread.append(connection.buffer.data(), size);
+    if (connection.state != State::lingering) return;
+    // Guards against reading at full speed what nobody wants.
+    connection.discarded += size;
+    if (connection.discarded > max_unread) close(handle);
+}
+
+void HttpServer::parse(Handle handle) {
+    Connection& connection = *connections_.find(handle);
+    const bool had_begun = connection.reader.begun();
+    const Reading reading = connection.reader.feed(connection.unread);
+    if (!had_begun && connection.reader.begun()) note_request_began(handle, connection);
+    if (connection.unread.empty()) connection.next_request_began = 0;
     if (reading == Reading::more) {
-        if (c.reader.owes_continue() && !c.writes) {
-            c.continues = true;
-            write(h);
+        if (connection.reader.owes_continue() && !connection.write_pending) {
+            connection.writes_continue = true;
+            write(handle);
         }
         return;
     }
-    time_.due.drop(c.due);
-    c.state = State::asked;
+    clock_.due.drop(connection.timer);
+    connection.state = State::waiting;
     if (reading == Reading::bad) {
-        c.last = true;
-        const int status = c.reader.error_status();
-        return answer(h, {status, {}, 0});
+        connection.is_last = true;
+        return answer(handle, {connection.reader.error_status(), {}, 0});
     }
-    c.last = !c.reader.request().keep_alive;
-    taker_.on_request(h, c.reader.request(), c.began);
+    connection.is_last = !connection.reader.request().keep_alive;
+    handler_.on_request(handle, connection.reader.request(), connection.request_began);
 }
 
-void HttpServer::answer(Handle h, Answer answer) {
-    Client* c = clients_.find(h);
-    if (c == nullptr || c->state != State::asked) return;
-    c->state = State::answering;
-    c->last |= stopping_;
-    c->body = std::move(answer.body);
-    c->head =
-        write_answer_head({answer.status, c->body.size(), answer.retry_after / ms, c->last, answer.allow});
-    time_.due.move(c->due, time_.now() + stall_, *this, h);
-    write(h);
+void HttpServer::note_request_began(Handle handle, Connection& connection) {
+    // Its client may have waited through a stall, or while the request before it was in progress.
+    connection.request_began = connection.next_request_began > 0
+                                   ? connection.next_request_began
+                                   : std::max(connection.idle_since, clock_.earliest());
+    const Nanos counts_from = connection.served ? clock_.now() : connection.idle_since;
+    clock_.due.move(connection.timer, counts_from + request_timeout, *this, handle);
 }
 
-void HttpServer::write(Handle h) {
-    Client& c = *clients_.find(h);
-    if (c.writes) return;
-    c.writes = true;
-    const auto bytes = [](std::string_view text) {
-        return boost::asio::const_buffer(text.data(), text.size());
-    };
+void HttpServer::answer(Handle handle, Answer answer) {
+    Connection* connection = connections_.find(handle);
+    if (connection == nullptr || connection->state != State::waiting) return;
+    connection->state = State::writing;
+    connection->is_last |= stopping_;
+    connection->body = std::move(answer.body);
+    connection->head =
+        write_answer_head({answer.status, connection->body.size(), answer.retry_after / millisecond,
+                           connection->is_last, answer.allow});
+    clock_.due.move(connection->timer, clock_.now() + write_timeout_, *this, handle);
+    write(handle);
+}
+
+void HttpServer::write(Handle handle) {
+    Connection& connection = *connections_.find(handle);
+    if (connection.write_pending) return;
+    connection.write_pending = true;
     const std::array<boost::asio::const_buffer, 2> buffers =
-        c.continues ? std::array{bytes(go_on), bytes({})} : std::array{bytes(c.head), bytes(c.body)};
-    boost::asio::async_write(c.socket, buffers, [this, h](const error_code& ec, std::size_t) {
-        Client& client = *clients_.find(h);
-        if (client.state != State::closed && ec) {
-            if (client.state == State::asked) taker_.on_client_disconnected(h);
-            close(h);
-        }
-        client.writes = false;
-        if (client.state == State::closed) return settle(h);
-        const bool continued = std::exchange(client.continues, false);
-        if (client.state != State::answering) return;
-        if (continued) return write(h);  // an answer came meanwhile
-        flushed(h);
-    });
+        connection.writes_continue ? std::array{buffer_of(continue_response), buffer_of({})}
+                                   : std::array{buffer_of(connection.head), buffer_of(connection.body)};
+    boost::asio::async_write(
+        connection.socket, buffers,
+        [this, handle](const error_code& failure, std::size_t) { on_written(handle, failure); });
 }
 
-void HttpServer::flushed(Handle h) {
-    Client& c = *clients_.find(h);
-    time_.due.drop(c.due);
-    c.head.clear();
-    c.body.clear();
-    if (c.ended) return close(h);
-    if (c.last) return half_close(h);
-    c.state = State::reading;
-    c.served = true;
-    c.reader.next();
-    c.idle_since = time_.now();
-    await_request(h);
-    if (!c.in.empty()) advance(h);
-    read(h);
-    if (c.state == State::reading) accept();  // an idle one can be closed for one that waits
+void HttpServer::on_written(Handle handle, const error_code& failure) {
+    Connection& connection = *connections_.find(handle);
+    if (connection.state != State::closed && failure) {
+        if (connection.state == State::waiting) handler_.on_client_disconnected(handle);
+        close(handle);
+    }
+    connection.write_pending = false;
+    if (connection.state == State::closed) return release_if_ended(handle);
+    const bool wrote_continue = std::exchange(connection.writes_continue, false);
+    if (connection.state != State::writing) return;
+    if (wrote_continue) return write(handle);  // a response came meanwhile
+    on_response_written(handle);
+}
+
+void HttpServer::on_response_written(Handle handle) {
+    Connection& connection = *connections_.find(handle);
+    clock_.due.drop(connection.timer);
+    connection.head.clear();
+    connection.body.clear();
+    if (connection.peer_ended) return close(handle);
+    if (connection.is_last) return half_close(handle);
+    connection.state = State::reading;
+    connection.served = true;
+    connection.reader.next();
+    connection.idle_since = clock_.now();
+    await_request(handle);
+    if (!connection.unread.empty()) parse(handle);
+    read(handle);
+    if (connection.state == State::reading) accept();  // an idle one can be evicted for one that waits
 }
 
 // The lingering close: our side ends now, the connection once the client has ended its own, or some time
-// later. What still comes is read and never sent on; a request that crossed the end its client sends again.
-// Closing with bytes unread would reset the connection and could destroy an answer under way.
-void HttpServer::half_close(Handle h) {
-    Client& c = *clients_.find(h);
-    error_code ec;
-    c.socket.shutdown(tcp::socket::shutdown_send, ec);
-    if (ec) return close(h);
-    c.state = State::lingering;
-    c.in.clear();
-    time_.due.move(c.due, time_.now() + linger, *this, h);
-    read(h);
+// later. What still comes is read and discarded; a request that crossed the end its client sends again.
+// Closing with bytes unread would reset the connection and could destroy a response under way.
+void HttpServer::half_close(Handle handle) {
+    Connection& connection = *connections_.find(handle);
+    error_code failure;
+    connection.socket.shutdown(tcp::socket::shutdown_send, failure);
+    if (failure) return close(handle);
+    connection.state = State::lingering;
+    connection.unread.clear();
+    clock_.due.move(connection.timer, clock_.now() + linger_timeout, *this, handle);
+    read(handle);
 }
 
-void HttpServer::on_due(Handle h, std::uint64_t) {
-    if (h == Handle{}) {
-        accept_again_ = TimerQueue::none;
+void HttpServer::on_due(Handle handle, std::uint64_t) {
+    if (handle == Handle{}) {
+        accept_timer_ = TimerQueue::none;
         return accept();
     }
-    Client& c = *clients_.find(h);
-    c.due = TimerQueue::none;
-    if (c.state == State::reading && !c.reader.begun()) {
-        if (idle(c)) half_close(h);  // else its request is about to be read, which sets a time for it
+    Connection& connection = *connections_.find(handle);
+    connection.timer = TimerQueue::none;
+    if (connection.state != State::reading) return close(handle);
+    if (!connection.reader.begun()) {
+        if (is_idle(connection)) half_close(handle);  // else its request is about to be read, with a timer
         return;
     }
-    if (c.state == State::reading) {  // in the middle of a request
-        c.state = State::asked;
-        c.last = true;
-        return answer(h, {408, {}, 0});
-    }
-    close(h);
+    connection.state = State::waiting;  // the request did not become complete in time
+    connection.is_last = true;
+    answer(handle, {408, {}, 0});
 }
 
 void HttpServer::begin_stop() {
     stopping_ = true;
-    close_idle(time_.now());
+    close_idle(clock_.now());
 }
 
 void HttpServer::close_idle(Nanos since) {
-    clients_.each([this, since](Handle h, Client& c) {
-        if (c.idle_since <= since && idle(c)) half_close(h);
+    connections_.for_each([this, since](Handle handle, Connection& connection) {
+        if (connection.idle_since <= since && is_idle(connection)) half_close(handle);
     });
 }
 
 bool HttpServer::end_listening() {
-    error_code ec;
+    error_code failure;
     tcp::socket socket(io_);
-    acceptor_.accept(socket, ec);
-    if (!ec) {
-        take(std::move(socket));
+    acceptor_.accept(socket, failure);
+    if (!failure) {
+        add_connection(std::move(socket));
         return false;
     }
-    acceptor_.close(ec);
+    acceptor_.close(failure);
     return true;
 }
 
 void HttpServer::close_all() {
-    error_code ec;
-    acceptor_.close(ec);
-    clients_.each([this](Handle h, Client&) { close(h); });
+    error_code ignored;
+    acceptor_.close(ignored);
+    connections_.for_each([this](Handle handle, Connection&) { close(handle); });
 }
 
-void HttpServer::close(Handle h) {
-    Client* c = clients_.find(h);
-    if (c == nullptr || c->state == State::closed) return;
-    c->state = State::closed;
-    time_.due.drop(c->due);
-    error_code ec;
-    c->socket.shutdown(tcp::socket::shutdown_send, ec);
-    for (std::size_t left = max_unread; !ec && left > 0;)  // unread bytes would make it a reset
-        left -= std::min(left, c->socket.read_some(boost::asio::buffer(c->buffer), ec));
-    c->socket.close(ec);
-    settle(h);
+void HttpServer::close(Handle handle) {
+    Connection* connection = connections_.find(handle);
+    if (connection == nullptr || connection->state == State::closed) return;
+    connection->state = State::closed;
+    clock_.due.drop(connection->timer);
+    error_code failure;
+    connection->socket.shutdown(tcp::socket::shutdown_send, failure);
+    for (std::size_t left = max_unread; !failure && left > 0;)  // unread bytes would make it a reset
+        left -=
+            std::min(left, connection->socket.read_some(boost::asio::buffer(connection->buffer), failure));
+    connection->socket.close(failure);
+    release_if_ended(handle);
 }
 
-void HttpServer::settle(Handle h) {
-    Client* c = clients_.find(h);
-    if (c == nullptr || c->state != State::closed || c->reads || c->writes) return;
-    clients_.give_back(h);
+void HttpServer::release_if_ended(Handle handle) {
+    const Connection* connection = connections_.find(handle);
+    if (connection == nullptr || connection->state != State::closed) return;
+    if (connection->read_pending || connection->write_pending) return;
+    connections_.release(handle);
     accept();
 }
 
--- a/src/wire/http_server.hpp
+++ b/src/wire/http_server.hpp
@@ -1,5 +1,4 @@
-// Connections of clients: requests in, answers out, one at a time on each. Owns the sockets; a slot is given
-// back in `settle`, once no operation on it is under way.
+// The HTTP server for clients: requests in, responses out, one at a time on each connection.
 #pragma once
 
 #include <array>
@@ -16,40 +15,45 @@
 struct Answer {
     int status = 200;
     std::string body;
-    Nanos retry_after = 0;        // 0 for none
-    std::string_view allow = {};  // the method that would be taken, with 405
+    Nanos retry_after = 0;        // in nanoseconds; 0 for none
+    std::string_view allow = {};  // the method that would be accepted, with 405
 };
 
-// What stands behind the front. Each request is answered exactly once by HttpServer::answer, at once or
-// later, unless its client has gone.
+// What the server hands requests to. Each request is answered exactly once by ResponseWriter::answer, at once
+// or later, unless its client is disconnected before.
 class RequestHandler {
   public:
     virtual ~RequestHandler() = default;
+    // `began` is when the request began to come in. The request may be moved from.
     virtual void on_request(Handle client, Request& request, Nanos began) = 0;
+    // The client of a request that is not answered yet has closed its side.
     virtual void on_client_disconnected(Handle client) = 0;
 };
 
-// Where answers go.
+// Where responses go.
 class ResponseWriter {
   public:
     virtual ~ResponseWriter() = default;
+    // Does nothing for a client that is disconnected.
     virtual void answer(Handle client, Answer answer) = 0;
 };
 
+// Owns the connections; each is released in `release_if_ended`, once it is closed and no read or write on it
+// is under way.
 class HttpServer final : public ResponseWriter, public DueHandler {
   public:
-    // At most so many connections; a client that does not take its answer is let go after `stall`. Bodies up
-    // to `longest` are let in.
-    HttpServer(boost::asio::io_context& io, EventClock& time, RequestHandler& taker, std::size_t most,
-               Nanos stall, std::size_t longest = max_body);
+    // At most `max_connections` at a time; a client that does not take its response within `write_timeout` is
+    // disconnected. Bodies of requests are accepted up to `max_request_body` bytes.
+    HttpServer(boost::asio::io_context& io, EventClock& clock, RequestHandler& handler,
+               std::size_t max_connections, Nanos write_timeout, std::size_t max_request_body = max_body);
 
-    // Throws boost::system::system_error where the address can't be had.
+    // Throws boost::system::system_error where the address can't be bound.
     void listen(const std::string& host, std::uint16_t port);
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
-    void answer(Handle client, Answer answer) override;
+    void answer(Handle handle, Answer answer) override;
 
-    // From now on answers close their connection, and idle ones are half-closed.
+    // From now on responses close their connection, and idle ones are half-closed.
     void begin_stop();
     // Half-closes connections that have been idle since then, but for those whose next request has come in.
     void close_idle(Nanos since);
@@ -57,52 +61,71 @@
     bool end_listening();
     void close_all();
 
-    std::size_t open() const { return clients_.used(); }
-    void on_due(Handle client, std::uint64_t what) override;
+    // Connections, lingering ones included.
+    std::size_t open() const { return connections_.size(); }
+    void on_due(Handle handle, std::uint64_t what) override;
 
   private:
-    enum class State : std::uint8_t { reading, asked, answering, lingering, closed };
-    struct Client {
-        Client(boost::asio::ip::tcp::socket s, std::size_t longest) : socket(std::move(s)), reader(longest) {}
+    // reading a request, waiting for the handler's response, writing it, or half-closed.
+    enum class State : std::uint8_t { reading, waiting, writing, lingering, closed };
+    struct Connection {
+        Connection(boost::asio::ip::tcp::socket accepted, std::size_t max_request_body)
+            : socket(std::move(accepted)), reader(max_request_body) {}
 
         boost::asio::ip::tcp::socket socket;
         State state = State::reading;
-        bool last = false, ended = false, reads = false, writes = false;  // last: no further request is taken
+        bool is_last = false;  // no further request is served
+        bool peer_ended = false;
+        bool read_pending = false, write_pending = false;
         RequestReader reader;
-        std::string in;
+        std::string unread;  // received, not yet taken by the reader
         std::array<char, 4096> buffer;
-        std::string head, body;    // being written
-        bool served = false;       // at least one request
-        bool continues = false;    // word to go on is being written
-        std::size_t unwanted = 0;  // read in the lingering close
-        Nanos idle_since = 0, began = 0;
-        Nanos ahead_since = 0;  // when the next request began to come in while one was out; 0 for not
-        TimerQueue::Ticket due = TimerQueue::none;
+        std::string head, body;        // of the response, while it is written
+        bool served = false;           // at least one request
+        bool writes_continue = false;  // "100 Continue" is being written
+        std::size_t discarded = 0;     // bytes, while lingering
+        Nanos idle_since = 0;
+        Nanos request_began = 0;
+        Nanos next_request_began = 0;  // while one is in progress; 0 where nothing of a next one has come
+        TimerQueue::Ticket timer = TimerQueue::none;
     };
 
+    // Accepting.
     void accept();
-    void take(boost::asio::ip::tcp::socket socket);
-    void await_request(Handle h);
-    void read(Handle h);
-    void advance(Handle h);
-    void write(Handle h);
-    void flushed(Handle h);
-    void half_close(Handle h);
-    void close(Handle h);
-    void settle(Handle h);
-    bool idle(const Client& client) const;
-    bool make_room();
+    void on_acceptable();
+    void retry_accept_later();
+    void add_connection(boost::asio::ip::tcp::socket socket);
+    bool evict_one();
+
+    // Reading requests.
+    void await_request(Handle handle);
+    void read(Handle handle);
+    void on_received(Handle handle, const boost::system::error_code& failure, std::size_t size);
+    void keep_received(Handle handle, Connection& connection, std::size_t size);
+    void parse(Handle handle);
+    void note_request_began(Handle handle, Connection& connection);
+    bool is_idle(const Connection& connection) const;
+
+    // Writing responses.
+    void write(Handle handle);
+    void on_written(Handle handle, const boost::system::error_code& failure);
+    void on_response_written(Handle handle);
+
+    // Ending.
+    void half_close(Handle handle);
+    void close(Handle handle);
+    void release_if_ended(Handle handle);
 
     boost::asio::io_context& io_;
-    EventClock& time_;
-    RequestHandler& taker_;
-    const std::size_t most_;
-    const Nanos stall_;
-    const std::size_t longest_;
+    EventClock& clock_;
+    RequestHandler& handler_;
+    const std::size_t max_connections_;
+    const Nanos write_timeout_;
+    const std::size_t max_request_body_;
     boost::asio::ip::tcp::acceptor acceptor_;
-    SlotMap<Client> clients_;
-    bool accepting_ = false, stopping_ = false;
-    TimerQueue::Ticket accept_again_ = TimerQueue::none;
+    SlotMap<Connection> connections_;
+    bool accept_pending_ = false, stopping_ = false;
+    TimerQueue::Ticket accept_timer_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/list_bound.hpp
+++ b/src/wire/list_bound.hpp
@@ -1,5 +1,5 @@
-// How long the answers of discovery and of the managers may be: by the size of the deployment, as its
-// settings state it. Nothing is kept free for them.
+// How long the answers of discovery and of the fleet managers may be, by the size of the deployment as its
+// settings state it. No memory is reserved for them.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,14 @@
 namespace tealcart {
 
 struct ListBound {
-    static constexpr std::size_t least = 8 * 1024 * 1024;  // whatever the settings state
-    std::size_t bytes = least;
+    static constexpr std::size_t min_bytes = 8 * 1024 * 1024;  // whatever the settings state
+    std::size_t bytes = min_bytes;
     std::string why = "the least bound";  // where it comes from, for the log
 };
 
-// Of a list. `memory` is what the process may have, in bytes; 0 for no bound of its own.
+// Of an endpoint list. `memory` is what the process may have, in bytes; 0 for no bound of its own.
 ListBound bound_of_list(const RouterConfig& config, std::size_t memory);
-// Of a manager's answer, which names every node that is out, and every router.
+// Of a fleet manager's answer, which names every node that is out, and every router.
 ListBound bound_of_agreed(const RouterConfig& config, std::size_t memory);
 
 }  // namespace tealcart
--- a/src/wire/node_connection_pool.cpp
+++ b/src/wire/node_connection_pool.cpp
@@ -105,7 +105,7 @@
 // frames wait as on one that is connecting. Guards against blaming nodes, and using up attempts, where the
 // router itself is out of descriptors.
 Handle NodeConnectionPool::add_connection(std::uint32_t node, const std::string& address, bool two_phase) {
-    const Handle handle = connections_.take(io_, node, address, two_phase);
+    const Handle handle = connections_.emplace(io_, node, address, two_phase);
     by_node_[node].push_back(handle);
     waiting_.push_back(handle);
     return handle;
@@ -126,7 +126,7 @@
 
 void NodeConnectionPool::close_one_idle() {
     Handle idle;
-    connections_.each([&idle](Handle handle, const NodeConnection& connection) {
+    connections_.for_each([&idle](Handle handle, const NodeConnection& connection) {
         if (connection.connected() && !connection.closed() && connection.in_flight().empty()) idle = handle;
     });
     close(idle, Outcome::reset);
@@ -309,7 +309,7 @@
 
 void NodeConnectionPool::close_all() {
     opening_suspended_ = true;
-    connections_.each([this](Handle handle, NodeConnection&) { close(handle, Outcome::reset); });
+    connections_.for_each([this](Handle handle, NodeConnection&) { close(handle, Outcome::reset); });
 }
 
 // Ends a connection that brought what can't be read. That was the answer to one attempt: to the oldest that
@@ -348,7 +348,7 @@
 
 void NodeConnectionPool::release_if_ended(Handle handle) {
     const NodeConnection* connection = connections_.find(handle);
-    if (connection != nullptr && connection->may_be_released()) connections_.give_back(handle);
+    if (connection != nullptr && connection->may_be_released()) connections_.release(handle);
 }
 
 }  // namespace tealcart
--- a/src/wire/node_frames.cpp
+++ b/src/wire/node_frames.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 
 namespace tealcart {
 
--- a/src/wire/phase_frames.cpp
+++ b/src/wire/phase_frames.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <cstring>
 
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 
 namespace tealcart {
 namespace {
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -31,7 +31,7 @@
     std::signal(SIGPIPE, SIG_IGN);
     const StartupConfig read = [&] {
         StartupConfig launch = read_startup_config_file(config);
-        follow_operators(launch, read_operator_file(file));
+        apply_operator_config(launch, read_operator_file(file));
         return launch;
     }();
     const ControlConfig& control = read.operators.control;
@@ -61,7 +61,7 @@
         timer.expires_after(tick_every);
         timer.async_wait([&](const boost::system::error_code& ec) {
             if (ec) return;
-            time.due.tell(time.now());
+            time.due.fire_due(time.now());
             server.tick();
             const Nanos age = server.figures().list_age;
             if (age > told_stale_after && !std::exchange(told_stale, true))
@@ -74,7 +74,7 @@
     next();
     while (!stopping) {
         io.run_one();
-        time.due.tell(time.now());
+        time.due.fire_due(time.now());
     }
     const auto figures = server.figures();
     log_line("stopping: %zu proxies", figures.streams);
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -240,7 +240,7 @@
             R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
             fleet.entries() + "]},\"settings\":" + settings + "}");
         made.listen.port = 0;
-        if (!operators.empty()) follow_operators(made, read_operator_config(operators, "operators"));
+        if (!operators.empty()) apply_operator_config(made, read_operator_config(operators, "operators"));
         return made;
     }
     template <typename Happened>
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -34,7 +34,7 @@
     void settle() {
         while (io.poll() > 0) {
         }
-        time.due.tell(now);
+        time.due.fire_due(now);
         while (io.poll() > 0) {
         }
     }
@@ -210,7 +210,7 @@
         for (int i = 0; i < 2; ++i) {
             while (io.poll() > 0) {
             }
-            time.due.tell(now);
+            time.due.fire_due(now);
         }
         for (; !line.empty() && line.front().at <= now; line.pop_front())
             if (!line.front().peer->ended) line.front().peer->send(reply(list_five));
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -10,7 +10,7 @@
 
 #include "members/agreed_list.hpp"
 #include "tables/node_table.hpp"
-#include "wire/bodies.hpp"
+#include "wire/endpoint_list_codec.hpp"
 
 using namespace tealcart;
 
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -90,7 +90,7 @@
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (member.applied_generation() != 1 && std::chrono::steady_clock::now() < end) {
         io.run_one_for(std::chrono::milliseconds(10));
-        time.due.tell(time.now());
+        time.due.fire_due(time.now());
     }
     CHECK(member.applied_generation() == 1);
     CHECK(host.nodes == Told{{"n0", Lifecycle::draining}, {"n1", Lifecycle::ready}});
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -73,7 +73,7 @@
         if (none_left) return {};
         // A link a node, and a new one where that is to be avoided.
         Handle link{node, 1};
-        while (std::find(avoid.begin(), avoid.end(), link) != avoid.end()) ++link.life;
+        while (std::find(avoid.begin(), avoid.end(), link) != avoid.end()) ++link.generation;
         for (const AttemptMessage& piece : pieces) {
             Asked& q = of(piece);
             REQUIRE(q.answers == 0);  // no shard request is sent after the final answer
@@ -190,7 +190,7 @@
     }
     void step(Nanos span = 5 * ms) {
         model.now += span;
-        time.due.tell(model.now);
+        time.due.fire_due(model.now);
         if (dispatcher.next_round() <= model.now) dispatcher.run_round();
     }
 };
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -106,7 +106,7 @@
                                 R"(},"known":{"generation":4,"reset":true,"instances":[)" + known +
                                 "]},\"settings\":" + test::settings_text + "}");
         made.listen.port = 0;  // a free one
-        if (!operators.empty()) follow_operators(made, read_operator_config(operators, "f"));
+        if (!operators.empty()) apply_operator_config(made, read_operator_config(operators, "f"));
         return made;
     }
     std::string entry(int n, const std::string& state) const {
@@ -529,7 +529,7 @@
     rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers.back()->got.empty(); });
     rig.owner.end(Handle{200, 1});
     rig.now += rig.config.idle_close - 1;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     CHECK_FALSE(rig.send(1, 201) == kept);
     rig.until([&] { return rig.links.open() == 1; });
     // A connection that is not made in time has carried nothing.
@@ -537,7 +537,7 @@
     rig.now += rig.config.connect_timeout;
     rig.send(2, 300);
     rig.now += rig.config.connect_timeout;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     CHECK(rig.owner.lost.back() == std::pair(Handle{300, 1}, Outcome::connect_failed));
 }
 
@@ -677,7 +677,7 @@
     CHECK_FALSE(rig.send(0, 2) == link);
     rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->got.empty(); });
     rig.now += rig.config.connect_timeout;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     CHECK(rig.owner.lost == std::vector{std::pair(Handle{1, 1}, Outcome::error)});
     // One that ends in time is as good as any, and its connection is used again.
     const Handle second = rig.owner.used[1];
@@ -739,11 +739,11 @@
     rig.until([&] { return rig.time.due.next() != silent_until; });
     CHECK(rig.time.due.next() < rig.now + 1100 * test::ms);
     rig.now = rig.time.due.next() - 1;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     rig.io.poll();
     CHECK(c->got.empty());
     rig.now += 1;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     rig.until([&] { return c->ended; });
     CHECK(c->got.find("HTTP/1.1 408 ") == 0);
     CHECK(rig.taken.empty());
@@ -776,11 +776,11 @@
     const auto held = rig.client("GET /held HTTP/1.1\r\n\r\n");
     rig.until([&] { return rig.taken.size() == 2 && rig.front.open() == 3 && !served->got.empty(); });
     rig.now += 2000 * test::ms - 1;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     rig.io.poll();
     CHECK(rig.front.open() == 3);
     rig.now += 1;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     rig.until([&] { return silent->ended && served->ended; });
     for (const auto& c : {silent, served}) c->socket.close();
     rig.until([&] { return rig.front.open() == 1; });
@@ -822,7 +822,7 @@
         rig.front.begin_stop();
     } else {
         rig.now += 2000 * test::ms;
-        rig.time.due.tell(rig.now);
+        rig.time.due.fire_due(rig.now);
     }
     c->send(get);
     rig.until([&] { return c->ended; });
@@ -844,7 +844,7 @@
     rig.until([&] { return c->ended; });
     CHECK(rig.front.open() == 1);
     rig.now += 1000 * test::ms;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     rig.until([&] { return rig.front.open() == 0; });
 }
 
@@ -860,7 +860,7 @@
     rig.front.answer(rig.last, {200, body});
     rig.until([&] { return rig.time.due.next() == rig.now + 1000 * test::ms; });  // our side has ended
     rig.now += 1000 * test::ms;
-    rig.time.due.tell(rig.now);
+    rig.time.due.fire_due(rig.now);
     rig.until([&] { return rig.front.open() == 0; });
     c->read();
     rig.until([&] { return c->ended; });
--- a/tests/tables_test.cpp
+++ b/tests/tables_test.cpp
@@ -17,15 +17,15 @@
     std::vector<Handle> old;
     for (int i = 0; i < 2000; ++i) {
         if (held.empty() || chance() % 5 < 3) {
-            held.emplace_back(slots.take(i), i);
+            held.emplace_back(slots.emplace(i), i);
         } else {
             const std::size_t at = chance() % held.size();
-            slots.give_back(held[at].first);
-            slots.give_back(held[at].first);  // once more does nothing
+            slots.release(held[at].first);
+            slots.release(held[at].first);  // once more does nothing
             old.push_back(held[at].first);
             held.erase(held.begin() + static_cast<std::ptrdiff_t>(at));
         }
-        REQUIRE(slots.used() == held.size());
+        REQUIRE(slots.size() == held.size());
     }
     for (const auto& [h, value] : held) REQUIRE((slots.find(h) != nullptr && *slots.find(h) == value));
     for (const Handle h : old) REQUIRE(slots.find(h) == nullptr);
@@ -63,7 +63,7 @@
         if (chance() % 8 != 0) continue;
         now += static_cast<Nanos>(chance() % 40);
         told.all.clear();
-        due.tell(now);
+        due.fire_due(now);
         std::vector<std::uint64_t> expected;
         for (; !plain.empty() && plain.begin()->first <= now; plain.erase(plain.begin()))
             expected.push_back(plain.begin()->second);
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -54,7 +54,7 @@
                 R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
                 fleet.entries() + "]},\"settings\":" + settings + "}");
             made.listen.port = 0;
-            follow_operators(made, read_operator_config(operators, "operators"));
+            apply_operator_config(made, read_operator_config(operators, "operators"));
             return made;
         });
         connect();
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,10 +1,13 @@
 // What is spoken: HTTP, bodies, lists and frames, on bytes alone; whole, byte by byte, cut off and malformed.
 #include <catch2/catch.hpp>
 
+#include "config/host_port.hpp"
 #include "config/router_config_reader.hpp"
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
+#include "wire/endpoint_list_codec.hpp"
 #include "wire/http.hpp"
 #include "wire/node_frames.hpp"
+#include "wire/query_body.hpp"
 
 using namespace tealcart;
 
@@ -23,9 +26,9 @@
 }
 
 std::string wrong_with(const std::string& body) {
-    std::string wrong;
-    read_query(body, 4, wrong);
-    return wrong;
+    const auto read = read_query(body, 4);
+    const auto* wrong = std::get_if<QueryBodyError>(&read);
+    return wrong != nullptr ? std::string(wrong->message) : std::string();
 }
 
 }  // namespace
@@ -128,11 +131,11 @@
 }
 
 TEST_CASE("a query's body is read, its weights made to sum to 1") {
-    std::string wrong;
-    const QueryBody q = read_query(
+    const auto read = read_query(
         R"({"segments":[{"segment":3,"boost":0.75,"work":9000,"affinity":"00ff"},{"segment":0,"boost":0.249998}],"text":"c4\n"})",
-        4, wrong);
-    REQUIRE(wrong.empty());
+        4);
+    REQUIRE(std::holds_alternative<QueryBody>(read));
+    const auto& q = std::get<QueryBody>(read);
     CHECK(q.text == "c4\n");
     REQUIRE(q.shard_requests.size() == 2);
     CHECK(q.shard_requests[0].shard == 3);
