--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -19,7 +19,8 @@
 #include "fleet/fleet_state.hpp"
 #include "fleet_manager/endpoint_view.hpp"
 #include "fleet_manager/operator_requests.hpp"
-#include "members/agreed_list.hpp"
+#include "fleet_manager/status_page.hpp"
+#include "members/endpoint_overlay.hpp"
 #include "tables/node_table.hpp"
 #include "testing/fleet.hpp"
 #include "wire/http_server.hpp"
@@ -84,7 +85,6 @@
 }
 
 void words() {
-    std::string wrong;
     std::size_t sink = 0;
     point("wire.head", 1, static_cast<double>(write_answer_head({200, 1000}).size()));
     for (const std::size_t named : {0, 100, 1000}) {
@@ -92,8 +92,7 @@
         const std::string bytes = write_member_call(call);
         point("member.call_bytes", named, static_cast<double>(bytes.size()));
         point("member.call_write", named, cost(2000, [&] { sink += write_member_call(call).size(); }));
-        point("steward.call_read", named,
-              cost(2000, [&] { sink += read_member_call(bytes, wrong)->name.size(); }));
+        point("steward.call_read", named, cost(2000, [&] { sink += read_member_call(bytes)->name.size(); }));
     }
     for (const std::size_t out : {0, 100, 1000, 7050}) {
         MemberAnswer answer{1'234'567, 10'000 * ms, {}, false};
@@ -207,16 +206,16 @@
         if (last > 100) break;
         RouterConfig config;
         config.places = config.shards = static_cast<int>(nodes / 3);
-        manager::NodeView seen(config);
+        manager::EndpointView seen(config);
         EndpointList list{1, true, {}, 0};
         for (std::size_t i = 0; i < nodes / 3 * 3; ++i)
             list.nodes.push_back({node_name(i), "10.0.0.1:7300", "r1z1", "kind-1",
                                   static_cast<std::uint32_t>(i / 3), Lifecycle::ready, 0});
-        seen.take(list, 1);
+        seen.on_endpoints(list, 1);
         fleet::FleetState agreed{fleet::Budgets{}};
-        if (auto news = seen.news(agreed, 2)) agreed.apply({"", 2, std::move(*news)});
+        if (auto news = seen.differences(agreed, 2)) agreed.apply({"", 2, std::move(*news)});
         bool any = false;
-        last = cost(3, [&] { any |= seen.news(agreed, 3).has_value(); }) / 1e3;
+        last = cost(3, [&] { any |= seen.differences(agreed, 3).has_value(); }) / 1e3;
         if (any) std::printf("something was left to be agreed\n");
         point("steward.view", nodes, last);
         point("steward.view_product", nodes * (nodes / 3) / 1000, last);
@@ -245,7 +244,7 @@
         auto known = std::make_unique<NodeTable>();
         known->apply(list);
         const double of_nodes = heap_bytes();
-        auto agreed = std::make_unique<AgreedList>();
+        auto agreed = std::make_unique<EndpointOverlay>();
         agreed->discovered(list);
         point("router.list_bytes", nodes, static_cast<double>(bytes) / 1e6);
         point("router.list_memory", nodes, (of_nodes - before) / 1e6);
--- a/src/members/agreed_list.cpp
+++ b/src/members/endpoint_overlay.cpp
@@ -1,4 +1,4 @@
-#include "members/agreed_list.hpp"
+#include "members/endpoint_overlay.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -6,12 +6,12 @@
 
 namespace tealcart {
 
-ListedEndpoint AgreedList::joined(ListedEndpoint node) const {
+ListedEndpoint EndpointOverlay::joined(ListedEndpoint node) const {
     if (node.lifecycle == Lifecycle::ready && is_out(node.id)) node.lifecycle = Lifecycle::draining;
     return node;
 }
 
-EndpointList AgreedList::discovered(const EndpointList& news) {
+EndpointList EndpointOverlay::discovered(const EndpointList& news) {
     if (news.full) nodes_.clear();
     generation_ = news.generation;
     EndpointList list = news;
@@ -26,7 +26,7 @@
     return list;
 }
 
-EndpointList AgreedList::agreed(std::set<std::string> out) {
+EndpointList EndpointOverlay::agreed(std::set<std::string> out) {
     std::vector<std::string> changed;
     std::set_symmetric_difference(out_.begin(), out_.end(), out.begin(), out.end(),
                                   std::back_inserter(changed));
@@ -41,7 +41,7 @@
     return list;
 }
 
-EndpointList AgreedList::cut(bool cut) {
+EndpointList EndpointOverlay::cut(bool cut) {
     EndpointList list{generation_, false, {}, 0};
     if (std::exchange(cut_, cut) == cut) return list;
     for (const auto& [name, node] : nodes_) {
--- a/src/service/attempt_dispatcher.cpp
+++ b/src/service/attempt_dispatcher.cpp
@@ -49,12 +49,12 @@
     queued_.push_back(handle);
 }
 
-void AttemptDispatcher::send_queued(const NodeTable& nodes, Nanos no_calls_after) {
+void AttemptDispatcher::send_queued(const NodeTable& nodes, Nanos attempts_until) {
     for (std::size_t i = 0; i < queued_.size(); ++i) {
         const Attempt* first = attempts_.find(queued_[i]);
         if (!is_queued(first)) continue;  // ended, or sent with an earlier one
         const std::uint32_t node = first->node;
-        Batch batch = gather_batch(i, no_calls_after);
+        Batch batch = gather_batch(i, attempts_until);
         std::vector<Handle> sent;
         for (const AttemptMessage& message : batch.messages) sent.push_back(message.attempt);
         const Handle connection =
@@ -72,14 +72,14 @@
 }
 
 // The attempt in this place with the queued ones behind it that may share its frame.
-AttemptDispatcher::Batch AttemptDispatcher::gather_batch(std::size_t first, Nanos no_calls_after) {
+AttemptDispatcher::Batch AttemptDispatcher::gather_batch(std::size_t first, Nanos attempts_until) {
     Batch batch;
     const std::uint32_t node = attempts_.find(queued_[first])->node;
     for (std::size_t i = first; i < queued_.size() && batch.messages.size() < max_requests_per_call_; ++i) {
         Attempt* attempt = attempts_.find(queued_[i]);
         if (!is_queued(attempt) || attempt->node != node) continue;
         if (!batch.messages.empty() && batch.messages.front().letter != attempt->letter) continue;
-        batch.messages.push_back(make_message(queued_[i], *attempt, no_calls_after));
+        batch.messages.push_back(make_message(queued_[i], *attempt, attempts_until));
         const Query& query = *queries_.find(attempt->query);
         const auto& used = query.shard_requests[attempt->shard_request].connections;
         batch.avoid.insert(batch.avoid.end(), used.begin(), used.end());
@@ -89,11 +89,11 @@
 }
 
 AttemptMessage AttemptDispatcher::make_message(Handle handle, const Attempt& attempt,
-                                               Nanos no_calls_after) const {
+                                               Nanos attempts_until) const {
     const Query& query = *queries_.find(attempt.query);
     const ShardRequest& shard_request = query.shard_requests[attempt.shard_request];
     AttemptMessage message{handle, query.text, shard_request.shard, attempt.deadline,
-                           send_by(query, shard_request, attempt, no_calls_after)};
+                           send_by(query, shard_request, attempt, attempts_until)};
     if (attempt.letter == 'R') return message;
     message.letter = attempt.letter;
     message.leg = shard_request.leg;
@@ -105,9 +105,9 @@
 // A retry with an idempotency key must not wait for a connection until it would run as a new request: the
 // window counts from when the first attempt was sent.
 Nanos AttemptDispatcher::send_by(const Query& query, const ShardRequest& shard_request,
-                                 const Attempt& attempt, Nanos no_calls_after) const {
-    if (!with_key_[query.query_class] || attempt.number == 0) return no_calls_after;
-    return std::min(no_calls_after, shard_request.first_sent_at + idempotency_window_[query.query_class]);
+                                 const Attempt& attempt, Nanos attempts_until) const {
+    if (!with_key_[query.query_class] || attempt.number == 0) return attempts_until;
+    return std::min(attempts_until, shard_request.first_sent_at + idempotency_window_[query.query_class]);
 }
 
 Handle AttemptDispatcher::find_in_flight(const ShardRequest& shard_request, Handle connection) const {
@@ -158,7 +158,7 @@
     const Attempt ended = *attempt;
     attempts_.release(handle);
     sender_->complete(ended.connection, handle);
-    if (outcomes_ != nullptr) outcomes_->on_call_end(ended.node, outcome);
+    if (outcomes_ != nullptr) outcomes_->on_attempt_end(ended.node, outcome);
     Query& query = *queries_.find(ended.query);
     ShardRequest& shard_request = query.shard_requests[ended.shard_request];
     if (outcome == Outcome::ok && !shard_request.answered && !query.ended &&
--- a/src/service/attempt_dispatcher.hpp
+++ b/src/service/attempt_dispatcher.hpp
@@ -32,7 +32,7 @@
     AttemptDispatcher(EventClock& clock, QueryTable& queries, EventQueue& events,
                       const StartupConfig& startup);
     void connect(AttemptSender& sender) { sender_ = &sender; }
-    void set_observer(OutcomeTaker* observer) { outcomes_ = observer; }
+    void set_observer(OutcomeObserver* observer) { outcomes_ = observer; }
 
     // Begins an attempt in the current round; `wait` is how long the module waits for it, 0 for as long as
     // the query does.
@@ -41,7 +41,7 @@
     void queue(Handle handle, char letter);
     // Hands over what the round has added. Attempts to one node travel together, as many in a frame as the
     // deployment allows. With `no_calls_after` nothing is written later than that.
-    void send_queued(const NodeTable& nodes, Nanos no_calls_after);
+    void send_queued(const NodeTable& nodes, Nanos attempts_until);
 
     const Attempt* find(Handle handle) const { return attempts_.find(handle); }
     // The attempt of a shard request that is in flight on a connection: late answers and those to an earlier
@@ -75,17 +75,17 @@
     bool is_queued(const Attempt* attempt) const {
         return attempt != nullptr && attempt->timeout == TimerQueue::none;
     }
-    Batch gather_batch(std::size_t first, Nanos no_calls_after);
-    AttemptMessage make_message(Handle handle, const Attempt& attempt, Nanos no_calls_after) const;
+    Batch gather_batch(std::size_t first, Nanos attempts_until);
+    AttemptMessage make_message(Handle handle, const Attempt& attempt, Nanos attempts_until) const;
     Nanos send_by(const Query& query, const ShardRequest& shard_request, const Attempt& attempt,
-                  Nanos no_calls_after) const;
+                  Nanos attempts_until) const;
     bool keep_value(Query& query, ShardRequest& shard_request, std::string_view value);
 
     EventClock& clock_;
     QueryTable& queries_;
     EventQueue& events_;
     AttemptSender* sender_ = nullptr;
-    OutcomeTaker* outcomes_ = nullptr;
+    OutcomeObserver* outcomes_ = nullptr;
     const std::size_t max_requests_per_call_;
     // By query class: whether retries are bound to a key's window, and how long that is, with a margin.
     std::vector<bool> with_key_;
--- a/src/service/query_completion.hpp
+++ b/src/service/query_completion.hpp
@@ -16,7 +16,7 @@
     QueryCompletion(QueryTable& queries, AttemptDispatcher& attempts)
         : queries_(queries), attempts_(attempts) {}
     void connect(ResponseWriter& writer) { writer_ = &writer; }
-    void set_observer(OutcomeTaker* observer) { outcomes_ = observer; }
+    void set_observer(OutcomeObserver* observer) { outcomes_ = observer; }
 
     // Ends a query, by the module's id, with this response; does nothing where it has ended.
     void respond(std::uint32_t id, Answer response);
@@ -31,7 +31,7 @@
     QueryTable& queries_;
     AttemptDispatcher& attempts_;
     ResponseWriter* writer_ = nullptr;
-    OutcomeTaker* outcomes_ = nullptr;
+    OutcomeObserver* outcomes_ = nullptr;
 };
 
 }  // namespace tealcart
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -31,10 +31,10 @@
 void QueryDispatcher::set_serving_state(ServingStateSource source, const MemberServingState& state) {
     serving_states_[static_cast<std::size_t>(source)] = state;
     const auto& [a, b] = serving_states_;
-    serving_state_ = {a.ready && b.ready, a.admits && b.admits, std::min(a.no_calls_after, b.no_calls_after)};
+    serving_state_ = {a.ready && b.ready, a.admits && b.admits, std::min(a.attempts_until, b.attempts_until)};
 }
 
-void QueryDispatcher::watch_outcomes(OutcomeTaker* observer) {
+void QueryDispatcher::observe_outcomes(OutcomeObserver* observer) {
     attempts_.set_observer(observer);
     completion_.set_observer(observer);
 }
@@ -67,9 +67,9 @@
 
 void QueryDispatcher::begin_query(Handle client, Request& request, QueryRequest query_request, Nanos began) {
     const bool needs_key = parser_.needs_key(query_request.query_class);
-    auto text =
-        std::make_shared<QueryText>(std::move(request.id), needs_key ? std::move(request.key) : std::string(),
-                                    std::move(query_request.body.text));
+    auto text = std::make_shared<QueryText>(QueryText{std::move(request.id),
+                                                      needs_key ? std::move(request.key) : std::string(),
+                                                      std::move(query_request.body.text), std::string()});
     const Handle handle = queries_.add(client, std::move(text));
     Query& query = *queries_.find(handle);
     query.query_class = query_request.query_class;
@@ -127,7 +127,7 @@
 
 void QueryDispatcher::on_attempt_lost(Handle attempt, Outcome outcome) { attempts_.end(attempt, outcome); }
 
-bool QueryDispatcher::any_call_to(const std::function<bool(const std::string&)>& matches) const {
+bool QueryDispatcher::any_attempt_to(const std::function<bool(const std::string&)>& matches) const {
     return attempts_.any_in_flight_to([&](std::uint32_t node) { return matches(nodes_.name(node)); });
 }
 
@@ -142,7 +142,7 @@
 void QueryDispatcher::run_round() {
     events_.begin_round(clock_.now());
     router_.round(events_.round_began_at(), events_, executor_);
-    attempts_.send_queued(nodes_, serving_state_.no_calls_after);
+    attempts_.send_queued(nodes_, serving_state_.attempts_until);
 }
 
 }  // namespace tealcart
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -43,9 +43,9 @@
     void on_attempt_lost(Handle attempt, Outcome outcome) override;
     // MemberHost
     void on_list(const EndpointList& list) override;
-    void watch_outcomes(OutcomeTaker* observer) override;
+    void observe_outcomes(OutcomeObserver* observer) override;
     void set_serving_state(ServingStateSource source, const MemberServingState& state) override;
-    bool any_call_to(const std::function<bool(const std::string&)>& matches) const override;
+    bool any_attempt_to(const std::function<bool(const std::string&)>& matches) const override;
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
     std::size_t held() const override { return queries_.active(); }
     // When the next round is due; never while nothing has come in, or before `begin`.
--- a/src/service/query_table.hpp
+++ b/src/service/query_table.hpp
@@ -102,6 +102,7 @@
 
   private:
     struct TextHash : std::hash<std::string_view> {
+        // NOLINTNEXTLINE(readability-identifier-naming): the standard library looks for this name
         using is_transparent = void;
     };
 
--- a/src/service/request_parser.cpp
+++ b/src/service/request_parser.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Nanos millisecond = 1'000'000;
-constexpr std::int64_t max_deadline_ms = 24 * 3600 * 1000;
+constexpr std::int64_t max_deadline_ms = 24LL * 3600 * 1000;
 constexpr std::size_t max_token = 128;
 
 // Ids and keys go into the lines of frames as they are.
--- a/src/service/two_phase_coordinator.cpp
+++ b/src/service/two_phase_coordinator.cpp
@@ -101,7 +101,7 @@
 
 bool TwoPhaseCoordinator::audited(double share) {
     if (share <= 0) return false;
-    const double drawn = static_cast<double>(random_() - random_.min());
+    const auto drawn = static_cast<double>(random_() - random_.min());
     return drawn < share * static_cast<double>(random_.max() - random_.min());
 }
 
--- a/src/wire/http.hpp
+++ b/src/wire/http.hpp
@@ -9,8 +9,8 @@
 namespace tealcart {
 
 // In bytes, by the protocol's page.
-constexpr std::size_t max_head = 8 * 1024;
-constexpr std::size_t max_body = 64 * 1024;
+constexpr std::size_t max_head = 8UL * 1024;
+constexpr std::size_t max_body = 64UL * 1024;
 
 // What reading a message came to: more bytes are needed, it is complete, or it is malformed.
 enum class Reading : std::uint8_t { more, done, bad };
--- a/src/wire/list_bound.hpp
+++ b/src/wire/list_bound.hpp
@@ -10,7 +10,7 @@
 namespace tealcart {
 
 struct ListBound {
-    static constexpr std::size_t min_bytes = 8 * 1024 * 1024;  // whatever the settings state
+    static constexpr std::size_t min_bytes = 8UL * 1024 * 1024;  // whatever the settings state
     std::size_t bytes = min_bytes;
     std::string why = "the least bound";  // where it comes from, for the log
 };
--- a/src/wire/node_frames.hpp
+++ b/src/wire/node_frames.hpp
@@ -10,32 +10,36 @@
 
 namespace tealcart {
 
-// The longest frame let in from a data node: a value that no answer could hold is not worth its memory.
-constexpr std::size_t max_frame = 64 * 1024 + 1024;
+// The longest frame accepted from a data node, in bytes: a value that no response could hold is not worth its
+// memory.
+constexpr std::size_t max_frame = 65UL * 1024;
 
 struct Frame {
-    char letter = 0;
+    char letter = 0;  // its type
     std::string_view rest;
 };
 
+// What reading a frame came to: more bytes are needed, one was read, or the length can't be one.
 enum class Framing : std::uint8_t { more, frame, lost };
 
-// Takes one frame from the front of `in`, which keeps its bytes.
+// Reads one frame from the front of `in`; the frame refers to its bytes.
 Framing take_frame(std::string_view& in, Frame& frame);
 
+// Appends a frame's length and type; so many bytes must follow.
 void start_frame(std::string& out, char letter, std::size_t rest);
 
-// A shard request's line in a frame of calls; so many bytes of text follow it.
-struct PartLine {
+// The line of a shard request in a frame of attempts.
+struct ShardRequestLine {
     std::string_view query;  // its id
     std::uint32_t shard = 0;
-    std::int64_t wait_ms = 0;
-    std::string_view key;  // empty for none
-    std::size_t length = 0;
+    std::int64_t wait_ms = 0;  // for how long the answer is waited for
+    std::string_view key;      // empty for none
+    std::size_t length = 0;    // of the query's text, which follows the line, in bytes
 };
-void write_shard_request_line(std::string& out, const PartLine& line);
+void write_shard_request_line(std::string& out, const ShardRequestLine& line);
 void write_shard_request_id(std::string& out, std::string_view query, std::uint32_t shard);
 
+// An answer of a data node to one shard request.
 struct NodeAnswer {
     std::string_view query;
     std::uint32_t shard = 0;
--- a/src/wire/phase_frames.cpp
+++ b/src/wire/phase_frames.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t max_extents = 64, max_name = 64, max_term = 256;
 
-std::string_view word_of(std::string_view& line) {
+std::string_view next_token(std::string_view& line) {
     const auto space = line.find(' ');
     const std::string_view taken = line.substr(0, space);
     line.remove_prefix(space == std::string_view::npos ? line.size() : space + 1);
@@ -29,8 +29,8 @@
     return read_number(text, number) && std::isfinite(number);
 }
 
-// Of a list `a=1,b=2`, the text under a letter; none where it lacks it.
-std::optional<std::string_view> listed(std::string_view list, char letter) {
+// Of a list of options `a=1,b=2`, the value of one; none where the list lacks it.
+std::optional<std::string_view> find_option(std::string_view list, char letter) {
     while (!list.empty()) {
         const std::string_view item = list.substr(0, list.find(','));
         list.remove_prefix(std::min(list.size(), item.size() + 1));
@@ -40,23 +40,23 @@
 }
 
 template <typename Number>
-bool read_listed(std::string_view list, char letter, Number& number) {
-    const auto text = listed(list, letter);
+bool read_option(std::string_view list, char letter, Number& number) {
+    const auto text = find_option(list, letter);
     return !text || read_number(*text, number);  // what is absent keeps its default
 }
 
-std::string written(double number) {
+std::string to_text(double number) {
     char text[32];
     return {text, std::to_chars(text, text + sizeof text, number).ptr};
 }
 
 // Eight bytes, least significant first.
-void put_double(std::string& out, double number) {
+void append_double(std::string& out, double number) {
     auto bits = std::bit_cast<std::uint64_t>(number);
     for (int i = 0; i < 8; ++i, bits >>= 8) out += static_cast<char>(bits & 0xff);
 }
 
-bool take_double(std::string_view& in, double& number) {
+bool read_double(std::string_view& in, double& number) {
     if (in.size() < 8) return false;
     std::uint64_t bits = 0;
     for (int i = 7; i >= 0; --i)
@@ -66,12 +66,12 @@
     return std::isfinite(number);
 }
 
-void put_name(std::string& out, std::string_view name) {
+void append_name(std::string& out, std::string_view name) {
     out += static_cast<char>(name.size());
     out += name;
 }
 
-bool take_name(std::string_view& in, std::string& name) {
+bool read_name(std::string_view& in, std::string& name) {
     if (in.empty()) return false;
     const auto size = static_cast<std::size_t>(static_cast<unsigned char>(in[0]));
     if (size == 0 || size > max_name || in.size() < 1 + size) return false;
@@ -80,24 +80,24 @@
     return true;
 }
 
-bool take_ranks(std::string_view& in, std::size_t count, std::vector<double>& ranks) {
+bool read_ranks(std::string_view& in, std::size_t count, std::vector<double>& ranks) {
     if (count > static_cast<std::size_t>(max_words_rows)) return false;
     for (std::size_t i = 0; i < count; ++i) {
         double rank = 0;
-        if (!take_double(in, rank) || (i > 0 && rank > ranks.back())) return false;
+        if (!read_double(in, rank) || (i > 0 && rank > ranks.back())) return false;
         ranks.push_back(rank);
     }
     return true;
 }
 
-bool take_filter(std::string_view& in, std::size_t bytes, std::size_t extents, SectionFilter& filter) {
+bool read_filter(std::string_view& in, std::size_t bytes, std::size_t extents, SectionFilter& filter) {
     if (in.size() < bytes || bytes % 32 != 0 || extents > max_extents) return false;
     filter.terms.assign(in.begin(), in.begin() + static_cast<std::ptrdiff_t>(bytes));
     in.remove_prefix(bytes);
     for (std::size_t i = 0; i < extents; ++i) {
-        SectionFilter::Extent& e = filter.extents.emplace_back();
-        if (!take_name(in, e.field) || !take_double(in, e.least) || !take_double(in, e.most) ||
-            e.least > e.most)
+        SectionFilter::Extent& extent = filter.extents.emplace_back();
+        if (!read_name(in, extent.field) || !read_double(in, extent.least) || !read_double(in, extent.most) ||
+            extent.least > extent.most)
             return false;
     }
     return true;
@@ -107,21 +107,21 @@
 bool read_word(std::string_view list, std::string_view body, SectionWord& word) {
     std::size_t ranks = 0, filter = 0, extents = 0;
     std::int64_t lease_us = 0;
-    word.nothing = !listed(list, 'u');
-    if (!read_listed(list, 'u', word.upper) || !std::isfinite(word.upper)) return false;
-    if (!read_listed(list, 's', ranks) || !read_listed(list, 'l', lease_us) ||
-        !read_listed(list, 'f', filter) || !read_listed(list, 'z', extents))
+    word.nothing = !find_option(list, 'u');
+    if (!read_option(list, 'u', word.upper) || !std::isfinite(word.upper)) return false;
+    if (!read_option(list, 's', ranks) || !read_option(list, 'l', lease_us) ||
+        !read_option(list, 'f', filter) || !read_option(list, 'z', extents))
         return false;
     if (lease_us < 0 || lease_us > 3'600'000'000 || (word.nothing && ranks > 0)) return false;
     word.lease = lease_us * 1000;
-    word.has_filter = listed(list, 'f') || listed(list, 'z');
-    if (!take_ranks(body, ranks, word.lower) || !take_filter(body, filter, extents, word.filter))
+    word.has_filter = find_option(list, 'f') || find_option(list, 'z');
+    if (!read_ranks(body, ranks, word.lower) || !read_filter(body, filter, extents, word.filter))
         return false;
     if (!word.lower.empty() && word.lower.front() > word.upper) return false;
     return body.empty();
 }
 
-void put_answer(std::string& out, char letter, const std::string& rest) {
+void append_frame(std::string& out, char letter, const std::string& rest) {
     start_frame(out, letter, rest.size());
     out += rest;
 }
@@ -155,12 +155,12 @@
 }
 
 std::optional<PhaseLine> read_phase_line(std::string_view line) {
-    const auto id = read_phase_id(word_of(line));
-    const std::string_view list = word_of(line);
+    const auto id = read_phase_id(next_token(line));
+    const std::string_view list = next_token(line);
     PhaseLine read;
     int filter = 0;
-    if (!id || !read_listed(list, 'd', read.wait_ms) || !read_listed(list, 'n', read.rows) ||
-        !read_listed(list, 'm', filter) || !read_number(word_of(line), read.text) ||
+    if (!id || !read_option(list, 'd', read.wait_ms) || !read_option(list, 'n', read.rows) ||
+        !read_option(list, 'm', filter) || !read_number(next_token(line), read.text) ||
         !read_number(line, read.find))
         return std::nullopt;
     if (read.rows < 1 || read.rows > max_words_rows || read.wait_ms < 0) return std::nullopt;
@@ -175,9 +175,9 @@
     for (const std::string& term : find.terms) out.append("t ").append(term).append("\n");
     for (const FieldRange& r : find.ranges)
         out.append("r ")
-            .append(written(r.from))
+            .append(to_text(r.from))
             .append(" ")
-            .append(written(r.to))
+            .append(to_text(r.to))
             .append(" ")
             .append(r.field)
             .append("\n");
@@ -191,12 +191,12 @@
         if (end == std::string_view::npos) return std::nullopt;
         std::string_view line = bytes.substr(0, end);
         bytes.remove_prefix(end + 1);
-        const std::string_view kind = word_of(line);
+        const std::string_view kind = next_token(line);
         FieldRange range;
         if (kind == "t" && !line.empty() && line.size() <= max_term) {
             find.terms.emplace_back(line);
-        } else if (kind == "r" && read_finite(word_of(line), range.from) &&
-                   read_finite(word_of(line), range.to) && !line.empty() && line.size() <= max_name) {
+        } else if (kind == "r" && read_finite(next_token(line), range.from) &&
+                   read_finite(next_token(line), range.to) && !line.empty() && line.size() <= max_name) {
             range.field = line;
             find.ranges.push_back(std::move(range));
         } else {
@@ -211,23 +211,23 @@
     const auto end = rest.find('\n');
     if (end == std::string_view::npos) return std::nullopt;
     std::string_view line = rest.substr(0, end), body = rest.substr(end + 1);
-    const auto id = read_phase_id(word_of(line));
-    const std::string_view how = word_of(line), version = word_of(line), list = line;
-    if (!id || how.empty()) return std::nullopt;
+    const auto id = read_phase_id(next_token(line));
+    const std::string_view status = next_token(line), version = next_token(line), list = line;
+    if (!id || status.empty()) return std::nullopt;
     PhaseAnswer answer;
     answer.id = *id;
-    if (how == "REJECTED" || how == "ERROR") {
-        if (how == "REJECTED") answer.outcome = Outcome::overloaded;
+    if (status == "REJECTED" || status == "ERROR") {
+        if (status == "REJECTED") answer.outcome = Outcome::overloaded;
         return answer;
     }
     std::size_t ranks = 0;
-    bool good = how == "OK" && read_number(version, answer.version);
+    bool good = status == "OK" && read_number(version, answer.version);
     if (letter == brings_word) {
         good = good && read_word(list, body, answer.word);
         answer.word.version = answer.version;
     } else {
         good =
-            good && read_listed(list, 's', ranks) && take_ranks(body, ranks, answer.ranks) && is_utf8(body);
+            good && read_option(list, 's', ranks) && read_ranks(body, ranks, answer.ranks) && is_utf8(body);
         answer.value = body;
     }
     answer.malformed = !good;
@@ -244,7 +244,7 @@
         .append(std::to_string(word.lease / 1000));
     if (!word.nothing)
         rest.append(",u=")
-            .append(written(word.upper))
+            .append(to_text(word.upper))
             .append(",s=")
             .append(std::to_string(word.lower.size()));
     if (word.has_filter)
@@ -254,16 +254,16 @@
             .append(std::to_string(word.filter.extents.size()));
     rest += '\n';
     if (!word.nothing)
-        for (const double rank : word.lower) put_double(rest, rank);
+        for (const double rank : word.lower) append_double(rest, rank);
     if (word.has_filter) {
         rest.append(reinterpret_cast<const char*>(word.filter.terms.data()), word.filter.terms.size());
-        for (const SectionFilter::Extent& e : word.filter.extents) {
-            put_name(rest, e.field);
-            put_double(rest, e.least);
-            put_double(rest, e.most);
+        for (const SectionFilter::Extent& extent : word.filter.extents) {
+            append_name(rest, extent.field);
+            append_double(rest, extent.least);
+            append_double(rest, extent.most);
         }
     }
-    put_answer(out, brings_word, rest);
+    append_frame(out, brings_word, rest);
 }
 
 void write_rows(std::string& out, const PhaseId& id, std::uint64_t version, const std::vector<double>& ranks,
@@ -275,16 +275,16 @@
         .append(" s=")
         .append(std::to_string(ranks.size()))
         .append("\n");
-    for (const double rank : ranks) put_double(rest, rank);
+    for (const double rank : ranks) append_double(rest, rank);
     rest += value;
-    put_answer(out, brings_rows, rest);
+    append_frame(out, brings_rows, rest);
 }
 
 void write_phase_end(std::string& out, char letter, const PhaseId& id, std::string_view end) {
     std::string rest;
     write_phase_id(rest, id);
     rest.append(" ").append(end).append(" 0 -\n");
-    put_answer(out, letter, rest);
+    append_frame(out, letter, rest);
 }
 
 }  // namespace tealcart
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -8,7 +8,8 @@
 #include <deque>
 #include <nlohmann/json.hpp>
 
-#include "members/agreed_list.hpp"
+#include "config/host_port.hpp"
+#include "members/endpoint_overlay.hpp"
 #include "tables/node_table.hpp"
 #include "wire/endpoint_list_codec.hpp"
 
@@ -322,7 +323,7 @@
         auto& counts = looked[most > 1'000];
         auto& of_agreed = agreed[most > 1'000];
         NodeTable nodes;
-        AgreedList list;
+        EndpointOverlay list;
         const auto take = [&](const EndpointList& news) {
             const std::uint64_t before = nodes.examined();
             nodes.apply(news);
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// The bridge between sockets and decisions, with a given clock and stand-ins for both sides: a plain model of
+// The query dispatcher between sockets and decisions, with a given clock and stand-ins for both sides: a plain model of
 // what was asked, sent and answered watches it on generated events.
 #include "service/query_dispatcher.hpp"
 
@@ -32,7 +32,7 @@
     bool written = false;
 };
 
-// Both sides of the bridge: keeps the plain model and checks it at every call.
+// Both sides of the dispatcher: keeps the plain model and checks it at every call.
 class Model final : public ResponseWriter, public AttemptSender {
   public:
     std::map<std::uint32_t, Asked> asked;  // by the client's slot
