--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -22,7 +22,7 @@
     Member(boost::asio::io_context& io, EventClock& clock, std::vector<HostPort> managers, std::size_t number)
         : time(clock), name("m" + std::to_string(number)), watch(io, clock, *this, std::move(managers)) {}
 
-    MemberCall word() override {
+    MemberCall member_call() override {
         MemberCall call;
         call.name = name, call.role = "router", call.zone = "a", call.version = "1",
         call.digest = "0123456789abcdef";
@@ -73,7 +73,7 @@
     const std::string text = all.str();
     for (std::size_t at = text.find('['), end; (at = text.find('"', at + 1)) != text.npos; at = end) {
         end = text.find('"', at + 1);
-        const auto address = read_host_port(text.substr(at + 1, end - at - 1));
+        const auto address = parse_host_port(text.substr(at + 1, end - at - 1));
         if (!address) break;
         found.push_back(*address);
     }
--- a/src/fleet_manager/config_command.cpp
+++ b/src/fleet_manager/config_command.cpp
@@ -58,7 +58,7 @@
     try {
         return call.dump();
     } catch (const Json::exception&) {
-        throw Malformed("what is to be set is no text in UTF-8");
+        throw ConfigError("what is to be set is no text in UTF-8");
     }
 }
 
@@ -97,7 +97,7 @@
 std::string read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw Malformed("the file " + path + " can't be read");
+    if (!file) throw ConfigError("the file " + path + " can't be read");
     return text;
 }
 
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -6,6 +6,7 @@
 #include <iterator>
 
 #include "config/block_reader.hpp"
+#include "config/operator_config.hpp"
 
 namespace tealcart::manager {
 namespace {
@@ -16,7 +17,7 @@
 constexpr std::size_t max_name_length = 128;
 constexpr const char* short_lease = "'lease' is under two of 'election': no leader could be found within one";
 
-using Mistakes = std::vector<HclMistake>;
+using Errors = std::vector<HclError>;
 
 bool is_name(std::string_view text) {
     return !text.empty() && text.size() <= max_name_length &&
@@ -30,7 +31,7 @@
     std::uint64_t id = 0;
     const auto [parsed_to, error] = std::from_chars(label.data(), end, id);
     if (error != std::errc() || parsed_to != end || id == 0)
-        in.wrong(block.at, "a steward's id is a whole number above 0");
+        in.add_error(block.position, "a steward's id is a whole number above 0");
     return id;
 }
 
@@ -40,15 +41,15 @@
 };
 
 Address read_address(const HclBlock& block, BlockReader& in, const char* name, bool required) {
-    const std::string text = in.text(name, "");
-    const auto at = read_host_port(text);
+    const std::string text = in.string(name, "");
+    const auto at = parse_host_port(text);
     if (!at && (required || !text.empty()))
-        in.wrong(block.at, std::string("'") + name + "' is no address with a port");
+        in.add_error(block.position, std::string("'") + name + "' is no address with a port");
     return {text, at.value_or(HostPort{})};
 }
 
-void read_manager(const HclBlock& block, Mistakes& mistakes, FleetManagerConfig& config) {
-    BlockReader in(block, mistakes);
+void read_manager(const HclBlock& block, Errors& errors, FleetManagerConfig& config) {
+    BlockReader in(block, errors);
     const std::uint64_t id = read_id(block, in);
     ManagerAddresses self;
     self.raft = read_address(block, in, "raft", true).text;
@@ -56,140 +57,132 @@
     self.http = read_address(block, in, "http", true).at;
     self.http_bind = read_address(block, in, "http_bind", false).at;
     if (self.http_bind.port == 0) self.http_bind = self.http;
-    self.data_directory = in.text("folder", "");
-    if (self.data_directory.empty()) in.wrong(block.at, "'folder' is not stated");
+    self.data_directory = in.string("folder", "");
+    if (self.data_directory.empty()) in.add_error(block.position, "'folder' is not stated");
     for (const auto& [other_id, other] : config.managers) {
         const bool same_directory =
             other.data_directory == self.data_directory && !self.data_directory.empty();
         if (other.raft == self.raft || other.http == self.http || same_directory)
-            in.wrong(block.at, "it has an address or folder of steward " + std::to_string(other_id));
+            in.add_error(block.position,
+                         "it has an address or folder of steward " + std::to_string(other_id));
     }
-    in.finish();
+    in.reject_unknown();
     if (!config.managers.emplace(id, std::move(self)).second)
-        in.wrong(block.at, "a second steward " + std::to_string(id));
+        in.add_error(block.position, "a second steward " + std::to_string(id));
 }
 
 // Limits of one kind: `PREFIXmost` and `PREFIXshare`.
 fleet::Limit read_limit(BlockReader& in, const std::string& prefix) {
     fleet::Limit limit;
-    const std::int64_t most = in.whole(prefix + "most", unlimited, 0, unlimited);
-    if (most < unlimited) limit.most = static_cast<std::size_t>(most);
-    limit.share = in.number(prefix + "share", 1, 0, 1);
+    const std::int64_t most = in.integer(prefix + "most", unlimited, 0, unlimited);
+    if (most < unlimited) limit.max_count = static_cast<std::size_t>(most);
+    limit.max_share = in.number(prefix + "share", 1, 0, 1);
     return limit;
 }
 
-void read_data_nodes(const HclBlock& block, Mistakes& mistakes, fleet::Budgets& budgets) {
-    BlockReader in(block, mistakes);
-    in.no_label();
+void read_data_nodes(const HclBlock& block, Errors& errors, fleet::Budgets& budgets) {
+    BlockReader in(block, errors);
+    in.expect_no_label();
     budgets.nodes = read_limit(in, "");
-    budgets.nodes_a_zone = read_limit(in, "zone_");
-    budgets.nodes_a_kind = read_limit(in, "kind_");
-    budgets.min_holders = static_cast<std::size_t>(in.whole("least_holders", 1, 0, 1000));
-    budgets.silent_share = in.number("silent_share", budgets.silent_share, 0.01, 1);
-    in.finish();
+    budgets.nodes_per_zone = read_limit(in, "zone_");
+    budgets.nodes_per_kind = read_limit(in, "kind_");
+    budgets.min_holders = static_cast<std::size_t>(in.integer("least_holders", 1, 0, 1000));
+    budgets.unresponsive_share = in.number("silent_share", budgets.unresponsive_share, 0.01, 1);
+    in.reject_unknown();
 }
 
-void read_routers(const HclBlock& block, Mistakes& mistakes, fleet::Budgets& budgets) {
-    BlockReader in(block, mistakes);
-    in.no_label();
+void read_routers(const HclBlock& block, Errors& errors, fleet::Budgets& budgets) {
+    BlockReader in(block, errors);
+    in.expect_no_label();
     budgets.routers = read_limit(in, "");
-    budgets.routers_a_zone = read_limit(in, "zone_");
-    in.finish();
+    budgets.routers_per_zone = read_limit(in, "zone_");
+    in.reject_unknown();
 }
 
-void read_halt(const HclBlock& block, Mistakes& mistakes, fleet::Budgets& budgets) {
-    BlockReader in(block, mistakes);
-    in.no_label();
-    budgets.halt_failed = in.number("failed", budgets.halt_failed, 0, 1);
-    budgets.halt_failed_least = static_cast<std::uint64_t>(in.whole("failed_least", 100, 1, unlimited));
-    budgets.halt_lost = in.number("lost", budgets.halt_lost, 0, 1);
-    budgets.halt_holders = static_cast<std::size_t>(in.whole("holders", 0, 0, 1000));
-    in.finish();
+void read_halt(const HclBlock& block, Errors& errors, fleet::Budgets& budgets) {
+    BlockReader in(block, errors);
+    in.expect_no_label();
+    budgets.halt_failed_share = in.number("failed", budgets.halt_failed_share, 0, 1);
+    budgets.halt_failed_min_queries =
+        static_cast<std::uint64_t>(in.integer("failed_least", 100, 1, unlimited));
+    budgets.halt_lost_share = in.number("lost", budgets.halt_lost_share, 0, 1);
+    budgets.halt_min_holders = static_cast<std::size_t>(in.integer("holders", 0, 0, 1000));
+    in.reject_unknown();
 }
 
-void read_changes(const HclBlock& block, Mistakes& mistakes, Nanos election, changes::Limits& limits) {
-    BlockReader in(block, mistakes);
-    in.no_label();
+void read_changes(const HclBlock& block, Errors& errors, Nanos election, changes::Limits& limits) {
+    BlockReader in(block, errors);
+    in.expect_no_label();
     const auto read_count = [&in](const char* name, std::size_t& to, std::int64_t max) {
-        to = static_cast<std::size_t>(in.whole(name, static_cast<std::int64_t>(to), 1, max));
+        to = static_cast<std::size_t>(in.integer(name, static_cast<std::int64_t>(to), 1, max));
     };
-    limits.lease = in.span("lease", limits.lease, min_lease, hour);
-    limits.drift = in.span("drift", limits.drift, 0, hour);
-    limits.forget = in.span("forget", limits.forget, 0, year);
+    limits.lease = in.duration("lease", limits.lease, min_lease, hour);
+    limits.drift = in.duration("drift", limits.drift, 0, hour);
+    limits.forget = in.duration("forget", limits.forget, 0, year);
     limits.halt_refused = in.number("halt_refused", limits.halt_refused, 0, 1);
     read_count("halt_refused_least", limits.halt_refused_least, unlimited);
     read_count("most_entries", limits.max_entries, 10'000);
-    limits.max_entry = in.bytes("longest_entry", limits.max_entry, 16, 256 * 1024);
+    limits.max_entry = in.byte_size("longest_entry", limits.max_entry, 16, 256 * 1024);
     read_count("most_kept", limits.max_kept, 100'000);
     read_count("most_members", limits.max_members, 1'000'000);
     read_count("most_relays", limits.max_relays, 100'000);
-    if (limits.lease < 2 * election) in.wrong(block.at, short_lease);
-    in.finish();
+    if (limits.lease < 2 * election) in.add_error(block.position, short_lease);
+    in.reject_unknown();
 }
 
 // What stands in the block itself; its inner blocks are read by `read_fleet`.
 void read_fleet_values(const HclBlock& block, BlockReader& in, FleetManagerConfig& config) {
     fleet::Budgets& budgets = config.budgets;
     config.fleet = in.label("the fleet's name");
-    if (!is_name(config.fleet)) in.wrong(block.at, "the fleet's name has blanks or over 128 letters");
-    config.election = in.span("election", config.election, 100 * millisecond, 60 * second);
-    budgets.lease = in.span("lease", budgets.lease, min_lease, hour);
-    budgets.drift = in.span("drift", budgets.drift, 0, hour);
-    budgets.forget = in.span("forget", budgets.forget, 0, year);
-    budgets.wait_for_lost = in.flag("wait_for_lost", budgets.wait_for_lost);
-    budgets.max_open = static_cast<std::size_t>(in.whole("most_open", 1000, 1, 1'000'000));
-    if (budgets.lease < 2 * config.election) in.wrong(block.at, short_lease);
+    if (!is_name(config.fleet))
+        in.add_error(block.position, "the fleet's name has blanks or over 128 letters");
+    config.election = in.duration("election", config.election, 100 * millisecond, 60 * second);
+    budgets.lease = in.duration("lease", budgets.lease, min_lease, hour);
+    budgets.drift = in.duration("drift", budgets.drift, 0, hour);
+    budgets.forget_after = in.duration("forget", budgets.forget_after, 0, year);
+    budgets.wait_for_lost = in.boolean("wait_for_lost", budgets.wait_for_lost);
+    budgets.max_open_requests = static_cast<std::size_t>(in.integer("most_open", 1000, 1, 1'000'000));
+    if (budgets.lease < 2 * config.election) in.add_error(block.position, short_lease);
 }
 
-void read_fleet(const HclBlock& block, Mistakes& mistakes, FleetManagerConfig& config) {
-    BlockReader in(block, mistakes);
+void read_fleet(const HclBlock& block, Errors& errors, FleetManagerConfig& config) {
+    BlockReader in(block, errors);
     read_fleet_values(block, in, config);
-    for (const HclBlock* manager : in.blocks("steward")) read_manager(*manager, mistakes, config);
-    if (config.managers.empty()) in.wrong(block.at, "it names no 'steward'");
-    if (const HclBlock* nodes = in.only_block("data_nodes"))
-        read_data_nodes(*nodes, mistakes, config.budgets);
-    if (const HclBlock* routers = in.only_block("routers")) read_routers(*routers, mistakes, config.budgets);
-    if (const HclBlock* halt = in.only_block("halt")) read_halt(*halt, mistakes, config.budgets);
-    if (const HclBlock* changes = in.only_block("changes")) {
+    for (const HclBlock* manager : in.blocks("steward")) read_manager(*manager, errors, config);
+    if (config.managers.empty()) in.add_error(block.position, "it names no 'steward'");
+    if (const HclBlock* nodes = in.single_block("data_nodes"))
+        read_data_nodes(*nodes, errors, config.budgets);
+    if (const HclBlock* routers = in.single_block("routers")) read_routers(*routers, errors, config.budgets);
+    if (const HclBlock* halt = in.single_block("halt")) read_halt(*halt, errors, config.budgets);
+    if (const HclBlock* changes = in.single_block("changes")) {
         config.takes_changes = true;
-        read_changes(*changes, mistakes, config.election, config.changes);
+        read_changes(*changes, errors, config.election, config.changes);
     }
-    in.finish();
-}
-
-void read_log(const HclBlock& block, Mistakes& mistakes, LogConfig& log) {
-    BlockReader in(block, mistakes);
-    in.no_label();
-    log.form = static_cast<LogForm>(in.choice("format", 0, {"text", "json"}));
-    log.level = static_cast<LogLevel>(in.choice("level", 1, {"debug", "info", "warn", "error"}));
-    in.finish();
+    in.reject_unknown();
 }
 
 }  // namespace
 
 FleetManagerConfig read_fleet_manager_config(std::string_view text, std::string_view source) {
     const HclBlock root = parse_hcl(text, source);
-    Mistakes mistakes;
+    Errors errors;
     FleetManagerConfig config;
     config.source = source;
-    BlockReader in(root, mistakes);
-    if (const HclBlock* log = in.only_block("log")) read_log(*log, mistakes, config.log);
-    if (const HclBlock* fleet = in.only_block("fleet"))
-        read_fleet(*fleet, mistakes, config);
+    BlockReader in(root, errors);
+    if (const HclBlock* log = in.single_block("log")) config.log = read_log_config(*log, errors);
+    if (const HclBlock* fleet = in.single_block("fleet"))
+        read_fleet(*fleet, errors, config);
     else
-        in.wrong(root.at, "there is no 'fleet' block");
-    in.finish();
-    if (mistakes.empty()) return config;
-    std::stable_sort(mistakes.begin(), mistakes.end(), [](const HclMistake& a, const HclMistake& b) {
-        return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
-    });
-    throw HclMistakes(source, std::move(mistakes));
+        in.add_error(root.position, "there is no 'fleet' block");
+    in.reject_unknown();
+    throw_if_any(source, std::move(errors));
+    return config;
 }
 
 FleetManagerConfig read_fleet_manager_file(const std::string& path) {
     std::ifstream file(path);
     std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw Malformed("the stewards' file " + path + " can't be read");
+    if (!file) throw ConfigError("the stewards' file " + path + " can't be read");
     return read_fleet_manager_config(text, path);
 }
 
--- a/src/fleet_manager/fleet_manager_config.hpp
+++ b/src/fleet_manager/fleet_manager_config.hpp
@@ -30,8 +30,9 @@
     LogConfig log;
 };
 
-// Throws HclMistakes with every mistake.
+// Throws HclErrors with every mistake.
 FleetManagerConfig read_fleet_manager_config(std::string_view text, std::string_view source);
-FleetManagerConfig read_fleet_manager_file(const std::string& path);  // and Malformed where it can't be read
+FleetManagerConfig read_fleet_manager_file(
+    const std::string& path);  // and ConfigError where it can't be read
 
 }  // namespace tealcart::manager
--- a/src/service/main.cpp
+++ b/src/service/main.cpp
@@ -64,7 +64,7 @@
 
 std::string read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw tealcart::Malformed(path + " can't be read");
+    if (!in) throw tealcart::ConfigError(path + " can't be read");
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -73,17 +73,18 @@
 int migrate(const Options& options) {
     const auto config = nlohmann::json::parse(read_file(options.config), nullptr, false);
     if (config.is_discarded() || !config.is_object() || !config.contains("settings"))
-        throw tealcart::Malformed(options.config + " is no configuration with 'settings'");
-    const tealcart::Migration migration =
+        throw tealcart::ConfigError(options.config + " is no configuration with 'settings'");
+    const tealcart::OperatorFileMigration migration =
         tealcart::migrate(read_file(options.file), options.file, config["settings"].dump());
     for (const std::string& line : migration.stated) std::fprintf(stderr, "stated: %s\n", line.c_str());
-    for (const tealcart::HclMistake& left : migration.left)
-        std::fprintf(stderr, "%s:%zu:%zu: not carried over: %s\n", options.file.c_str(), left.at.line,
-                     left.at.column, left.words.c_str());
+    for (const tealcart::HclError& left : migration.left)
+        std::fprintf(stderr, "%s:%zu:%zu: not carried over: %s\n", options.file.c_str(), left.position.line,
+                     left.position.column, left.message.c_str());
     if (options.dry_run || options.to.empty()) return std::fputs(migration.text.c_str(), stdout) < 0;
-    if (std::filesystem::exists(options.to)) throw tealcart::Malformed(options.to + " is there already");
+    if (std::filesystem::exists(options.to)) throw tealcart::ConfigError(options.to + " is there already");
     std::ofstream out(options.to, std::ios::binary);
-    if (!(out << migration.text) || !out.flush()) throw tealcart::Malformed(options.to + " can't be written");
+    if (!(out << migration.text) || !out.flush())
+        throw tealcart::ConfigError(options.to + " can't be written");
     std::fprintf(stderr, "wrote %s: %zu left behind\n", options.to.c_str(), migration.left.size());
     return 0;
 }
@@ -177,7 +178,7 @@
         for (const Command& command : commands)
             if (command.parser->parsed()) return command.run(options);
         return serve(options);
-    } catch (const tealcart::HclMistakes& e) {
+    } catch (const tealcart::HclErrors& e) {
         std::fprintf(stderr, "%s\n", e.what());
     } catch (const std::exception& e) {
         std::fprintf(stderr, "tealcart: %s\n", e.what());
--- a/src/service/startup_config.cpp
+++ b/src/service/startup_config.cpp
@@ -17,19 +17,20 @@
 const Json& required(const Json& in, const char* key) {
     const auto it = in.is_object() ? in.find(key) : in.end();
     if (!in.is_object() || it == in.end())
-        throw Malformed(std::string("the configuration lacks '") + key + "'");
+        throw ConfigError(std::string("the configuration lacks '") + key + "'");
     return *it;
 }
 
 std::string text(const Json& in, const char* key) {
     const Json& value = required(in, key);
-    if (!value.is_string()) throw Malformed(std::string("'") + key + "' in the configuration is no string");
+    if (!value.is_string()) throw ConfigError(std::string("'") + key + "' in the configuration is no string");
     return value.get<std::string>();
 }
 
 HostPort address(const Json& in, const char* key) {
-    const auto found = read_host_port(text(in, key));
-    if (!found) throw Malformed(std::string("'") + key + "' in the configuration is no address with a port");
+    const auto found = parse_host_port(text(in, key));
+    if (!found)
+        throw ConfigError(std::string("'") + key + "' in the configuration is no address with a port");
     return *found;
 }
 
@@ -39,8 +40,8 @@
     const char* const last = digits.data() + digits.size();
     const auto [end, failure] = std::from_chars(digits.data(), last, number, 16);
     if (failure != std::errc() || end != last)
-        throw Malformed(std::string("'") + key +
-                        "' in the configuration is no hexadecimal number of 64 bits");
+        throw ConfigError(std::string("'") + key +
+                          "' in the configuration is no hexadecimal number of 64 bits");
     return number;
 }
 
@@ -50,7 +51,7 @@
 void read_limits(const Json& limits, StartupConfig& startup) {
     const Json& sockets = required(limits, "sockets");
     if (!sockets.is_number_unsigned() || sockets.get<std::uint64_t>() < min_sockets)
-        throw Malformed("'limits.sockets' in the configuration is no number of at least 64");
+        throw ConfigError("'limits.sockets' in the configuration is no number of at least 64");
     startup.sockets = sockets.get<std::size_t>();
     if (const auto memory = limits.find("memory_mb"); memory != limits.end() && memory->is_number_unsigned())
         startup.memory = std::min(memory->get<std::size_t>(), max_memory_mb) * bytes_per_mb;
@@ -65,7 +66,7 @@
     startup.phases.resize(startup.connection_config.query_classes.size());
     for (const QueryClassConfig& query_class : startup.config.query_classes)
         if (query_class.second_step_requests > 0)
-            throw Malformed("a vertical has a second step, which is not served on sockets yet");
+            throw ConfigError("a vertical has a second step, which is not served on sockets yet");
 }
 
 EndpointList read_known(const Json& known, const StartupConfig& startup) {
@@ -76,7 +77,7 @@
         return {};
     }
     auto list = read_endpoint_list(stated, static_cast<std::uint32_t>(startup.config.places));
-    if (!list) throw Malformed("'known' in the configuration is no list of data nodes");
+    if (!list) throw ConfigError("'known' in the configuration is no list of data nodes");
     return std::move(*list);
 }
 
@@ -84,7 +85,7 @@
 
 StartupConfig read_startup_config(const std::string& configuration) {
     const Json in = Json::parse(configuration, nullptr, false);
-    if (in.is_discarded()) throw Malformed("the configuration is not JSON");
+    if (in.is_discarded()) throw ConfigError("the configuration is not JSON");
     StartupConfig startup;
     startup.name = text(in, "name");
     startup.listen = address(in, "listen");
@@ -99,14 +100,14 @@
 }
 
 StartupConfig read_startup_config_file(const std::string& path) {
-    if (path.empty()) throw Malformed("ROUTER_CONFIG is not set");
+    if (path.empty()) throw ConfigError("ROUTER_CONFIG is not set");
     std::ifstream file(path);
-    if (!file) throw Malformed("the configuration " + path + " can't be read");
+    if (!file) throw ConfigError("the configuration " + path + " can't be read");
     return read_startup_config({std::istreambuf_iterator<char>(file), {}});
 }
 
 void apply_operator_config(StartupConfig& startup, OperatorConfig operators) {
-    follow_calls(operators.calls, startup.config, startup.connection_config);
+    apply_call_config(operators.calls, startup.config, startup.connection_config);
     startup.phases =
         two_phase_by_query_class(operators, startup.config, startup.connection_config.query_classes);
     startup.operators = std::move(operators);
--- a/src/service/startup_config.hpp
+++ b/src/service/startup_config.hpp
@@ -27,14 +27,14 @@
     std::vector<TwoPhaseConfig> phases;  // by query class
 };
 
-// Reads the platform's configuration, JSON. Throws Malformed, with one plain line that names the member,
+// Reads the platform's configuration, JSON. Throws ConfigError, with one plain line that names the member,
 // where one is missing or can't be read.
 StartupConfig read_startup_config(const std::string& text);
 
 // The same from a file, which ROUTER_CONFIG names as a rule.
 StartupConfig read_startup_config_file(const std::string& path);
 
-// Applies what the operators' file states. Throws HclMistakes where it doesn't fit the settings.
+// Applies what the operators' file states. Throws HclErrors where it doesn't fit the settings.
 void apply_operator_config(StartupConfig& startup, OperatorConfig operators);
 
 }  // namespace tealcart
--- a/src/wire/endpoint_list_codec.cpp
+++ b/src/wire/endpoint_list_codec.cpp
@@ -168,7 +168,7 @@
             node.lifecycle = Lifecycle::ready;
         else
             return std::nullopt;
-        if (!in.has[place] || !in.has[address] || !read_host_port(node.address) || !in.has[zone] ||
+        if (!in.has[place] || !in.has[address] || !parse_host_port(node.address) || !in.has[zone] ||
             !in.has[kind])
             return std::nullopt;
         if (in.has[started] && in.started_ms < max_start_ms)
--- a/src/wire/node_connection_pool.cpp
+++ b/src/wire/node_connection_pool.cpp
@@ -134,7 +134,7 @@
 
 bool NodeConnectionPool::connect(Handle handle) {
     NodeConnection& connection = *connections_.find(handle);
-    const auto address = read_host_port(connection.address());
+    const auto address = parse_host_port(connection.address());
     error_code failure;
     const auto host = boost::asio::ip::make_address(address ? address->host : "", failure);
     if (failure) return false;
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -8,7 +8,6 @@
 #include <deque>
 #include <nlohmann/json.hpp>
 
-#include "config/host_port.hpp"
 #include "members/endpoint_overlay.hpp"
 #include "tables/node_table.hpp"
 #include "wire/endpoint_list_codec.hpp"
@@ -50,7 +49,7 @@
         node.lifecycle = Lifecycle::ready;
     else
         return std::nullopt;
-    if (!placed || !address || !read_host_port(*address) || !zone || !kind) return std::nullopt;
+    if (!placed || !address || !parse_host_port(*address) || !zone || !kind) return std::nullopt;
     const Json* started = member(in, "startedAtMs");
     const double at = started != nullptr && started->is_number() ? started->get<double>() : -1;
     if (std::isfinite(at) && at >= 0 && at < 9e12) node.started_at = static_cast<Nanos>(at) * 1'000'000;
@@ -330,25 +329,25 @@
             counts.push_back(nodes.examined() - before);
         };
         const auto count = [&](auto change) {
-            const std::uint64_t before = list.looked();
+            const std::uint64_t before = list.looked_at();
             change();
-            of_agreed.push_back(list.looked() - before);
+            of_agreed.push_back(list.looked_at() - before);
         };
         nodes.apply(everything(most));
-        list.discovered(everything(most));
+        list.apply_discovered(everything(most));
         for (const Lifecycle a : {Lifecycle::draining, Lifecycle::removed, Lifecycle::ready}) {
             take({2, false, {listed(7, a)}, 0});
-            count([&] { list.discovered({2, false, {listed(7, a)}, 0}); });
+            count([&] { list.apply_discovered({2, false, {listed(7, a)}, 0}); });
         }
         EndpointList zone{3, false, {}, 0};
         for (int n = 0; n < 80; ++n) zone.nodes.push_back(listed(n, Lifecycle::removed));
         take(zone);
         for (ListedEndpoint& n : zone.nodes) n.lifecycle = Lifecycle::ready;
         take(zone);
-        count([&] { list.agreed({"node 7", "node 9"}); });
-        count([&] { list.agreed({"node 7", "node 9", "never met"}); });
-        count([&] { list.agreed({"node 7", "node 9", "never met"}); });
-        count([&] { list.cut(false); });
+        count([&] { list.apply_drains({"node 7", "node 9"}); });
+        count([&] { list.apply_drains({"node 7", "node 9", "never met"}); });
+        count([&] { list.apply_drains({"node 7", "node 9", "never met"}); });
+        count([&] { list.set_fenced(false); });
         const std::uint64_t before = nodes.examined();
         CHECK(nodes.ready() == static_cast<std::size_t>(most));
         CHECK(nodes.examined() == before);
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -1,5 +1,5 @@
-// The query dispatcher between sockets and decisions, with a given clock and stand-ins for both sides: a plain model of
-// what was asked, sent and answered watches it on generated events.
+// The query dispatcher between sockets and decisions, with a given clock and stand-ins for both sides: a
+// plain model of what was asked, sent and answered watches it on generated events.
 #include "service/query_dispatcher.hpp"
 
 #include <catch2/catch.hpp>
