--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -8,6 +8,7 @@
 #include <deque>
 #include <nlohmann/json.hpp>
 
+#include "config/host_port.hpp"
 #include "members/endpoint_overlay.hpp"
 #include "tables/node_table.hpp"
 #include "wire/endpoint_list_codec.hpp"
