--- a/src/fleet_manager/responder.cpp
+++ b/src/fleet_manager/responder.cpp
@@ -1,6 +1,6 @@
 #include "fleet_manager/responder.hpp"
 
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 #include "wire/member_messages.hpp"
 
 namespace tealcart::manager {
--- a/src/relay/follower_service.cpp
+++ b/src/relay/follower_service.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 #include "wire/member_messages.hpp"
 
 namespace tealcart::relay {
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 
 #include "log/log.hpp"
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 
 namespace tealcart::relay {
 namespace {
--- a/src/wire/event_turn.hpp
+++ b/src/wire/event_turn.hpp
@@ -20,7 +20,7 @@
         io_.run_one();
         for (int ran = 0; ran < max_handlers && io_.poll_one() > 0; ++ran) {
         }
-        time_.due.tell(time_.now());
+        time_.due.fire_due(time_.now());
     }
 
   private:
--- a/src/wire/node_frames.cpp
+++ b/src/wire/node_frames.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 
 namespace tealcart {
 
@@ -27,7 +27,7 @@
     out.append(query).append(1, '.').append(std::to_string(shard));
 }
 
-void write_shard_request_line(std::string& out, const PartLine& line) {
+void write_shard_request_line(std::string& out, const ShardRequestLine& line) {
     write_shard_request_id(out, line.query, line.shard);
     out.append(1, ' ').append(std::to_string(line.shard));
     out.append(" d=").append(std::to_string(line.wait_ms));
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -8,9 +8,10 @@
 #include <deque>
 #include <nlohmann/json.hpp>
 
+#include "config/host_port.hpp"
 #include "members/endpoint_overlay.hpp"
 #include "tables/node_table.hpp"
-#include "wire/bodies.hpp"
+#include "wire/endpoint_list_codec.hpp"
 
 using namespace tealcart;
 
@@ -333,7 +334,7 @@
             change();
             of_agreed.push_back(list.looked_at() - before);
         };
-        nodes.take(everything(most));
+        nodes.apply(everything(most));
         list.apply_discovered(everything(most));
         for (const Lifecycle a : {Lifecycle::draining, Lifecycle::removed, Lifecycle::ready}) {
             take({2, false, {listed(7, a)}, 0});
@@ -348,7 +349,7 @@
         count([&] { list.apply_drains({"node 7", "node 9", "never met"}); });
         count([&] { list.apply_drains({"node 7", "node 9", "never met"}); });
         count([&] { list.set_fenced(false); });
-        const std::uint64_t before = nodes.looked();
+        const std::uint64_t before = nodes.examined();
         CHECK(nodes.ready() == static_cast<std::size_t>(most));
         CHECK(nodes.examined() == before);
     }
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -1,5 +1,5 @@
-// The bridge between sockets and decisions, with a given clock and stand-ins for both sides: a plain model of
-// what was asked, sent and answered watches it on generated events.
+// The query dispatcher between sockets and decisions, with a given clock and stand-ins for both sides: a
+// plain model of what was asked, sent and answered watches it on generated events.
 #include "service/query_dispatcher.hpp"
 
 #include <catch2/catch.hpp>
@@ -32,7 +32,7 @@
     bool written = false;
 };
 
-// Both sides of the bridge: keeps the plain model and checks it at every call.
+// Both sides of the dispatcher: keeps the plain model and checks it at every call.
 class Model final : public ResponseWriter, public AttemptSender {
   public:
     std::map<std::uint32_t, Asked> asked;  // by the client's slot
@@ -73,7 +73,7 @@
         if (none_left) return {};
         // A link a node, and a new one where that is to be avoided.
         Handle link{node, 1};
-        while (std::find(avoid.begin(), avoid.end(), link) != avoid.end()) ++link.life;
+        while (std::find(avoid.begin(), avoid.end(), link) != avoid.end()) ++link.generation;
         for (const AttemptMessage& piece : pieces) {
             Asked& q = of(piece);
             REQUIRE(q.answers == 0);  // no shard request is sent after the final answer
@@ -190,7 +190,7 @@
     }
     void step(Nanos span = 5 * ms) {
         model.now += span;
-        time.due.tell(model.now);
+        time.due.fire_due(model.now);
         if (dispatcher.next_round() <= model.now) dispatcher.run_round();
     }
 };
--- a/tests/recorded_messages_test.cpp
+++ b/tests/recorded_messages_test.cpp
@@ -3,7 +3,7 @@
 // hold.
 #include <catch2/catch.hpp>
 
-#include "wire/bodies.hpp"
+#include "wire/answer_body.hpp"
 #include "wire/change_messages.hpp"
 #include "wire/member_messages.hpp"
 
