--- a/src/changes/change_state.hpp
+++ b/src/changes/change_state.hpp
@@ -1,8 +1,8 @@
-// Changes of a fleet's configuration, agreed in one order: versions, each a delta behind a digest, and how
-// far each has come. One deterministic state machine for the managers' log, as FleetState is: apply(command)
-// gives effects, and the same commands in the same order give the same state and the same effects on every
-// replica. No I/O and no clock: the time stands in each command. docs/design-changes.md has the promise and
-// its assumptions.
+// Changes of a fleet's configuration, agreed in one order: versions, each a delta with the digest of its
+// result, and how far each has come. One deterministic state machine for the managers' log, as FleetState is:
+// apply(command) gives effects, and the same commands in the same order give the same state and the same
+// effects on every replica. No I/O and no clock: the time stands in each command. docs/design-changes.md has
+// the promise and its assumptions.
 //
 // This class keeps the order of what follows from a command. The versions are in VersionedDocument, the
 // relays and their leases in RelayTable, the members that they report in MemberTable, halts in
--- a/src/changes/document.hpp
+++ b/src/changes/document.hpp
@@ -31,7 +31,7 @@
 // A part of the document at one version, in the order of keys.
 struct Page {
     std::uint64_t version = 0, digest = 0;  // of the whole document
-    std::string after;                      // entries behind this key; empty: from the first
+    std::string after;                      // entries after this key; empty: from the first
     std::map<std::string, std::string> entries;
     bool last = false;
 
@@ -45,9 +45,9 @@
 
     enum class Taken : std::uint8_t {
         taken,  // the copy is at the delta's or the last page's version now
-        more,   // a page was taken, further ones are wanted: ask behind `wants_after`
+        more,   // a page was taken, further ones are wanted: ask for those after `wants_after`
         known,  // nothing new
-        gap,    // it begins behind what this copy has: ask for pages
+        gap,    // it begins after the version that this copy has: ask for pages
         spoilt  // its digest is not what comes out: nothing was changed; ask for pages
     };
 
--- a/src/changes/reports.hpp
+++ b/src/changes/reports.hpp
@@ -29,7 +29,7 @@
     return text.substr(0, end);
 }
 
-// What a relay says of one member: at its first word, and later where it is an exception.
+// What a relay says of one member: in its first report, and later where it is an exception.
 struct MemberReport {
     std::string name;
     std::uint64_t incarnation = 0;      // a new, greater number at each start
@@ -42,14 +42,15 @@
 };
 
 // What a relay says of all its members at once. Numbered by the relay: one that is no later than the last
-// taken of that incarnation renews nothing and says nothing. A incarnation's first word is `whole`, and so is
-// the first after the relay's lease was over: another is stale, and the relay is to say all.
+// applied of that incarnation renews nothing and changes nothing. An incarnation's first report is full
+// (`whole`), and so is the first after the relay's lease was over: another is stale, and the relay is to send
+// a full one.
 struct RelayReport {
     std::string relay, zone;
     std::uint64_t incarnation = 0, number = 0;
     bool whole = false;  // `joined` are all its members
     std::vector<MemberReport>
-        joined;  // since the last word that the managers took; refusals stand in exceptions
+        joined;  // since the last report that the managers applied; refusals stand in exceptions
     std::vector<std::pair<std::string, std::uint64_t>> left,
         lost;                  // name and incarnation: by farewell; lease over
     std::uint64_t lowest = 0;  // all its members that are no exception act on this version at least
--- a/src/fleet/budgets.hpp
+++ b/src/fleet/budgets.hpp
@@ -32,7 +32,8 @@
     // named then; or it waits until that member can't act any more.
     bool wait_for_lost = false;
     // Conditions that halt grants by themselves; the defaults never do.
-    double halt_failed_share = 1;  // more of the queries that all routers report have failed ...
+    double halt_failed_share =
+        1;  // more of the queries that all routers report have ended in anything but 200, rejections too ...
     std::uint64_t halt_failed_min_queries = 100;  // ... of so many at least
     double halt_lost_share = 1;                   // more of the routers have lost their lease
     std::size_t halt_min_holders = 0;             // a shard has fewer healthy holders
--- a/src/fleet_manager/log_entries.hpp
+++ b/src/fleet_manager/log_entries.hpp
@@ -26,7 +26,7 @@
     std::optional<Bytes> changes;  // none: from before there were any
 };
 Bytes write_snapshot(const Snapshot& snapshot);
-// Throws std::runtime_error on another form and on noise; what is in the shard requests is for their readers.
+// Throws std::runtime_error on another form and on noise; what is in the two parts is for their readers.
 Snapshot read_snapshot(const Bytes& bytes);
 
 }  // namespace tealcart::manager
--- a/src/members/outcome_stats.hpp
+++ b/src/members/outcome_stats.hpp
@@ -17,7 +17,7 @@
         std::uint64_t queries = 0, failed = 0;
     };
 
-    // A query that was admitted has ended; failed: in anything but an answer.
+    // A query that was admitted has ended; failed: with any status but 200, so rejections count.
     void record_query(Nanos now, bool failed);
     // An attempt at a node has ended.
     void record_attempt(Nanos now, std::uint32_t node, Outcome outcome);
--- a/src/phases/two_phase_capability.cpp
+++ b/src/phases/two_phase_capability.cpp
@@ -5,11 +5,11 @@
 
 namespace tealcart {
 
-Speakers::Speakers(int places, int width, Nanos distrust)
+TwoPhaseCapability::TwoPhaseCapability(int places, int width, Nanos distrust)
     : places_(static_cast<std::uint32_t>(places)), width_(static_cast<std::uint32_t>(width)),
       distrust_(distrust), at_place_(places_) {}
 
-void Speakers::hear_entry(const Endpoint& entry, bool anew) {
+void TwoPhaseCapability::hear_entry(const Endpoint& entry, bool anew) {
     const auto known = nodes_.find(entry.node);
     if (known != nodes_.end()) std::erase(at_place_[known->second.place], entry.node);
     if (entry.lifecycle == Lifecycle::removed) {
@@ -23,7 +23,7 @@
     at_place_[node.place].push_back(entry.node);
 }
 
-void Speakers::keep_only(std::span<const Endpoint> entries) {
+void TwoPhaseCapability::keep_only(std::span<const Endpoint> entries) {
     std::unordered_set<std::uint32_t> named;
     for (const Endpoint& entry : entries) named.insert(entry.node);
     std::erase_if(nodes_, [&](const auto& known) {
@@ -33,29 +33,29 @@
     });
 }
 
-Speakers::Speech Speakers::speech(std::uint32_t node) const {
+TwoPhaseCapability::Support TwoPhaseCapability::speech(std::uint32_t node) const {
     const auto at = nodes_.find(node);
-    return at == nodes_.end() ? Speech::unknown : at->second.speech;
+    return at == nodes_.end() ? Support::unknown : at->second.speech;
 }
 
-void Speakers::set(std::uint32_t node, Speech speech) {
+void TwoPhaseCapability::set(std::uint32_t node, Support speech) {
     if (const auto at = nodes_.find(node); at != nodes_.end()) at->second.speech = speech;
 }
 
-void Speakers::distrust(std::uint32_t node, Nanos now) {
+void TwoPhaseCapability::distrust(std::uint32_t node, Nanos now) {
     if (const auto at = nodes_.find(node); at != nodes_.end()) at->second.distrusted_until = now + distrust_;
 }
 
-bool Speakers::trusted(std::uint32_t node, Nanos now) const {
+bool TwoPhaseCapability::trusted(std::uint32_t node, Nanos now) const {
     const auto at = nodes_.find(node);
     return at == nodes_.end() || at->second.distrusted_until <= now;
 }
 
-bool Speakers::worth_asking(std::uint32_t shard, Nanos now) const {
+bool TwoPhaseCapability::worth_asking(std::uint32_t shard, Nanos now) const {
     for (std::uint32_t j = 0; j < width_; ++j)
         for (const std::uint32_t n : at_place_[(shard + j) % places_]) {
             const Node& node = nodes_.at(n);
-            if (node.ready && node.speech != Speech::one_phase && node.distrusted_until <= now) return true;
+            if (node.ready && node.speech != Support::one_phase && node.distrusted_until <= now) return true;
         }
     return false;
 }
--- a/src/phases/two_phase_capability.hpp
+++ b/src/phases/two_phase_capability.hpp
@@ -11,10 +11,11 @@
 
 namespace tealcart {
 
-class Speakers {
+// Which data nodes speak the two-phase frames, and whose summaries are distrusted for now.
+class TwoPhaseCapability {
   public:
     // Shard s lies at places (s + j) mod `places` for j below `width`.
-    Speakers(int places, int width, Nanos distrust);
+    TwoPhaseCapability(int places, int width, Nanos distrust);
 
     // What the list says of a node now. `anew`: its entry moved or started again, so what was known is void.
     void hear_entry(const Endpoint& entry, bool anew);
@@ -22,10 +23,10 @@
     // A whole list: what it does not name is gone.
     void keep_only(std::span<const Endpoint> entries);
 
-    void proved(std::uint32_t node) { set(node, Speech::two_phase); }
-    void refused(std::uint32_t node) { set(node, Speech::one_phase); }
-    bool is_proved(std::uint32_t node) const { return speech(node) == Speech::two_phase; }
-    bool is_one_phase(std::uint32_t node) const { return speech(node) == Speech::one_phase; }
+    void proved(std::uint32_t node) { set(node, Support::two_phase); }
+    void refused(std::uint32_t node) { set(node, Support::one_phase); }
+    bool is_proved(std::uint32_t node) const { return speech(node) == Support::two_phase; }
+    bool is_one_phase(std::uint32_t node) const { return speech(node) == Support::one_phase; }
 
     void distrust(std::uint32_t node, Nanos now);
     bool trusted(std::uint32_t node, Nanos now) const;
@@ -36,16 +37,16 @@
     std::size_t known() const { return nodes_.size(); }
 
   private:
-    enum class Speech : std::uint8_t { unknown, one_phase, two_phase };
+    enum class Support : std::uint8_t { unknown, one_phase, two_phase };
     struct Node {
         std::uint32_t place = 0;
         bool ready = false;
-        Speech speech = Speech::unknown;
+        Support speech = Support::unknown;
         Nanos distrusted_until = 0;
     };
 
-    Speech speech(std::uint32_t node) const;
-    void set(std::uint32_t node, Speech speech);
+    Support speech(std::uint32_t node) const;
+    void set(std::uint32_t node, Support speech);
 
     const std::uint32_t places_, width_;
     const Nanos distrust_;
--- a/src/relay/delta_history.hpp
+++ b/src/relay/delta_history.hpp
@@ -34,7 +34,7 @@
     std::size_t bytes_ = 0;
 };
 
-// Entries behind the key `after`, up to so many bytes of keys and values, but one at least.
+// Entries after the key `after`, up to so many bytes of keys and values, but one at least.
 changes::Page page_of(const changes::Copy& copy, const std::string& after, std::size_t max_bytes);
 
 }  // namespace tealcart::relay
--- a/src/router/admission.cpp
+++ b/src/router/admission.cpp
@@ -9,7 +9,7 @@
 // its tenant's quota.
 constexpr double usable_time_share = 0.65;
 constexpr double lesser_time_share = 0.35;
-constexpr double idle_latency = 4.0;  // times the base latency: what nodes without a backlog take
+constexpr double no_backlog_latency = 4.0;  // times the base latency: what nodes without a backlog take
 
 // Until when an answer is worth something.
 Nanos time_left(const Query& query, const QueryClassConfig& config, Nanos now) {
@@ -54,7 +54,7 @@
     const auto left = static_cast<double>(time_left(query, config, now));
     const bool is_lesser = now >= query.objective_at || query.priority_weight < 1;
     if (is_lesser) return lesser_time_share * left;
-    return std::max(usable_time_share * left, idle_latency * latency_.base_latency());
+    return std::max(usable_time_share * left, no_backlog_latency * latency_.base_latency());
 }
 
 }  // namespace tealcart::router
--- a/src/router/decision_sink.hpp
+++ b/src/router/decision_sink.hpp
@@ -16,9 +16,9 @@
     virtual void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) = 0;
     virtual void cancel(std::uint32_t shard_request, std::uint8_t attempt) = 0;
     // Ends the query, or its first step where its class has a second.
-    virtual void answer(std::uint32_t query, bool whole) = 0;
-    // `not_before`: the client should wait this long before it comes again; 0 for no advice.
-    virtual void reject(std::uint32_t query, Nanos not_before) = 0;
+    virtual void answer(std::uint32_t query, bool complete) = 0;
+    // `retry_after`: for how long (nanoseconds) the client is asked to wait; 0 where nothing is said.
+    virtual void reject(std::uint32_t query, Nanos retry_after) = 0;
     // Ends a query that may have had an effect, so that a rejection would be wrong.
     virtual void fail_query(std::uint32_t query) = 0;
     virtual void set_timer(std::uint64_t cookie, Nanos wait) = 0;
--- a/src/router/hedging.cpp
+++ b/src/router/hedging.cpp
@@ -5,9 +5,9 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double max_hedge_share = 0.1;  // of all attempts in flight
-constexpr double last_few_share = 0.1;   // of a query's shard requests
-constexpr double idle_latency = 2.0;     // times the base latency: a replica expected back so soon is idle
+constexpr double max_hedge_share = 0.1;    // of all attempts in flight
+constexpr double last_few_share = 0.1;     // of a query's shard requests
+constexpr double max_hedge_latency = 2.0;  // times the base latency: a replica expected back so soon is idle
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     conditions.is_last_few = !query_class.allows_partial && missing <= last_few_share * all;
     const Nanos until_objective = conditions.is_last_few ? query.objective_at - now : 0;
     conditions.answer_within =
-        std::max(idle_latency * nodes_.latency().base_latency(), static_cast<double>(until_objective));
+        std::max(max_hedge_latency * nodes_.latency().base_latency(), static_cast<double>(until_objective));
     return conditions;
 }
 
--- a/src/router/hedging.hpp
+++ b/src/router/hedging.hpp
@@ -4,7 +4,8 @@
 // expected back soon; most of the fleet must respond, and there must be no pressure; hedges are held to a
 // share of the attempts in flight. The last few shard requests of a query that needs all of them are hedged
 // under pressure too, and to a replica that is only expected back by the latency objective: all that the
-// query has cost is lost with them.
+// query has cost is lost with them. A hedge must also be allowed by RetryPolicy::may_retry, and takes from
+// the retry budget (QueryRouter::State::send_retries).
 #pragma once
 
 #include "router/node_tracker.hpp"
--- a/src/router/late_retry_detector.hpp
+++ b/src/router/late_retry_detector.hpp
@@ -30,7 +30,7 @@
     }
 
     // A query was given up: if it was a first try, its client may come again.
-    void record_given_up(bool was_late_retry) {
+    void record_rejected_or_failed(bool was_late_retry) {
         if (!retries_marked_ && !was_late_retry) expected_unmarked_ += 1;
     }
 
--- a/src/router/outlier_detector.cpp
+++ b/src/router/outlier_detector.cpp
@@ -11,7 +11,7 @@
 constexpr int max_doublings = 3;                     // ... up to so often
 constexpr int failures_to_report = 3;                // in a row, before the log tells of them
 constexpr double ejecting_silence = 3.0;             // times the usual latency
-constexpr int max_silent_share = 4;                  // of the ready nodes: one in so many
+constexpr int silent_share_divisor = 4;              // of the ready nodes: one in so many
 
 }  // namespace
 
@@ -57,10 +57,10 @@
     const std::vector<NodeIndex>& busy = activity_.busy();
     const auto silent = std::count_if(
         busy.begin(), busy.end(), [&](NodeIndex node) { return is_silent(node, suspicious_silence, now); });
-    fleet_responds_ = max_silent_share * silent <= endpoints_.ready_nodes();
+    fleet_responds_ = silent_share_divisor * silent <= endpoints_.ready_nodes();
     if (!fleet_responds_) return;
     for (const NodeIndex node : busy)
-        if (!ejected_or_probing(node, now) && is_silent(node, ejecting_silence, now))
+        if (!ejected_or_on_trial(node, now) && is_silent(node, ejecting_silence, now))
             record_failure(node, now, sink);
 }
 
--- a/src/router/outlier_detector.hpp
+++ b/src/router/outlier_detector.hpp
@@ -1,4 +1,4 @@
-// Ejects nodes whose attempts fail or that fall silent, and lets them back by a single probing attempt.
+// Ejects nodes whose attempts fail or that fall silent, and lets them back by a single trial attempt.
 //
 // A failure of any kind ejects the node for a time that doubles with each in a row; each success takes one
 // step back. Only results of this router's own attempts count, so that silent, slow and fast-failing nodes
@@ -44,7 +44,7 @@
     bool fleet_responds() const { return fleet_responds_; }
 
     // Ejected, or let back with its first attempt still in flight: one attempt probes the node, others wait.
-    bool ejected_or_probing(NodeIndex node, Nanos now) const {
+    bool ejected_or_on_trial(NodeIndex node, Nanos now) const {
         if (ejected_until_[node] > now) return true;
         return consecutive_failures_[node] > 0 && activity_.in_flight(node) > 0 &&
                activity_.last_heard(node) < ejected_until_[node];
--- a/src/router/pressure_detector.hpp
+++ b/src/router/pressure_detector.hpp
@@ -1,8 +1,8 @@
 // Pressure, by the design's word: whether so many shard requests end overloaded or timed out that the fleet
 // has more load than it carries.
 //
-// Bad outcomes that pile up at the eighth of the nodes asked that has most of them are these nodes' trouble
-// and don't count, but one at each does: a router of a large fleet asks many nodes once each.
+// The eighth of the nodes asked that has the most bad outcomes counts for one each at most, since the fault
+// may be theirs. One each counts: a router of a large fleet asks many nodes once each.
 #pragma once
 
 #include <optional>
--- a/src/router/query_router.hpp
+++ b/src/router/query_router.hpp
@@ -19,8 +19,8 @@
     double share = 1;  // of a warm node's load that it may be given now, by all routers together
 };
 
-// How often a shard request of a query class may be sent, and for how long after the first time; 0 for no
-// bound of its own.
+// How often a shard request of a query class may be sent once an attempt of it may have run, and for how long
+// after the first time (nanoseconds); 0 for no bound of its own.
 struct RetryLimits {
     int max_attempts = 1;
     Nanos within = 0;
@@ -35,7 +35,7 @@
     QueryRouter(QueryRouter&&) noexcept;
 
     // One round: plays what came in and writes all that follows from it. `now` never goes back.
-    void round(Nanos now, RoundEvents& arrivals, DecisionSink& writer);
+    void round(Nanos now, RoundEvents& events, DecisionSink& sink);
 
     std::vector<NodeCapacityShare> capacity_shares(Nanos now);
     RetryLimits retry_limits(std::uint16_t query_class) const;
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -40,7 +40,7 @@
     return is_retry && last_reset_at_ > 0 && now - last_reset_at_ < caution_after_reset;
 }
 
-bool RetryPolicy::may_bring_nodes_down(const Query& query) const {
+bool RetryPolicy::is_suspected_poison(const Query& query) const {
     const int allowed = query.one_at_a_time ? max_resets_one_at_a_time : max_resets;
     return !query.any_answered && query.resets >= allowed;
 }
--- a/src/router/retry_policy.hpp
+++ b/src/router/retry_policy.hpp
@@ -29,7 +29,7 @@
     bool sends_one_at_a_time(bool is_retry, Nanos now) const;
     // Whether a query may be what brings nodes down: attempts of it ended in resets and none has come back.
     // It gets no further attempts. One answer clears it, so that an ordinary crash costs a query nothing.
-    bool may_bring_nodes_down(const Query& query) const;
+    bool is_suspected_poison(const Query& query) const;
 
   private:
     int max_attempts_;
--- a/src/service/attempt_dispatcher.hpp
+++ b/src/service/attempt_dispatcher.hpp
@@ -40,7 +40,7 @@
     // Queues an attempt for `send_queued`, in a frame of this type.
     void queue(Handle handle, char letter);
     // Hands over what the round has added. Attempts to one node travel together, as many in a frame as the
-    // deployment allows. With `no_calls_after` nothing is written later than that.
+    // deployment allows. Nothing is written later than `attempts_until`.
     void send_queued(const NodeTable& nodes, Nanos attempts_until);
 
     const Attempt* find(Handle handle) const { return attempts_.find(handle); }
--- a/src/service/completion.cpp
+++ b/src/service/completion.cpp
@@ -44,12 +44,22 @@
     std::string out;
     const std::string start = "complete -c " + app.get_name();
     for (const CLI::App* sub : commands_of(app)) {
-        out += start + " -n __fish_use_subcommand -f -a " + sub->get_name() + " -d '" +
-               sub->get_description() + "'\n";
+        out.append(start)
+            .append(" -n __fish_use_subcommand -f -a ")
+            .append(sub->get_name())
+            .append(" -d '")
+            .append(sub->get_description())
+            .append("'\n");
         for (const CLI::Option* option : sub->get_options())
             for (const std::string& name : option->get_lnames())
-                out += start + " -n '__fish_seen_subcommand_from " + sub->get_name() + "' -l " + name +
-                       " -d '" + option->get_description() + "'\n";
+                out.append(start)
+                    .append(" -n '__fish_seen_subcommand_from ")
+                    .append(sub->get_name())
+                    .append("' -l ")
+                    .append(name)
+                    .append(" -d '")
+                    .append(option->get_description())
+                    .append("'\n");
     }
     return out;
 }
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -39,7 +39,7 @@
       relays_(io, time, *this, follower_path, "relay", config_.relays, std::hash<std::string>{}(name_),
               launch.seed | 1),
       ready_by_(time.now() + config_.startup_wait) {
-    look();
+    update_serving_state();
 }
 
 void ConfigFollower::stop() {
@@ -47,7 +47,7 @@
     relays_.stop();
 }
 
-void ConfigFollower::look() {
+void ConfigFollower::update_serving_state() {
     const Nanos now = time_.now();
     const ServingState state = lease_.serving_state(now);
     if (std::exchange(serving_state_, state) != state)
@@ -99,7 +99,7 @@
     log_line("configuration version %llu: %zu entries, %zu changed", printable(accepted_version_),
              copy_.document().size(), overlay_.on_applied(copy_.document()));
     if (less_verbose) start_log(log_);
-    dispatcher_.take_phases(std::move(settings.phases));
+    dispatcher_.set_two_phase_config(std::move(settings.phases));
 }
 
 bool ConfigFollower::update_copy(const ChangesAnswer& answer) {
@@ -141,7 +141,7 @@
     const bool has_lease = answer.lease > 0 || now < lease_.lease_until();
     answers_without_lease_ = has_lease ? 0 : answers_without_lease_ + 1;
     caught_up_ |= answer.lease > 0 && copy_.version() >= answer.version;
-    look();
+    update_serving_state();
     // A relay that answers at once and brings nothing is not called again at once.
     const Nanos earliest = sent + std::max(wait_, min_pause);
     if (!further && time_.now() < earliest)
@@ -172,7 +172,7 @@
 
 void ConfigFollower::on_superseded(std::uint64_t last_incarnation) {
     lease_.superseded(last_incarnation);
-    look();
+    update_serving_state();
 }
 
 bool ConfigFollower::farewell() {
--- a/src/service/config_follower.hpp
+++ b/src/service/config_follower.hpp
@@ -21,7 +21,7 @@
     void stop();
 
     // To be called before each round: applies what the clock alone has changed.
-    void look();
+    void update_serving_state();
     // And after it: the dispatcher acts on what it was given before.
     void after_round();
     Nanos next_change() const;
--- a/src/service/decision_executor.cpp
+++ b/src/service/decision_executor.cpp
@@ -32,10 +32,10 @@
     completion_.respond_with_results(id, body.finish());
 }
 
-void DecisionExecutor::reject(std::uint32_t id, Nanos not_before) {
+void DecisionExecutor::reject(std::uint32_t id, Nanos retry_after) {
     if (const Query* query = queries_.find_active(id); query != nullptr && query->two_phase)
-        return two_phase_.end_leg(id, Verdict::reject, not_before);
-    completion_.respond(id, {503, write_error("rejected"), not_before});
+        return two_phase_.end_leg(id, Verdict::reject, retry_after);
+    completion_.respond(id, {503, write_error("rejected"), retry_after});
 }
 
 void DecisionExecutor::fail_query(std::uint32_t id) {
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -33,7 +33,7 @@
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
       managers_(io, time, *this, config_.managers, launch.agreed_bound) {
     host_.observe_outcomes(this);
-    look();
+    update_serving_state();
 }
 
 void Membership::update_host(const EndpointList& list) {
@@ -43,7 +43,7 @@
 void Membership::on_list(const EndpointList& list) { update_host(endpoints_.apply_discovered(list)); }
 
 // Guards against acting, after a stall, on a lease that has expired.
-void Membership::look() {
+void Membership::update_serving_state() {
     const Nanos now = time_.now();
     const ServingState state = lease_.serving_state(now);
     if (std::exchange(serving_state_, state) != state)
@@ -108,7 +108,7 @@
     lease_.renewed(sent, answer.lease);
     // A new leader may be behind for a moment: what is known stays.
     if (answer.generation > known_generation_ || known_generation_ == 0) apply_generation(answer);
-    look();
+    update_serving_state();
     after_round();
 }
 
@@ -131,7 +131,7 @@
 
 void Membership::on_superseded(std::uint64_t last_incarnation) {
     lease_.superseded(last_incarnation);
-    look();
+    update_serving_state();
 }
 
 bool Membership::farewell() {
--- a/src/service/membership.hpp
+++ b/src/service/membership.hpp
@@ -23,7 +23,7 @@
     void know(const EndpointList& list) { endpoints_.apply_discovered(list); }
 
     // To be called before each round: applies what the clock alone has changed.
-    void look();
+    void update_serving_state();
     // And after it: the host has acted on what it was told.
     void after_round();
     Nanos next_change() const { return lease_.next_change(time_.now()); }
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -131,7 +131,7 @@
     return attempts_.any_in_flight_to([&](std::uint32_t node) { return matches(nodes_.name(node)); });
 }
 
-void QueryDispatcher::take_phases(std::vector<TwoPhaseConfig> by_query_class) {
+void QueryDispatcher::set_two_phase_config(std::vector<TwoPhaseConfig> by_query_class) {
     two_phase_.set_config(std::move(by_query_class));
 }
 
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -61,12 +61,12 @@
     void begin_stop() { stopping_ = true; }
     // From here on queries begin by these, one for each query class; those in progress keep what they began
     // with. To be called between two rounds.
-    void take_phases(std::vector<TwoPhaseConfig> by_query_class);
+    void set_two_phase_config(std::vector<TwoPhaseConfig> by_query_class);
 
     std::size_t attempts_in_flight() const { return attempts_.in_flight(); }
     const NodeTable& nodes() const { return nodes_; }
     const PhaseCounts& phase_counts() const { return two_phase_.counts(); }
-    const Speakers& speakers() const { return two_phase_.capability(); }
+    const TwoPhaseCapability& speakers() const { return two_phase_.capability(); }
     const SectionMemory& section_memory() const { return two_phase_.section_memory(); }
 
   private:
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -127,8 +127,8 @@
     for (int i = 0; i < max_handlers_per_turn && io_.poll_one() > 0; ++i) {
     }
     clock_.due.fire_due(clock_.now());
-    if (membership_) membership_->look();
-    if (follower_) follower_->look();
+    if (membership_) membership_->update_serving_state();
+    if (follower_) follower_->update_serving_state();
     if (!dispatcher_.begun() && (discovery_.told() || clock_.now() >= first_list_deadline_))
         dispatcher_.begin();
     run_due_round();
--- a/src/service/two_phase_coordinator.hpp
+++ b/src/service/two_phase_coordinator.hpp
@@ -57,7 +57,7 @@
     void on_endpoints(const NodeTable::Changes& changes, ListKind kind);
 
     const PhaseCounts& counts() const { return counts_; }
-    const Speakers& capability() const { return capability_; }
+    const TwoPhaseCapability& capability() const { return capability_; }
     const SectionMemory& section_memory() const { return section_memory_; }
 
   private:
@@ -82,7 +82,7 @@
     // Some query class is in two phases, or may come to be: the nodes' capability is kept.
     const bool may_be_used_;
     bool remembers_sections_;  // some query class that is in two phases does
-    Speakers capability_;
+    TwoPhaseCapability capability_;
     SectionMemory section_memory_;
     PhaseCounts counts_;
     std::knuth_b random_;
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -121,7 +121,7 @@
     member_.stop();
 }
 
-void HollowRouter::look() { member_.look(); }
+void HollowRouter::update_serving_state() { member_.update_serving_state(); }
 
 void HollowRouter::on_list(const EndpointList& list) {
     const NodeTable::Changes news = nodes_.apply(list);
@@ -136,7 +136,7 @@
 // What the module would be told ends here.
 void HollowRouter::on_due(Handle, std::uint64_t) {
     round_ = TimerQueue::none;
-    member_.look();
+    member_.update_serving_state();
     time_.due.drop(round_);
     last_round_ = time_.now();
     entries_ += arrived_.size();
@@ -202,7 +202,7 @@
         if (time_.now() - looked < heartbeat) continue;
         looked = time_.now();
         ended_.clear();
-        for (const auto& r : routers_) r->look();
+        for (const auto& r : routers_) r->update_serving_state();
     }
 }
 
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -49,7 +49,7 @@
 
     void start();
     void stop();
-    void look();
+    void update_serving_state();
 
     const Membership& member() const { return member_; }
     const DiscoveryWatch& discovery() const { return watch_; }
--- a/src/wire/change_messages.hpp
+++ b/src/wire/change_messages.hpp
@@ -21,7 +21,7 @@
 struct WatchPosition {
     std::uint64_t knows = 0, digest = 0;  // version and digest of the copy
     bool wants_pages = false;
-    std::string after;  // with wants_pages: the entries behind this key
+    std::string after;  // with wants_pages: the entries after this key
     Nanos wait = 0;     // whole milliseconds on the wire
 };
 
--- a/src/wire/phase_frames.hpp
+++ b/src/wire/phase_frames.hpp
@@ -15,7 +15,7 @@
 
 namespace tealcart {
 
-// Letters: P asks for a word, F for rows, U gives a shard request up; S brings a word, W rows.
+// Letters: P asks for a summary, F for rows, U cancels an attempt; S brings a summary, W rows.
 constexpr char asks_word = 'P', asks_rows = 'F', gives_up_phase = 'U', brings_word = 'S', brings_rows = 'W';
 constexpr int max_find = 16;  // terms, and ranges, that a query may look for
 
