--- a/src/changes/commands.hpp
+++ b/src/changes/commands.hpp
@@ -42,6 +42,7 @@
     std::string name;
 };
 
+// Replaces the limits with those of the operators' file.
 struct SetLimits {
     Limits limits;
 };
@@ -49,6 +50,7 @@
 // Time goes on.
 struct Tick {};
 
+// One entry of the replicated log.
 struct Command {
     std::string id;  // the proposer's own, tells that a command comes again; empty: not deduplicated
     Nanos at = 0;    // by the proposer's clock
--- a/src/changes/document.hpp
+++ b/src/changes/document.hpp
@@ -18,6 +18,7 @@
 std::uint64_t digest_of(const std::string& key, const std::string& value);
 std::uint64_t digest_of(const Document& document);  // wrapping sum over its entries
 
+// What leads from one version of the document to a later one.
 struct Delta {
     std::uint64_t from = 0, to = 0;  // versions
     std::map<std::string, std::string> set;
@@ -38,6 +39,7 @@
     friend bool operator==(const Page&, const Page&) = default;
 };
 
+// A follower's copy of the document.
 class Copy {
   public:
     // `max_bytes`: of keys and values that are still coming in pages; more is taken as spoilt.
--- a/src/changes/effects.hpp
+++ b/src/changes/effects.hpp
@@ -10,6 +10,7 @@
 
 namespace tealcart::changes {
 
+// A new version is the latest.
 struct VersionPublished {
     std::uint64_t version = 0;
     friend bool operator==(const VersionPublished&, const VersionPublished&) = default;
@@ -38,12 +39,14 @@
     friend bool operator==(const MemberRefused&, const MemberRefused&) = default;
 };
 
+// Nothing is published until publishing is resumed or rolled back.
 struct PublishingHalted {
     std::uint64_t version = 0;
     std::string reason;
     friend bool operator==(const PublishingHalted&, const PublishingHalted&) = default;
 };
 
+// Versions may be published again.
 struct PublishingResumed {
     std::uint64_t version = 0;
     friend bool operator==(const PublishingResumed&, const PublishingResumed&) = default;
@@ -56,6 +59,7 @@
     friend bool operator==(const RelayLeaseExpired&, const RelayLeaseExpired&) = default;
 };
 
+// Why a report was not applied.
 enum class StaleReason : std::uint8_t {
     malformed,
     too_many_members,     // Limits::max_members
--- a/src/changes/limits.hpp
+++ b/src/changes/limits.hpp
@@ -7,6 +7,7 @@
 
 namespace tealcart::changes {
 
+// What operators allow. Times in nanoseconds, sizes in bytes.
 struct Limits {
     // For how long a relay's report holds; the leases of its members end with it at the latest.
     Nanos lease = 10'000'000'000;
--- a/src/changes/member_table.hpp
+++ b/src/changes/member_table.hpp
@@ -25,6 +25,7 @@
     bool exception = false;  // the relay lists the member as one
 };
 
+// A router that follows the configuration, as its relays last reported it.
 struct Member {
     std::uint64_t incarnation = 0;
     std::uint64_t stated = 0;  // the greatest version stated of it by name, or of all while it was among them
--- a/src/changes/publish_check.hpp
+++ b/src/changes/publish_check.hpp
@@ -10,6 +10,7 @@
 
 namespace tealcart::changes {
 
+// Why a version is not published.
 struct Rejection {
     std::string reason;
 };
--- a/src/changes/relay_table.hpp
+++ b/src/changes/relay_table.hpp
@@ -18,6 +18,7 @@
 
 constexpr Nanos before_all_times = INT64_MIN / 4;
 
+// A relay, as last reported.
 struct Relay {
     std::string zone;
     std::uint64_t incarnation = 0, number = 0;  // number: of the last report that was applied
--- a/src/changes/snapshot.hpp
+++ b/src/changes/snapshot.hpp
@@ -17,6 +17,7 @@
 
 namespace tealcart::changes {
 
+// The single values of a snapshot.
 struct SnapshotScalars {
     std::uint64_t version = 0, applied_everywhere = 0, halted_version = 0;
     bool halted = false;
@@ -24,6 +25,7 @@
     Nanos now = 0, hold_until = 0;
 };
 
+// All of the state that can't be derived from the rest of it.
 struct Snapshot {
     Limits limits;
     Document document;
--- a/src/changes/versioned_document.hpp
+++ b/src/changes/versioned_document.hpp
@@ -25,6 +25,7 @@
     void append(const DocumentChange& next);
 };
 
+// A version whose delta is kept, in both directions.
 struct KeptVersion {
     std::uint64_t version = 0;
     Nanos published_at = 0;
--- a/src/fleet/commands.hpp
+++ b/src/fleet/commands.hpp
@@ -16,6 +16,7 @@
 
 namespace tealcart::fleet {
 
+// A member has started: registers its incarnation.
 struct Join {
     std::string name;
     Role role;
@@ -24,6 +25,7 @@
     Nanos serve_on = 0;  // the member's own, see Member
 };
 
+// A member renews its lease and reports on itself.
 struct Renew {
     std::string name;
     std::uint64_t incarnation;
@@ -36,6 +38,7 @@
     std::vector<Renew> renewals;
 };
 
+// A member says farewell: its lease ends at once.
 struct Leave {
     std::string name;
     std::uint64_t incarnation;
@@ -46,12 +49,14 @@
     std::string name;
 };
 
+// What discovery lists of the data nodes, as the leader sees it.
 struct EndpointsObserved {
     std::map<std::string, Node> nodes;
     bool full = true;  // all nodes: one that is not among them is gone; else what is new ...
     std::set<std::string> removed = {};  // ... and what is gone
 };
 
+// An operator asks for a target to be drained.
 struct RequestRemoval {
     std::string asker;
     Target target;
@@ -62,10 +67,12 @@
     std::uint64_t request;
 };
 
+// No removal is granted until Resume.
 struct Halt {
     std::string reason;
 };
 
+// Ends a halt.
 struct Resume {};
 
 // Time goes on.
@@ -76,6 +83,7 @@
     Budgets budgets;
 };
 
+// One entry of the replicated log.
 struct Command {
     std::string id;  // the proposer's own, tells that a command comes again; empty: not deduplicated
     Nanos at = 0;    // by the proposer's clock
--- a/src/fleet/effects.hpp
+++ b/src/fleet/effects.hpp
@@ -63,12 +63,14 @@
     friend bool operator==(const RequestEnded&, const RequestEnded&) = default;
 };
 
+// No removal is granted from now on.
 struct GrantsHalted {
     std::uint64_t generation = 0;
     std::string reason;
     friend bool operator==(const GrantsHalted&, const GrantsHalted&) = default;
 };
 
+// Removals are granted again.
 struct GrantsResumed {
     std::uint64_t generation = 0;
     friend bool operator==(const GrantsResumed&, const GrantsResumed&) = default;
@@ -81,6 +83,7 @@
     friend bool operator==(const MemberLeaseExpired&, const MemberLeaseExpired&) = default;
 };
 
+// Why a report was not applied.
 enum class StaleReason : std::uint8_t {
     earlier_incarnation,  // a later incarnation of the member has joined
     unknown_incarnation,  // not a member, or another incarnation is
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -24,6 +24,7 @@
     friend bool operator==(const MemberReport&, const MemberReport&) = default;
 };
 
+// A member of the fleet, as last reported.
 struct Member {
     Role role = Role::router;
     std::string zone, version, digest;
--- a/src/fleet/node.hpp
+++ b/src/fleet/node.hpp
@@ -12,6 +12,7 @@
 // Stored by number: append only.
 enum class Health : std::uint8_t { healthy, draining, cold, gone, unknown };
 
+// A data node, as discovery lists it.
 struct Node {
     std::string zone, kind;             // kind: of machine
     std::vector<std::uint32_t> shards;  // that it holds
--- a/src/fleet/node_table.hpp
+++ b/src/fleet/node_table.hpp
@@ -14,6 +14,7 @@
 
 namespace tealcart::fleet {
 
+// How many replicas of a shard there are, and how many of them are healthy.
 struct ShardCount {
     std::size_t holders = 0;  // nodes
     // Times that it is listed by a node, which may list it twice: by all, and by those that are not out.
--- a/src/fleet/snapshot.hpp
+++ b/src/fleet/snapshot.hpp
@@ -16,6 +16,7 @@
 
 namespace tealcart::fleet {
 
+// The single values of a snapshot.
 struct SnapshotScalars {
     std::uint64_t generation = 0, last_fence = 0, last_request = 0;
     bool halted = false;
@@ -23,6 +24,7 @@
     Nanos now = 0, hold_until = 0;
 };
 
+// All of the state that can't be derived from the rest of it.
 struct Snapshot {
     Budgets budgets;
     std::map<std::string, Member> members;
--- a/src/fleet/tally.hpp
+++ b/src/fleet/tally.hpp
@@ -14,6 +14,7 @@
 };
 using GroupCounts = std::map<std::string, GroupCount>;  // by zone, or by kind
 
+// Whether an item is taken out of a count or added to it.
 enum class Step : bool { down, up };
 
 template <typename Number>
--- a/src/fleet/unresponsive_votes.hpp
+++ b/src/fleet/unresponsive_votes.hpp
@@ -12,6 +12,7 @@
 
 namespace tealcart::fleet {
 
+// How many live routers find each node unresponsive.
 struct VoteCounts {
     std::map<std::string, std::size_t> by_node;
     std::set<std::pair<std::size_t, std::string>> by_votes;
--- a/src/fleet_manager/fleet_manager_config.hpp
+++ b/src/fleet_manager/fleet_manager_config.hpp
@@ -13,6 +13,7 @@
 
 namespace tealcart::manager {
 
+// Where a fleet manager listens, and where it stores its data.
 struct ManagerAddresses {
     std::string raft;          // where the other fleet managers reach it
     std::string bind;          // where it listens for them; empty: the same
@@ -20,6 +21,7 @@
     std::string data_directory;
 };
 
+// The fleet managers' file.
 struct FleetManagerConfig {
     std::string source, fleet;     // fleet: its name
     Nanos election = 600'000'000;  // ns without the leader's heartbeat until an election
--- a/src/fleet_manager/manager_client.hpp
+++ b/src/fleet_manager/manager_client.hpp
@@ -12,6 +12,7 @@
 
 namespace tealcart::manager {
 
+// What a fleet manager answered.
 struct Reply {
     int status = 0;  // of HTTP; 0: no fleet manager answered in time
     std::string body;
--- a/src/members/member_lease.hpp
+++ b/src/members/member_lease.hpp
@@ -11,6 +11,7 @@
 
 namespace tealcart {
 
+// What its lease allows a router.
 enum class ServingState : std::uint8_t {
     unregistered,   // no renewal has been answered yet
     leased,         // the lease holds
--- a/src/replicated/cbor.hpp
+++ b/src/replicated/cbor.hpp
@@ -9,6 +9,7 @@
 
 namespace tealcart::replicated {
 
+// Appends CBOR items to a buffer.
 class CborWriter {
   public:
     void number(std::uint64_t value);
--- a/src/replicated/codec_error.hpp
+++ b/src/replicated/codec_error.hpp
@@ -7,6 +7,7 @@
 
 namespace tealcart::replicated {
 
+// Bytes are not of the form that the reader knows.
 class CodecError : public std::runtime_error {
   public:
     enum class Fault : std::uint8_t {
--- a/src/replicated/command_envelope.hpp
+++ b/src/replicated/command_envelope.hpp
@@ -13,6 +13,7 @@
 
 namespace tealcart::replicated {
 
+// What every command carries beside its own fields.
 struct CommandEnvelope {
     std::string id;
     Nanos at = 0;
--- a/src/router/answer_policy.hpp
+++ b/src/router/answer_policy.hpp
@@ -14,6 +14,7 @@
     bool all_answered = true;
 };
 
+// What is to become of a query in this round.
 enum class AnswerDecision : std::uint8_t {
     wait,
     answer_complete,
--- a/src/router/query_class.hpp
+++ b/src/router/query_class.hpp
@@ -8,6 +8,7 @@
 // A sum of rounded weights misses its value by less.
 constexpr double weight_tolerance = 2e-5;
 
+// A query class as configured, with what follows from its configuration.
 struct QueryClass {
     explicit QueryClass(const QueryClassConfig& stated)
         : config(stated),
--- a/src/router/query_table.hpp
+++ b/src/router/query_table.hpp
@@ -14,6 +14,7 @@
 using QueryIndex = std::uint32_t;
 using ShardRequestIndex = std::uint32_t;
 
+// One request sent to one node: a first attempt, a retry or a hedge.
 struct Attempt {
     NodeIndex node = no_node;
     Nanos sent_at = 0;
@@ -22,6 +23,7 @@
     bool may_have_run = true;
 };
 
+// What a query wants of one shard, with all attempts of it.
 struct ShardRequest {
     bool may_be_sent() const { return !answered && !lost; }
 
@@ -41,6 +43,7 @@
     bool expected_late = false;
 };
 
+// A query from its arrival to the end of its last attempt.
 struct Query {
     std::uint32_t id = 0, correlation_id = 0, query_class = 0;
     std::vector<ShardRequestIndex> shard_requests;       // of the current step, heaviest first once planned
@@ -61,6 +64,7 @@
     bool is_late_retry = false;
 };
 
+// Owns the queries and their shard requests; indices stay valid until the query is forgotten.
 class QueryTable {
   public:
     // Adds a live query.
--- a/src/router/round_events.hpp
+++ b/src/router/round_events.hpp
@@ -8,12 +8,14 @@
 
 namespace tealcart {
 
+// Whether an endpoint may be sent new work, as the endpoint list states it.
 enum class Lifecycle : std::uint8_t { removed = 0, ready = 1, draining = 2 };
 
 // delta: changes of the list that stands. full, cached: the list anew, cached without a watch behind it.
 // failed: no list could be had.
 enum class ListKind : std::uint8_t { delta = 0, full = 1, cached = 2, failed = 3 };
 
+// How an attempt ended.
 enum class Outcome : std::uint8_t {
     error = 0,
     ok = 1,
@@ -25,6 +27,7 @@
     not_sent = 7
 };
 
+// One entry of the endpoint list.
 struct Endpoint {
     std::uint32_t node = 0;
     std::uint32_t place = 0;
@@ -33,6 +36,7 @@
     std::uint32_t group = 0;  // nodes of one zone and machine kind share a group
 };
 
+// A query that a client has sent, or one leg of it. Times are of the caller's clock, in nanoseconds.
 struct QueryArrival {
     std::uint32_t id = 0;
     std::uint32_t correlation_id = 0;  // ties its shard requests to it
@@ -45,6 +49,7 @@
     Nanos answer_by = 0;  // a leg that is answered at this time with whatever is in; 0 for none
 };
 
+// What a query wants of one shard.
 struct ShardRequestArrival {
     std::uint32_t id = 0;
     std::uint32_t correlation_id = 0;
@@ -55,6 +60,7 @@
     bool answered = false;  // an earlier leg has its answer
 };
 
+// The end of an attempt; `latency` in nanoseconds.
 struct AttemptResult {
     std::uint32_t shard_request = 0;
     std::uint32_t node = 0;
--- a/src/service/event_queue.hpp
+++ b/src/service/event_queue.hpp
@@ -10,16 +10,20 @@
 
 namespace tealcart {
 
+// The endpoint list, or a change of it, was applied.
 struct EndpointsChanged {
     ListKind kind;
     std::vector<Endpoint> entries;
 };
+// A client has sent a query.
 struct QueryArrived {
     Handle query;
 };
+// The client of a query has closed its connection.
 struct ClientDisconnected {
     std::uint32_t query = 0;  // the module's id
 };
+// A timer that the decision module set has run out.
 struct RouterTimerFired {
     std::uint64_t cookie = 0;
 };
--- a/src/service/query_table.hpp
+++ b/src/service/query_table.hpp
@@ -52,6 +52,7 @@
     Nanos retry_after = 0;
 };
 
+// A client's query until its final answer and the end of its last attempt.
 struct Query {
     std::uint32_t id = 0;  // the decision module's; of a query in two phases its current leg's
     std::uint16_t query_class = 0;
--- a/src/wire/http.hpp
+++ b/src/wire/http.hpp
@@ -15,6 +15,7 @@
 // What reading a message came to: more bytes are needed, it is complete, or it is malformed.
 enum class Reading : std::uint8_t { more, done, bad };
 
+// A complete HTTP request.
 struct Request {
     std::string method, path;  // the path without its query
     std::string id, deadline,
--- a/src/wire/http_server.hpp
+++ b/src/wire/http_server.hpp
@@ -12,6 +12,7 @@
 
 namespace tealcart {
 
+// What a client is answered.
 struct Answer {
     int status = 200;
     std::string body;
--- a/src/wire/node_frames.hpp
+++ b/src/wire/node_frames.hpp
@@ -14,6 +14,7 @@
 // memory.
 constexpr std::size_t max_frame = 65UL * 1024;
 
+// A frame as read from a data node.
 struct Frame {
     char letter = 0;  // its type
     std::string_view rest;
--- a/src/wire/query_body.hpp
+++ b/src/wire/query_body.hpp
@@ -12,12 +12,14 @@
 
 namespace tealcart {
 
+// One shard that a client's query names.
 struct QueryShardRequest {
     std::uint32_t shard = 0;
     double weight = 0;  // of 1 over all shard requests
     Nanos hint = 0;     // the client's guess of its cost, 0 for none
 };
 
+// The body of a client's query.
 struct QueryBody {
     std::vector<QueryShardRequest> shard_requests;
     std::string text;
