--- a/src/wire/endpoint_list_codec.cpp
+++ b/src/wire/endpoint_list_codec.cpp
@@ -27,7 +27,7 @@
     }
 
     bool null() override { return put({}); }
-    bool boolean(bool value) override { return put({Value::boolean, value, 0, 0, nullptr}); }
+    bool boolean(bool value) override { return put({Value::flag, value, 0, 0, nullptr}); }
     bool number_integer(number_integer_t) override { return put({}); }  // below 0: others come unsigned
     bool number_unsigned(number_unsigned_t value) override {
         return put({Value::integer, false, value, static_cast<double>(value), nullptr});
@@ -80,7 +80,7 @@
   private:
     enum Key { id, address, zone, kind, lifecycle, place, started, generation, reset, instances, other };
     struct Value {
-        enum Type { nothing, boolean, integer, fraction, text } type = nothing;
+        enum Type { nothing, flag, integer, fraction, text } type = nothing;
         bool truth = false;
         std::uint64_t count = 0;
         double number = 0;  // finite: the parser takes no other
@@ -127,7 +127,7 @@
             has_generation_ = value.type == Value::integer;
             generation_ = value.count;
         } else if (key_ == reset) {
-            has_full_ = value.type == Value::boolean;
+            has_full_ = value.type == Value::flag;
             full_ = value.truth;
         } else if (key_ == instances) {
             nodes_.clear();
