--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -13,7 +13,7 @@
 namespace peg = tao::pegtl;
 
 // Rules are named in lower case, as PEGTL names its own.
-// NOLINTBEGIN(readability-identifier-naming)
+// NOLINTBEGIN(readability-identifier-naming): rules have the names of the grammar, as PEGTL does
 namespace grammar {
 
 struct line_comment
@@ -73,7 +73,7 @@
 struct file : peg::must<body, file_end> {};
 
 }  // namespace grammar
-// NOLINTEND(readability-identifier-naming)
+// NOLINTEND(readability-identifier-naming): end of the grammar
 
 template <typename>
 constexpr const char* error_message = nullptr;
