--- a/measure/two_phase.cpp
+++ b/measure/two_phase.cpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <unordered_set>
 
-#include "phases/section_memory.hpp"
+#include "phases/section_filter_cache.hpp"
 #include "phases/term_filter.hpp"
 #include "service/service.hpp"
 #include "testing/client.hpp"
@@ -129,7 +129,7 @@
     }
     came.work = fleet.work();
     came.counts = service.dispatcher().phase_counts();
-    came.memory_bytes = service.dispatcher().section_memory().bytes();
+    came.memory_bytes = service.dispatcher().section_filter_cache().bytes();
     std::sort(came.ms.begin(), came.ms.end());
     return came;
 }
@@ -155,7 +155,7 @@
     std::unordered_set<std::string> exact;
     std::vector<std::string> asked;
     for (std::size_t i = 0; i < terms; ++i) {
-        put_term(filter, term_hash("term-" + std::to_string(i)));
+        add_term(filter, term_hash("term-" + std::to_string(i)));
         exact.insert("term-" + std::to_string(i));
         asked.push_back("term-" + std::to_string(i * 2));
     }
@@ -164,7 +164,7 @@
         exact_bytes += sizeof(std::string) + 2 * sizeof(void*) + (t.size() > 15 ? t.capacity() + 1 : 0);
     benchmark::RegisterBenchmark("filter", [=](benchmark::State& state) {
         for (std::size_t i = 0; auto _ : state)
-            benchmark::DoNotOptimize(may_hold(filter, term_hash(asked[i++ % asked.size()])));
+            benchmark::DoNotOptimize(may_contain(filter, term_hash(asked[i++ % asked.size()])));
     });
     benchmark::RegisterBenchmark("exact", [=](benchmark::State& state) {
         for (std::size_t i = 0; auto _ : state)
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -45,28 +45,29 @@
     read.position = block.position;
     read.query_class = in.label("the vertical's name");
     TwoPhaseConfig& config = read.config;
-    config.on = true;
-    config.share = in.number("share", config.share, 0.01, 0.9);
-    config.least = in.duration("least", config.least, millisecond, hour);
-    config.most = in.duration("most", config.most, millisecond, hour);
-    config.keep = in.duration("keep", config.keep, 0, hour);
-    config.max_rows = static_cast<int>(in.integer("most_rows", config.max_rows, 1, max_words_rows));
-    config.audit = in.number("audit", config.audit, 0, 1);
-    config.remember = in.boolean("remember", config.remember);
-    if (config.least > config.most) in.add_error(block.position, "'least' is over 'most'");
+    config.enabled = true;
+    config.first_phase_share = in.number("share", config.first_phase_share, 0.01, 0.9);
+    config.min_first_phase = in.duration("least", config.min_first_phase, millisecond, hour);
+    config.max_first_phase = in.duration("most", config.max_first_phase, millisecond, hour);
+    config.response_reserve = in.duration("keep", config.response_reserve, 0, hour);
+    config.max_rows = static_cast<int>(in.integer("most_rows", config.max_rows, 1, max_summary_ranks));
+    config.audit_share = in.number("audit", config.audit_share, 0, 1);
+    config.cache_filters = in.boolean("remember", config.cache_filters);
+    if (config.min_first_phase > config.max_first_phase)
+        in.add_error(block.position, "'least' is over 'most'");
     in.reject_unknown();
     return read;
 }
 
-SectionMemoryConfig read_section_memory(const HclBlock& block, std::vector<HclError>& errors) {
+SectionFilterCacheConfig read_section_memory(const HclBlock& block, std::vector<HclError>& errors) {
     constexpr std::uint64_t min_bytes = 4096;
     constexpr std::uint64_t max_bytes = 1ULL << 30;
     BlockReader in(block, errors);
     in.expect_no_label();
-    SectionMemoryConfig config;
-    config.bytes = in.byte_size("bytes", config.bytes, min_bytes, max_bytes);
+    SectionFilterCacheConfig config;
+    config.max_bytes = in.byte_size("bytes", config.max_bytes, min_bytes, max_bytes);
     config.max_lease = in.duration("longest_lease", config.max_lease, millisecond, hour);
-    config.distrust = in.duration("distrust", config.distrust, second, day);
+    config.distrust_duration = in.duration("distrust", config.distrust_duration, second, day);
     in.reject_unknown();
     return config;
 }
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -34,7 +34,7 @@
     std::string source;  // the file's name
     std::string text;    // the file, empty where it was read from blocks
     LogConfig log;
-    SectionMemoryConfig memory;
+    SectionFilterCacheConfig memory;
     ControlConfig control;
     CallOverheadConfig calls;
     MemberConfig member;
--- a/src/phases/budget.cpp
+++ b/src/phases/budget.cpp
@@ -6,12 +6,12 @@
 namespace tealcart {
 
 Nanos first_phase_end(const TwoPhaseConfig& config, Nanos now, Nanos useful_by) {
-    const Nanos left = useful_by - config.keep - now;
-    const auto stated =
-        static_cast<Nanos>(std::llround(config.share * static_cast<double>(std::max<Nanos>(left, 0))));
-    const Nanos first = std::clamp(stated, config.least, config.most);
+    const Nanos left = useful_by - config.response_reserve - now;
+    const auto stated = static_cast<Nanos>(
+        std::llround(config.first_phase_share * static_cast<double>(std::max<Nanos>(left, 0))));
+    const Nanos first = std::clamp(stated, config.min_first_phase, config.max_first_phase);
     // The second phase gets no less than the first at its least.
-    return first + config.least > left ? now : now + first;
+    return first + config.min_first_phase > left ? now : now + first;
 }
 
 }  // namespace tealcart
--- a/src/phases/word.hpp
+++ b/src/phases/section_summary.hpp
@@ -15,7 +15,7 @@
 };
 
 // The rows with all of these terms, in all of these ranges, that rank highest.
-struct Find {
+struct SearchCriteria {
     std::vector<std::string> terms;
     std::vector<FieldRange> ranges;
     int rows = 0;  // so many of them; 0: the query is not one to be put in two phases
@@ -26,7 +26,7 @@
 struct SectionFilter {
     struct Extent {
         std::string field;
-        double least = 0, most = 0;
+        double min = 0, max = 0;
     };
     std::vector<std::uint8_t> terms;  // blocks of 32 bytes; none: any term
     std::vector<Extent> extents;
@@ -35,12 +35,12 @@
 };
 
 // A section's word on one query.
-struct SectionWord {
+struct SectionSummary {
     std::uint64_t version = 0;
-    bool nothing = false;       // no row matches
-    double upper = 0;           // no matching row ranks higher
-    std::vector<double> lower;  // ranks of rows that match, highest first
-    Nanos lease = 0;            // how long after the asking this version is the section's only one
+    bool no_matches = false;        // no row matches
+    double max_rank = 0;            // no matching row ranks higher
+    std::vector<double> top_ranks;  // ranks of rows that match, highest first
+    Nanos lease = 0;                // how long after the asking this version is the section's only one
     bool has_filter = false;
     SectionFilter filter;
 };
--- a/src/phases/term_filter.hpp
+++ b/src/phases/term_filter.hpp
@@ -10,15 +10,15 @@
 
 namespace tealcart {
 
-constexpr std::size_t filter_block = 32;  // bytes
+constexpr std::size_t filter_block_bytes = 32;  // bytes
 
 std::uint64_t term_hash(std::string_view term);
 
 // Room for so many terms at so many bits each.
-std::vector<std::uint8_t> make_filter(std::size_t terms, double bits_a_term);
-void put_term(std::span<std::uint8_t> filter, std::uint64_t hash);
+std::vector<std::uint8_t> make_filter(std::size_t terms, double bits_per_term);
+void add_term(std::span<std::uint8_t> filter, std::uint64_t hash);
 
 // False: none of what was put in has this hash. A filter without a block may hold anything.
-bool may_hold(std::span<const std::uint8_t> filter, std::uint64_t hash);
+bool may_contain(std::span<const std::uint8_t> filter, std::uint64_t hash);
 
 }  // namespace tealcart
--- a/src/phases/threshold.hpp
+++ b/src/phases/threshold.hpp
@@ -8,9 +8,9 @@
 
 namespace tealcart {
 
-class Threshold {
+class TopRankThreshold {
   public:
-    explicit Threshold(int rows) : rows_(static_cast<std::size_t>(std::max(rows, 1))) {}
+    explicit TopRankThreshold(int rows) : rows_(static_cast<std::size_t>(std::max(rows, 1))) {}
 
     void add(double rank) {
         if (heap_.size() < rows_) {
@@ -24,10 +24,10 @@
     }
 
     // The rank of the Nth; while fewer are known, any row may still enter.
-    double at() const { return heap_.size() < rows_ ? -HUGE_VAL : heap_.front(); }
+    double value() const { return heap_.size() < rows_ ? -HUGE_VAL : heap_.front(); }
 
     // A row of rank N itself may stand before others of its rank, so a tie enters.
-    bool can_enter(double upper) const { return upper >= at(); }
+    bool can_enter(double max_rank) const { return max_rank >= value(); }
 
   private:
     std::size_t rows_;
--- a/src/phases/two_phase.cpp
+++ b/src/phases/two_phase.cpp
@@ -4,177 +4,190 @@
 
 namespace tealcart {
 
-TwoPhase::TwoPhase(const TwoPhaseConfig& config, int rows, int max_attempts,
-                   const std::vector<double>& weights)
-    : config_(config), rows_(rows), call_cap_(max_attempts) {
+TwoPhaseStateMachine::TwoPhaseStateMachine(const TwoPhaseConfig& config, int rows, int max_attempts,
+                                           const std::vector<double>& weights)
+    : config_(config), rows_(rows), max_attempts_(max_attempts) {
     for (const double weight : weights) sections_.emplace_back().weight = weight;
 }
 
-Leg TwoPhase::begin(Nanos now, Nanos useful_by, const Outlook& outlook) {
+Leg TwoPhaseStateMachine::begin(Nanos now, Nanos useful_by, const SectionLookup& lookup) {
     useful_by_ = useful_by;
-    Leg leg{Leg::find, first_phase_end(config_, now, useful_by), {}};
-    const bool time = leg.until > now && call_cap_ > 1;
+    Leg leg{Leg::summaries, first_phase_end(config_, now, useful_by), {}};
+    const bool has_time = leg.until > now && max_attempts_ > 1;
     double sum = 0;
     for (std::uint32_t i = 0; i < sections_.size(); ++i) {
-        Section& s = sections_[i];
-        if (const auto node = outlook.ruled_out(i)) {
-            s.known = Known::remembered;
-            s.fate = Fate::pruned;
-            s.node = *node;
-        } else if (time && outlook.worth_asking(i)) {
-            leg.shard_requests.push_back({i, s.weight, 1, false});
-            sum += s.weight;
+        Section& section = sections_[i];
+        if (const auto node = lookup.excluded_by(i)) {
+            section.knowledge = Knowledge::cached_filter;
+            section.result = Result::pruned;
+            section.node = *node;
+        } else if (has_time && lookup.may_give_summary(i)) {
+            leg.shard_requests.push_back({i, section.weight, 1, false});
+            sum += section.weight;
         }
     }
     if (leg.shard_requests.empty()) return fetch(State::fetching);
     for (LegShardRequest& shard_request : leg.shard_requests)
         shard_request.weight =
             sum > 0 ? shard_request.weight / sum : 1.0 / static_cast<double>(leg.shard_requests.size());
-    state_ = State::finding;
+    state_ = State::summarizing;
     return leg;
 }
 
 // Of two words, the one of the newer version stands; what is heard too late is passed over.
-void TwoPhase::hear(std::uint32_t section, std::uint32_t node, const SectionWord& word) {
-    Section& s = sections_[section];
-    if (state_ != State::finding || (s.known != Known::unheard && s.version >= word.version)) return;
-    s.known = word.nothing ? Known::nothing : Known::bounded;
-    s.node = node;
-    s.version = word.version;
-    s.upper = word.upper;
-    s.lower = word.nothing ? std::vector<double>() : word.lower;
+void TwoPhaseStateMachine::on_summary(std::uint32_t index, std::uint32_t node,
+                                      const SectionSummary& summary) {
+    Section& section = sections_[index];
+    if (state_ != State::summarizing ||
+        (section.knowledge != Knowledge::none && section.version >= summary.version))
+        return;
+    section.knowledge = summary.no_matches ? Knowledge::no_matches : Knowledge::bounded;
+    section.node = node;
+    section.version = summary.version;
+    section.max_rank = summary.max_rank;
+    section.top_ranks = summary.no_matches ? std::vector<double>() : summary.top_ranks;
 }
 
 // A section is left out on its own word alone: that nothing matches, or that no row of it can be among the
 // first N of those which sections have said they hold. Its own rows count too, so that one with a row among
 // them stays.
-void TwoPhase::prune(const std::function<bool()>& audited) {
-    Threshold threshold(rows_);
-    for (const Section& s : sections_)
-        if (s.fate == Fate::open)
-            for (const double rank : s.lower) threshold.add(rank);
-    for (Section& s : sections_) {
-        if (s.fate != Fate::open) continue;
-        const bool out =
-            s.known == Known::nothing || (s.known == Known::bounded && !threshold.can_enter(s.upper));
-        if (!out || audited()) continue;
-        s.fate = Fate::pruned;
-        ++pruned_in_first_;
+void TwoPhaseStateMachine::prune(const std::function<bool()>& audited) {
+    TopRankThreshold threshold(rows_);
+    for (const Section& section : sections_)
+        if (section.result == Result::open)
+            for (const double rank : section.top_ranks) threshold.add(rank);
+    for (Section& section : sections_) {
+        if (section.result != Result::open) continue;
+        const bool can_prune =
+            section.knowledge == Knowledge::no_matches ||
+            (section.knowledge == Knowledge::bounded && !threshold.can_enter(section.max_rank));
+        if (!can_prune || audited()) continue;
+        section.result = Result::pruned;
+        ++pruned_by_summary_;
     }
 }
 
-Leg TwoPhase::fetch(State state) {
+Leg TwoPhaseStateMachine::fetch(State state) {
     state_ = state;
-    Leg leg{Leg::fetch, 0, {}};
+    Leg leg{Leg::rows, 0, {}};
     double sum = 0;
     for (std::uint32_t i = 0; i < sections_.size(); ++i) {
-        const Section& s = sections_[i];
-        if (s.fate == Fate::pruned) continue;
+        const Section& section = sections_[i];
+        if (section.result == Result::pruned) continue;
         // What is missing by now is not asked again, but stands below the line.
-        const int spent = s.fate == Fate::missing ? call_cap_ : s.spent;
-        leg.shard_requests.push_back({i, s.weight, spent, s.fate == Fate::answered});
-        sum += s.weight;
+        const int attempts_used = section.result == Result::missing ? max_attempts_ : section.attempts_used;
+        leg.shard_requests.push_back({i, section.weight, attempts_used, section.result == Result::answered});
+        sum += section.weight;
     }
-    if (leg.shard_requests.empty()) return finish(Verdict::answer);
+    if (leg.shard_requests.empty()) return finish(LegDecision::answer);
     for (LegShardRequest& shard_request : leg.shard_requests)
         shard_request.weight =
             sum > 0 ? shard_request.weight / sum : 1.0 / static_cast<double>(leg.shard_requests.size());
     return leg;
 }
 
-Leg TwoPhase::finish(Verdict verdict) {
+Leg TwoPhaseStateMachine::finish(LegDecision decision) {
     state_ = State::ended;
-    verdict_ = verdict;
-    for (Section& s : sections_)
-        if (s.fate == Fate::open) s.fate = Fate::missing;
+    decision_ = decision;
+    for (Section& section : sections_)
+        if (section.result == Result::open) section.result = Result::missing;
     return {};
 }
 
-Leg TwoPhase::end_leg(Verdict verdict, Nanos now, const std::function<bool()>& audited) {
+Leg TwoPhaseStateMachine::end_leg(LegDecision decision, Nanos now, const std::function<bool()>& audited) {
     if (state_ == State::ended) return {};
-    if (verdict != Verdict::answer) return finish(verdict);
-    if (state_ == State::finding) {
+    if (decision != LegDecision::answer) return finish(decision);
+    if (state_ == State::summarizing) {
         prune(audited);
         return fetch(State::fetching);
     }
     // Sections that are not in by now are missing, but those to be rechecked come in anew.
-    for (Section& s : sections_)
-        if (s.fate == Fate::open) s.fate = Fate::missing;
-    const auto doubtful = unconfirmed();
-    if (doubtful.empty() || state_ == State::judging) return finish(Verdict::answer);
-    const bool again = state_ == State::fetching && now + config_.least <= useful_by_ - config_.keep;
+    for (Section& section : sections_)
+        if (section.result == Result::open) section.result = Result::missing;
+    const auto doubtful = doubtful_sections();
+    if (doubtful.empty() || state_ == State::completing) return finish(LegDecision::answer);
+    const bool again =
+        state_ == State::fetching && now + config_.min_first_phase <= useful_by_ - config_.response_reserve;
     rechecked_ |= again;
-    for (const std::uint32_t i : doubtful) sections_[i].fate = again ? Fate::open : Fate::missing;
-    return fetch(again ? State::rechecking : State::judging);
+    for (const std::uint32_t i : doubtful) sections_[i].result = again ? Result::open : Result::missing;
+    return fetch(again ? State::rechecking : State::completing);
 }
 
 // What was left out against rows that did not come, or on the word of a node that was wrong since.
-std::vector<std::uint32_t> TwoPhase::unconfirmed() const {
-    Threshold threshold(rows_);
-    for (const Section& s : sections_)
-        for (const double rank : s.ranks) threshold.add(rank);
+std::vector<std::uint32_t> TwoPhaseStateMachine::doubtful_sections() const {
+    TopRankThreshold threshold(rows_);
+    for (const Section& section : sections_)
+        for (const double rank : section.ranks) threshold.add(rank);
     std::vector<std::uint32_t> found;
     for (std::uint32_t i = 0; i < sections_.size(); ++i) {
-        const Section& s = sections_[i];
-        if (s.fate != Fate::pruned) continue;
-        const bool doubted = std::find(ever_wrong_.begin(), ever_wrong_.end(), s.node) != ever_wrong_.end();
-        if (doubted || (s.known == Known::bounded && threshold.can_enter(s.upper))) found.push_back(i);
+        const Section& section = sections_[i];
+        if (section.result != Result::pruned) continue;
+        const bool doubted = std::find(all_contradicted_nodes_.begin(), all_contradicted_nodes_.end(),
+                                       section.node) != all_contradicted_nodes_.end();
+        if (doubted || (section.knowledge == Knowledge::bounded && threshold.can_enter(section.max_rank)))
+            found.push_back(i);
     }
     return found;
 }
 
-void TwoPhase::note_wrong(std::uint32_t node) {
-    wrong_.push_back(node);
-    ever_wrong_.push_back(node);
+void TwoPhaseStateMachine::record_contradiction(std::uint32_t node) {
+    contradicted_nodes_.push_back(node);
+    all_contradicted_nodes_.push_back(node);
 }
 
-bool TwoPhase::is_stale(std::uint32_t section, std::uint64_t version) const {
-    return spoken(sections_[section]) && version < sections_[section].version;
+bool TwoPhaseStateMachine::is_stale(std::uint32_t section, std::uint64_t version) const {
+    return has_summary(sections_[section]) && version < sections_[section].version;
 }
 
-// Rows of the version that a word was about must keep to it: none above the bound, none of those it told
-// fewer. Rows of a newer version may be any.
-TwoPhase::Rows TwoPhase::take_rows(std::uint32_t section, std::uint64_t version,
-                                   const std::vector<double>& ranks) {
-    Section& s = sections_[section];
-    Rows found = Rows::good;
-    if (spoken(s) && version == s.version) {
-        bool kept = ranks.empty() || (s.known == Known::bounded && ranks.front() <= s.upper);
-        const std::size_t told = std::min(s.lower.size(), static_cast<std::size_t>(rows_));
-        kept &= ranks.size() >= told;
-        for (std::size_t i = 0; kept && i < told; ++i) kept = ranks[i] >= s.lower[i];
-        if (!kept) found = Rows::wrong, note_wrong(s.node);
+// Rows of the version that a word was about must keep to it: none above the bound, none of those it
+// summarized fewer. Rows of a newer version may be any.
+TwoPhaseStateMachine::RowCheck TwoPhaseStateMachine::on_rows(std::uint32_t index, std::uint64_t version,
+                                                             const std::vector<double>& ranks) {
+    Section& section = sections_[index];
+    RowCheck check = RowCheck::consistent;
+    if (has_summary(section) && version == section.version) {
+        bool matches_summary =
+            ranks.empty() || (section.knowledge == Knowledge::bounded && ranks.front() <= section.max_rank);
+        const std::size_t summarized = std::min(section.top_ranks.size(), static_cast<std::size_t>(rows_));
+        matches_summary &= ranks.size() >= summarized;
+        for (std::size_t i = 0; matches_summary && i < summarized; ++i)
+            matches_summary = ranks[i] >= section.top_ranks[i];
+        if (!matches_summary) check = RowCheck::contradictory, record_contradiction(section.node);
     }
-    s.fate = Fate::answered;
-    s.ranks = ranks;
-    return found;
+    section.result = Result::answered;
+    section.ranks = ranks;
+    return check;
 }
 
-void TwoPhase::take_untold(std::uint32_t section) {
-    sections_[section].fate = Fate::answered;
+void TwoPhaseStateMachine::on_rows_without_ranks(std::uint32_t section) {
+    sections_[section].result = Result::answered;
     sections_[section].ranks.clear();
 }
 
-bool TwoPhase::whole() const {
-    return verdict_ == Verdict::answer &&
-           std::none_of(sections_.begin(), sections_.end(),
-                        [](const Section& s) { return s.fate == Fate::missing || s.fate == Fate::open; });
+bool TwoPhaseStateMachine::is_complete() const {
+    return decision_ == LegDecision::answer &&
+           std::none_of(sections_.begin(), sections_.end(), [](const Section& section) {
+               return section.result == Result::missing || section.result == Result::open;
+           });
 }
 
-Covered TwoPhase::covered() const {
-    Covered c;
-    for (const Section& s : sections_) {
-        const bool in = s.fate == Fate::answered, pruned = s.fate == Fate::pruned;
-        ++(in ? c.answered : pruned ? c.pruned : c.missing);
-        (in ? c.answered_weight : pruned ? c.pruned_weight : c.missing_weight) += s.weight;
+Coverage TwoPhaseStateMachine::coverage() const {
+    Coverage coverage;
+    for (const Section& section : sections_) {
+        const bool answered = section.result == Result::answered, pruned = section.result == Result::pruned;
+        ++(answered ? coverage.answered : pruned ? coverage.pruned : coverage.missing);
+        (answered ? coverage.answered_weight
+         : pruned ? coverage.pruned_weight
+                  : coverage.missing_weight) += section.weight;
     }
-    return c;
+    return coverage;
 }
 
-std::vector<std::uint32_t> TwoPhase::missing() const {
+std::vector<std::uint32_t> TwoPhaseStateMachine::missing() const {
     std::vector<std::uint32_t> found;
     for (std::uint32_t i = 0; i < sections_.size(); ++i)
-        if (sections_[i].fate != Fate::answered && sections_[i].fate != Fate::pruned) found.push_back(i);
+        if (sections_[i].result != Result::answered && sections_[i].result != Result::pruned)
+            found.push_back(i);
     return found;
 }
 
--- a/src/phases/two_phase_capability.hpp
+++ b/src/phases/two_phase_capability.hpp
@@ -15,43 +15,44 @@
 class TwoPhaseCapability {
   public:
     // Shard s lies at places (s + j) mod `places` for j below `width`.
-    TwoPhaseCapability(int places, int width, Nanos distrust);
+    TwoPhaseCapability(int places, int width, Nanos distrust_duration);
 
-    // What the list says of a node now. `anew`: its entry moved or started again, so what was known is void.
-    void hear_entry(const Endpoint& entry, bool anew);
+    // What the list says of a node now. `restarted`: its entry moved or started again, so what was known is
+    // void.
+    void update_entry(const Endpoint& entry, bool restarted);
 
     // A whole list: what it does not name is gone.
     void keep_only(std::span<const Endpoint> entries);
 
-    void proved(std::uint32_t node) { set(node, Support::two_phase); }
-    void refused(std::uint32_t node) { set(node, Support::one_phase); }
-    bool is_proved(std::uint32_t node) const { return speech(node) == Support::two_phase; }
-    bool is_one_phase(std::uint32_t node) const { return speech(node) == Support::one_phase; }
+    void mark_two_phase(std::uint32_t node) { set(node, Support::two_phase); }
+    void mark_one_phase(std::uint32_t node) { set(node, Support::one_phase); }
+    bool is_two_phase(std::uint32_t node) const { return support(node) == Support::two_phase; }
+    bool is_one_phase(std::uint32_t node) const { return support(node) == Support::one_phase; }
 
     void distrust(std::uint32_t node, Nanos now);
     bool trusted(std::uint32_t node, Nanos now) const;
 
     // Whether some holder that is ready may give a word on this shard that would be used.
-    bool worth_asking(std::uint32_t shard, Nanos now) const;
+    bool may_give_summary(std::uint32_t shard, Nanos now) const;
 
-    std::size_t known() const { return nodes_.size(); }
+    std::size_t size() const { return nodes_.size(); }
 
   private:
     enum class Support : std::uint8_t { unknown, one_phase, two_phase };
     struct Node {
         std::uint32_t place = 0;
         bool ready = false;
-        Support speech = Support::unknown;
+        Support support = Support::unknown;
         Nanos distrusted_until = 0;
     };
 
-    Support speech(std::uint32_t node) const;
-    void set(std::uint32_t node, Support speech);
+    Support support(std::uint32_t node) const;
+    void set(std::uint32_t node, Support support);
 
     const std::uint32_t places_, width_;
-    const Nanos distrust_;
+    const Nanos distrust_duration_;
     std::unordered_map<std::uint32_t, Node> nodes_;
-    std::vector<std::vector<std::uint32_t>> at_place_;
+    std::vector<std::vector<std::uint32_t>> nodes_by_place_;
 };
 
 }  // namespace tealcart
--- a/src/service/attempt_dispatcher.cpp
+++ b/src/service/attempt_dispatcher.cpp
@@ -98,7 +98,7 @@
     message.letter = attempt.letter;
     message.leg = shard_request.leg;
     message.rows = static_cast<std::uint16_t>(query.two_phase->find.rows);
-    message.wants_filter = query.two_phase->machine.config().remember;
+    message.wants_filter = query.two_phase->machine.config().cache_filters;
     return message;
 }
 
@@ -177,7 +177,7 @@
     shard_request.value = value;
     shard_request.answered = true;
     if (query.two_phase && !shard_request.first_phase)
-        query.two_phase->machine.take_untold(shard_request.section);
+        query.two_phase->machine.on_rows_without_ranks(shard_request.section);
     return true;
 }
 
--- a/src/service/decision_executor.cpp
+++ b/src/service/decision_executor.cpp
@@ -12,7 +12,7 @@
     const Query& query = *queries_.find(position->query);
     if (!query.two_phase) return attempts_.queue(attempt, 'R');
     const ShardRequest& shard_request = query.shard_requests[position->index];
-    query.two_phase->machine.spend(shard_request.section);
+    query.two_phase->machine.count_attempt(shard_request.section);
     const char frame_type = two_phase_.frame_type(shard_request, node);
     if (frame_type == 0) return attempts_.end(attempt, Outcome::not_sent);
     attempts_.queue(attempt, frame_type);
@@ -25,7 +25,7 @@
 void DecisionExecutor::answer(std::uint32_t id, bool complete) {
     const Query* query = queries_.find_active(id);
     if (query == nullptr) return;
-    if (query->two_phase) return two_phase_.end_leg(id, Verdict::answer, 0);
+    if (query->two_phase) return two_phase_.end_leg(id, LegDecision::answer, 0);
     AnswerBody body(complete);
     for (const ShardRequest& shard_request : query->shard_requests)
         if (shard_request.answered) body.add(shard_request.shard, shard_request.value);
@@ -34,13 +34,13 @@
 
 void DecisionExecutor::reject(std::uint32_t id, Nanos retry_after) {
     if (const Query* query = queries_.find_active(id); query != nullptr && query->two_phase)
-        return two_phase_.end_leg(id, Verdict::reject, retry_after);
+        return two_phase_.end_leg(id, LegDecision::reject, retry_after);
     completion_.respond(id, {503, write_error("rejected"), retry_after});
 }
 
 void DecisionExecutor::fail_query(std::uint32_t id) {
     if (const Query* query = queries_.find_active(id); query != nullptr && query->two_phase)
-        return two_phase_.end_leg(id, Verdict::fail_query, 0);
+        return two_phase_.end_leg(id, LegDecision::fail_query, 0);
     completion_.respond(id, {504, write_error("aborted"), 0});
 }
 
--- a/src/service/event_queue.cpp
+++ b/src/service/event_queue.cpp
@@ -39,7 +39,7 @@
         arrival.began_at =
             std::exchange(two_phase.began, two_phase.began > 0 ? two_phase.began : round_began_at_);
         // A round ends the leg, so it is the one before its time.
-        if (two_phase.machine.state() == TwoPhase::State::finding)
+        if (two_phase.machine.state() == TwoPhaseStateMachine::State::summarizing)
             arrival.answer_by = two_phase.first_phase_until - round_interval_;
     }
     handler.on_query(arrival);
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -42,8 +42,8 @@
 void QueryDispatcher::on_request(Handle client, Request& request, Nanos began) {
     if (request.path == ready_path || request.path == healthy_path)
         return writer_->answer(client, health_response(request));
-    auto parsed =
-        parser_.parse(request, [this](std::size_t query_class) { return two_phase_.config(query_class).on; });
+    auto parsed = parser_.parse(
+        request, [this](std::size_t query_class) { return two_phase_.config(query_class).enabled; });
     if (auto* error = std::get_if<Answer>(&parsed)) return writer_->answer(client, std::move(*error));
     const auto refuse = [&](int status, std::string_view message) {
         writer_->answer(client, RequestParser::error(status, message));
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -67,7 +67,7 @@
     const NodeTable& nodes() const { return nodes_; }
     const PhaseCounts& phase_counts() const { return two_phase_.counts(); }
     const TwoPhaseCapability& speakers() const { return two_phase_.capability(); }
-    const SectionMemory& section_memory() const { return two_phase_.section_memory(); }
+    const SectionFilterCache& section_filter_cache() const { return two_phase_.section_filter_cache(); }
 
   private:
     Answer health_response(const Request& request) const;
--- a/src/service/query_table.hpp
+++ b/src/service/query_table.hpp
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "phases/section_memory.hpp"
+#include "phases/section_filter_cache.hpp"
 #include "phases/two_phase.hpp"
 #include "router/query_router.hpp"
 #include "tables/slot_map.hpp"
@@ -36,13 +36,13 @@
 
 // The state of a query in two phases beside its shard requests.
 struct TwoPhaseQuery {
-    TwoPhaseQuery(Find conditions, const TwoPhaseConfig& config, int max_attempts,
+    TwoPhaseQuery(SearchCriteria conditions, const TwoPhaseConfig& config, int max_attempts,
                   const std::vector<double>& weights)
         : find(std::move(conditions)), keys(find), machine(config, find.rows, max_attempts, weights) {}
 
-    const Find find;
-    const FindKeys keys;
-    TwoPhase machine;
+    const SearchCriteria find;
+    const SearchKeys keys;
+    TwoPhaseStateMachine machine;
     std::vector<QueryShardRequest> sections;
     std::uint8_t leg = 0;        // counted from 1
     std::size_t leg_begins = 0;  // place of its first shard request among the query's
--- a/src/service/two_phase_coordinator.cpp
+++ b/src/service/two_phase_coordinator.cpp
@@ -14,7 +14,7 @@
     // With relays a later version of the configuration may bring two phases.
     return !startup.operators.member.relays.empty() ||
            std::any_of(startup.phases.begin(), startup.phases.end(),
-                       [](const TwoPhaseConfig& config) { return config.on; });
+                       [](const TwoPhaseConfig& config) { return config.enabled; });
 }
 
 }  // namespace
@@ -24,10 +24,10 @@
                                          const StartupConfig& startup)
     : clock_(clock), queries_(queries), events_(events), attempts_(attempts), completion_(completion),
       max_attempts_(startup.config.max_attempts), by_query_class_(startup.phases),
-      may_be_used_(may_be_used(startup)), remembers_sections_(any_remembers(by_query_class_)),
+      may_be_used_(may_be_used(startup)), remembers_sections_(any_caches_filters(by_query_class_)),
       capability_(startup.config.places, startup.config.replicas_per_shard,
-                  startup.operators.memory.distrust),
-      section_memory_(startup.operators.memory, static_cast<std::uint32_t>(startup.config.shards)),
+                  startup.operators.memory.distrust_duration),
+      section_filter_cache_(startup.operators.memory, static_cast<std::uint32_t>(startup.config.shards)),
       random_(startup.seed + 1) {
     for (const QueryClassConfig& query_class : startup.config.query_classes)
         latency_objective_.push_back(query_class.latency_objective);
@@ -35,8 +35,8 @@
 
 void TwoPhaseCoordinator::set_config(std::vector<TwoPhaseConfig> by_query_class) {
     by_query_class_ = std::move(by_query_class);
-    remembers_sections_ = any_remembers(by_query_class_);
-    if (!remembers_sections_) section_memory_.forget_all();
+    remembers_sections_ = any_caches_filters(by_query_class_);
+    if (!remembers_sections_) section_filter_cache_.clear();
 }
 
 void TwoPhaseCoordinator::begin(Handle handle, QueryBody body, Nanos began) {
@@ -51,19 +51,19 @@
     TwoPhaseQuery& two_phase = *query.two_phase;
     two_phase.sections = std::move(body.shard_requests);
     const Nanos now = clock_.now(), objective = began + latency_objective_[query.query_class];
-    const TwoPhase::Outlook outlook{
+    const TwoPhaseStateMachine::SectionLookup outlook{
         [&](std::uint32_t section) {
-            return section_memory_.rules_out(two_phase.sections[section].shard, two_phase.keys, now);
+            return section_filter_cache_.excluded_by(two_phase.sections[section].shard, two_phase.keys, now);
         },
         [&](std::uint32_t section) {
-            return capability_.worth_asking(two_phase.sections[section].shard, now);
+            return capability_.may_give_summary(two_phase.sections[section].shard, now);
         }};
     const Nanos useful_by = objective > now ? std::min(objective, query.deadline_at) : query.deadline_at;
     const Leg leg = two_phase.machine.begin(now, useful_by, outlook);
     ++counts_.queries;
     counts_.sections += two_phase.sections.size();
-    counts_.remembered += two_phase.machine.covered().pruned;
-    counts_.first_phases += leg.kind == Leg::find;
+    counts_.remembered += two_phase.machine.coverage().pruned;
+    counts_.first_phases += leg.kind == Leg::summaries;
     queries_.register_id(handle);
     begin_leg(handle, leg);
 }
@@ -89,14 +89,14 @@
     ShardRequest& shard_request = query.shard_requests.back();
     shard_request.leg = query.two_phase->leg;
     shard_request.section = stated.section;
-    shard_request.first_phase = leg.kind == Leg::find;
-    shard_request.answered_before = stated.in;
-    shard_request.attempts_used = stated.spent;
+    shard_request.first_phase = leg.kind == Leg::summaries;
+    shard_request.answered_before = stated.answered;
+    shard_request.attempts_used = stated.attempts_used;
 }
 
 char TwoPhaseCoordinator::frame_type(const ShardRequest& shard_request, std::uint32_t node) const {
     if (shard_request.first_phase) return capability_.is_one_phase(node) ? 0 : asks_word;
-    return capability_.is_proved(node) ? asks_rows : 'R';
+    return capability_.is_two_phase(node) ? asks_rows : 'R';
 }
 
 bool TwoPhaseCoordinator::audited(double share) {
@@ -105,7 +105,7 @@
     return drawn < share * static_cast<double>(random_.max() - random_.min());
 }
 
-void TwoPhaseCoordinator::end_leg(std::uint32_t id, Verdict verdict, Nanos retry_after) {
+void TwoPhaseCoordinator::end_leg(std::uint32_t id, LegDecision verdict, Nanos retry_after) {
     const Handle handle = queries_.handle_of(id);
     Query& query = *queries_.find(handle);
     TwoPhaseQuery& two_phase = *query.two_phase;
@@ -115,15 +115,15 @@
     ++query.in_flight;
     attempts_.withdraw_unsent(query, two_phase.leg_begins);
     --query.in_flight;
-    const bool was_first = two_phase.machine.state() == TwoPhase::State::finding;
+    const bool was_first = two_phase.machine.state() == TwoPhaseStateMachine::State::summarizing;
     if (was_first) {
         counts_.kept_budget += now <= two_phase.first_phase_until;
         counts_.worst_overrun = std::max(counts_.worst_overrun, now - two_phase.first_phase_until);
     }
     const bool had_recheck = two_phase.machine.rechecked();
-    const Leg leg =
-        two_phase.machine.end_leg(verdict, now, [&] { return audited(two_phase.machine.config().audit); });
-    if (was_first) counts_.pruned += two_phase.machine.pruned_in_first();
+    const Leg leg = two_phase.machine.end_leg(
+        verdict, now, [&] { return audited(two_phase.machine.config().audit_share); });
+    if (was_first) counts_.pruned += two_phase.machine.pruned_by_summary();
     if (two_phase.machine.rechecked() && !had_recheck) {
         ++counts_.rechecked;
         log_about(LogLevel::info, query.text->id, "pruned sections are queried after all");
@@ -133,16 +133,16 @@
 
 void TwoPhaseCoordinator::respond(const Query& query) {
     const TwoPhaseQuery& two_phase = *query.two_phase;
-    const TwoPhase& machine = two_phase.machine;
-    if (machine.verdict() == Verdict::reject)
+    const TwoPhaseStateMachine& machine = two_phase.machine;
+    if (machine.decision() == LegDecision::reject)
         return completion_.respond(query.id, {503, write_error("rejected"), two_phase.retry_after});
-    if (machine.verdict() == Verdict::fail_query)
+    if (machine.decision() == LegDecision::fail_query)
         return completion_.respond(query.id, {504, write_error("aborted"), 0});
-    AnswerBody body(machine.whole());
+    AnswerBody body(machine.is_complete());
     for (const ShardRequest& shard_request : query.shard_requests)
         if (shard_request.answered && !shard_request.first_phase)
             body.add(shard_request.shard, shard_request.value);
-    const Covered covered = machine.covered();
+    const Coverage covered = machine.coverage();
     SectionsStated stated{{covered.answered, covered.answered_weight},
                           {covered.pruned, covered.pruned_weight},
                           {covered.missing, covered.missing_weight},
@@ -163,12 +163,12 @@
         if (shard_request.shard != answer.id.shard || shard_request.leg != answer.id.leg) continue;
         const Handle attempt = attempts_.find_in_flight(shard_request, connection);
         if (attempts_.find(attempt) == nullptr) continue;
-        capability_.proved(attempts_.find(attempt)->node);
+        capability_.mark_two_phase(attempts_.find(attempt)->node);
         if (answer.outcome != Outcome::ok) {
             attempts_.end(attempt, answer.outcome);
             return true;
         }
-        section_memory_.hear_version(shard_request.shard, answer.version);
+        section_filter_cache_.observe_version(shard_request.shard, answer.version);
         if (shard_request.first_phase)
             process_summary(shard_request, attempt, *query, answer);
         else
@@ -183,9 +183,10 @@
     const AttemptDispatcher::Attempt& answered = *attempts_.find(attempt);
     const Nanos now = clock_.now();
     if (capability_.trusted(answered.node, now)) {
-        query.two_phase->machine.hear(shard_request.section, answered.node, answer.word);
+        query.two_phase->machine.on_summary(shard_request.section, answered.node, answer.word);
         if (remembers_sections_)
-            section_memory_.learn(shard_request.shard, answered.node, answer.word, answered.sent_at, now);
+            section_filter_cache_.store(shard_request.shard, answered.node, answer.word, answered.sent_at,
+                                        now);
     }
     attempts_.end(attempt, Outcome::ok);
 }
@@ -195,7 +196,7 @@
     Query& query = *queries_.find(handle);
     const ShardRequest& shard_request = query.shard_requests[index];
     const std::uint32_t section = shard_request.section;
-    TwoPhase& machine = query.two_phase->machine;
+    TwoPhaseStateMachine& machine = query.two_phase->machine;
     if (machine.is_stale(section, answer.version)) {
         ++counts_.stale_rows;
         log_about(LogLevel::info, query.text->id,
@@ -208,20 +209,21 @@
     attempts_.end(attempt, Outcome::ok, answer.value);
     // The end of its last attempt may have released an ended query, and the value may have been refused.
     if (!is_first || queries_.find(handle) == nullptr || !query.shard_requests[index].answered) return;
-    if (machine.take_rows(section, answer.version, answer.ranks) == TwoPhase::Rows::wrong)
+    if (machine.on_rows(section, answer.version, answer.ranks) ==
+        TwoPhaseStateMachine::RowCheck::contradictory)
         distrust_sections(query);
 }
 
 // Nodes whose summary was found wrong are not believed for a while.
 void TwoPhaseCoordinator::distrust_sections(const Query& query) {
     const Nanos now = clock_.now();
-    for (const std::uint32_t node : query.two_phase->machine.take_wrong()) {
+    for (const std::uint32_t node : query.two_phase->machine.take_contradicted_nodes()) {
         ++counts_.wrong_words;
         if (capability_.trusted(node, now))
             log_about(LogLevel::warn, query.text->id,
                       "data node %u gave a wrong summary; its summaries are not used for a while", node);
         capability_.distrust(node, now);
-        section_memory_.forget_words_of(node);
+        section_filter_cache_.evict_node(node);
     }
 }
 
@@ -231,14 +233,14 @@
     std::unordered_set<std::uint32_t> restarted(changes.added.begin(), changes.added.end());
     restarted.insert(changes.moved.begin(), changes.moved.end());
     for (const Endpoint& entry : changes.entries)
-        capability_.hear_entry(entry, restarted.contains(entry.node));
+        capability_.update_entry(entry, restarted.contains(entry.node));
 }
 
 bool TwoPhaseCoordinator::on_refused(std::uint32_t node) {
-    if (capability_.is_proved(node)) return false;
+    if (capability_.is_two_phase(node)) return false;
     if (!capability_.is_one_phase(node))
         log_line("data node %u does not support queries in two phases", node);
-    capability_.refused(node);
+    capability_.mark_one_phase(node);
     return true;
 }
 
--- a/src/service/two_phase_coordinator.hpp
+++ b/src/service/two_phase_coordinator.hpp
@@ -6,7 +6,7 @@
 #include <random>
 #include <vector>
 
-#include "phases/section_memory.hpp"
+#include "phases/section_filter_cache.hpp"
 #include "phases/two_phase.hpp"
 #include "phases/two_phase_capability.hpp"
 #include "service/attempt_dispatcher.hpp"
@@ -38,14 +38,14 @@
     void set_config(std::vector<TwoPhaseConfig> by_query_class);
     const TwoPhaseConfig& config(std::size_t query_class) const { return by_query_class_[query_class]; }
     // Whether a query that looks for this is to be answered in two phases.
-    bool applies(std::uint16_t query_class, const Find& find) const {
+    bool applies(std::uint16_t query_class, const SearchCriteria& find) const {
         return find.rows > 0 && find.rows <= config(query_class).max_rows;
     }
 
     // Begins a query that is in the table; `began` is when its request began to come in.
     void begin(Handle handle, QueryBody body, Nanos began);
     // The module has decided on the current leg of this query.
-    void end_leg(std::uint32_t id, Verdict verdict, Nanos retry_after);
+    void end_leg(std::uint32_t id, LegDecision verdict, Nanos retry_after);
 
     // The type of the frame that an attempt of a query in two phases goes into; 0 where the node would not
     // understand it.
@@ -58,7 +58,7 @@
 
     const PhaseCounts& counts() const { return counts_; }
     const TwoPhaseCapability& capability() const { return capability_; }
-    const SectionMemory& section_memory() const { return section_memory_; }
+    const SectionFilterCache& section_filter_cache() const { return section_filter_cache_; }
 
   private:
     void begin_leg(Handle handle, const Leg& leg);
@@ -83,7 +83,7 @@
     const bool may_be_used_;
     bool remembers_sections_;  // some query class that is in two phases does
     TwoPhaseCapability capability_;
-    SectionMemory section_memory_;
+    SectionFilterCache section_filter_cache_;
     PhaseCounts counts_;
     std::knuth_b random_;
 };
--- a/src/testing/client.hpp
+++ b/src/testing/client.hpp
@@ -12,7 +12,7 @@
     int deadline_ms = 1000;
     std::vector<std::uint32_t> shards;
     std::vector<double> weights;  // empty: even
-    Find find;
+    SearchCriteria find;
     bool two_phase = true;  // the find stands in the body, else in the text alone
     std::string key;
 };
--- a/src/testing/contents.cpp
+++ b/src/testing/contents.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-bool matches(const Row& row, const Find& find) {
+bool matches(const Row& row, const SearchCriteria& find) {
     for (const std::string& term : find.terms)
         if (std::find(row.terms.begin(), row.terms.end(), term) == row.terms.end()) return false;
     for (const FieldRange& range : find.ranges) {
@@ -36,7 +36,7 @@
               [](const Row& a, const Row& b) { return a.rank != b.rank ? a.rank > b.rank : a.doc < b.doc; });
 }
 
-std::vector<const Row*> best_of(const Section& section, const Find& find) {
+std::vector<const Row*> best_of(const Section& section, const SearchCriteria& find) {
     std::vector<const Row*> best;
     for (const Row& row : section.rows) {
         if (best.size() >= static_cast<std::size_t>(find.rows)) break;
@@ -45,13 +45,13 @@
     return best;
 }
 
-SectionWord word_on(const Section& section, const Find& find, Nanos lease, bool wants_filter) {
-    SectionWord word;
+SectionSummary word_on(const Section& section, const SearchCriteria& find, Nanos lease, bool wants_filter) {
+    SectionSummary word;
     word.version = section.version;
     word.lease = lease;
-    for (const Row* row : best_of(section, find)) word.lower.push_back(row->rank);
-    word.nothing = word.lower.empty();
-    if (!word.nothing) word.upper = word.lower.front();
+    for (const Row* row : best_of(section, find)) word.top_ranks.push_back(row->rank);
+    word.no_matches = word.top_ranks.empty();
+    if (!word.no_matches) word.max_rank = word.top_ranks.front();
     if (!wants_filter || lease <= 0) return word;
     word.has_filter = true;
     std::set<std::string> terms;
@@ -60,12 +60,12 @@
         terms.insert(row.terms.begin(), row.terms.end());
         for (const auto& [field, value] : row.fields) {
             auto& e = extents.try_emplace(field, SectionFilter::Extent{field, value, value}).first->second;
-            e.least = std::min(e.least, value);
-            e.most = std::max(e.most, value);
+            e.min = std::min(e.min, value);
+            e.max = std::max(e.max, value);
         }
     }
     word.filter.terms = make_filter(terms.size(), bits_a_term);
-    for (const std::string& term : terms) put_term(word.filter.terms, term_hash(term));
+    for (const std::string& term : terms) add_term(word.filter.terms, term_hash(term));
     for (const auto& [_, extent] : extents) word.filter.extents.push_back(extent);
     return word;
 }
@@ -105,7 +105,7 @@
 }
 
 std::vector<ReadRow> true_answer(const std::vector<Section>& sections,
-                                 const std::vector<std::uint32_t>& asked, const Find& find) {
+                                 const std::vector<std::uint32_t>& asked, const SearchCriteria& find) {
     std::vector<ReadRow> all;
     for (const std::uint32_t i : asked)
         for (const Row* row : best_of(sections[i], find)) all.push_back({row->doc, row->rank});
--- a/src/testing/contents.hpp
+++ b/src/testing/contents.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "phases/word.hpp"
+#include "phases/section_summary.hpp"
 
 namespace tealcart::testing {
 
@@ -22,13 +22,13 @@
     std::vector<Row> rows;  // highest rank first, then lowest doc
 };
 
-bool matches(const Row& row, const Find& find);
+bool matches(const Row& row, const SearchCriteria& find);
 void sort_rows(std::vector<Row>& rows);
 // The first rows of a section that match.
-std::vector<const Row*> best_of(const Section& section, const Find& find);
+std::vector<const Row*> best_of(const Section& section, const SearchCriteria& find);
 
 // A section's true word, with its filter if that is wanted.
-SectionWord word_on(const Section& section, const Find& find, Nanos lease, bool wants_filter);
+SectionSummary word_on(const Section& section, const SearchCriteria& find, Nanos lease, bool wants_filter);
 
 // A row as it stands in a value, "DOC:RANK", with so many bytes of record behind it; and back.
 std::string written(const std::vector<const Row*>& rows, std::size_t record = 0);
@@ -42,7 +42,7 @@
 
 // The first N over these sections: what any way of asking must come to.
 std::vector<ReadRow> true_answer(const std::vector<Section>& sections,
-                                 const std::vector<std::uint32_t>& asked, const Find& find);
+                                 const std::vector<std::uint32_t>& asked, const SearchCriteria& find);
 // The first N of values that came from sections.
 std::vector<ReadRow> first_of(std::vector<ReadRow> rows, int most);
 
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -123,8 +123,8 @@
 
 // A query in one phase says what it looks for in its text, as a find's own lines do, so that both ways of
 // asking can be held against each other: `N` rows on the first line.
-Find DataNode::find_in(std::string_view text) const {
-    Find find;
+SearchCriteria DataNode::find_in(std::string_view text) const {
+    SearchCriteria find;
     const auto end = text.find('\n');
     int rows = 0;
     const auto [at, ec] = std::from_chars(text.data(), text.data() + std::min(end, text.size()), rows);
@@ -159,7 +159,7 @@
             answer_in(b.call_delay, c, frame_of('Y', id + (b.rejects ? " REJECTED 0 -\n" : " ERROR 0 -\n")));
             continue;
         }
-        const Find find = find_in(text);
+        const SearchCriteria find = find_in(text);
         const auto rows = best_of(script_.sections[shard], find);
         ++work.lookups;
         work.records += rows.size();
@@ -201,10 +201,10 @@
         const Section& section = script_.sections[shard];
         ++work.lookups;
         if (letter == asks_word) {
-            SectionWord word = word_on(section, *find, b.lease, line->wants_filter);
-            if (b.hides_rows) word.nothing = true, word.lower.clear();
-            word.upper += b.bound_error;
-            for (double& rank : word.lower) rank += b.bound_error;
+            SectionSummary word = word_on(section, *find, b.lease, line->wants_filter);
+            if (b.hides_rows) word.no_matches = true, word.top_ranks.clear();
+            word.max_rank += b.bound_error;
+            for (double& rank : word.top_ranks) rank += b.bound_error;
             if (b.garbles_words) {
                 std::string id;
                 write_phase_id(id, line->id);
--- a/src/testing/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -89,7 +89,7 @@
     bool take_calls(Connection& c, std::string_view rest);
     bool take_questions(Connection& c, char letter, std::string_view rest);
     void answer_in(Nanos delay, Connection& c, std::string bytes);
-    Find find_in(std::string_view text) const;
+    SearchCriteria find_in(std::string_view text) const;
 
     boost::asio::io_context& io_;
     Script& script_;
--- a/src/testing/script.hpp
+++ b/src/testing/script.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "config/hcl.hpp"
-#include "phases/word.hpp"
+#include "phases/section_summary.hpp"
 #include "testing/contents.hpp"
 
 namespace tealcart::testing {
--- a/src/wire/phase_frames.cpp
+++ b/src/wire/phase_frames.cpp
@@ -81,7 +81,7 @@
 }
 
 bool read_ranks(std::string_view& in, std::size_t count, std::vector<double>& ranks) {
-    if (count > static_cast<std::size_t>(max_words_rows)) return false;
+    if (count > static_cast<std::size_t>(max_summary_ranks)) return false;
     for (std::size_t i = 0; i < count; ++i) {
         double rank = 0;
         if (!read_double(in, rank) || (i > 0 && rank > ranks.back())) return false;
@@ -96,28 +96,28 @@
     in.remove_prefix(bytes);
     for (std::size_t i = 0; i < extents; ++i) {
         SectionFilter::Extent& extent = filter.extents.emplace_back();
-        if (!read_name(in, extent.field) || !read_double(in, extent.least) || !read_double(in, extent.most) ||
-            extent.least > extent.most)
+        if (!read_name(in, extent.field) || !read_double(in, extent.min) || !read_double(in, extent.max) ||
+            extent.min > extent.max)
             return false;
     }
     return true;
 }
 
 // The body of an S: ranks, then the filter.
-bool read_word(std::string_view list, std::string_view body, SectionWord& word) {
+bool read_word(std::string_view list, std::string_view body, SectionSummary& word) {
     std::size_t ranks = 0, filter = 0, extents = 0;
     std::int64_t lease_us = 0;
-    word.nothing = !find_option(list, 'u');
-    if (!read_option(list, 'u', word.upper) || !std::isfinite(word.upper)) return false;
+    word.no_matches = !find_option(list, 'u');
+    if (!read_option(list, 'u', word.max_rank) || !std::isfinite(word.max_rank)) return false;
     if (!read_option(list, 's', ranks) || !read_option(list, 'l', lease_us) ||
         !read_option(list, 'f', filter) || !read_option(list, 'z', extents))
         return false;
-    if (lease_us < 0 || lease_us > 3'600'000'000 || (word.nothing && ranks > 0)) return false;
+    if (lease_us < 0 || lease_us > 3'600'000'000 || (word.no_matches && ranks > 0)) return false;
     word.lease = lease_us * 1000;
     word.has_filter = find_option(list, 'f') || find_option(list, 'z');
-    if (!read_ranks(body, ranks, word.lower) || !read_filter(body, filter, extents, word.filter))
+    if (!read_ranks(body, ranks, word.top_ranks) || !read_filter(body, filter, extents, word.filter))
         return false;
-    if (!word.lower.empty() && word.lower.front() > word.upper) return false;
+    if (!word.top_ranks.empty() && word.top_ranks.front() > word.max_rank) return false;
     return body.empty();
 }
 
@@ -163,14 +163,14 @@
         !read_option(list, 'm', filter) || !read_number(next_token(line), read.text) ||
         !read_number(line, read.find))
         return std::nullopt;
-    if (read.rows < 1 || read.rows > max_words_rows || read.wait_ms < 0) return std::nullopt;
+    if (read.rows < 1 || read.rows > max_summary_ranks || read.wait_ms < 0) return std::nullopt;
     read.id = *id;
     read.wants_filter = filter == 1;
     return read;
 }
 
 // One line a condition: `t TERM`, or `r FROM TO FIELD`.
-std::string write_find(const Find& find) {
+std::string write_find(const SearchCriteria& find) {
     std::string out;
     for (const std::string& term : find.terms) out.append("t ").append(term).append("\n");
     for (const FieldRange& r : find.ranges)
@@ -184,8 +184,8 @@
     return out;
 }
 
-std::optional<Find> read_find(std::string_view bytes) {
-    Find find;
+std::optional<SearchCriteria> read_find(std::string_view bytes) {
+    SearchCriteria find;
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
         if (end == std::string_view::npos) return std::nullopt;
@@ -235,32 +235,32 @@
     return answer;
 }
 
-void write_word(std::string& out, const PhaseId& id, const SectionWord& word) {
+void write_word(std::string& out, const PhaseId& id, const SectionSummary& word) {
     std::string rest;
     write_phase_id(rest, id);
     rest.append(" OK ")
         .append(std::to_string(word.version))
         .append(" l=")
         .append(std::to_string(word.lease / 1000));
-    if (!word.nothing)
+    if (!word.no_matches)
         rest.append(",u=")
-            .append(to_text(word.upper))
+            .append(to_text(word.max_rank))
             .append(",s=")
-            .append(std::to_string(word.lower.size()));
+            .append(std::to_string(word.top_ranks.size()));
     if (word.has_filter)
         rest.append(",f=")
             .append(std::to_string(word.filter.terms.size()))
             .append(",z=")
             .append(std::to_string(word.filter.extents.size()));
     rest += '\n';
-    if (!word.nothing)
-        for (const double rank : word.lower) append_double(rest, rank);
+    if (!word.no_matches)
+        for (const double rank : word.top_ranks) append_double(rest, rank);
     if (word.has_filter) {
         rest.append(reinterpret_cast<const char*>(word.filter.terms.data()), word.filter.terms.size());
         for (const SectionFilter::Extent& extent : word.filter.extents) {
             append_name(rest, extent.field);
-            append_double(rest, extent.least);
-            append_double(rest, extent.most);
+            append_double(rest, extent.min);
+            append_double(rest, extent.max);
         }
     }
     append_frame(out, brings_word, rest);
--- a/src/wire/phase_frames.hpp
+++ b/src/wire/phase_frames.hpp
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
+#include "phases/section_summary.hpp"
 #include "phases/two_phase_config.hpp"
-#include "phases/word.hpp"
 #include "wire/node_frames.hpp"
 
 namespace tealcart {
@@ -41,15 +41,15 @@
 std::optional<PhaseLine> read_phase_line(std::string_view line);
 
 // The find's own bytes, as a client states it and a data node reads it.
-std::string write_find(const Find& find);
-std::optional<Find> read_find(std::string_view bytes);
+std::string write_find(const SearchCriteria& find);
+std::optional<SearchCriteria> read_find(std::string_view bytes);
 
 // What a data node says to a P or F.
 struct PhaseAnswer {
     PhaseId id;
     Outcome outcome = Outcome::error;
     bool malformed = false;  // whose shard request it is can be told, but not what was said
-    SectionWord word;        // of S
+    SectionSummary word;     // of S
     std::uint64_t version = 0;
     std::vector<double> ranks;  // of W: its rows', highest first
     std::string_view value;     // of W
@@ -60,7 +60,7 @@
 std::optional<PhaseAnswer> read_phase_answer(char letter, std::string_view rest);
 
 // The same, written; for whoever holds sections.
-void write_word(std::string& out, const PhaseId& id, const SectionWord& word);
+void write_word(std::string& out, const PhaseId& id, const SectionSummary& word);
 void write_rows(std::string& out, const PhaseId& id, std::uint64_t version, const std::vector<double>& ranks,
                 std::string_view value);
 // How a shard request ended that brings nothing: "REJECTED" or "ERROR".
--- a/src/wire/query_body.cpp
+++ b/src/wire/query_body.cpp
@@ -28,7 +28,7 @@
     });
 }
 
-Error read_terms(const Json& terms, Find& find) {
+Error read_terms(const Json& terms, SearchCriteria& find) {
     if (!terms.is_array() || terms.size() > max_conditions)
         return QueryBodyError{"terms", "'terms' of 'find' is no list of at most 16"};
     for (const Json& term : terms) {
@@ -50,7 +50,7 @@
     return std::nullopt;
 }
 
-Error read_ranges(const Json& ranges, Find& find) {
+Error read_ranges(const Json& ranges, SearchCriteria& find) {
     if (!ranges.is_array() || ranges.size() > max_conditions)
         return QueryBodyError{"ranges", "'ranges' of 'find' is no list of at most 16"};
     for (const Json& stated : ranges) {
@@ -64,7 +64,7 @@
     return std::nullopt;
 }
 
-Error read_find(const Json& stated, Find& find) {
+Error read_find(const Json& stated, SearchCriteria& find) {
     const auto rows = json_index(stated, "rows", rows_limit);
     if (!rows || *rows == 0) return QueryBodyError{"rows", "'rows' of 'find' is missing or no count"};
     find.rows = static_cast<int>(*rows);
--- a/src/wire/query_body.hpp
+++ b/src/wire/query_body.hpp
@@ -7,7 +7,7 @@
 #include <variant>
 #include <vector>
 
-#include "phases/word.hpp"
+#include "phases/section_summary.hpp"
 #include "router/query_router.hpp"
 
 namespace tealcart {
@@ -23,7 +23,7 @@
 struct QueryBody {
     std::vector<QueryShardRequest> shard_requests;
     std::string text;
-    Find find;  // without rows where it is not asked for, or not read
+    SearchCriteria find;  // without rows where it is not asked for, or not read
 };
 
 // Why a body was not accepted.
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -45,16 +45,16 @@
     const ConfigOverlay c =
         configuration_of("log { level = \"warn\" }\ntwo_phase \"part\" {\n share = 0.4\n keep = \"7ms\"\n}");
     CHECK(settings_of(c, {}).log.level == LogLevel::warn);
-    CHECK(settings_of(c, {}).phases[0].share == 0.4);
+    CHECK(settings_of(c, {}).phases[0].first_phase_share == 0.4);
     const auto with = settings_of(c, {{"log", "format = \"json\""}, {"two_phase.part", "share = 0.5\n"}});
     CHECK(with.log.level == LogLevel::info);  // the whole block is replaced
     CHECK(with.log.form == LogForm::json);
-    CHECK(with.phases[0].on);
-    CHECK(with.phases[0].share == 0.5);
-    CHECK(with.phases[0].keep == TwoPhaseConfig().keep);
-    CHECK_FALSE(with.phases[1].on);
-    CHECK(settings_of(c, {}).phases[0].keep == 7 * ms);
-    CHECK(settings_of(configuration_of(""), {{"two_phase.part", ""}}).phases[0].on);
+    CHECK(with.phases[0].enabled);
+    CHECK(with.phases[0].first_phase_share == 0.5);
+    CHECK(with.phases[0].response_reserve == TwoPhaseConfig().response_reserve);
+    CHECK_FALSE(with.phases[1].enabled);
+    CHECK(settings_of(c, {}).phases[0].response_reserve == 7 * ms);
+    CHECK(settings_of(configuration_of(""), {{"two_phase.part", ""}}).phases[0].enabled);
 }
 
 TEST_CASE(
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -123,9 +123,9 @@
           "f:3:2: the settings name no vertical 'other'");
     const auto stated = two_phase_by_query_class(
         read_operator_config("two_phase \"part\" { least = \"7ms\" }", "f"), config, query_classes);
-    CHECK(stated[0].on);
-    CHECK(stated[0].least == 7 * test::ms);
-    CHECK_FALSE(stated[1].on);
+    CHECK(stated[0].enabled);
+    CHECK(stated[0].min_first_phase == 7 * test::ms);
+    CHECK_FALSE(stated[1].enabled);
 }
 
 TEST_CASE("times and sizes are read and written as operators do") {
@@ -154,7 +154,7 @@
     const OperatorConfig back = read_operator_config(m.text, "new.hcl");
     REQUIRE(back.phases.size() == 1);
     CHECK(back.phases[0].query_class == "part");
-    CHECK(back.memory.bytes == 8u << 20);
+    CHECK(back.memory.max_bytes == 8u << 20);
     CHECK(m.text.find("# two_phase \"gone\" {") != std::string::npos);
     CHECK(m.text.find("# Not carried over: the new deployment has no vertical 'gone'.") != std::string::npos);
     CHECK(m.stated.at(0) == "parts in one call: 2");
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -91,7 +91,7 @@
         return answers.back();
     }
     // The true answer over all sections but these.
-    std::vector<ReadRow> truth(const Find& find, const std::vector<std::uint32_t>& without = {}) {
+    std::vector<ReadRow> truth(const SearchCriteria& find, const std::vector<std::uint32_t>& without = {}) {
         std::vector<std::uint32_t> asked_for;
         for (std::uint32_t s = 0; s < fleet.script().shards; ++s)
             if (std::find(without.begin(), without.end(), s) == without.end()) asked_for.push_back(s);
@@ -397,7 +397,7 @@
     a = w.asking("nowhere-3");
     w.check_true(a, w.ask(a));
     CHECK(w.fleet.work().words - words >= 16);
-    CHECK(w.service->dispatcher().section_memory().bytes() <= SectionMemoryConfig().bytes);
+    CHECK(w.service->dispatcher().section_filter_cache().bytes() <= SectionFilterCacheConfig().max_bytes);
 }
 
 TEST_CASE("the cap on a section's leaf calls holds over both phases together") {
@@ -442,7 +442,7 @@
 
 TEST_CASE("frames in two phases are read back as written, and told when cut or changed") {
     const PhaseId id{"q.1", 12, 2};
-    const Find find{{"a b", "c"}, {{"expiry", -1.5, 3}}, 4};
+    const SearchCriteria find{{"a b", "c"}, {{"expiry", -1.5, 3}}, 4};
     REQUIRE(read_find(write_find(find)));
     CHECK(read_find(write_find(find))->terms == find.terms);
     CHECK(read_find(write_find(find))->ranges[0].from == -1.5);
@@ -453,7 +453,7 @@
     CHECK(
         (read->id == id && read->wait_ms == 30 && read->rows == 4 && read->wants_filter && read->find == 6));
 
-    SectionWord word{7, false, 9.5, {9, 8.25}, 40 * ms, true, {make_filter(3, 8), {{"e", 1, 2}}}};
+    SectionSummary word{7, false, 9.5, {9, 8.25}, 40 * ms, true, {make_filter(3, 8), {{"e", 1, 2}}}};
     std::string bytes;
     write_word(bytes, id, word);
     std::string rows;
@@ -462,7 +462,7 @@
                            row_body = std::string_view(rows).substr(5);
     const auto answer = read_phase_answer(brings_word, body);
     REQUIRE((answer && answer->outcome == Outcome::ok));
-    CHECK((answer->id == id && answer->word.upper == 9.5 && answer->word.lower == word.lower));
+    CHECK((answer->id == id && answer->word.max_rank == 9.5 && answer->word.top_ranks == word.top_ranks));
     CHECK((answer->word.lease == word.lease && answer->word.filter.terms == word.filter.terms));
     CHECK(read_phase_answer(brings_rows, row_body)->value == "value");
     for (const auto& [letter, whole] : {std::pair(brings_word, body), std::pair(brings_rows, row_body)})
@@ -473,8 +473,8 @@
                 std::string changed(whole);
                 changed[i] = c;
                 const auto got = read_phase_answer(letter, changed);
-                if (got && got->outcome == Outcome::ok && !got->word.lower.empty())
-                    CHECK(got->word.lower.front() <= got->word.upper);
+                if (got && got->outcome == Outcome::ok && !got->word.top_ranks.empty())
+                    CHECK(got->word.top_ranks.front() <= got->word.max_rank);
             }
         }
 }
