--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -105,7 +105,8 @@
     }
     for (const std::size_t batch : {1, 10, 100, 1000}) {
         fleet::ReportBatch many;
-        for (std::size_t i = 0; i < batch; ++i) many.renewals.push_back(manager::renew_of(call_of(i, 0)));
+        for (std::size_t i = 0; i < batch; ++i)
+            many.renewals.push_back(fleet_manager::renew_of(call_of(i, 0)));
         point("steward.log_bytes", batch,
               static_cast<double>(fleet::write_command({"", 1'764'649'382'000'000'000, many}).size()));
     }
@@ -131,7 +132,7 @@
     state.apply({"", 1, nodes_of(nodes)});
     for (std::size_t i = 0; i < members; ++i) {
         const MemberCall call = call_of(i, 0);
-        fleet::ReportBatch one{{manager::join_of(call)}, {manager::renew_of(call)}};
+        fleet::ReportBatch one{{fleet_manager::join_of(call)}, {fleet_manager::renew_of(call)}};
         one.renewals[0].report.applied_generation = 0;
         state.apply({"", 2, std::move(one)});
     }
@@ -155,17 +156,17 @@
         fleet::FleetState kept = state_of(nodes, members);
         std::size_t sink = 0;
         point("steward.snapshot_write", nodes, cost(3, [&] { sink += kept.save().size(); }) / 1e3);
-        const std::string status = manager::write_status(kept, {}, false);
+        const std::string status = fleet_manager::write_status(kept, {}, false);
         point("steward.status_bytes", nodes, static_cast<double>(status.size()) / 1e6);
         point("steward.status_write", nodes,
-              cost(3, [&] { sink += manager::write_status(kept, {}, false).size(); }) / 1e3);
+              cost(3, [&] { sink += fleet_manager::write_status(kept, {}, false).size(); }) / 1e3);
 
         // Six members' words as one entry, with nothing queued and while a drain waits for another one.
         std::size_t turn = 0;
         const auto batch = [&] {
             fleet::ReportBatch six;
             for (std::size_t i = 0; i < 6; ++i) {
-                six.renewals.push_back(manager::renew_of(call_of(turn++ % members, 0)));
+                six.renewals.push_back(fleet_manager::renew_of(call_of(turn++ % members, 0)));
                 six.renewals.back().report.applied_generation = 0;
             }
             sink += kept.apply({"", 3, std::move(six)}).size();
@@ -206,7 +207,7 @@
         if (last > 100) break;
         RouterConfig config;
         config.places = config.shards = static_cast<int>(nodes / 3);
-        manager::EndpointView seen(config);
+        fleet_manager::EndpointView seen(config);
         EndpointList list{1, true, {}, 0};
         for (std::size_t i = 0; i < nodes / 3 * 3; ++i)
             list.nodes.push_back({node_name(i), "10.0.0.1:7300", "r1z1", "kind-1",
--- a/src/fleet_manager/batching.hpp
+++ b/src/fleet_manager/batching.hpp
@@ -5,9 +5,9 @@
 
 #include "router/query_router.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 constexpr Nanos batch_window = 5'000'000;      // ns that a report waits for others
 constexpr std::size_t max_batch_calls = 2000;  // in one entry
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -4,7 +4,7 @@
 
 #include "wire/json_fields.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using Json = nlohmann::json;
@@ -161,4 +161,4 @@
     answer.page = state.page(position.wants_pages ? position.after : "", max_page);
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/change_requests.hpp
+++ b/src/fleet_manager/change_requests.hpp
@@ -12,7 +12,7 @@
 #include "wire/change_messages.hpp"
 #include "wire/message_error.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 // A call that may be retried under the same id, at any fleet manager, and takes effect once. Each operation
 // needs some of the fields.
@@ -45,4 +45,4 @@
 void add_document_news(const changes::ChangeState& state, const WatchPosition& position,
                        ChangesAnswer& answer);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/change_service.cpp
+++ b/src/fleet_manager/change_service.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 void ChangeService::not_configured(Handle client) {
     responder_.error(client, 404, "the stewards' file has no 'changes' block");
@@ -55,4 +55,4 @@
     });
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/change_service.hpp
+++ b/src/fleet_manager/change_service.hpp
@@ -9,7 +9,7 @@
 #include "fleet_manager/proposer.hpp"
 #include "fleet_manager/responder.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class ChangeService {
   public:
@@ -36,4 +36,4 @@
     Responder& responder_;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/command_main.cpp
+++ b/src/fleet_manager/command_main.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using namespace tealcart;
-using namespace tealcart::manager;
+using namespace tealcart::fleet_manager;
 
 // The command line: options are parsed into these, and the chosen command reads them.
 class CommandLine {
--- a/src/fleet_manager/config_command.cpp
+++ b/src/fleet_manager/config_command.cpp
@@ -7,7 +7,7 @@
 
 #include "config/operator_config.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -173,4 +173,4 @@
     return run(client, options, "/fleet/changes-resume", Json::object());
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/config_command.hpp
+++ b/src/fleet_manager/config_command.hpp
@@ -8,7 +8,7 @@
 
 #include "fleet_manager/operator_client.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 struct ConfigOptions {
     std::vector<std::string> entries;  // each KEY=FILE
@@ -25,4 +25,4 @@
 int roll_back(const ClientOptions& client, const ConfigOptions& options);
 int resume_publishing(const ClientOptions& client, const ConfigOptions& options);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/data_directory.cpp
+++ b/src/fleet_manager/data_directory.cpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using Json = nlohmann::json;
@@ -53,4 +53,4 @@
     if (::access(directory.c_str(), W_OK) != 0) fail(directory, "can't be written");
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/data_directory.hpp
+++ b/src/fleet_manager/data_directory.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 // Creates the directory where there is none, and its marker. Throws std::runtime_error in one line where it
 // has a marker already, or can't be written.
@@ -16,4 +16,4 @@
 // So that `create_data_directory` can be tried again after a later step failed.
 void remove_marker(const std::string& directory);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/drain_command.cpp
+++ b/src/fleet_manager/drain_command.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <thread>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -139,4 +139,4 @@
     return run(client, options, "/fleet/forget");
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/drain_command.hpp
+++ b/src/fleet_manager/drain_command.hpp
@@ -6,7 +6,7 @@
 
 #include "fleet_manager/operator_client.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 struct DrainOptions {
     std::vector<std::string> nodes, routers;
@@ -28,4 +28,4 @@
 // One line on a request of the state.
 void print_request(const nlohmann::ordered_json& request);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 // Names that may wait to be compared beyond those that are listed; more of them, and all are compared.
@@ -112,4 +112,4 @@
     return news;
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/endpoint_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -10,7 +10,7 @@
 #include "fleet/fleet_state.hpp"
 #include "tables/endpoint_list.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class EndpointView {
   public:
@@ -58,4 +58,4 @@
     std::size_t compared_ = 0;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -6,7 +6,7 @@
 #include "fleet_manager/status_page.hpp"
 #include "log/log.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 constexpr Nanos second = 1'000'000'000;
@@ -140,4 +140,4 @@
     changes_.show_entry(client, request.body);
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -21,7 +21,7 @@
 #include "wire/event_turn.hpp"
 #include "wire/http_server.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class FleetManager final : private RequestHandler, private ListTaker {
   public:
@@ -77,4 +77,4 @@
     bool stopping_ = false;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -8,7 +8,7 @@
 #include "config/block_reader.hpp"
 #include "config/operator_config.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 constexpr Nanos millisecond = 1'000'000, second = 1000 * millisecond, hour = 3600 * second;
@@ -186,4 +186,4 @@
     return read_fleet_manager_config(text, path);
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/fleet_manager_config.hpp
+++ b/src/fleet_manager/fleet_manager_config.hpp
@@ -11,7 +11,7 @@
 #include "config/operator_config.hpp"
 #include "fleet/fleet_state.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 // Where a fleet manager listens, and where it stores its data.
 struct ManagerAddresses {
@@ -37,4 +37,4 @@
 FleetManagerConfig read_fleet_manager_file(
     const std::string& path);  // and ConfigError where it can't be read
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/leader_duties.cpp
+++ b/src/fleet_manager/leader_duties.cpp
@@ -5,7 +5,7 @@
 
 #include "log/log.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 constexpr Nanos millisecond = 1'000'000;
@@ -69,4 +69,4 @@
     }
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/leader_duties.hpp
+++ b/src/fleet_manager/leader_duties.hpp
@@ -5,7 +5,7 @@
 #include "fleet_manager/endpoint_view.hpp"
 #include "fleet_manager/proposer.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class LeaderDuties {
   public:
@@ -35,4 +35,4 @@
     bool endpoints_pending_ = false, limits_pending_ = false;  // proposed, and not committed yet
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/log_entries.cpp
+++ b/src/fleet_manager/log_entries.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 // The fleet's own entries and snapshots are CBOR maps, which begin with 0xa0 to 0xbf; these can't.
@@ -52,4 +52,4 @@
     return s;
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/log_entries.hpp
+++ b/src/fleet_manager/log_entries.hpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 using Bytes = std::vector<std::uint8_t>;
 
@@ -29,4 +29,4 @@
 // Throws std::runtime_error on another form and on noise; what is in the two parts is for their readers.
 Snapshot read_snapshot(const Bytes& bytes);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using namespace tealcart;
-using namespace tealcart::manager;
+using namespace tealcart::fleet_manager;
 
 constexpr Nanos millisecond = 1'000'000;
 enum ExitStatus : int { exit_ok = 0, exit_failed = 1, exit_usage = 2 };
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -10,7 +10,7 @@
 #include "wire/http.hpp"
 #include "wire/member_messages.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -104,4 +104,4 @@
     return {0, last.body};
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/manager_client.hpp
+++ b/src/fleet_manager/manager_client.hpp
@@ -10,7 +10,7 @@
 
 #include "config/host_port.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 // What a fleet manager answered.
 struct Reply {
@@ -28,4 +28,4 @@
 Reply query_manager(boost::asio::io_context& io, const HostPort& address, const std::string& path,
                     const std::string& body, std::chrono::milliseconds within);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/member_service.cpp
+++ b/src/fleet_manager/member_service.cpp
@@ -5,7 +5,7 @@
 #include "fleet_manager/batching.hpp"
 #include "fleet_manager/operator_requests.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 void MemberService::on_call(Handle client, const std::string& body) {
     auto call = read_member_call(body);
@@ -90,4 +90,4 @@
     }
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/member_service.hpp
+++ b/src/fleet_manager/member_service.hpp
@@ -11,7 +11,7 @@
 #include "tables/event_clock.hpp"
 #include "wire/member_messages.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class MemberService final : private DueHandler {
   public:
@@ -55,4 +55,4 @@
     TimerQueue::Ticket batch_due_ = TimerQueue::none;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/operator_client.cpp
+++ b/src/fleet_manager/operator_client.cpp
@@ -5,7 +5,7 @@
 
 #include "fleet_manager/fleet_manager_config.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -94,4 +94,4 @@
 
 int print_json(const Json& json) { return std::printf("%s\n", json.dump().c_str()) < 0; }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/operator_client.hpp
+++ b/src/fleet_manager/operator_client.hpp
@@ -10,7 +10,7 @@
 #include "config/host_port.hpp"
 #include "fleet_manager/manager_client.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 enum ExitStatus : int { exit_ok = 0, exit_unreachable = 1, exit_usage = 2, exit_refused = 3 };
 
@@ -51,4 +51,4 @@
 // Prints it as one line; the status to exit with.
 int print_json(const nlohmann::ordered_json& json);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/operator_requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -2,7 +2,7 @@
 
 #include "wire/json_fields.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using Json = nlohmann::json;
@@ -99,4 +99,4 @@
     return answer;
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/operator_requests.hpp
+++ b/src/fleet_manager/operator_requests.hpp
@@ -10,7 +10,7 @@
 #include "wire/member_messages.hpp"
 #include "wire/message_error.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 // A call that may be retried under the same id, at any fleet manager, and takes effect once. Each operation
 // needs some of the fields.
@@ -32,4 +32,4 @@
 fleet::Renew renew_of(const MemberCall& call);
 MemberAnswer answer_of(const fleet::FleetState& state);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/operator_service.cpp
+++ b/src/fleet_manager/operator_service.cpp
@@ -3,7 +3,7 @@
 #include <set>
 #include <utility>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 // The id of a command that a call gives rise to: the same for the same call, so that a retry is one with it.
@@ -131,4 +131,4 @@
     });
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/operator_service.hpp
+++ b/src/fleet_manager/operator_service.hpp
@@ -10,7 +10,7 @@
 #include "fleet_manager/proposer.hpp"
 #include "fleet_manager/responder.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class OperatorService {
   public:
@@ -49,4 +49,4 @@
     bool changing_managers_ = false;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/proposer.cpp
+++ b/src/fleet_manager/proposer.cpp
@@ -6,7 +6,7 @@
 
 #include "fleet_manager/log_entries.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 void Proposer::propose(std::vector<fleet::Command> commands, FleetOutcome outcome) {
     struct Batch {
@@ -38,4 +38,4 @@
     if (!raft_.propose(entry_of_changes(changes::write_command(command)), on_applied)) on_applied(false);
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/proposer.hpp
+++ b/src/fleet_manager/proposer.hpp
@@ -9,7 +9,7 @@
 #include "fleet_manager/replicated_state.hpp"
 #include "tables/event_clock.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class Proposer {
   public:
@@ -39,4 +39,4 @@
     Nanos last_fleet_proposal_ = 0, last_change_proposal_ = 0;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -8,7 +8,7 @@
 #include <span>
 #include <stdexcept>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 constexpr Nanos ms = 1'000'000;
@@ -281,4 +281,4 @@
     static_cast<void>(change.release());  // owned by the library until its callback
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/raft_node.hpp
+++ b/src/fleet_manager/raft_node.hpp
@@ -23,7 +23,7 @@
 
 #include "router/query_router.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 struct RaftServer {
     std::uint64_t id = 0;
@@ -97,4 +97,4 @@
     bool waits_ = false;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/relay_service.cpp
+++ b/src/fleet_manager/relay_service.cpp
@@ -5,7 +5,7 @@
 #include "fleet_manager/batching.hpp"
 #include "fleet_manager/change_requests.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 // Why a relay's report was not applied, where a full report would not help. Empty: for another reason.
@@ -106,4 +106,4 @@
     }
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/relay_service.hpp
+++ b/src/fleet_manager/relay_service.hpp
@@ -12,7 +12,7 @@
 #include "tables/event_clock.hpp"
 #include "wire/change_messages.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class RelayService final : private DueHandler {
   public:
@@ -56,4 +56,4 @@
     TimerQueue::Ticket batch_due_ = TimerQueue::none;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/replicated_state.cpp
+++ b/src/fleet_manager/replicated_state.cpp
@@ -5,7 +5,7 @@
 #include "fleet_manager/operator_requests.hpp"
 #include "log/log.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 void log_effect(const fleet::Effect& effect) {
@@ -63,4 +63,4 @@
         changes_ = changes::ChangeState(config_.changes);
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/replicated_state.hpp
+++ b/src/fleet_manager/replicated_state.hpp
@@ -8,7 +8,7 @@
 #include "fleet_manager/fleet_manager_config.hpp"
 #include "fleet_manager/raft_node.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class ReplicatedState final : public StateMachine {
   public:
@@ -38,4 +38,4 @@
     changes::Effects change_effects_;
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/responder.cpp
+++ b/src/fleet_manager/responder.cpp
@@ -3,7 +3,7 @@
 #include "wire/answer_body.hpp"
 #include "wire/member_messages.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 void Responder::ok(Handle client, std::string body) { server_.answer(client, {200, std::move(body), 0}); }
 
@@ -36,4 +36,4 @@
     return http.host + ":" + std::to_string(http.port);
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/responder.hpp
+++ b/src/fleet_manager/responder.hpp
@@ -9,7 +9,7 @@
 #include "wire/http_server.hpp"
 #include "wire/message_error.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 class Responder {
   public:
@@ -39,4 +39,4 @@
     const std::uint64_t id_;  // of this fleet manager
 };
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/status_command.cpp
+++ b/src/fleet_manager/status_command.cpp
@@ -5,7 +5,7 @@
 
 #include "fleet_manager/drain_command.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -128,4 +128,4 @@
     return change_group(client, "/fleet/stewards/remove", id, "");
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/status_command.hpp
+++ b/src/fleet_manager/status_command.hpp
@@ -6,7 +6,7 @@
 
 #include "fleet_manager/operator_client.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 // Prints the agreed state. `all`: each member and data node, also of a large fleet. The status to exit with.
 int show_status(const ClientOptions& client, bool all);
@@ -15,4 +15,4 @@
 int add_manager(const ClientOptions& client, std::uint64_t id, const std::string& raft_address);
 int remove_manager(const ClientOptions& client, std::uint64_t id);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/status_page.cpp
+++ b/src/fleet_manager/status_page.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -127,4 +127,4 @@
     return out.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/status_page.hpp
+++ b/src/fleet_manager/status_page.hpp
@@ -6,7 +6,7 @@
 #include "fleet/fleet_state.hpp"
 #include "router/query_router.hpp"
 
-namespace tealcart::manager {
+namespace tealcart::fleet_manager {
 
 // What the page says of the fleet manager that serves it.
 struct ManagerFigures {
@@ -23,4 +23,4 @@
 // `all`: each data node and member is listed.
 std::string write_status(const fleet::FleetState& state, const ManagerFigures& figures, bool all);
 
-}  // namespace tealcart::manager
+}  // namespace tealcart::fleet_manager
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -162,7 +162,8 @@
 }
 
 Json ChangeRig::relay_status(std::size_t i) const {
-    const auto reply = manager::query_manager(io_, {"127.0.0.1", ports_[i]}, "/relay/status", "", Ms(300));
+    const auto reply =
+        fleet_manager::query_manager(io_, {"127.0.0.1", ports_[i]}, "/relay/status", "", Ms(300));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -197,7 +197,7 @@
 std::string FleetRig::manager_at(std::size_t i) const { return at(http_[i]); }
 
 Json FleetRig::look(std::size_t i, const std::string& path) const {
-    const auto reply = manager::query_manager(io, {"127.0.0.1", http_real_[i]}, path, "", Ms(300));
+    const auto reply = fleet_manager::query_manager(io, {"127.0.0.1", http_real_[i]}, path, "", Ms(300));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -288,7 +288,7 @@
 }
 
 Json HollowRig::status(std::size_t i) {
-    const auto reply = manager::query_manager(io, http_[i], "/fleet/status", "", Ms(30'000));
+    const auto reply = fleet_manager::query_manager(io, http_[i], "/fleet/status", "", Ms(30'000));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
@@ -298,7 +298,8 @@
     for (int tries = 0; tries < 20; ++tries) {
         const std::size_t i = leader();
         if (i < plan.managers) {
-            const auto reply = manager::query_manager(io, http_[i], "/fleet/" + what, body.dump(), Ms(5000));
+            const auto reply =
+                fleet_manager::query_manager(io, http_[i], "/fleet/" + what, body.dump(), Ms(5000));
             if (reply.status == 200) return Json::parse(reply.body, nullptr, false);
             if (reply.status >= 400 && reply.status < 421) return {{"refused", reply.body}};
         }
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -116,7 +116,7 @@
 bool RelayRig::relays_up() {
     for (std::size_t i = 0; i < relays.size(); ++i) {
         if (!relays[i] || relays[i]->ended()) continue;
-        const auto reply = manager::query_manager(io, relay_at_[i], "/relay/status", "", Ms(2000));
+        const auto reply = fleet_manager::query_manager(io, relay_at_[i], "/relay/status", "", Ms(2000));
         const Json s = reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
         if (!s.is_object() || s["lease_left_ms"] <= 0) return false;
     }
@@ -163,7 +163,7 @@
 
 Json RelayRig::changes(std::size_t manager) {
     if (!managers[manager] || managers[manager]->ended()) return {};
-    const auto reply = manager::query_manager(io, http_[manager], "/fleet/changes", "", Ms(5000));
+    const auto reply = fleet_manager::query_manager(io, http_[manager], "/fleet/changes", "", Ms(5000));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
@@ -213,7 +213,8 @@
     while (Clock::now() - p.asked < within) {
         if (const std::size_t led = leader(); p.calls == 0 && led < plan.managers) asks_at_ = led;
         ++p.calls;
-        const auto reply = manager::query_manager(io, http_[asks_at_], "/fleet/publish", body, Ms(2000));
+        const auto reply =
+            fleet_manager::query_manager(io, http_[asks_at_], "/fleet/publish", body, Ms(2000));
         p.answered = Clock::now();
         if (reply.status == 200) {
             const Json said = Json::parse(reply.body, nullptr, false);
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -265,7 +265,7 @@
 }
 
 TEST_CASE("an operator's call is read, or told what is wrong with it") {
-    using namespace tealcart::manager;
+    using namespace tealcart::fleet_manager;
     const auto call =
         read_operator_call(R"({"id":"x","asker":"ann","targets":[["node","n1"],["router","r1"]]})");
     REQUIRE(call);
@@ -279,7 +279,7 @@
 }
 
 TEST_CASE("the stewards' file: what it states, and every mistake with its line and column") {
-    using namespace tealcart::manager;
+    using namespace tealcart::fleet_manager;
     const FleetManagerConfig t = read_fleet_manager_file("deploy/fleet.hcl");
     CHECK(t.fleet == "example");
     CHECK(t.managers.size() == 3);
@@ -308,7 +308,7 @@
 }
 
 TEST_CASE("the stewards' view: shards by place, cold until warm, gone, and nothing known in silence") {
-    using namespace tealcart::manager;
+    using namespace tealcart::fleet_manager;
     RouterConfig config;
     config.places = 4, config.replicas_per_shard = 2, config.shards = 8,
     config.slow_start_duration = 10 * second;
@@ -340,7 +340,7 @@
 }
 
 TEST_CASE("the stewards' view looks at what changed, and finds what a look at all nodes finds") {
-    using namespace tealcart::manager;
+    using namespace tealcart::fleet_manager;
     const auto seed = GENERATE(range(1U, 9U));
     std::knuth_b chance(seed);
     const auto pick = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
@@ -402,7 +402,7 @@
 }
 
 TEST_CASE("one node's news costs the stewards' view a look at one node") {
-    using namespace tealcart::manager;
+    using namespace tealcart::fleet_manager;
     RouterConfig config;
     config.places = 100, config.replicas_per_shard = 2, config.shards = 200,
     config.slow_start_duration = 10 * second;
@@ -440,7 +440,7 @@
 }
 
 TEST_CASE("the status of a great fleet lists what is not as it should be, and counts all by zone") {
-    using namespace tealcart::manager;
+    using namespace tealcart::fleet_manager;
     fleet::FleetState state({});
     const Nanos now = 1000 * second;
     const int nodes = GENERATE(200, 201, 2000);
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -30,7 +30,7 @@
 
 std::string wrong_managers(const std::string& block) {
     try {
-        manager::read_fleet_manager_config(managers(block), "fleet.hcl");
+        fleet_manager::read_fleet_manager_config(managers(block), "fleet.hcl");
     } catch (const HclErrors& e) {
         return e.what();
     }
@@ -68,8 +68,8 @@
 }
 
 TEST_CASE("the stewards' block of changes is read, and off without it") {
-    CHECK_FALSE(manager::read_fleet_manager_config(managers(""), "fleet.hcl").takes_changes);
-    const auto config = manager::read_fleet_manager_config(
+    CHECK_FALSE(fleet_manager::read_fleet_manager_config(managers(""), "fleet.hcl").takes_changes);
+    const auto config = fleet_manager::read_fleet_manager_config(
         managers(
             "changes {\n lease = \"19s\"\n halt_refused = 0.2\n longest_entry = \"1KiB\"\n most_kept = 9\n}"),
         "fleet.hcl");
@@ -87,53 +87,55 @@
 
 TEST_CASE("entries of the log are told apart, and those from before there were changes are the fleet's") {
     const auto fleet = fleet::write_command({"x", 1, fleet::Tick{}});
-    const auto old = manager::read_entry(fleet.data(), fleet.size());
+    const auto old = fleet_manager::read_entry(fleet.data(), fleet.size());
     CHECK_FALSE(old.of_changes);
     CHECK(fleet::read_command(old.bytes, old.size).id == "x");
-    const auto entry = manager::entry_of_changes(changes::write_command({"y", 2, changes::Resume{}}));
-    const auto read = manager::read_entry(entry.data(), entry.size());
+    const auto entry = fleet_manager::entry_of_changes(changes::write_command({"y", 2, changes::Resume{}}));
+    const auto read = fleet_manager::read_entry(entry.data(), entry.size());
     CHECK(read.of_changes);
     CHECK(changes::read_command(read.bytes, read.size).id == "y");
     // A program from before there were changes ends with one line.
     CHECK_THROWS_AS(fleet::read_command(entry.data(), entry.size()), std::runtime_error);
-    CHECK_FALSE(manager::read_entry(nullptr, 0).of_changes);
+    CHECK_FALSE(fleet_manager::read_entry(nullptr, 0).of_changes);
 }
 
 TEST_CASE("a snapshot holds both states; an old one is the fleet's alone, another form is refused") {
     fleet::FleetState state{fleet::Budgets{}};
     changes::ChangeState change_state{changes::Limits{}};
     change_state.apply({"x", 1, changes::Publish{"ann", {{"k", "v"}}, {}, {}}});
-    const auto bytes = manager::write_snapshot({state.save(), change_state.save()});
-    const auto read = manager::read_snapshot(bytes);
+    const auto bytes = fleet_manager::write_snapshot({state.save(), change_state.save()});
+    const auto read = fleet_manager::read_snapshot(bytes);
     CHECK(read.fleet == state.save());
     REQUIRE(read.changes);
     changes::ChangeState loaded{changes::Limits{}};
     loaded.load(*read.changes);
     CHECK(loaded.version() == 1);
-    const auto old = manager::read_snapshot(state.save());
+    const auto old = fleet_manager::read_snapshot(state.save());
     CHECK(old.fleet == state.save());
     CHECK_FALSE(old.changes);
     auto later = bytes;
     later[3] = 2;
-    CHECK_THROWS_WITH(manager::read_snapshot(later), "a stewards' snapshot of form 2, this program reads 1");
+    CHECK_THROWS_WITH(fleet_manager::read_snapshot(later),
+                      "a stewards' snapshot of form 2, this program reads 1");
     CHECK_THROWS_AS(state.load(bytes), std::runtime_error);  // a program from before there were changes
     for (std::size_t n = 3; n < 12; ++n)
-        CHECK_THROWS_WITH(manager::read_snapshot({bytes.begin(), bytes.begin() + static_cast<long>(n)}),
+        CHECK_THROWS_WITH(fleet_manager::read_snapshot({bytes.begin(), bytes.begin() + static_cast<long>(n)}),
                           "a stewards' snapshot that is cut off");
     auto long_shard_request = bytes;
     long_shard_request[10] = 0xff;
-    CHECK_THROWS_WITH(manager::read_snapshot(long_shard_request), "a stewards' snapshot that is cut off");
+    CHECK_THROWS_WITH(fleet_manager::read_snapshot(long_shard_request),
+                      "a stewards' snapshot that is cut off");
 }
 
 TEST_CASE("what operators ask of changes is read, or refused with words") {
-    const auto call = manager::read_change_request(
+    const auto call = fleet_manager::read_change_request(
         R"({"id":"x","asker":"ann","set":{"a":"1"},"removed":["b"],"based_on":3})");
     REQUIRE(call);
     CHECK(call->set.at("a") == "1");
     CHECK(call->removed.contains("b"));
     CHECK(call->based_on == 3);
     const auto wrong_with = [](const char* body) {
-        const auto malformed = manager::read_change_request(body);
+        const auto malformed = fleet_manager::read_change_request(body);
         REQUIRE_FALSE(malformed);
         return malformed.error().reason;
     };
