--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -26,8 +26,8 @@
         MemberCall call;
         call.name = name, call.role = "router", call.zone = "a", call.version = "1",
         call.digest = "0123456789abcdef";
-        call.incarnation = 1, call.serve_on = 86'400'000'000'000;
-        call.applied_generation = call.knows = known;
+        call.incarnation = 1, call.lease_grace = 86'400'000'000'000;
+        call.applied_generation = call.known_generation = known;
         call.wait = lease > 0 ? lease / 5 : 200'000'000;
         call.queries = 5560;
         return call;
--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -77,8 +77,8 @@
     MemberCall call;
     call.name = router_name(n), call.role = "router", call.zone = "r1z" + std::to_string(n % 12);
     call.version = "1.12.0", call.digest = "0123456789abcdef";
-    call.incarnation = 1'764'649'382'000'000'000U + n, call.serve_on = 86'400'000 * ms;
-    call.applied_generation = call.knows = 1'234'567, call.wait = 2000 * ms;
+    call.incarnation = 1'764'649'382'000'000'000U + n, call.lease_grace = 86'400'000 * ms;
+    call.applied_generation = call.known_generation = 1'234'567, call.wait = 2000 * ms;
     call.queries = 5560, call.failed = 12;
     for (std::size_t i = 0; i < named; ++i) call.silent.push_back(node_name(i));
     return call;
--- a/src/changes/change_state.cpp
+++ b/src/changes/change_state.cpp
@@ -66,7 +66,7 @@
     if (!well_formed(report.relay, max_name) || report.zone.size() > max_name) return StaleReason::malformed;
     std::size_t new_members = 0;
     for (const MemberReport& member : report.joined) {
-        if (!well_formed(member.name, max_name) || member.serve_on < 0) return StaleReason::malformed;
+        if (!well_formed(member.name, max_name) || member.lease_grace < 0) return StaleReason::malformed;
         if (!members_.contains(member.name)) ++new_members;
     }
     // A member that is not counted must not be granted a lease: without room the report is not applied at
--- a/src/changes/command_codec.cpp
+++ b/src/changes/command_codec.cpp
@@ -18,7 +18,7 @@
 json json_of(const std::vector<MemberReport>& reports) {
     json list = json::array();
     for (const MemberReport& report : reports)
-        list.push_back({report.name, report.incarnation, report.serve_on, report.applied_version,
+        list.push_back({report.name, report.incarnation, report.lease_grace, report.applied_version,
                         report.refused, report.why});
     return list;
 }
--- a/src/changes/member_table.cpp
+++ b/src/changes/member_table.cpp
@@ -54,7 +54,7 @@
     const Member& member = entry.member;
     if (member.left) return false;
     if (entry.place != Place::gone) return true;
-    return now_ <= saturating_add(saturating_add(end_of(member), member.serve_on), limits_.drift);
+    return now_ <= saturating_add(saturating_add(end_of(member), member.lease_grace), limits_.drift);
 }
 
 template <typename Change>
@@ -100,7 +100,7 @@
 
 void MemberTable::put_in_gone(const std::string& name, Entry& entry) {
     const Member& member = entry.member;
-    const Nanos may_act_for = saturating_add(member.serve_on, limits_.drift);
+    const Nanos may_act_for = saturating_add(member.lease_grace, limits_.drift);
     const Nanos remembered = member.left ? limits_.forget_after : std::max(limits_.forget_after, may_act_for);
     entry.forget_at = saturating_add(end_of(member), remembered);
     gone_.emplace(entry.forget_at, name);
@@ -166,7 +166,7 @@
         }
         member.incarnation = report.incarnation;
         member.left = false;
-        member.serve_on = report.serve_on;
+        member.lease_grace = report.lease_grace;
         member.stated = std::max(member.stated, agreed(report.applied_version, latest));
         if (hold_of(member, relay) == nullptr) member.holds.push_back({relay, false});
         clear_unsupported_refusal(member);
--- a/src/changes/member_table.hpp
+++ b/src/changes/member_table.hpp
@@ -31,7 +31,7 @@
     std::uint64_t stated = 0;  // the greatest version stated of it by name, or of all while it was among them
     std::uint64_t refused = 0, refusal_emitted = 0;  // versions; 0: none
     std::string why;                                 // of the refusal
-    Nanos serve_on = 0;
+    Nanos lease_grace = 0;
     std::vector<Hold> holds;
     // The end of the leases of relays that have it no longer, and did not report it as lost.
     Nanos held_until = before_all_times;
--- a/src/changes/reports.hpp
+++ b/src/changes/reports.hpp
@@ -33,7 +33,7 @@
 struct MemberReport {
     std::string name;
     std::uint64_t incarnation = 0;      // a new, greater number at each start
-    Nanos serve_on = 0;                 // after its lease it may act by what it last knew for so long
+    Nanos lease_grace = 0;              // after its lease it may act by what it last knew for so long
     std::uint64_t applied_version = 0;  // the version it acts by; 0: what it was started with
     std::uint64_t refused = 0;          // the version that it can't take over, 0 for none
     std::string why;                    // of the refusal; what is longer than `max_why` is cut
--- a/src/changes/snapshot.cpp
+++ b/src/changes/snapshot.cpp
@@ -45,7 +45,7 @@
     json holds = json::array();
     for (const Hold& hold : member.holds) holds.push_back(json::array({hold.relay, hold.exception}));
     return {member.incarnation, member.stated,    member.refused,    member.refusal_emitted, member.why,
-            member.serve_on,    std::move(holds), member.held_until, member.ended,           member.left};
+            member.lease_grace, std::move(holds), member.held_until, member.ended,           member.left};
 }
 Member read_member(const json& in, const std::map<std::string, Relay>& relays) {
     Member member;
@@ -54,7 +54,7 @@
     member.refused = in.at(2);
     member.refusal_emitted = in.at(3);
     member.why = in.at(4);
-    member.serve_on = in.at(5);
+    member.lease_grace = in.at(5);
     for (const json& hold : in.at(6)) {
         member.holds.push_back({hold.at(0), hold.at(1)});
         if (!relays.contains(member.holds.back().relay))
--- a/src/config/member_config.hpp
+++ b/src/config/member_config.hpp
@@ -17,10 +17,10 @@
     std::vector<HostPort> managers;
     std::vector<HostPort> relays;  // of changes of configuration; empty: it follows none
     // After its lease has expired, the router acts on what it last knew for so long ...
-    Nanos serve_on = 24 * 3600'000'000'000;
+    Nanos lease_grace = 24 * 3600'000'000'000;
     // ... and then is not ready, but serves the queries that come; or, with this, rejects them and sends no
     // attempts.
-    bool then_stop = false;
+    bool stop_after_grace = false;
     Nanos startup_wait = 5'000'000'000;         // not ready before the managers' first answer, or this long
     Nanos config_startup_wait = 2'000'000'000;  // the same of the relays' first answer
 };
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -117,8 +117,8 @@
     config.on = !config.managers.empty();
     if (config.managers.empty() && config.relays.empty())
         in.add_error(block.position, "'stewards' and 'relays' name none");
-    config.serve_on = in.duration("serve_on", config.serve_on, 0, 365 * day);
-    config.then_stop = in.choice("then", 0, {"leave", "stop"}) == 1;
+    config.lease_grace = in.duration("serve_on", config.lease_grace, 0, 365 * day);
+    config.stop_after_grace = in.choice("then", 0, {"leave", "stop"}) == 1;
     config.startup_wait = in.duration("first_word", config.startup_wait, 0, hour);
     config.config_startup_wait = in.duration("config_first_word", config.config_startup_wait, 0, hour);
     in.reject_unknown();
--- a/src/fleet/command_codec.cpp
+++ b/src/fleet/command_codec.cpp
@@ -46,8 +46,9 @@
 }
 
 json json_of_join(const Join& join) {
-    return {join.name,    static_cast<int>(join.role), join.zone, join.version, join.digest, join.incarnation,
-            join.serve_on};
+    return {
+        join.name,       static_cast<int>(join.role), join.zone, join.version, join.digest, join.incarnation,
+        join.lease_grace};
 }
 Join read_join(const json& in) {
     return {in.at(0), static_cast<Role>(in.at(1).get<int>()), in.at(2), in.at(3), in.at(4), in.at(5),
--- a/src/fleet/commands.hpp
+++ b/src/fleet/commands.hpp
@@ -22,7 +22,7 @@
     Role role;
     std::string zone, version, digest;
     std::uint64_t incarnation;
-    Nanos serve_on = 0;  // the member's own, see Member
+    Nanos lease_grace = 0;  // the member's own, see Member
 };
 
 // A member renews its lease and reports on itself.
--- a/src/fleet/fleet_state.hpp
+++ b/src/fleet/fleet_state.hpp
@@ -52,7 +52,7 @@
     const RemovalQueue::Requests& requests() const { return removals_.requests(); }
 
     // What is out by agreement: no new work is to go there.
-    const RemovedTargets& all_out() const { return removals_.removed(); }
+    const RemovedTargets& removed_targets() const { return removals_.removed(); }
     bool out(const Target& target) const { return out(target.router, target.name); }
     bool out(bool router, const std::string& name) const { return removals_.is_removed({router, name}); }
     // Everything that is not healthy, whoever took it out.
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -29,7 +29,7 @@
     Role role = Role::router;
     std::string zone, version, digest;
     std::uint64_t incarnation = 0;  // a greater number at each start
-    Nanos serve_on = 0;             // for so long after its lease it may act by what it last knew
+    Nanos lease_grace = 0;          // for so long after its lease it may act by what it last knew
     Nanos lease_until = 0;
     bool lost = false;  // its lease has certainly ended
     bool left = false;  // by its own farewell
--- a/src/fleet/member_table.cpp
+++ b/src/fleet/member_table.cpp
@@ -36,7 +36,7 @@
     member.version = command.version;
     member.digest = command.digest;
     member.incarnation = command.incarnation;
-    member.serve_on = command.serve_on;
+    member.lease_grace = command.lease_grace;
     member.lost = member.left = false;
     member.lease_until = std::max(member.lease_until, now_ + lease_);
     count(command.name, member, Step::up);
@@ -140,7 +140,7 @@
 
 Nanos MemberTable::acts_until(const Member& member) const {
     return replicated::saturating_add(member.lease_until,
-                                      replicated::saturating_add(member.serve_on, drift_));
+                                      replicated::saturating_add(member.lease_grace, drift_));
 }
 
 bool MemberTable::is_pending(const std::string& name, const Member& member, const Request& request) const {
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -98,7 +98,7 @@
         out.text(member.version);
         out.text(member.digest);
         out.number(member.incarnation);
-        out.number(member.serve_on);
+        out.number(member.lease_grace);
         out.number(member.lease_until);
         out.flag(member.lost);
         out.flag(member.left);
@@ -117,7 +117,7 @@
         member.version = in.text();
         member.digest = in.text();
         member.incarnation = in.unsigned_number();
-        member.serve_on = in.signed_number();
+        member.lease_grace = in.signed_number();
         member.lease_until = in.signed_number();
         member.lost = in.flag();
         member.left = in.flag();
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -150,9 +150,9 @@
 void add_document_news(const changes::ChangeState& state, const WatchPosition& position,
                        ChangesAnswer& answer) {
     answer.version = state.version();
-    if (position.knows >= state.version()) return;
+    if (position.known_version >= state.version()) return;
     if (!position.wants_pages) {
-        auto delta = state.since(position.knows);
+        auto delta = state.since(position.known_version);
         if (delta && size_of(*delta) <= max_delta) {
             answer.delta = std::move(delta);
             return;
--- a/src/fleet_manager/member_service.cpp
+++ b/src/fleet_manager/member_service.cpp
@@ -36,8 +36,8 @@
     if (known == state_.fleet().members().end()) return false;
     const fleet::Member& member = known->second;
     return member.incarnation == join.incarnation && member.version == join.version &&
-           member.digest == join.digest && member.zone == join.zone && member.serve_on == join.serve_on &&
-           member.role == join.role;
+           member.digest == join.digest && member.zone == join.zone &&
+           member.lease_grace == join.lease_grace && member.role == join.role;
 }
 
 std::uint64_t MemberService::later_incarnation(const MemberCall& call) const {
@@ -67,7 +67,7 @@
         if (const std::uint64_t later = later_incarnation(call); later > 0)
             responder_.superseded(client, later);
         else
-            waiting_[client.slot] = {client, call.knows, time_.now() + call.wait};
+            waiting_[client.slot] = {client, call.known_generation, time_.now() + call.wait};
     }
 }
 
--- a/src/fleet_manager/operator_requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -80,7 +80,7 @@
 
 fleet::Join join_of(const MemberCall& call) {
     const fleet::Role role = call.role == "router" ? fleet::Role::router : fleet::Role::control;
-    return {call.name, role, call.zone, call.version, call.digest, call.incarnation, call.serve_on};
+    return {call.name, role, call.zone, call.version, call.digest, call.incarnation, call.lease_grace};
 }
 
 fleet::Renew renew_of(const MemberCall& call) {
@@ -95,7 +95,8 @@
 
 MemberAnswer answer_of(const fleet::FleetState& state) {
     MemberAnswer answer{state.generation(), state.budgets().lease, {}, state.halted()};
-    for (const auto& [target, request] : state.all_out()) answer.out.push_back({target.router, target.name});
+    for (const auto& [target, request] : state.removed_targets())
+        answer.out.push_back({target.router, target.name});
     return answer;
 }
 
--- a/src/fleet_manager/relay_service.cpp
+++ b/src/fleet_manager/relay_service.cpp
@@ -96,7 +96,7 @@
     for (auto it = waiting_.begin(); it != waiting_.end();) {
         // A relay may know a later version, from a leader that was ahead: it waits like one that is up to
         // date.
-        if (state_.changes().version() <= it->second.position.knows && now < it->second.until) {
+        if (state_.changes().version() <= it->second.position.known_version && now < it->second.until) {
             ++it;
             continue;
         }
--- a/src/members/member_host.hpp
+++ b/src/members/member_host.hpp
@@ -33,7 +33,7 @@
     virtual void set_serving_state(ServingStateSource source, const MemberServingState& serving_state) = 0;
     // When the next round is due; TimerQueue::never while there are no events for one.
     virtual Nanos next_round() const = 0;
-    virtual std::size_t held() const = 0;  // queries and shard requests that have not ended
+    virtual std::size_t unfinished_count() const = 0;  // queries and shard requests that have not ended
     // Whether an attempt is in flight to a node whose name `matches`.
     virtual bool any_attempt_to(const std::function<bool(const std::string& name)>& matches) const = 0;
     // Empty for a node that was removed.
--- a/src/members/member_lease.cpp
+++ b/src/members/member_lease.cpp
@@ -13,8 +13,8 @@
 }  // namespace
 
 MemberLease::MemberLease(const MemberConfig& config, Nanos started, std::uint64_t incarnation)
-    : started_(started), serve_on_(config.serve_on), startup_wait_(config.startup_wait),
-      then_stop_(config.then_stop), incarnation_(incarnation) {}
+    : started_(started), lease_grace_(config.lease_grace), startup_wait_(config.startup_wait),
+      stop_after_grace_(config.stop_after_grace), incarnation_(incarnation) {}
 
 void MemberLease::renewed(Nanos sent, Nanos lease) {
     lease_ = lease;
@@ -31,7 +31,7 @@
 // One that never heard a manager counts from its start: they may have registered it all the same.
 Nanos MemberLease::grace_until() const {
     const Nanos from = lease_until_ > 0 ? lease_until_ : started_;
-    return serve_on_ > never - from ? never : from + serve_on_;
+    return lease_grace_ > never - from ? never : from + lease_grace_;
 }
 
 ServingState MemberLease::serving_state(Nanos now) const {
@@ -50,7 +50,7 @@
 
 Nanos MemberLease::attempts_until(Nanos now) const {
     if (superseded_) return 0;
-    if (!then_stop_) return never;
+    if (!stop_after_grace_) return never;
     return serving_state(now) == ServingState::unregistered ? 0 : grace_until();
 }
 
--- a/src/members/member_lease.hpp
+++ b/src/members/member_lease.hpp
@@ -49,8 +49,8 @@
     // When it is fenced without a further renewal.
     Nanos grace_until() const;
 
-    const Nanos started_, serve_on_, startup_wait_;
-    const bool then_stop_;
+    const Nanos started_, lease_grace_, startup_wait_;
+    const bool stop_after_grace_;
     std::uint64_t incarnation_;
     Nanos lease_ = 0, lease_until_ = 0;  // 0: none yet
     bool superseded_ = false;
--- a/src/relay/document_source.cpp
+++ b/src/relay/document_source.cpp
@@ -55,8 +55,8 @@
 
 std::optional<ChangesAnswer> DocumentSource::answer_for(const WatchPosition& position, Nanos now) {
     ChangesAnswer answer = empty_answer();
-    if (position.knows >= copy_.version()) return answer;
-    if (!position.wants_pages) answer.delta = delta_since(position.knows);
+    if (position.known_version >= copy_.version()) return answer;
+    if (!position.wants_pages) answer.delta = delta_since(position.known_version);
     if (answer.delta) return answer;
     if (!page_limiter_.take(now)) return std::nullopt;
     answer.page = page_of(copy_, position.wants_pages ? position.after : "", page_bytes_);
--- a/src/relay/follower_service.cpp
+++ b/src/relay/follower_service.cpp
@@ -49,7 +49,7 @@
 }
 
 bool FollowerService::is_due(const Waiting& waiting, Nanos now, bool leases_changed) {
-    if (now >= waiting.until || waiting.position.knows < documents_.copy().version()) return true;
+    if (now >= waiting.until || waiting.position.known_version < documents_.copy().version()) return true;
     return leases_changed && waiting.lacks_lease && reports_.grant(now, waiting.name) > 0;
 }
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -113,7 +113,7 @@
     exceptions_.clear();
     for (const changes::MemberReport& report : call.report.exceptions) exceptions_.push_back(report.name);
     const changes::Copy& copy = documents_.copy();
-    call.position.knows = copy.version();
+    call.position.known_version = copy.version();
     call.position.digest = copy.digest();
     call.position.wants_pages = copy.wants_pages();
     call.position.after = copy.wants_after();
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -65,8 +65,9 @@
 
 LongPollObserver::Call ConfigFollower::next_call() {
     FollowerCall call;
-    call.report = {name_,          lease_.incarnation(), config_.serve_on, applied_version_, refused_version_,
-                   refusal_reason_};
+    call.report = {
+        name_,          lease_.incarnation(), config_.lease_grace, applied_version_, refused_version_,
+        refusal_reason_};
     call.zone = config_.zone;
     call.leaves = leaving_;
     call.position = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), 0};
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -65,7 +65,7 @@
 
 std::vector<TargetName> Membership::targets_in_flight() const {
     std::vector<TargetName> targets;
-    if (drained_ && host_.held() > 0) targets.push_back({true, name_});
+    if (drained_ && host_.unfinished_count() > 0) targets.push_back({true, name_});
     for (const std::string& node : endpoints_.drained())
         if (host_.any_attempt_to([&node](const std::string& name) { return name == node; }))
             targets.push_back({false, node});
@@ -87,9 +87,9 @@
     call.version = version;
     call.digest = digest_;
     call.incarnation = lease_.incarnation();
-    call.serve_on = config_.serve_on;
+    call.lease_grace = config_.lease_grace;
     call.applied_generation = applied_generation_;
-    call.knows = known_generation_;
+    call.known_generation = known_generation_;
     call.in_flight = targets_in_flight();
     call.wait = lease_.wait(!call.in_flight.empty() || applied_generation_ < known_generation_);
     call.silent = unresponsive_nodes();
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -47,7 +47,7 @@
     void set_serving_state(ServingStateSource source, const MemberServingState& state) override;
     bool any_attempt_to(const std::function<bool(const std::string&)>& matches) const override;
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
-    std::size_t held() const override { return queries_.active(); }
+    std::size_t unfinished_count() const override { return queries_.active(); }
     // When the next round is due; never while nothing has come in, or before `begin`.
     Nanos next_round() const override;
 
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -161,7 +161,7 @@
     if (stop_began_ > 0) return;
     stop_began_ = clock_.now();
     log_line("stopping: %zu queries and shard requests in progress, %zu connections of clients",
-             dispatcher_.held(), server_.open());
+             dispatcher_.unfinished_count(), server_.open());
     dispatcher_.begin_stop();
     server_.begin_stop();
 }
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -146,7 +146,7 @@
             return true;
         });
         std::set<std::string> out;
-        for (const auto& [target, request] : state_.all_out())
+        for (const auto& [target, request] : state_.removed_targets())
             if (!target.router) out.insert(target.name);
         const auto shared = std::make_shared<const std::set<std::string>>(std::move(out));
         for (const Waiting& w : all) {
@@ -187,8 +187,8 @@
     void start(std::size_t i) {
         Member& m = members_[i];
         MemberConfig config;
-        config.serve_on = plan_.strict ? 0 : 24 * 3600 * second;
-        config.then_stop = plan_.strict;
+        config.lease_grace = plan_.strict ? 0 : 24 * 3600 * second;
+        config.stop_after_grace = plan_.strict;
         const std::uint64_t incarnation = m.incarnation + 1, call = m.call + 1;
         m = Member{};
         m.incarnation = incarnation, m.call = call, m.up = true;
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -62,7 +62,7 @@
     void observe_outcomes(OutcomeObserver*) override {}
     void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) override;
     Nanos next_round() const override;
-    std::size_t held() const override { return 0; }
+    std::size_t unfinished_count() const override { return 0; }
     bool any_attempt_to(const std::function<bool(const std::string&)>&) const override { return false; }
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
     void on_due(Handle, std::uint64_t what) override;
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -80,7 +80,7 @@
 LongPollObserver::Call HollowFollower::next_call() {
     ++calls_;
     FollowerCall call;
-    call.report = {config_.name, lease_.incarnation(), config_.serve_on, copy_.version(), 0, ""};
+    call.report = {config_.name, lease_.incarnation(), config_.lease_grace, copy_.version(), 0, ""};
     call.zone = config_.zone;
     wait_ = lease_.wait(false);
     call.position = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), wait_};
--- a/src/wire/change_messages.cpp
+++ b/src/wire/change_messages.cpp
@@ -37,7 +37,7 @@
 
 Json write_report(const MemberReport& report) {
     Json out = {{"name", report.name}, {"life", report.incarnation}};
-    if (report.serve_on > 0) out["serve_on_ms"] = report.serve_on / millisecond;
+    if (report.lease_grace > 0) out["serve_on_ms"] = report.lease_grace / millisecond;
     if (report.applied_version > 0) out["acts_on"] = report.applied_version;
     if (report.refused > 0) out["refused"] = report.refused;
     if (!report.why.empty()) out["why"] = cut(report.why);
@@ -55,7 +55,7 @@
     in.positive_number("life", to.incarnation, "'life' is missing or no number above 0");
     in.number("acts_on", to.applied_version, "'acts_on' or 'refused' is no number");
     in.number("refused", to.refused, "'acts_on' or 'refused' is no number");
-    in.duration("serve_on_ms", to.serve_on, "'serve_on_ms' is no number of ms up to a year");
+    in.duration("serve_on_ms", to.lease_grace, "'serve_on_ms' is no number of ms up to a year");
     in.text("why", to.why, max_why, "'why' is no text of up to 512 bytes");
 }
 
@@ -74,14 +74,14 @@
 }
 
 void write_position(Json& out, const WatchPosition& position) {
-    out["knows"] = position.knows;
+    out["knows"] = position.known_version;
     out["digest"] = position.digest;
     out["wait_ms"] = position.wait / millisecond;
     if (position.wants_pages) out["pages_after"] = position.after;
 }
 
 void read_position(JsonFields& in, WatchPosition& to) {
-    in.number("knows", to.knows, "'knows' or 'digest' is no number");
+    in.number("knows", to.known_version, "'knows' or 'digest' is no number");
     in.number("digest", to.digest, "'knows' or 'digest' is no number");
     in.duration("wait_ms", to.wait, "'wait_ms' is no number of ms up to a year");
     to.wants_pages = in.find("pages_after") != nullptr;
--- a/src/wire/change_messages.hpp
+++ b/src/wire/change_messages.hpp
@@ -19,7 +19,7 @@
 
 // How far the caller's copy of the document has come, and how long the answer may wait for a later version.
 struct WatchPosition {
-    std::uint64_t knows = 0, digest = 0;  // version and digest of the copy
+    std::uint64_t known_version = 0, digest = 0;  // version and digest of the copy
     bool wants_pages = false;
     std::string after;  // with wants_pages: the entries after this key
     Nanos wait = 0;     // whole milliseconds on the wire
--- a/src/wire/member_messages.cpp
+++ b/src/wire/member_messages.cpp
@@ -38,11 +38,11 @@
                 {"role", call.role},
                 {"life", call.incarnation},
                 {"acts_on", call.applied_generation},
-                {"knows", call.knows},
+                {"knows", call.known_generation},
                 {"wait_ms", call.wait / millisecond},
                 {"queries", call.queries},
                 {"failed", call.failed},
-                {"serve_on_ms", call.serve_on / millisecond}};
+                {"serve_on_ms", call.lease_grace / millisecond}};
     // Empty fields are left out.
     if (!call.zone.empty()) out["zone"] = call.zone;
     if (!call.version.empty()) out["version"] = call.version;
@@ -66,11 +66,11 @@
         in.name(key, *to, Presence::optional, "'zone', 'version' or 'digest' is malformed");
     in.positive_number("life", call.incarnation, "'life' is missing or no number above 0");
     for (const auto& [key, to] : {std::pair("acts_on", &call.applied_generation),
-                                  {"knows", &call.knows},
+                                  {"knows", &call.known_generation},
                                   {"queries", &call.queries},
                                   {"failed", &call.failed}})
         in.number(key, *to, "a number is malformed");
-    in.duration("serve_on_ms", call.serve_on, "a span is no number of ms up to a year");
+    in.duration("serve_on_ms", call.lease_grace, "a span is no number of ms up to a year");
     in.duration("wait_ms", call.wait, "a span is no number of ms up to a year");
     in.list("in_hand", call.in_flight, read_target, "'in_hand' is malformed");
     in.list("silent", call.silent, read_name, "'silent' is malformed");
--- a/src/wire/member_messages.hpp
+++ b/src/wire/member_messages.hpp
@@ -29,9 +29,9 @@
 struct MemberCall {
     std::string name, role, zone, version, digest;  // role: "router" or "control"
     std::uint64_t incarnation = 0;                  // greater at each start of the process
-    Nanos serve_on = 0;                     // how long it serves after its lease expired; at most a year
+    Nanos lease_grace = 0;                  // how long it serves after its lease expired; at most a year
     std::uint64_t applied_generation = 0;   // the generation that it acts on
-    std::uint64_t knows = 0;                // the answer may wait for a later generation than this ...
+    std::uint64_t known_generation = 0;     // the answer may wait for a later generation than this ...
     Nanos wait = 0;                         // ... for at most this long
     std::vector<TargetName> in_flight;      // drained targets that still have queries or attempts in flight
     std::vector<std::string> silent;        // data nodes that do not respond to it
--- a/tests/change_messages_test.cpp
+++ b/tests/change_messages_test.cpp
@@ -32,7 +32,7 @@
 }
 
 void same(const WatchPosition& a, const WatchPosition& b) {
-    CHECK(a.knows == b.knows);
+    CHECK(a.known_version == b.known_version);
     CHECK(a.digest == b.digest);
     CHECK(a.wants_pages == b.wants_pages);
     CHECK(a.after == b.after);
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -24,7 +24,7 @@
     struct Who {
         std::string name;
         std::uint64_t incarnation = 0, stated = 0, refused = 0, told = 0;
-        Nanos serve_on = 0, bound = before_all, ended = before_all;
+        Nanos lease_grace = 0, bound = before_all, ended = before_all;
         bool left = false;
         std::vector<Has> has;
     };
@@ -67,7 +67,7 @@
     }
     bool lives(const Who& w) const { return !w.left && (!w.has.empty() || now <= w.bound + limits.drift); }
     bool may_act(const Who& w) const {
-        return !w.left && (lives(w) || now <= std::max(w.bound, w.ended) + w.serve_on + limits.drift);
+        return !w.left && (lives(w) || now <= std::max(w.bound, w.ended) + w.lease_grace + limits.drift);
     }
     static bool named(const Who& w) {
         return std::any_of(w.has.begin(), w.has.end(), [](const Has& h) { return h.exception; });
@@ -121,7 +121,7 @@
         std::erase_if(members, [&](const Who& w) {
             if (lives(w)) return false;
             const Nanos kept =
-                w.left ? limits.forget_after : std::max(limits.forget_after, w.serve_on + limits.drift);
+                w.left ? limits.forget_after : std::max(limits.forget_after, w.lease_grace + limits.drift);
             return now > std::max(w.bound, w.ended) + kept;
         });
         std::erase_if(relays, [&](const Relay& r) {
@@ -171,7 +171,7 @@
             }
             if (m == nullptr) m = &members.emplace_back();
             if (j.incarnation > m->incarnation) *m = Who{};
-            m->name = j.name, m->incarnation = j.incarnation, m->left = false, m->serve_on = j.serve_on;
+            m->name = j.name, m->incarnation = j.incarnation, m->left = false, m->lease_grace = j.lease_grace;
             m->stated = std::max(m->stated, agreed(j.applied_version));
             if (std::none_of(m->has.begin(), m->has.end(), [&](const Has& h) { return h.relay == w.relay; }))
                 m->has.push_back({w.relay, false});
@@ -486,7 +486,7 @@
 // Relays, members and managers on a virtual clock. Every message may be late, lost, or come twice; each
 // process has a clock of its own that runs up to 3% wrong, which with the leases here stays below `drift`.
 struct World {
-    static constexpr Nanos step = 100'000'000, lease = 10 * second, drift = second, serve_on = 4 * second;
+    static constexpr Nanos step = 100'000'000, lease = 10 * second, drift = second, lease_grace = 4 * second;
     static constexpr int all_relays = 3, all_members = 9;
 
     struct RelayAt {
@@ -507,7 +507,7 @@
         bool had_lease = false;
         Nanos clock(Nanos now) const { return static_cast<Nanos>(static_cast<double>(now) * rate); }
         MemberReport word() const {
-            return {name, incarnation, serve_on, applied_version, refused > applied_version ? refused : 0,
+            return {name, incarnation, lease_grace, applied_version, refused > applied_version ? refused : 0,
                     "no"};
         }
     };
@@ -603,7 +603,7 @@
                 if (!m.runs || m.applied_version >= applied->version || !m.had_lease) continue;
                 CAPTURE(m.name, applied->version, m.applied_version);
                 REQUIRE(m.clock(now) > m.lease_until);
-                const bool may_act = m.clock(now) <= m.lease_until + serve_on;
+                const bool may_act = m.clock(now) <= m.lease_until + lease_grace;
                 REQUIRE((!may_act ||
                          std::binary_search(applied->may_lag.begin(), applied->may_lag.end(), m.name)));
             }
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -120,7 +120,7 @@
             reader->next();
             calls.push_back(*call);
             if (mute) continue;
-            if (call->leaves || call->position.wants_pages || call->position.knows < version() ||
+            if (call->leaves || call->position.wants_pages || call->position.known_version < version() ||
                 calls.size() == 1)
                 answer(*call, peer);
             else
@@ -151,10 +151,11 @@
                 a.page->entries.insert(*next);
                 a.page->last = std::next(next) == latest.end();
             }
-        } else if (call.position.knows < version()) {
-            a.delta = changes::Delta{call.position.knows, version(), {}, {}, changes::digest_of(latest)};
+        } else if (call.position.known_version < version()) {
+            a.delta =
+                changes::Delta{call.position.known_version, version(), {}, {}, changes::digest_of(latest)};
             if (spoils_deltas) ++a.delta->digest;
-            const Document& before = documents[call.position.knows];
+            const Document& before = documents[call.position.known_version];
             for (const auto& [key, value] : latest)
                 if (!before.contains(key) || before.at(key) != value) a.delta->set[key] = value;
             for (const auto& [key, value] : before)
@@ -304,12 +305,12 @@
     CHECK(relay.calls[0].report.name == "r");
     CHECK(relay.calls[0].report.incarnation > 0);
     CHECK(relay.calls[0].report.applied_version == 0);
-    CHECK(relay.calls[0].report.serve_on == MemberConfig().serve_on);
+    CHECK(relay.calls[0].report.lease_grace == MemberConfig().lease_grace);
     w.ask(w.asking());
     CHECK(w.counts().queries == 0);
     relay.publish({{"log", "level = \"warn\""}, {"two_phase.part", "audit = 0"}});
     w.until([&] { return relay.heard(1); });
-    CHECK(relay.calls.back().position.knows == 1);
+    CHECK(relay.calls.back().position.known_version == 1);
     CHECK(relay.calls.back().position.digest == changes::digest_of(relay.documents[1]));
     Answered got = w.ask(w.asking());
     CHECK(got.status == 200);
@@ -334,9 +335,9 @@
     w.until([&] { return w.service->dispatcher().attempts_in_flight() > 0; });
     Client second(w.io, w.service->port(), [](Answered) {});
     second.ask(w.asking());
-    const std::size_t held = w.service->dispatcher().held(),
+    const std::size_t held = w.service->dispatcher().unfinished_count(),
                       out = w.service->dispatcher().attempts_in_flight();
-    w.until([&] { return w.service->dispatcher().held() > held; });
+    w.until([&] { return w.service->dispatcher().unfinished_count() > held; });
     relay.publish({{"log", "level = \"info\""}});
     w.until([&] {
         if (w.service->dispatcher().attempts_in_flight() == out) CHECK(w.follower().applied_version() == 0);
@@ -382,7 +383,7 @@
     w.until([&] { return relay.heard(1); });
     relay.publish({{"two_phase.part", "audit = 1"}, {"calls", "parts = 2"}, {"log", "level = \"loud\""}});
     w.until([&] { return relay.heard(1, 2); });
-    CHECK(relay.calls.back().position.knows == 2);
+    CHECK(relay.calls.back().position.known_version == 2);
     CHECK(relay.calls.back().report.why.find(
               "block calls holds at the start only; log:1:9: 'level' is none of") == 0);
     w.ask(w.asking());
@@ -445,7 +446,7 @@
     for (const FollowerCall& call : other.calls) {
         CHECK(call.report.incarnation == incarnation);
         CHECK(call.report.applied_version == 3);
-        CHECK(call.position.knows == 3);
+        CHECK(call.position.known_version == 3);
     }
     CHECK(w.ready());
     other.documents = first.documents;
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -27,10 +27,10 @@
     const Budgets& b = state.budgets();
     const Nanos now = state.now();
     const auto expired = [&](const Member& m) { return now > m.lease_until + b.drift; };
-    const auto until = [&](const Member& m) { return m.lease_until + m.serve_on + b.drift; };
+    const auto until = [&](const Member& m) { return m.lease_until + m.lease_grace + b.drift; };
     const auto acting = [&](const Member& m) { return !m.left && now <= until(m); };
     const auto out = [&](bool router, const std::string& name) {
-        return std::any_of(state.all_out().begin(), state.all_out().end(),
+        return std::any_of(state.removed_targets().begin(), state.removed_targets().end(),
                            [&](const auto& o) { return o.first.router == router && o.first.name == name; });
     };
     Counts counts;
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -21,10 +21,10 @@
 
 constexpr Nanos second = 1'000'000'000;
 
-MemberConfig router_config_of(Nanos serve_on, bool stop) {
+MemberConfig router_config_of(Nanos lease_grace, bool stop) {
     MemberConfig t;
-    t.serve_on = serve_on;
-    t.then_stop = stop;
+    t.lease_grace = lease_grace;
+    t.stop_after_grace = stop;
     t.startup_wait = 5 * second;
     return t;
 }
@@ -57,7 +57,7 @@
     void observe_outcomes(OutcomeObserver*) override {}
     void set_serving_state(ServingStateSource, const MemberServingState&) override {}
     Nanos next_round() const override { return TimerQueue::never; }
-    std::size_t held() const override { return 0; }
+    std::size_t unfinished_count() const override { return 0; }
     bool any_attempt_to(const std::function<bool(const std::string&)>&) const override { return false; }
     const std::string& node_name(std::uint32_t) const override { return none_; }
 
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -237,7 +237,7 @@
     for (const auto& [slot, q] : model.asked) REQUIRE(q.answers + q.gone >= 1);
     CHECK(model.out.empty());
     CHECK(rig.dispatcher.attempts_in_flight() == 0);
-    CHECK(rig.dispatcher.held() == 0);
+    CHECK(rig.dispatcher.unfinished_count() == 0);
 }
 
 TEST_CASE("a leaf call's patience ends on the dot: given up if written, taken back if not") {
@@ -305,13 +305,13 @@
     CHECK(says({"POST", "/-/ready", "", "", "", false, true, ""}) == 405);
     rig.step();
     CHECK(rig.model.out.empty());
-    CHECK(rig.dispatcher.held() == 0);
+    CHECK(rig.dispatcher.unfinished_count() == 0);
 }
 
 TEST_CASE("with as much in hand as may be held, further queries are turned away unsent") {
     Rig rig;
     for (int i = 0; i < 12; ++i) rig.ask(false, 4);
-    CHECK(rig.dispatcher.held() == 40);  // eight of them, as the settings allow
+    CHECK(rig.dispatcher.unfinished_count() == 40);  // eight of them, as the settings allow
     REQUIRE(rig.model.answers.size() == 4);
     for (const Answer& a : rig.model.answers) CHECK(a.status == 503);
     rig.step();
--- a/tests/recorded_messages_test.cpp
+++ b/tests/recorded_messages_test.cpp
@@ -49,8 +49,8 @@
     call.name = "router-a1", call.role = "router", call.zone = "a", call.version = "1.4.0";
     call.digest = "00ff00ff00ff00ff";
     call.incarnation = 1790000000000000123;
-    call.serve_on = 86'400'000 * ms;
-    call.applied_generation = 17, call.knows = 18;
+    call.lease_grace = 86'400'000 * ms;
+    call.applied_generation = 17, call.known_generation = 18;
     call.wait = 2000 * ms;
     call.in_flight = {{true, "router-a1"}, {false, "n3"}};
     call.silent = {"n4", "n5"};
@@ -72,9 +72,9 @@
     CHECK(read.version == expected.version);
     CHECK(read.digest == expected.digest);
     CHECK(read.incarnation == expected.incarnation);
-    CHECK(read.serve_on == expected.serve_on);
+    CHECK(read.lease_grace == expected.lease_grace);
     CHECK(read.applied_generation == expected.applied_generation);
-    CHECK(read.knows == expected.knows);
+    CHECK(read.known_generation == expected.known_generation);
     CHECK(read.wait == expected.wait);
     CHECK(read.in_flight == expected.in_flight);
     CHECK(read.silent == expected.silent);
@@ -119,7 +119,7 @@
 }
 
 void check_same(const WatchPosition& read, const WatchPosition& expected) {
-    CHECK(read.knows == expected.knows);
+    CHECK(read.known_version == expected.known_version);
     CHECK(read.digest == expected.digest);
     CHECK(read.wants_pages == expected.wants_pages);
     CHECK(read.after == expected.after);
