--- a/measure/drains.cpp
+++ b/measure/drains.cpp
@@ -57,15 +57,15 @@
     return f;
 }
 
-RigPlan rig_plan(std::size_t routers, bool member, int gap_ms) {
-    RigPlan plan;
-    plan.programs = PROGRAMS;
-    plan.routers = routers;
-    plan.membership = member;
-    plan.gap_ms = gap_ms;
-    plan.lease = "10s", plan.drift = "1s", plan.election = "600ms";
-    plan.budgets = " data_nodes {\n  most = 2\n  least_holders = 1\n }";
-    return plan;
+FleetRigOptions rig_plan(std::size_t routers, bool member, int gap_ms) {
+    FleetRigOptions options;
+    options.programs = PROGRAMS;
+    options.routers = routers;
+    options.membership = member;
+    options.gap_ms = gap_ms;
+    options.lease = "10s", options.drift = "1s", options.election = "600ms";
+    options.budgets = " data_nodes {\n  most = 2\n  least_holders = 1\n }";
+    return options;
 }
 
 // Six routers with steady traffic for a while: CPU per query and memory, and how queries ended.
@@ -76,7 +76,7 @@
 Load load(bool member) {
     boost::asio::io_context io(1);
     FleetRig rig(io, rig_plan(6, member, 2));
-    if (!rig.until([&] { return rig.all_up(); })) return {};
+    if (!rig.until([&] { return rig.all_ready(); })) return {};
     rig.run_for(Ms(2000));
     double before = 0, after = 0;
     for (auto& r : rig.routers) before += of_process(r->pid()).cpu_s;
@@ -145,18 +145,18 @@
     {
         boost::asio::io_context io(1);
         FleetRig rig(io, rig_plan(100, true, 500));
-        aim(rig.until([&] { return rig.all_up(); }, std::chrono::seconds(60)), "100 routers up");
+        aim(rig.until([&] { return rig.all_ready(); }, std::chrono::seconds(60)), "100 routers up");
         std::size_t seen = 0;
-        const auto done_line = [&](const char* word) -> Moment {
-            for (std::size_t i = seen; i < rig.history.events.size(); ++i) {
-                const auto& e = rig.history.events[i];
+        const auto done_line = [&](const char* word) -> TimePoint {
+            for (std::size_t i = seen; i < rig.event_log.events.size(); ++i) {
+                const auto& e = rig.event_log.events[i];
                 if (e.who == "s" + std::to_string(rig.leader() + 1) && e.what.rfind(word, 0) == 0)
                     return e.at;
             }
             return {};
         };
         for (int i = 0; i < 30; ++i) {
-            seen = rig.history.events.size();
+            seen = rig.event_log.events.size();
             const std::string node = "n" + std::to_string(i % 12);
             const auto ask = rig.command({"drain", node}, {0, 1, 2});
             const bool done = rig.until([&] {
@@ -164,8 +164,8 @@
                 return r.is_object() && r["stage"] == "done";
             });
             rig.run_for(Ms(20));
-            const Moment from = done_line("granted:"), to = done_line("done:");
-            if (done && from != Moment() && to != Moment()) acks.push_back((to - from).count());
+            const TimePoint from = done_line("granted:"), to = done_line("done:");
+            if (done && from != TimePoint() && to != TimePoint()) acks.push_back((to - from).count());
             const auto undo = rig.command({"undrain", node}, {0, 1, 2});
             rig.until([&] { return undo->ended() && rig.request_for(node).is_null(); });
         }
@@ -179,7 +179,7 @@
             rig.start_manager(old);
             rig.until([&] {
                 const auto s = rig.status(old);
-                return s.is_object() && s["leader"] != 0 && rig.all_up();
+                return s.is_object() && s["leader"] != 0 && rig.all_ready();
             });
         }
     }
--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -66,7 +66,7 @@
 }
 
 std::vector<HostPort> managers_of(const FleetRig& rig) {
-    std::ifstream file(rig.folder.path("r0.hcl"));
+    std::ifstream file(rig.directory.path("r0.hcl"));
     std::stringstream all;
     all << file.rdbuf();
     std::vector<HostPort> found;
@@ -84,14 +84,14 @@
 
 int main() {
     boost::asio::io_context io(1);
-    RigPlan plan;
-    plan.programs = PROGRAMS;
-    plan.routers = 1;
-    plan.gap_ms = 500;
-    plan.lease = "10s", plan.drift = "1s", plan.election = "2s";
-    FleetRig rig(io, plan);
-    if (!rig.until([&] { return rig.all_up(); })) {
-        std::printf("the stewards did not come up\n%s", rig.history.text().c_str());
+    FleetRigOptions options;
+    options.programs = PROGRAMS;
+    options.routers = 1;
+    options.gap_ms = 500;
+    options.lease = "10s", options.drift = "1s", options.election = "2s";
+    FleetRig rig(io, options);
+    if (!rig.until([&] { return rig.all_ready(); })) {
+        std::printf("the stewards did not come up\n%s", rig.event_log.text().c_str());
         return 1;
     }
     const auto at = managers_of(rig);
@@ -123,7 +123,7 @@
         rig.until([&rig] { return rig.leader() < 3; });
         const std::size_t leader = rig.leader();
         if (leader >= 3) {
-            std::printf("no steward leads\n%s", rig.history.text(40).c_str());
+            std::printf("no steward leads\n%s", rig.event_log.text(40).c_str());
             return 1;
         }
         const std::size_t other = (leader + 1) % 3;
--- a/measure/relays.cpp
+++ b/measure/relays.cpp
@@ -56,7 +56,7 @@
 
 // What is counted at one moment.
 struct Sample {
-    Moment at = Clock::now();
+    TimePoint at = Clock::now();
     std::size_t leader = 0;
     std::vector<ProcessFigures> managers, relays, processes;
     double in = 0, out = 0;  // bytes of all followers' connections
@@ -192,8 +192,8 @@
             come_within);
         s.in_force_s = told ? seconds(Clock::now() - answered) : 1e9;
         s.after = rig_.followers();
-        s.same = s.after.digests.size() == 1 && s.after.followers == rig_.plan.followers;
-        for (std::size_t i = 0; i < rig_.plan.managers; ++i) {
+        s.same = s.after.digests.size() == 1 && s.after.followers == rig_.options.followers;
+        for (std::size_t i = 0; i < rig_.options.managers; ++i) {
             const Json c = rig_.changes(i);
             if (c.is_object()) s.same &= c["digest"] == s.after.digests[0] && c["version"] == last_;
         }
@@ -208,7 +208,7 @@
         if (!c.is_object()) return 0;
         const auto in_force = c["in_force"].get<std::uint64_t>();
         const FollowerFigures f = rig_.followers();
-        s.looks += f.followers == rig_.plan.followers;
+        s.looks += f.followers == rig_.options.followers;
         s.untrue += f.min_held < in_force;
         return in_force;
     }
@@ -226,7 +226,7 @@
             s.max_publish_ms = std::max(s.max_publish_ms, took);
             if (p.version <= before || p.version > last_) continue;
             auto& at = acted[p.version - before - 1];
-            s.lost += rig_.plan.followers - std::min(rig_.plan.followers, at.size());
+            s.lost += rig_.options.followers - std::min(rig_.options.followers, at.size());
             if (at.empty()) continue;
             std::sort(at.begin(), at.end());
             const auto after = [&](std::size_t n) {
@@ -278,14 +278,14 @@
     Rung r;
     r.followers = followers;
     boost::asio::io_context io(1);
-    RelayPlan plan;
-    plan.programs = PROGRAMS;
-    plan.self = program();
-    plan.followers = followers;
-    RelayRig rig(io, std::move(plan));
+    RelayRigOptions options;
+    options.programs = PROGRAMS;
+    options.self = program();
+    options.followers = followers;
+    RelayRig rig(io, std::move(options));
     Bench bench(rig, entries);
     if (!bench.first()) {
-        std::printf("the first version was not published:\n%s", rig.history.text(40).c_str());
+        std::printf("the first version was not published:\n%s", rig.event_log.text(40).c_str());
         return r;
     }
     const auto began = Clock::now();
@@ -307,7 +307,7 @@
     std::fflush(stdout);
     if (!r.up) {
         std::printf("%zu of %zu have a lease; what was said last:\n%s", f.holding, f.followers,
-                    rig.history.text(40).c_str());
+                    rig.event_log.text(40).c_str());
         return r;
     }
     rig.run_for(still_for);
@@ -322,7 +322,8 @@
     rig.start_relay(0);
     rig.until([&] { return rig.run_for(Ms(100)), rig.relays_up(); }, Ms(20'000));
     r.stretches.push_back(bench.run("the leader killed", leader_killed_for, [&] {
-        if (const std::size_t led = rig.leader(); led < rig.plan.managers) rig.managers[led]->signal(SIGKILL);
+        if (const std::size_t led = rig.leader(); led < rig.options.managers)
+            rig.managers[led]->signal(SIGKILL);
     }));
     print(r.stretches.back());
     return r;
--- a/measure/scale.cpp
+++ b/measure/scale.cpp
@@ -45,7 +45,7 @@
 
 // What is counted at one moment, of all processes.
 struct Sample {
-    Moment at = Clock::now();
+    TimePoint at = Clock::now();
     std::vector<ProcessFigures> managers;
     std::vector<pid_t> pids;  // of the managers
     std::size_t leader = 0;
@@ -183,7 +183,7 @@
     std::printf("%zu routers, %u nodes (a list of %zu bytes): %s after %.1f s\n", r.routers, r.nodes,
                 r.list_bytes, r.up ? "all hold a lease" : "NOT all hold a lease", r.up_s);
     if (!r.up) {
-        std::printf("%zu hold one; what was said last:\n%s", rig.holding(), rig.history.text(40).c_str());
+        std::printf("%zu hold one; what was said last:\n%s", rig.holding(), rig.event_log.text(40).c_str());
         return r;
     }
     rig.run_for(Ms(12'000));  // past the hold after the start
@@ -195,7 +195,7 @@
     for (const HollowFigures& f : after.hollow) r.reader_nodes = std::min(r.reader_nodes, f.reader_nodes);
     print("still", r.still);
     if (r.still.lapses > 0)
-        for (const History::Event& e : rig.history.events)
+        for (const EventLog::Event& e : rig.event_log.events)
             if (e.who[0] == 's')
                 std::printf("    %.3f %s: %s\n", std::chrono::duration<double>(e.at - began).count(),
                             e.who.c_str(), e.what.c_str());
@@ -270,7 +270,7 @@
     // A data node drains, goes, and is back with a new start: three changes of the list.
     void restarts(double times, Ms span) {
         const auto began = Clock::now();
-        std::deque<std::pair<Moment, std::pair<std::uint32_t, int>>> due;
+        std::deque<std::pair<TimePoint, std::pair<std::uint32_t, int>>> due;
         double begun = 0;
         while (Clock::now() - began < span || !due.empty()) {
             const auto now = Clock::now();
@@ -345,7 +345,7 @@
         const bool held = rig_.until([&] { return rig_.run_for(Ms(100)), rig_.all_hold(); }, Ms(300'000));
         return held ? seconds_since(from) : 1e9;
     }
-    static double seconds_since(Moment from) {
+    static double seconds_since(TimePoint from) {
         return std::chrono::duration<double>(Clock::now() - from).count();
     }
     static Nanos epoch_now() {
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-Follower::Follower(boost::asio::io_context& io, EventClock& time, History& history, std::string of,
+Follower::Follower(boost::asio::io_context& io, EventClock& time, EventLog& event_log, std::string of,
                    std::vector<HostPort> relays, Refuses refuses)
-    : name(std::move(of)), time_(time), history_(history), refuses_(std::move(refuses)),
+    : name(std::move(of)), time_(time), event_log_(event_log), refuses_(std::move(refuses)),
       incarnation_(start_of(time)),
       watch_(io, time, *this, follower_path, "relay", std::move(relays), 0, incarnation_) {
     watch_.start();
@@ -53,7 +53,7 @@
     if (taken == Taken::taken) {
         const std::string why = refuses_ ? refuses_(copy.document()) : "";
         if (why.empty()) {
-            went_back |= copy.version() < applied_version;
+            version_decreased |= copy.version() < applied_version;
             applied_version = copy.version();
             acting = copy.document();
             refused = 0;
@@ -61,49 +61,49 @@
             refused = copy.version();
         }
         why_ = why;
-        history_.note(name, (why.empty() ? "acts on " : "refuses ") + std::to_string(copy.version()));
+        event_log_.record(name, (why.empty() ? "acts on " : "refuses ") + std::to_string(copy.version()));
     }
     watch_.next();
 }
 
-RigPlan ChangeRig::rig_plan() const {
-    RigPlan r;
-    r.programs = plan.programs;
+FleetRigOptions ChangeRig::fleet_rig_options() const {
+    FleetRigOptions r;
+    r.programs = options.programs;
     r.routers = 1;
     r.nodes = 4;
     r.gap_ms = 500;
-    r.budgets = " changes {\n  lease = \"" + plan.lease + "\"\n  drift = \"" + plan.drift + "\"\n" +
-                plan.changes + "\n }";
+    r.budgets = " changes {\n  lease = \"" + options.lease + "\"\n  drift = \"" + options.drift + "\"\n" +
+                options.changes + "\n }";
     std::string list;
     for (const std::uint16_t port : ports_)
         list += (list.empty() ? "\"" : ", \"") + std::string("127.0.0.1:") + std::to_string(port) + "\"";
-    if (plan.router) r.member = " relays = [" + list + "]\n";
+    if (options.router) r.member = " relays = [" + list + "]\n";
     return r;
 }
 
-ChangeRig::ChangeRig(boost::asio::io_context& in, ChangePlan p)
-    : ports_(free_ports(p.relays)), plan(std::move(p)), rig(in, rig_plan()), io_(in),
+ChangeRig::ChangeRig(boost::asio::io_context& in, ChangeRigOptions p)
+    : ports_(free_ports(p.relays)), options(std::move(p)), rig(in, fleet_rig_options()), io_(in),
       timer_(std::make_unique<boost::asio::steady_timer>(in)) {
-    relays.resize(plan.relays);
+    relays.resize(options.relays);
     std::string managers;
-    for (std::size_t i = 0; i < rig.plan.managers; ++i)
-        managers += (managers.empty() ? "\"" : ", \"") + rig.manager_at(i) + "\"";
-    for (std::size_t i = 0; i < plan.relays; ++i) {
-        rig.folder.write("relay" + std::to_string(i) + ".hcl",
-                         "relay \"relay" + std::to_string(i) +
-                             "\" {\n zone = \"a\"\n bind = \"127.0.0.1:" + std::to_string(ports_[i]) +
-                             "\"\n stewards = [" + managers + "]\n" + plan.relay + "\n}\n");
+    for (std::size_t i = 0; i < rig.options.managers; ++i)
+        managers += (managers.empty() ? "\"" : ", \"") + rig.manager_address(i) + "\"";
+    for (std::size_t i = 0; i < options.relays; ++i) {
+        rig.directory.write("relay" + std::to_string(i) + ".hcl",
+                            "relay \"relay" + std::to_string(i) +
+                                "\" {\n zone = \"a\"\n bind = \"127.0.0.1:" + std::to_string(ports_[i]) +
+                                "\"\n stewards = [" + managers + "]\n" + options.relay + "\n}\n");
         start_relay(i);
     }
     tick();
     const bool up = until([this] {
-        for (std::size_t i = 0; i < plan.relays; ++i) {
+        for (std::size_t i = 0; i < options.relays; ++i) {
             const Json status = relay_status(i);
             if (!status.is_object() || status["lease_left_ms"] <= 0) return false;
         }
         return changes().is_object();
     });
-    if (!up) throw std::runtime_error("the relays don't come up:\n" + rig.history.text());
+    if (!up) throw std::runtime_error("the relays don't come up:\n" + rig.event_log.text());
 }
 
 // The followers' deadlines; each look at it is as late as this at most.
@@ -120,42 +120,42 @@
     const std::string name = "relay" + std::to_string(i);
     relays[i].reset();
     relays[i] =
-        std::make_unique<Process>(io_, rig.history, name,
-                                  std::vector<std::string>{plan.programs + "/tealcart", "relay", "serve",
-                                                           "--file", rig.folder.path(name + ".hcl")});
-    until([&] { return relays[i]->said(": followers at ") || relays[i]->ended(); });
+        std::make_unique<Process>(io_, rig.event_log, name,
+                                  std::vector<std::string>{options.programs + "/tealcart", "relay", "serve",
+                                                           "--file", rig.directory.path(name + ".hcl")});
+    until([&] { return relays[i]->has_printed(": followers at ") || relays[i]->ended(); });
 }
 
 Follower& ChangeRig::follow(const std::string& name, std::vector<std::size_t> at, Follower::Refuses refuses) {
     std::vector<HostPort> addresses;
     for (const std::size_t i : at) addresses.push_back({"127.0.0.1", ports_[i]});
-    followers.push_back(
-        std::make_unique<Follower>(io_, time_, rig.history, name, std::move(addresses), std::move(refuses)));
+    followers.push_back(std::make_unique<Follower>(io_, time_, rig.event_log, name, std::move(addresses),
+                                                   std::move(refuses)));
     return *followers.back();
 }
 
 bool ChangeRig::until(const std::function<bool()>& holds, Ms within) { return rig.until(holds, within); }
 
-std::unique_ptr<Process> ChangeRig::config_later(std::vector<std::string> words,
-                                                 std::vector<std::size_t> through) {
+std::unique_ptr<Process> ChangeRig::start_config_command(std::vector<std::string> words,
+                                                         std::vector<std::size_t> through) {
     words.insert(words.begin(), "config");
     return rig.command(std::move(words), std::move(through));
 }
 
 int ChangeRig::config(std::vector<std::string> words, std::vector<std::size_t> through) {
-    const auto p = config_later(std::move(words), std::move(through));
+    const auto p = start_config_command(std::move(words), std::move(through));
     until([&] { return p->ended(); });
     return p->status();
 }
 
 std::string ChangeRig::entry(const std::string& key, const std::string& text) {
-    return key + "=" + rig.folder.write("entry" + std::to_string(++files_), text);
+    return key + "=" + rig.directory.write("entry" + std::to_string(++files_), text);
 }
 
 Json ChangeRig::changes() const {
     for (std::size_t i = 0; i < rig.managers.size(); ++i) {
         if (!rig.managers[i] || rig.managers[i]->ended()) continue;
-        Json s = rig.look(i, "/fleet/changes");
+        Json s = rig.get_json(i, "/fleet/changes");
         if (s.is_object() && s["leader"] == s["steward"]) return s;
     }
     return {};
@@ -175,12 +175,13 @@
 }
 
 // What the leader says is read first: a lease that is over only afterwards held when it was said.
-bool ChangeRig::sound() {
+bool ChangeRig::followers_consistent() {
     const Json s = changes();
     if (!s.is_object()) return true;
     const auto in_force = s["in_force"].get<std::uint64_t>();
     for (const auto& f : followers)
-        if (f->went_back || (f->applied_version > 0 && f->applied_version < in_force && f->has_lease()))
+        if (f->version_decreased ||
+            (f->applied_version > 0 && f->applied_version < in_force && f->has_lease()))
             return false;
     return true;
 }
--- a/src/testing/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -15,7 +15,7 @@
   public:
     using Refuses = std::function<std::string(const changes::Document&)>;  // why; empty: it doesn't
 
-    Follower(boost::asio::io_context& io, EventClock& time, History& history, std::string name,
+    Follower(boost::asio::io_context& io, EventClock& time, EventLog& event_log, std::string name,
              std::vector<HostPort> relays, Refuses refuses = {});
     ~Follower() { watch_.stop(); }
 
@@ -24,10 +24,10 @@
     changes::Copy copy;
     changes::Document acting;  // the document that it acts by
     Nanos lease_until = 0;
-    bool went_back = false;      // never to be
-    std::size_t pages = 0;       // that it was told
-    std::size_t superseded = 0;  // times that a later incarnation was told
-    std::string told_by() const { return std::to_string(watch_.address().port); }
+    bool version_decreased = false;  // never to be
+    std::size_t pages = 0;           // that it was told
+    std::size_t superseded = 0;      // times that a later incarnation was told
+    std::string relay_port() const { return std::to_string(watch_.address().port); }
     bool has_lease() const { return lease_until > time_.now(); }
     void leave();
 
@@ -37,7 +37,7 @@
     void on_superseded(std::uint64_t) override { ++superseded, ++incarnation_; }
 
     EventClock& time_;
-    History& history_;
+    EventLog& event_log_;
     const Refuses refuses_;
     std::uint64_t incarnation_;
     Nanos lease_ = 0;
@@ -46,7 +46,7 @@
     ChangeWatch watch_;
 };
 
-struct ChangePlan {
+struct ChangeRigOptions {
     std::string programs;
     std::size_t relays = 2;
     std::string lease = "2s", drift = "300ms";
@@ -57,7 +57,7 @@
 
 class ChangeRig {
   public:
-    ChangeRig(boost::asio::io_context& io, ChangePlan plan);
+    ChangeRig(boost::asio::io_context& io, ChangeRigOptions options);
 
     void start_relay(std::size_t i);
     // Calls these relays, the first one first.
@@ -67,8 +67,8 @@
                std::chrono::milliseconds within = std::chrono::seconds(20));
     // Runs the operators' command through these managers; its status.
     int config(std::vector<std::string> words, std::vector<std::size_t> through = {0, 1, 2});
-    std::unique_ptr<Process> config_later(std::vector<std::string> words,
-                                          std::vector<std::size_t> through = {0, 1, 2});
+    std::unique_ptr<Process> start_config_command(std::vector<std::string> words,
+                                                  std::vector<std::size_t> through = {0, 1, 2});
     // KEY=FILE of this text.
     std::string entry(const std::string& key, const std::string& text);
 
@@ -77,17 +77,17 @@
     bool in_force(std::uint64_t version);
     // Each follower whose lease holds by its own clock acts on what the leader says to be in force, but for
     // newcomers that have nothing yet, and none went back.
-    bool sound();
+    bool followers_consistent();
 
   private:
     void tick();
-    RigPlan rig_plan() const;
+    FleetRigOptions fleet_rig_options() const;
 
     EventClock time_;  // outlives the followers
     std::vector<std::uint16_t> ports_;
 
   public:
-    ChangePlan plan;
+    ChangeRigOptions options;
     FleetRig rig;
     std::vector<std::unique_ptr<Process>> relays;
     std::vector<std::unique_ptr<Follower>> followers;
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -16,11 +16,11 @@
     return std::string(host) + ":" + std::to_string(port);
 }
 
-std::string script_of(const RigPlan& plan) {
+std::string script_of(const FleetRigOptions& options) {
     std::string text = "fleet {\n shards = " + std::to_string(shards) +
-                       "\n places = " + std::to_string(plan.nodes) + "\n width = " + std::to_string(width) +
-                       "\n rows = 1\n}\n";
-    for (std::size_t n = 0; n < plan.nodes; ++n)
+                       "\n places = " + std::to_string(options.nodes) +
+                       "\n width = " + std::to_string(width) + "\n rows = 1\n}\n";
+    for (std::size_t n = 0; n < options.nodes; ++n)
         text += "node \"n" + std::to_string(n) + "\" {\n place = " + std::to_string(n) + "\n zone = \"" +
                 (n % 2 == 0 ? "a" : "b") + "\"\n call_delay = \"2ms\"\n}\n";
     return text;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Json rig_settings(std::size_t routers, std::size_t places, int ranges, int held_at) {
+Json platform_settings(std::size_t routers, std::size_t places, int ranges, int held_at) {
     return {{"balancers", routers},
             {"discovery", "push"},
             {"step", 5.0},
@@ -69,33 +69,35 @@
                {"repeat_window", 5000.0}}}}};
 }
 
-FleetRig::FleetRig(boost::asio::io_context& in, RigPlan p) : io(in), plan(std::move(p)) {
-    fleet = std::make_unique<Fleet>(io, read_script(script_of(plan), "rig"));
-    for (std::size_t n = 0; n < plan.nodes; ++n)
+FleetRig::FleetRig(boost::asio::io_context& in, FleetRigOptions p) : io(in), options(std::move(p)) {
+    fleet = std::make_unique<Fleet>(io, read_script(script_of(options), "rig"));
+    for (std::size_t n = 0; n < options.nodes; ++n)
         fleet->nodes[n].on_question = [this, n](char, std::uint32_t) {
             calls.push_back({std::chrono::steady_clock::now(), n});
         };
     fleet->tell();
-    const auto ports = free_ports(3 * plan.managers + plan.routers);
-    std::string text = "fleet \"rig\" {\n lease = \"" + plan.lease + "\"\n drift = \"" + plan.drift +
-                       "\"\n election = \"" + plan.election + "\"\n" + plan.budgets + "\n";
-    for (std::size_t i = 0; i < plan.managers; ++i) {
+    const auto ports = free_ports(3 * options.managers + options.routers);
+    std::string text = "fleet \"rig\" {\n lease = \"" + options.lease + "\"\n drift = \"" + options.drift +
+                       "\"\n election = \"" + options.election + "\"\n" + options.budgets + "\n";
+    for (std::size_t i = 0; i < options.managers; ++i) {
         raft_.push_back(ports[3 * i]), http_.push_back(ports[3 * i + 1]),
             http_real_.push_back(ports[3 * i + 2]);
         // Reached through relays; the log's library wants the same port at both, so the relay has another
         // host.
-        raft_relays_.push_back(std::make_unique<Relay>(io, at(raft_[i], "127.0.0.2"), at(raft_[i]), log_tag));
-        http_relays_.push_back(std::make_unique<Relay>(io, at(http_[i]), at(http_real_[i]), member_tag));
+        raft_proxies_.push_back(std::make_unique<FaultProxy>(io, at(raft_[i], "127.0.0.2"), at(raft_[i]),
+                                                             sender_id_in_handshake));
+        http_proxies_.push_back(
+            std::make_unique<FaultProxy>(io, at(http_[i]), at(http_real_[i]), caller_name_in_body));
         text += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" + at(raft_[i], "127.0.0.2") +
                 "\"\n  bind = \"" + at(raft_[i]) + "\"\n  http = \"" + at(http_[i]) + "\"\n  http_bind = \"" +
-                at(http_real_[i]) + "\"\n  folder = \"" + folder.path("s" + std::to_string(i + 1)) +
+                at(http_real_[i]) + "\"\n  folder = \"" + directory.path("s" + std::to_string(i + 1)) +
                 "\"\n }\n";
     }
-    fleet_file_ = folder.write("fleet.hcl", text + "}\n");
-    for (std::size_t i = 0; i < plan.routers; ++i) {
-        serve_.push_back(ports[3 * plan.managers + i]);
+    fleet_file_ = directory.write("fleet.hcl", text + "}\n");
+    for (std::size_t i = 0; i < options.routers; ++i) {
+        serve_.push_back(ports[3 * options.managers + i]);
         const std::string name = "r" + std::to_string(i);
-        const Json settings = rig_settings(plan.routers, plan.nodes, shards, width);
+        const Json settings = platform_settings(options.routers, options.nodes, shards, width);
         const Json config = {{"name", name},
                              {"listen", at(serve_[i])},
                              {"discovery", fleet->discovery.address()},
@@ -103,24 +105,24 @@
                              {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
                              {"known", {{"generation", 0}, {"reset", true}, {"instances", Json::array()}}},
                              {"settings", settings}};
-        folder.write(name + ".json", config.dump());
+        directory.write(name + ".json", config.dump());
         std::string list;
         for (const std::uint16_t port : http_) list += (list.empty() ? "\"" : ", \"") + at(port) + "\"";
-        folder.write(name + ".hcl", std::string("member {\n zone = \"") + (i % 2 == 0 ? "a" : "b") +
-                                        "\"\n stewards = [" + list + "]\n" + plan.member + "\n}\n");
+        directory.write(name + ".hcl", std::string("member {\n zone = \"") + (i % 2 == 0 ? "a" : "b") +
+                                           "\"\n stewards = [" + list + "]\n" + options.member + "\n}\n");
     }
-    managers.resize(plan.managers);
-    routers.resize(plan.routers);
-    askers_.resize(plan.routers);
-    for (std::size_t i = 0; i < plan.managers; ++i) {
-        Process init(io, history, "init",
-                     {plan.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
+    managers.resize(options.managers);
+    routers.resize(options.routers);
+    askers_.resize(options.routers);
+    for (std::size_t i = 0; i < options.managers; ++i) {
+        Process init(io, event_log, "init",
+                     {options.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
         if (!until([&] { return init.ended(); }) || init.status() != 0)
-            throw std::runtime_error("a steward's folder can't be made:\n" + history.text());
+            throw std::runtime_error("a steward's folder can't be made:\n" + event_log.text());
         start_manager(i);
     }
-    for (std::size_t i = 0; i < plan.routers; ++i) start_router(i);
+    for (std::size_t i = 0; i < options.routers; ++i) start_router(i);
 }
 
 FleetRig::~FleetRig() {
@@ -130,22 +132,23 @@
 void FleetRig::start_manager(std::size_t i, std::vector<std::string> more, std::vector<std::string> before) {
     std::vector<std::string> words = std::move(before);
     for (const std::string& word :
-         {plan.programs + "/tealcart-fleet-manager", std::string("serve"), std::string("--file"), fleet_file_,
-          std::string("--id"), std::to_string(i + 1), std::string("--config"), folder.path("r0.json")})
+         {options.programs + "/tealcart-fleet-manager", std::string("serve"), std::string("--file"),
+          fleet_file_, std::string("--id"), std::to_string(i + 1), std::string("--config"),
+          directory.path("r0.json")})
         words.push_back(word);
     words.insert(words.end(), more.begin(), more.end());
     managers[i].reset();
-    managers[i] = std::make_unique<Process>(io, history, "s" + std::to_string(i + 1), std::move(words));
+    managers[i] = std::make_unique<Process>(io, event_log, "s" + std::to_string(i + 1), std::move(words));
 }
 
 void FleetRig::start_router(std::size_t i) {
     const std::string name = "r" + std::to_string(i);
-    std::vector<std::string> words = {plan.programs + "/tealcart", "serve", "--config",
-                                      folder.path(name + ".json")};
-    if (plan.membership) words.insert(words.end(), {"--file", folder.path(name + ".hcl")});
+    std::vector<std::string> words = {options.programs + "/tealcart", "serve", "--config",
+                                      directory.path(name + ".json")};
+    if (options.membership) words.insert(words.end(), {"--file", directory.path(name + ".hcl")});
     routers[i].reset();
-    routers[i] = std::make_unique<Process>(io, history, name, std::move(words));
-    until([&] { return routers[i]->said(" serves at ") || routers[i]->ended(); });
+    routers[i] = std::make_unique<Process>(io, event_log, name, std::move(words));
+    until([&] { return routers[i]->has_printed(" serves at ") || routers[i]->ended(); });
     ask(i);
 }
 
@@ -157,7 +160,7 @@
     const auto next = [this, i](int status) {
         ++answers[status];
         if (status == 0) askers_[i].client.reset();
-        askers_[i].timer->expires_after(Ms(plan.gap_ms));
+        askers_[i].timer->expires_after(Ms(options.gap_ms));
         askers_[i].timer->async_wait([this, i](const boost::system::error_code& ec) {
             if (!ec) ask(i);
         });
@@ -194,9 +197,9 @@
 void FleetRig::run_for(Ms span) { io.run_for(span); }
 
 // What is said between the processes goes through this one's relays, so it goes on meanwhile.
-std::string FleetRig::manager_at(std::size_t i) const { return at(http_[i]); }
+std::string FleetRig::manager_address(std::size_t i) const { return at(http_[i]); }
 
-Json FleetRig::look(std::size_t i, const std::string& path) const {
+Json FleetRig::get_json(std::size_t i, const std::string& path) const {
     const auto reply = fleet_manager::query_manager(io, {"127.0.0.1", http_real_[i]}, path, "", Ms(300));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
@@ -210,52 +213,52 @@
     return managers.size();
 }
 
-Json FleetRig::leading() const {
+Json FleetRig::leader_status() const {
     const std::size_t i = leader();
     return i < managers.size() ? status(i) : Json();
 }
 
 Json FleetRig::request_for(const std::string& node) const {
-    const Json s = leading();
+    const Json s = leader_status();
     if (s.is_object())
         for (const Json& r : s["requests"])
             if (r["target"][1] == node) return r;
     return {};
 }
 
-bool FleetRig::all_up() {
-    const Json s = leading();
-    if (!s.is_object() || s["nodes"].size() != plan.nodes) return false;
+bool FleetRig::all_ready() {
+    const Json s = leader_status();
+    if (!s.is_object() || s["nodes"].size() != options.nodes) return false;
     std::size_t live = 0;
     for (const Json& m : s["members"]) live += !m["lost"].get<bool>() && !m["left"].get<bool>();
-    return s["held_for_ms"] == 0 && (!plan.membership || live == plan.routers);
+    return s["held_for_ms"] == 0 && (!options.membership || live == options.routers);
 }
 
 std::unique_ptr<Process> FleetRig::command(std::vector<std::string> words, std::vector<std::size_t> through) {
     std::string list;
     for (const std::size_t i : through) list += (list.empty() ? "" : ",") + at(http_[i]);
-    words.insert(words.begin(), plan.programs + "/tealcart");
+    words.insert(words.begin(), options.programs + "/tealcart");
     const std::string name = "operator";
-    return std::make_unique<Process>(io, history, name, std::move(words),
+    return std::make_unique<Process>(io, event_log, name, std::move(words),
                                      std::vector<std::string>{"TEALCART_STEWARDS=" + list});
 }
 
 void FleetRig::cut_off(std::size_t i, bool inbound, bool outbound) {
-    history.note("rig", "cuts off steward " + std::to_string(i + 1));
-    if (inbound) raft_relays_[i]->cut("", {true, true});
-    for (std::size_t other = 0; outbound && other < raft_relays_.size(); ++other)
-        if (other != i) raft_relays_[other]->cut(std::to_string(i + 1), {true, true});
+    event_log.record("rig", "cuts off steward " + std::to_string(i + 1));
+    if (inbound) raft_proxies_[i]->cut("", {true, true});
+    for (std::size_t other = 0; outbound && other < raft_proxies_.size(); ++other)
+        if (other != i) raft_proxies_[other]->cut(std::to_string(i + 1), {true, true});
 }
 
-void FleetRig::deafen(const std::string& name, bool to, bool from) {
-    history.note("rig", "deafens " + name);
-    for (auto& relay : http_relays_) relay->cut(name, {to, from});
+void FleetRig::cut_off_member(const std::string& name, bool to, bool from) {
+    event_log.record("rig", "deafens " + name);
+    for (auto& relay : http_proxies_) relay->cut(name, {to, from});
 }
 
 void FleetRig::heal() {
-    history.note("rig", "heals");
-    for (auto& relay : raft_relays_) relay->heal();
-    for (auto& relay : http_relays_) relay->heal();
+    event_log.record("rig", "heals");
+    for (auto& relay : raft_proxies_) relay->heal();
+    for (auto& relay : http_proxies_) relay->heal();
 }
 
 }  // namespace tealcart::testing
--- a/src/testing/fleet_rig.hpp
+++ b/src/testing/fleet_rig.hpp
@@ -12,7 +12,7 @@
 
 namespace tealcart::testing {
 
-struct RigPlan {
+struct FleetRigOptions {
     std::string programs;  // folder of the built programs
     std::size_t managers = 3, routers = 6, nodes = 12;
     std::string lease = "2s", drift = "300ms", election = "300ms";
@@ -23,17 +23,17 @@
 };
 
 // The platform's settings for so many routers, shards and cells; each shard lies at `held_at` cells in a row.
-nlohmann::json rig_settings(std::size_t routers, std::size_t places, int ranges, int held_at);
+nlohmann::json platform_settings(std::size_t routers, std::size_t places, int ranges, int held_at);
 
 // Leaf calls as data nodes saw them.
-struct SeenCall {
-    Moment at;
+struct ReceivedCall {
+    TimePoint at;
     std::size_t node = 0;
 };
 
 class FleetRig {
   public:
-    FleetRig(boost::asio::io_context& io, RigPlan plan);
+    FleetRig(boost::asio::io_context& io, FleetRigOptions options);
     ~FleetRig();
 
     // Runs until it holds; false after so long.
@@ -46,15 +46,15 @@
                        std::vector<std::string> before = {});
     void start_router(std::size_t i);
     void stop_traffic() { traffic_ = false; }
-    bool all_up();
+    bool all_ready();
 
     // As a manager has it, asked past all relays; null where it does not answer.
-    nlohmann::json status(std::size_t manager) const { return look(manager, "/fleet/status"); }
-    nlohmann::json look(std::size_t manager, const std::string& path) const;
+    nlohmann::json status(std::size_t manager) const { return get_json(manager, "/fleet/status"); }
+    nlohmann::json get_json(std::size_t manager, const std::string& path) const;
     // Where members and relays reach it, through what can be cut.
-    std::string manager_at(std::size_t manager) const;
+    std::string manager_address(std::size_t manager) const;
     std::size_t leader() const;  // the one that says so; the number of managers: none
-    nlohmann::json leading() const;
+    nlohmann::json leader_status() const;
     nlohmann::json request_for(const std::string& node) const;  // of the leader; null: none is open
     // An operator's command, through these managers in this order.
     std::unique_ptr<Process> command(std::vector<std::string> words, std::vector<std::size_t> through);
@@ -62,17 +62,19 @@
     // What is said between this manager and the others, in both directions or only by it.
     void cut_off(std::size_t manager, bool inbound = true, bool outbound = true);
     // Between a router and all managers.
-    void deafen(std::size_t router, bool to, bool from) { deafen("r" + std::to_string(router), to, from); }
-    void deafen(const std::string& name, bool to, bool from);  // a router or a relay
+    void cut_off_member(std::size_t router, bool to, bool from) {
+        cut_off_member("r" + std::to_string(router), to, from);
+    }
+    void cut_off_member(const std::string& name, bool to, bool from);  // a router or a relay
     void heal();
 
     boost::asio::io_context& io;
-    const RigPlan plan;
-    History history;
-    Folder folder;
+    const FleetRigOptions options;
+    EventLog event_log;
+    TemporaryDirectory directory;
     std::vector<std::unique_ptr<Process>> managers, routers;
     std::unique_ptr<Fleet> fleet;
-    std::vector<SeenCall> calls;
+    std::vector<ReceivedCall> calls;
     std::map<int, std::uint64_t> answers;  // of clients, by status; 0: the connection ended without one
 
   private:
@@ -84,7 +86,7 @@
     void ask(std::size_t router);
 
     std::vector<std::uint16_t> raft_, http_, http_real_, serve_;
-    std::vector<std::unique_ptr<Relay>> raft_relays_, http_relays_;
+    std::vector<std::unique_ptr<FaultProxy>> raft_proxies_, http_proxies_;
     std::string fleet_file_;
     std::deque<Asker> askers_;
     bool traffic_ = true;
--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -34,7 +34,7 @@
 
 Json settings_of(const HollowPlan& plan) {
     const auto places = hollow_places(plan.nodes);
-    return rig_settings(plan.routers, places, static_cast<int>(places), hollow_width);
+    return platform_settings(plan.routers, places, static_cast<int>(places), hollow_width);
 }
 
 std::string at(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
@@ -110,9 +110,9 @@
         http_.push_back({"127.0.0.1", ports[2 + 2 * i]});
         text += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" + at(ports[3 + 2 * i]) +
                 "\"\n  http = \"" + at(http_[i].port) + "\"\n  folder = \"" +
-                folder.path("s" + std::to_string(i + 1)) + "\"\n }\n";
+                directory.path("s" + std::to_string(i + 1)) + "\"\n }\n";
     }
-    fleet_file_ = folder.write("fleet.hcl", text + "}\n");
+    fleet_file_ = directory.write("fleet.hcl", text + "}\n");
     const Json config = {{"name", "steward"},
                          {"listen", "127.0.0.1:1"},
                          {"discovery", at(discovery->port())},
@@ -120,15 +120,15 @@
                          {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
                          {"known", {{"generation", 0}, {"reset", true}, {"instances", Json::array()}}},
                          {"settings", settings_of(plan)}};
-    config_file_ = folder.write("config.json", config.dump());
+    config_file_ = directory.write("config.json", config.dump());
     managers.resize(plan.managers);
     processes.resize(plan.processes);
     for (std::size_t i = 0; i < plan.managers; ++i) {
-        Process init(io, history, "init",
+        Process init(io, event_log, "init",
                      {plan.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
         if (!until([&] { return init.ended(); }, Ms(20'000)) || init.status() != 0)
-            throw std::runtime_error("a steward's folder can't be made:\n" + history.text());
+            throw std::runtime_error("a steward's folder can't be made:\n" + event_log.text());
         start_manager(i);
     }
     for (std::size_t i = 0; i < plan.processes; ++i) start_hollow(i);
@@ -142,7 +142,7 @@
 void HollowRig::start_manager(std::size_t i) {
     managers[i].reset();
     managers[i] = std::make_unique<Process>(
-        io, history, "s" + std::to_string(i + 1),
+        io, event_log, "s" + std::to_string(i + 1),
         std::vector<std::string>{plan.programs + "/tealcart-fleet-manager", "serve", "--file", fleet_file_,
                                  "--id", std::to_string(i + 1), "--config", config_file_});
 }
@@ -165,7 +165,7 @@
     words.insert(words.begin(), plan.self);
     lines_[i].reset();
     processes[i].reset();
-    processes[i] = std::make_unique<Process>(io, history, "h" + std::to_string(i), std::move(words));
+    processes[i] = std::make_unique<Process>(io, event_log, "h" + std::to_string(i), std::move(words));
 }
 
 bool HollowRig::take(Connection& c, const std::shared_ptr<std::size_t>& process) {
@@ -198,7 +198,7 @@
 
 std::size_t HollowRig::leader() const {
     std::size_t led = plan.managers;
-    for (const History::Event& e : history.events) {
+    for (const EventLog::Event& e : event_log.events) {
         const auto words = e.what.find(" leads");
         if (e.who[0] != 's' || words == e.what.npos || e.what.rfind("steward ", 0) != 0) continue;
         led = std::stoull(e.what.substr(8)) - 1;
@@ -251,11 +251,11 @@
     std::string list;
     for (const HostPort& s : http_) list += (list.empty() ? "\"" : ", \"") + at(s.port) + "\"";
     witnesses.push_back(std::make_unique<Process>(
-        io, history, name,
+        io, event_log, name,
         std::vector<std::string>{
-            plan.programs + "/tealcart", "serve", "--config", folder.write(name + ".json", config.dump()),
+            plan.programs + "/tealcart", "serve", "--config", directory.write(name + ".json", config.dump()),
             "--file",
-            folder.write(name + ".hcl", "member {\n zone = \"z0\"\n stewards = [" + list + "]\n}\n")}));
+            directory.write(name + ".hcl", "member {\n zone = \"z0\"\n stewards = [" + list + "]\n}\n")}));
     askers_.push_back({port, nullptr, std::make_unique<boost::asio::steady_timer>(io), 0});
     ask(i);
 }
@@ -309,30 +309,30 @@
 }
 
 // When a manager first said so, from this event on.
-Moment HollowRig::said(std::size_t from, const std::string& words) const {
-    for (std::size_t i = from; i < history.events.size(); ++i)
-        if (history.events[i].who[0] == 's' && history.events[i].what.rfind(words, 0) == 0)
-            return history.events[i].at;
+TimePoint HollowRig::said(std::size_t from, const std::string& words) const {
+    for (std::size_t i = from; i < event_log.events.size(); ++i)
+        if (event_log.events[i].who[0] == 's' && event_log.events[i].what.rfind(words, 0) == 0)
+            return event_log.events[i].at;
     return {};
 }
 
 HollowRig::Drain HollowRig::drain(std::uint32_t node, Ms within) {
     Drain d;
-    const std::size_t from = history.events.size();
+    const std::size_t from = event_log.events.size();
     const Json targets = Json::array({Json::array({"node", discovery->node(node).id})});
     const Json asked = operate("ask", {{"targets", targets}});
     d.said = asked.dump();
     if (!asked.is_object() || !asked.contains("effects") || asked["effects"].empty()) return d;
     const std::string request = "request " + std::to_string(asked["effects"][0].value("request", 0)) + " ";
-    d.granted = until([&] { return said(from, "granted: " + request) != Moment(); }, within);
+    d.granted = until([&] { return said(from, "granted: " + request) != TimePoint(); }, within);
     if (!d.granted) return d;
-    d.done = until([&] { return said(from, "done: " + request) != Moment(); }, within);
+    d.done = until([&] { return said(from, "done: " + request) != TimePoint(); }, within);
     if (d.done) {
         const auto took = said(from, "done: " + request) - said(from, "granted: " + request);
         d.ms = std::chrono::duration<double, std::milli>(took).count();
     }
     operate("undo", {{"targets", targets}});
-    until([&] { return said(from, "ended: " + request) != Moment(); }, within);
+    until([&] { return said(from, "ended: " + request) != TimePoint(); }, within);
     return d;
 }
 
--- a/src/testing/hollow_rig.hpp
+++ b/src/testing/hollow_rig.hpp
@@ -64,7 +64,7 @@
     void start_hollow(std::size_t process);
     // The one that last said so and lives; the number of managers: none.
     std::size_t leader() const;
-    HostPort manager_at(std::size_t i) const { return http_[i]; }
+    HostPort manager_address(std::size_t i) const { return http_[i]; }
     // A word to a hollow process, and its answer; null where none came within 20 s.
     nlohmann::json say(std::size_t process, const std::string& line);
     std::vector<HollowFigures> hollow();  // by process
@@ -83,8 +83,8 @@
 
     boost::asio::io_context& io;
     const HollowPlan plan;
-    History history;
-    Folder folder;
+    EventLog event_log;
+    TemporaryDirectory directory;
     std::unique_ptr<Fleet> fleet;  // what answers at the data nodes' addresses
     std::unique_ptr<HollowDiscovery> discovery;
     std::vector<std::unique_ptr<Process>> managers, processes, witnesses;
@@ -101,7 +101,7 @@
     void ask(std::size_t i);
     bool take(Connection& c, const std::shared_ptr<std::size_t>& process);
     nlohmann::json operate(const std::string& what, nlohmann::json body);
-    Moment said(std::size_t from, const std::string& words) const;
+    TimePoint said(std::size_t from, const std::string& words) const;
 
     std::vector<HostPort> http_;
     std::string fleet_file_, config_file_;
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -22,32 +22,32 @@
 
 }  // namespace
 
-RelayRig::RelayRig(boost::asio::io_context& in, RelayPlan p) : io(in), plan(std::move(p)) {
-    const auto ports = quiet_ports(2 * plan.managers + 2 + plan.relays());
+RelayRig::RelayRig(boost::asio::io_context& in, RelayRigOptions p) : io(in), options(std::move(p)) {
+    const auto ports = quiet_ports(2 * options.managers + 2 + options.relays());
     discovery_ =
         std::make_unique<HollowDiscovery>(io, ports[0], nodes, std::vector<std::string>(1, "127.0.0.1:1"));
-    lines_.resize(plan.zones);
-    answers_.resize(plan.zones);
+    lines_.resize(options.zones);
+    answers_.resize(options.zones);
     control_ = std::make_unique<Door>(io, ports[1], [this] {
         return [this, process = std::make_shared<std::size_t>(SIZE_MAX)](Connection& c) {
             return take(c, process);
         };
     });
-    std::string text = "fleet \"relays\" {\n lease = \"" + plan.lease + "\"\n drift = \"" + plan.drift +
-                       "\"\n election = \"" + plan.election + "\"\n changes {\n  lease = \"" + plan.lease +
-                       "\"\n  drift = \"" + plan.drift +
+    std::string text = "fleet \"relays\" {\n lease = \"" + options.lease + "\"\n drift = \"" + options.drift +
+                       "\"\n election = \"" + options.election + "\"\n changes {\n  lease = \"" +
+                       options.lease + "\"\n  drift = \"" + options.drift +
                        "\"\n }\n data_nodes {\n  share = 0.2\n  least_holders = 1\n }\n routers {\n"
                        "  share = 0.1\n }\n";
     std::string list;
-    for (std::size_t i = 0; i < plan.managers; ++i) {
+    for (std::size_t i = 0; i < options.managers; ++i) {
         http_.push_back({"127.0.0.1", ports[2 + 2 * i]});
         list += (list.empty() ? "\"" : ", \"") + text_of(http_[i]) + "\"";
         text += " steward \"" + std::to_string(i + 1) +
                 "\" {\n  raft = \"127.0.0.1:" + std::to_string(ports[3 + 2 * i]) + "\"\n  http = \"" +
-                text_of(http_[i]) + "\"\n  folder = \"" + folder.path("s" + std::to_string(i + 1)) +
+                text_of(http_[i]) + "\"\n  folder = \"" + directory.path("s" + std::to_string(i + 1)) +
                 "\"\n }\n";
     }
-    fleet_file_ = folder.write("fleet.hcl", text + "}\n");
+    fleet_file_ = directory.write("fleet.hcl", text + "}\n");
     const int places = static_cast<int>(hollow_places(nodes));
     const Json config = {{"name", "steward"},
                          {"listen", "127.0.0.1:1"},
@@ -55,61 +55,62 @@
                          {"seed", "8c1f30d27a5be910"},
                          {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
                          {"known", {{"generation", 0}, {"reset", true}, {"instances", Json::array()}}},
-                         {"settings", rig_settings(plan.followers, static_cast<std::size_t>(places), places,
-                                                   static_cast<int>(hollow_width))}};
-    config_file_ = folder.write("config.json", config.dump());
-    managers.resize(plan.managers);
-    relays.resize(plan.relays());
-    processes.resize(plan.zones);
-    for (std::size_t i = 0; i < plan.managers; ++i) {
-        Process init(io, history, "init",
-                     {plan.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
+                         {"settings", platform_settings(options.followers, static_cast<std::size_t>(places),
+                                                        places, static_cast<int>(hollow_width))}};
+    config_file_ = directory.write("config.json", config.dump());
+    managers.resize(options.managers);
+    relays.resize(options.relays());
+    processes.resize(options.zones);
+    for (std::size_t i = 0; i < options.managers; ++i) {
+        Process init(io, event_log, "init",
+                     {options.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
         if (!until([&] { return init.ended(); }, Ms(20'000)) || init.status() != 0)
-            throw std::runtime_error("a steward's folder can't be made:\n" + history.text());
+            throw std::runtime_error("a steward's folder can't be made:\n" + event_log.text());
         start_manager(i);
     }
     for (std::size_t i = 0; i < relays.size(); ++i) {
-        relay_at_.push_back({"127.0.0.1", ports[2 + 2 * plan.managers + i]});
-        folder.write("relay" + std::to_string(i) + ".hcl",
-                     "relay \"relay" + std::to_string(i) + "\" {\n zone = \"z" +
-                         std::to_string(i / plan.relays_a_zone) + "\"\n bind = \"" + text_of(relay_at_[i]) +
-                         "\"\n stewards = [" + list + "]\n}\n");
+        relay_at_.push_back({"127.0.0.1", ports[2 + 2 * options.managers + i]});
+        directory.write("relay" + std::to_string(i) + ".hcl",
+                        "relay \"relay" + std::to_string(i) + "\" {\n zone = \"z" +
+                            std::to_string(i / options.relays_a_zone) + "\"\n bind = \"" +
+                            text_of(relay_at_[i]) + "\"\n stewards = [" + list + "]\n}\n");
         start_relay(i);
     }
     if (!until([this] { return run_for(Ms(100)), relays_up(); }, Ms(60'000)))
-        throw std::runtime_error("the relays don't come up:\n" + history.text());
+        throw std::runtime_error("the relays don't come up:\n" + event_log.text());
 }
 
 void RelayRig::start_manager(std::size_t i) {
     managers[i].reset();
     managers[i] = std::make_unique<Process>(
-        io, history, "s" + std::to_string(i + 1),
-        std::vector<std::string>{plan.programs + "/tealcart-fleet-manager", "serve", "--file", fleet_file_,
+        io, event_log, "s" + std::to_string(i + 1),
+        std::vector<std::string>{options.programs + "/tealcart-fleet-manager", "serve", "--file", fleet_file_,
                                  "--id", std::to_string(i + 1), "--config", config_file_});
 }
 
 void RelayRig::start_relay(std::size_t i) {
     const std::string name = "relay" + std::to_string(i);
     relays[i].reset();
-    relays[i] = std::make_unique<Process>(io, history, name,
-                                          std::vector<std::string>{plan.programs + "/tealcart-relay", "serve",
-                                                                   "--file", folder.path(name + ".hcl")});
+    relays[i] =
+        std::make_unique<Process>(io, event_log, name,
+                                  std::vector<std::string>{options.programs + "/tealcart-relay", "serve",
+                                                           "--file", directory.path(name + ".hcl")});
 }
 
 void RelayRig::start_followers() {
-    for (std::size_t i = 0; i < plan.zones; ++i) {
+    for (std::size_t i = 0; i < options.zones; ++i) {
         if (processes[i]) continue;
         FollowerConfig config;
         config.from = first_of(i);
         config.count = first_of(i + 1) - config.from;
         config.control = control_->port();
         config.zone = "z" + std::to_string(i);
-        for (std::size_t r = 0; r < plan.relays_a_zone; ++r)
-            config.relays.push_back(relay_at_[i * plan.relays_a_zone + r]);
+        for (std::size_t r = 0; r < options.relays_a_zone; ++r)
+            config.relays.push_back(relay_at_[i * options.relays_a_zone + r]);
         std::vector<std::string> words = write_followers(config);
-        words.insert(words.begin(), plan.self);
-        processes[i] = std::make_unique<Process>(io, history, "h" + std::to_string(i), std::move(words));
+        words.insert(words.begin(), options.self);
+        processes[i] = std::make_unique<Process>(io, event_log, "h" + std::to_string(i), std::move(words));
     }
 }
 
@@ -132,7 +133,7 @@
         }
         if (line.rfind("hello ", 0) != 0) return false;
         const std::size_t from = std::stoull(line.substr(6));
-        for (std::size_t i = 0; i < plan.zones; ++i)
+        for (std::size_t i = 0; i < options.zones; ++i)
             if (first_of(i) == from) *process = i;
         if (*process == SIZE_MAX) return false;
         lines_[*process] = c.weak_from_this();
@@ -152,13 +153,13 @@
 void RelayRig::run_for(Ms span) { io.run_for(span); }
 
 std::size_t RelayRig::leader() const {
-    for (auto e = history.events.rbegin(); e != history.events.rend(); ++e) {
+    for (auto e = event_log.events.rbegin(); e != event_log.events.rend(); ++e) {
         if (e->who[0] != 's' || e->what.rfind("steward ", 0) != 0 || e->what.find(" leads") == e->what.npos)
             continue;
         const std::size_t led = std::stoull(e->what.substr(8)) - 1;
-        return led < plan.managers && managers[led] && !managers[led]->ended() ? led : plan.managers;
+        return led < options.managers && managers[led] && !managers[led]->ended() ? led : options.managers;
     }
-    return plan.managers;
+    return options.managers;
 }
 
 Json RelayRig::changes(std::size_t manager) {
@@ -169,7 +170,7 @@
 
 Json RelayRig::changes() {
     const std::size_t led = leader();
-    Json s = led < plan.managers ? changes(led) : Json();
+    Json s = led < options.managers ? changes(led) : Json();
     return s.is_object() && s["leader"] == s["steward"] ? s : Json();
 }
 
@@ -211,7 +212,7 @@
     Published p;
     p.asked = Clock::now();
     while (Clock::now() - p.asked < within) {
-        if (const std::size_t led = leader(); p.calls == 0 && led < plan.managers) asks_at_ = led;
+        if (const std::size_t led = leader(); p.calls == 0 && led < options.managers) asks_at_ = led;
         ++p.calls;
         const auto reply =
             fleet_manager::query_manager(io, http_[asks_at_], "/fleet/publish", body, Ms(2000));
@@ -223,7 +224,7 @@
             return p;
         }
         if (reply.status == 400 || reply.status == 404) return p;
-        asks_at_ = (asks_at_ + 1) % plan.managers;
+        asks_at_ = (asks_at_ + 1) % options.managers;
         run_for(Ms(50));
     }
     return p;
--- a/src/testing/relay_rig.hpp
+++ b/src/testing/relay_rig.hpp
@@ -17,7 +17,7 @@
 
 namespace tealcart::testing {
 
-struct RelayPlan {
+struct RelayRigOptions {
     std::string programs;  // folder of the built programs
     std::string self;      // the program that runs a process of followers with `--followers ...`
     std::size_t followers = 300, zones = 12, relays_a_zone = 2, managers = 3;
@@ -37,7 +37,7 @@
 
 class RelayRig {
   public:
-    RelayRig(boost::asio::io_context& io, RelayPlan plan);
+    RelayRig(boost::asio::io_context& io, RelayRigOptions options);
 
     bool until(const std::function<bool()>& holds, std::chrono::milliseconds within);
     void run_for(std::chrono::milliseconds span);
@@ -58,7 +58,7 @@
 
     struct Published {
         std::uint64_t version = 0;  // 0: it was not
-        Moment asked, answered;
+        TimePoint asked, answered;
         int calls = 0;
     };
     // One version of these entries, under one id at whichever manager takes it.
@@ -66,14 +66,14 @@
                       std::chrono::milliseconds within);
 
     boost::asio::io_context& io;
-    const RelayPlan plan;
-    History history;
-    Folder folder;
+    const RelayRigOptions options;
+    EventLog event_log;
+    TemporaryDirectory directory;
     std::vector<std::unique_ptr<Process>> managers, relays, processes;
 
   private:
     bool take(Connection& c, const std::shared_ptr<std::size_t>& process);
-    std::size_t first_of(std::size_t process) const { return plan.followers * process / plan.zones; }
+    std::size_t first_of(std::size_t process) const { return options.followers * process / options.zones; }
 
     std::unique_ptr<HollowDiscovery> discovery_;
     std::vector<HostPort> http_, relay_at_;
--- a/src/testing/rig.cpp
+++ b/src/testing/rig.cpp
@@ -21,11 +21,11 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-void History::note(const std::string& who, const std::string& what) {
+void EventLog::record(const std::string& who, const std::string& what) {
     events.push_back({std::chrono::steady_clock::now(), who, what});
 }
 
-std::string History::text(std::size_t last) const {
+std::string EventLog::text(std::size_t last) const {
     std::string out;
     for (std::size_t i = events.size() > last ? events.size() - last : 0; i < events.size(); ++i) {
         char at[32];
@@ -35,9 +35,9 @@
     return out;
 }
 
-Process::Process(boost::asio::io_context& io, History& history, std::string name,
+Process::Process(boost::asio::io_context& io, EventLog& event_log, std::string name,
                  std::vector<std::string> command, std::vector<std::string> environment)
-    : history_(history), name_(std::move(name)), buffer_(std::make_shared<std::array<char, 4096>>()) {
+    : event_log_(event_log), name_(std::move(name)), buffer_(std::make_shared<std::array<char, 4096>>()) {
     int ends[2];
     if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
     std::vector<char*> words, variables;
@@ -58,7 +58,7 @@
     ::close(ends[1]);
     if (rv != 0) throw std::runtime_error(command[0] + " can't be started: " + std::strerror(rv));
     output_ = std::make_shared<boost::asio::posix::stream_descriptor>(io, ends[0]);
-    history_.note(name_, "started");
+    event_log_.record(name_, "started");
     read();
 }
 
@@ -77,11 +77,11 @@
         boost::asio::buffer(*buffer_),
         [this, here = here_, keep = output_, bytes = buffer_](const error_code& ec, std::size_t n) {
             if (!*here || ec == boost::asio::error::operation_aborted) return;
-            shard_request_.append(bytes->data(), n);
-            for (std::size_t end = 0; (end = shard_request_.find('\n')) != shard_request_.npos;
-                 shard_request_.erase(0, end + 1)) {
-                lines_.push_back(shard_request_.substr(0, end));
-                history_.note(name_, lines_.back());
+            partial_line_.append(bytes->data(), n);
+            for (std::size_t end = 0; (end = partial_line_.find('\n')) != partial_line_.npos;
+                 partial_line_.erase(0, end + 1)) {
+                lines_.push_back(partial_line_.substr(0, end));
+                event_log_.record(name_, lines_.back());
             }
             if (!ec) read();
         });
@@ -89,7 +89,7 @@
 
 void Process::signal(int which) {
     if (ended()) return;
-    history_.note(name_, std::string("gets SIG") + ::sigabbrev_np(which));
+    event_log_.record(name_, std::string("gets SIG") + ::sigabbrev_np(which));
     ::kill(pid_, which);
 }
 
@@ -98,19 +98,19 @@
     if (!over_ && ::waitpid(pid_, &status, WNOHANG) == pid_) {
         over_ = true;
         status_ = WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
-        history_.note(name_, "ended with " + std::to_string(status_));
+        event_log_.record(name_, "ended with " + std::to_string(status_));
     }
     return over_;
 }
 
-bool Process::said(const std::string& words) const {
+bool Process::has_printed(const std::string& words) const {
     for (const std::string& line : lines_)
         if (line.find(words) != line.npos) return true;
     return false;
 }
 
-struct Relay::Pair {
-    Pair(boost::asio::io_context& io, tcp::socket from) : sockets{std::move(from), tcp::socket(io)} {}
+struct FaultProxy::Connections {
+    Connections(boost::asio::io_context& io, tcp::socket from) : sockets{std::move(from), tcp::socket(io)} {}
 
     std::array<tcp::socket, 2> sockets;  // who connected, and the process
     std::array<std::array<char, 16384>, 2> buffers;
@@ -128,18 +128,20 @@
 
 }  // namespace
 
-Relay::Relay(boost::asio::io_context& io, const std::string& listen, const std::string& target, Tag tag)
-    : io_(io), acceptor_(io, endpoint_of(listen)), target_(endpoint_of(target)), tag_(std::move(tag)) {
+FaultProxy::FaultProxy(boost::asio::io_context& io, const std::string& listen, const std::string& target,
+                       IdentifyCaller tag)
+    : io_(io), acceptor_(io, endpoint_of(listen)), target_(endpoint_of(target)),
+      identify_caller_(std::move(tag)) {
     accept();
 }
 
-Relay::~Relay() { reset_all(); }
+FaultProxy::~FaultProxy() { reset_all(); }
 
-void Relay::accept() {
+void FaultProxy::accept() {
     acceptor_.async_accept([this](const error_code& ec, tcp::socket socket) {
         if (ec == boost::asio::error::operation_aborted) return;
         if (!ec) {
-            auto pair = std::make_shared<Pair>(io_, std::move(socket));
+            auto pair = std::make_shared<Connections>(io_, std::move(socket));
             std::erase_if(pairs_, [](const auto& p) { return p.expired(); });
             pairs_.push_back(pair);
             pair->sockets[1].async_connect(target_, [this, pair](const error_code& failed) {
@@ -154,7 +156,7 @@
     });
 }
 
-bool Relay::lost(Pair& pair, bool to) const {
+bool FaultProxy::lost(Connections& pair, bool to) const {
     for (const std::string& tag : {pair.tag, std::string()}) {
         const auto it = faults_.find(tag);
         if (it != faults_.end() && (to ? it->second.to : it->second.from)) return true;
@@ -162,14 +164,14 @@
     return false;
 }
 
-void Relay::pump(const std::shared_ptr<Pair>& pair, bool to) {
+void FaultProxy::pump(const std::shared_ptr<Connections>& pair, bool to) {
     tcp::socket& source = pair->sockets[to ? 0 : 1];
     source.async_read_some(boost::asio::buffer(pair->buffers[to ? 0 : 1]),
                            [this, pair, to](const error_code& ec, std::size_t n) {
                                if (ec || pair->closed) return close(*pair);
                                if (to && pair->tag.empty()) {
                                    pair->first.append(pair->buffers[0].data(), n);
-                                   pair->tag = tag_(pair->first);
+                                   pair->tag = identify_caller_(pair->first);
                                }
                                if (lost(*pair, to)) {
                                    pair->spoilt = true;  // what comes later would be out of step
@@ -186,24 +188,24 @@
                            });
 }
 
-void Relay::close(Pair& pair) {
+void FaultProxy::close(Connections& pair) {
     if (std::exchange(pair.closed, true)) return;
     error_code ec;
     for (tcp::socket& s : pair.sockets) s.close(ec);
 }
 
-void Relay::heal() {
+void FaultProxy::heal() {
     faults_.clear();
     for (const auto& held : pairs_)
         if (const auto pair = held.lock(); pair && pair->spoilt) close(*pair);
 }
 
-void Relay::reset_all() {
+void FaultProxy::reset_all() {
     for (const auto& held : pairs_)
         if (const auto pair = held.lock()) close(*pair);
 }
 
-std::string member_tag(const std::string& first) {
+std::string caller_name_in_body(const std::string& first) {
     const std::string_view key = first.rfind("POST /fleet/relay ", 0) == 0 ? "\"relay\":\"" : "\"name\":\"";
     const auto at = first.find(key);
     const auto end = at == first.npos ? at : first.find('"', at + key.size());
@@ -211,7 +213,7 @@
 }
 
 // Two numbers of eight bytes, little end first: the form, and who connects.
-std::string log_tag(const std::string& first) {
+std::string sender_id_in_handshake(const std::string& first) {
     if (first.size() < 16) return {};
     std::uint64_t id = 0;
     for (int i = 7; i >= 0; --i)
@@ -230,18 +232,18 @@
     return ports;
 }
 
-Folder::Folder() {
+TemporaryDirectory::TemporaryDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "tealcart-XXXXXX").string();
     if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder can be made");
     path_ = name;
 }
 
-Folder::~Folder() {
+TemporaryDirectory::~TemporaryDirectory() {
     std::error_code ec;
     std::filesystem::remove_all(path_, ec);
 }
 
-std::string Folder::write(const std::string& name, const std::string& text) const {
+std::string TemporaryDirectory::write(const std::string& name, const std::string& text) const {
     std::ofstream(path(name)) << text;
     return path(name);
 }
--- a/src/testing/rig.hpp
+++ b/src/testing/rig.hpp
@@ -19,25 +19,25 @@
 
 namespace tealcart::testing {
 
-using Moment = std::chrono::steady_clock::time_point;
+using TimePoint = std::chrono::steady_clock::time_point;
 
 // What happened when, in one order; written out where a check fails.
-struct History {
+struct EventLog {
     struct Event {
-        Moment at;
+        TimePoint at;
         std::string who, what;
     };
     std::vector<Event> events;
-    Moment began = std::chrono::steady_clock::now();
+    TimePoint began = std::chrono::steady_clock::now();
 
-    void note(const std::string& who, const std::string& what);
+    void record(const std::string& who, const std::string& what);
     std::string text(std::size_t last = 200) const;
 };
 
 class Process {
   public:
-    Process(boost::asio::io_context& io, History& history, std::string name, std::vector<std::string> command,
-            std::vector<std::string> environment = {});
+    Process(boost::asio::io_context& io, EventLog& event_log, std::string name,
+            std::vector<std::string> command, std::vector<std::string> environment = {});
     ~Process();
     Process(const Process&) = delete;
 
@@ -45,14 +45,14 @@
     // Has it ended? Its status then; a signal that ended it counts as 1000 and more.
     bool ended();
     int status() const { return status_; }
-    bool said(const std::string& words) const;
+    bool has_printed(const std::string& words) const;
     const std::vector<std::string>& lines() const { return lines_; }
     pid_t pid() const { return pid_; }
 
   private:
     void read();
 
-    History& history_;
+    EventLog& event_log_;
     const std::string name_;
     pid_t pid_ = -1;
     int status_ = -1;
@@ -61,21 +61,22 @@
     std::shared_ptr<std::array<char, 4096>> buffer_;
     std::shared_ptr<bool> here_ =
         std::make_shared<bool>(true);  // what was read may still be on its way to it
-    std::string shard_request_;
+    std::string partial_line_;
     std::vector<std::string> lines_;
 };
 
 // Between whoever connects and one process. Who that is, `tag` says of the connection's first bytes (empty:
 // not known yet).
-class Relay {
+class FaultProxy {
   public:
-    using Tag = std::function<std::string(const std::string& first)>;
+    using IdentifyCaller = std::function<std::string(const std::string& first)>;
     struct Fault {
         bool to = false, from = false;  // what is said to the process, and by it, gets lost
     };
 
-    Relay(boost::asio::io_context& io, const std::string& listen, const std::string& target, Tag tag);
-    ~Relay();
+    FaultProxy(boost::asio::io_context& io, const std::string& listen, const std::string& target,
+               IdentifyCaller tag);
+    ~FaultProxy();
 
     // Of the connections of this tag; "" for all.
     void cut(const std::string& tag, Fault fault) { faults_[tag] = fault; }
@@ -84,33 +85,33 @@
     void reset_all();
 
   private:
-    struct Pair;
+    struct Connections;
 
     void accept();
-    void pump(const std::shared_ptr<Pair>& pair, bool to);
-    bool lost(Pair& pair, bool to) const;
-    static void close(Pair& pair);
+    void pump(const std::shared_ptr<Connections>& pair, bool to);
+    bool lost(Connections& pair, bool to) const;
+    static void close(Connections& pair);
 
     boost::asio::io_context& io_;
     boost::asio::ip::tcp::acceptor acceptor_;
     const boost::asio::ip::tcp::endpoint target_;
-    const Tag tag_;
+    const IdentifyCaller identify_caller_;
     std::map<std::string, Fault> faults_;
-    std::vector<std::weak_ptr<Pair>> pairs_;
+    std::vector<std::weak_ptr<Connections>> pairs_;
 };
 
 // The member's or relay's name in a call to a manager; the manager's id in the log's handshake.
-std::string member_tag(const std::string& first);
-std::string log_tag(const std::string& first);
+std::string caller_name_in_body(const std::string& first);
+std::string sender_id_in_handshake(const std::string& first);
 
 // So many ports that were free on loopback a moment ago.
 std::vector<std::uint16_t> free_ports(std::size_t count);
 
 // A folder that goes with its owner.
-class Folder {
+class TemporaryDirectory {
   public:
-    Folder();
-    ~Folder();
+    TemporaryDirectory();
+    ~TemporaryDirectory();
     std::string path(const std::string& name) const { return path_ + "/" + name; }
     std::string write(const std::string& name, const std::string& text) const;
 
--- a/tests/drains_test.cpp
+++ b/tests/drains_test.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-RigPlan plan_of(const std::string& member = "", const std::string& node_budget = "most = 2") {
-    RigPlan plan;
-    plan.programs = PROGRAMS;
-    plan.budgets =
+FleetRigOptions plan_of(const std::string& member = "", const std::string& node_budget = "most = 2") {
+    FleetRigOptions options;
+    options.programs = PROGRAMS;
+    options.budgets =
         " data_nodes {\n  " + node_budget + "\n  least_holders = 2\n }\n routers {\n  most = 1\n }";
-    plan.member = member;
-    return plan;
+    options.member = member;
+    return options;
 }
 
 std::uint16_t port_of(const std::string& address) {
@@ -74,13 +74,13 @@
 }
 
 struct Drains {
-    explicit Drains(RigPlan plan) : rig(io, std::move(plan)) {
+    explicit Drains(FleetRigOptions options) : rig(io, std::move(options)) {
         const bool up = rig.until([this] {
             for (const auto& r : rig.routers)
-                if (rig.plan.membership && !r->said(": a member")) return false;
-            return rig.all_up();
+                if (rig.options.membership && !r->has_printed(": a member")) return false;
+            return rig.all_ready();
         });
-        INFO(rig.history.text());
+        INFO(rig.event_log.text());
         REQUIRE(up);
         rig.answers.clear();  // at first a router knows no data node
     }
@@ -91,9 +91,9 @@
     bool done(const std::string& target) {
         return rig.until([&] { return stage(target, "done"); });
     }
-    std::size_t calls_to(std::size_t node, Moment since) const {
+    std::size_t calls_to(std::size_t node, TimePoint since) const {
         std::size_t n = 0;
-        for (const SeenCall& c : rig.calls) n += c.node == node && c.at >= since;
+        for (const ReceivedCall& c : rig.calls) n += c.node == node && c.at >= since;
         return n;
     }
     // Traffic goes on: so many further queries are answered, each with 200.
@@ -108,15 +108,15 @@
     }
     // Nothing reaches it from here on, though traffic does go on.
     void nothing_reaches(std::size_t node) {
-        const Moment from = std::chrono::steady_clock::now();
+        const TimePoint from = std::chrono::steady_clock::now();
         traffic_goes_on();
-        INFO(rig.history.text());
+        INFO(rig.event_log.text());
         CHECK(calls_to(node, from) == 0);
     }
     // Of all that clients asked since everyone was up, nothing was lost or failed. Where the cores are held
     // by others, the module may refuse one now and then, which is for it to say.
     void none_lost() {
-        INFO(rig.history.text());
+        INFO(rig.event_log.text());
         std::uint64_t all = 0;
         for (const auto& [status, count] : rig.answers) all += count;
         for (const auto& [status, count] : rig.answers) {
@@ -148,7 +148,7 @@
     CHECK(d.run({"undrain", first, "--wait"}, {1}) == 0);
     REQUIRE(d.done(second));
     d.nothing_reaches(second == "n2" ? 2 : 3);
-    const Moment back = std::chrono::steady_clock::now();
+    const TimePoint back = std::chrono::steady_clock::now();
     CHECK(d.rig.until([&] { return d.calls_to(first == "n2" ? 2 : 3, back) > 0; }));
     d.none_lost();
 }
@@ -158,9 +158,9 @@
     const std::size_t leader = d.rig.leader();
     REQUIRE(leader < 3);
     // One router does not hear of it, so that the grant is still open when the leader dies.
-    d.rig.deafen(5, true, true);
+    d.rig.cut_off_member(5, true, true);
     auto ask = d.rig.command({"drain", "n4", "--id", "one"}, {leader});
-    REQUIRE(d.rig.until([&] { return d.rig.managers[leader]->said("granted: request 1 "); }));
+    REQUIRE(d.rig.until([&] { return d.rig.managers[leader]->has_printed("granted: request 1 "); }));
     d.rig.managers[leader]->signal(SIGKILL);
     REQUIRE(d.rig.until([&] { return d.rig.leader() < 3; }));
     CHECK(d.stage("n4", "granted"));
@@ -173,7 +173,7 @@
     d.rig.start_manager(leader);
     CHECK(d.rig.until([&] {
         const Json s = d.rig.status(leader);
-        return s.is_object() && s["generation"] == d.rig.leading()["generation"];
+        return s.is_object() && s["generation"] == d.rig.leader_status()["generation"];
     }));
     d.none_lost();
 }
@@ -206,9 +206,9 @@
         d.rig.heal();
     REQUIRE(d.done("n7"));
     CHECK(d.rig.until([&] {
-        const Json s = d.rig.status(old), leading = d.rig.leading();
-        return s.is_object() && leading.is_object() && s["generation"] == leading["generation"] &&
-               s["leader"] == leading["leader"];
+        const Json s = d.rig.status(old), leader_status = d.rig.leader_status();
+        return s.is_object() && leader_status.is_object() && s["generation"] == leader_status["generation"] &&
+               s["leader"] == leader_status["leader"];
     }));
     CHECK(d.rig.request_for("n1").is_null());
     d.nothing_reaches(7);
@@ -220,16 +220,16 @@
     // In one direction or both: what it says is lost, what it is told is, or both.
     const int way = GENERATE(0, 1, 2);
     Drains d(plan_of("serve_on = \"0s\"\n then = \"stop\""));
-    d.rig.deafen(3, way != 1, way != 0);
+    d.rig.cut_off_member(3, way != 1, way != 0);
     CHECK(d.run({"drain", "n6"}, {0, 1, 2}) == 0);
     REQUIRE(d.done("n6"));
     CHECK(d.rig.request_for("n6")["unheard"].empty());
     d.nothing_reaches(6);
-    INFO(d.rig.history.text());
-    CHECK(d.rig.routers[3]->said("cut off"));
+    INFO(d.rig.event_log.text());
+    CHECK(d.rig.routers[3]->has_printed("cut off"));
     // Its clients are told at once that it is cut off, and it comes back by itself.
     d.rig.heal();
-    CHECK(d.rig.until([&] { return d.rig.all_up(); }));
+    CHECK(d.rig.until([&] { return d.rig.all_ready(); }));
     d.traffic_goes_on();
     for (const auto& [status, count] : d.rig.answers) CHECK((status == 200 || status == 503));
 }
@@ -239,27 +239,27 @@
     d.rig.routers[2]->signal(SIGSTOP);
     CHECK(d.run({"drain", "n8"}, {0, 1, 2}) == 0);
     REQUIRE(d.done("n8"));
-    const Moment over = std::chrono::steady_clock::now();
+    const TimePoint over = std::chrono::steady_clock::now();
     d.rig.routers[2]->signal(SIGCONT);
-    CHECK(d.rig.until([&] { return d.rig.all_up(); }));
+    CHECK(d.rig.until([&] { return d.rig.all_ready(); }));
     d.traffic_goes_on();
-    INFO(d.rig.history.text());
+    INFO(d.rig.event_log.text());
     CHECK(d.calls_to(8, over) == 0);
-    CHECK(d.rig.routers[2]->said("cut off"));
+    CHECK(d.rig.routers[2]->has_printed("cut off"));
 }
 
 TEST_CASE("without stewards queries go on; all of them started again know what was agreed") {
     Drains d(plan_of());
     CHECK(d.run({"drain", "n5"}, {0, 1, 2}) == 0);
     REQUIRE(d.done("n5"));
-    const Json before = d.rig.leading();
+    const Json before = d.rig.leader_status();
     for (auto& s : d.rig.managers) s->signal(SIGKILL);
-    REQUIRE(d.rig.until([&] { return d.rig.routers[0]->said("its lease is over"); }));
+    REQUIRE(d.rig.until([&] { return d.rig.routers[0]->has_printed("its lease is over"); }));
     d.nothing_reaches(5);
     CHECK(d.run({"drain", "n9", "--within", "0.5"}, {0, 1, 2}) == 1);
     for (std::size_t i = 0; i < 3; ++i) d.rig.start_manager(i);
-    REQUIRE(d.rig.until([&] { return d.rig.all_up(); }));
-    CHECK(d.rig.leading()["generation"] == before["generation"]);
+    REQUIRE(d.rig.until([&] { return d.rig.all_ready(); }));
+    CHECK(d.rig.leader_status()["generation"] == before["generation"]);
     CHECK(d.rig.request_for("n5")["fence"] == before["requests"][0]["fence"]);
     d.nothing_reaches(5);
     d.none_lost();
@@ -268,42 +268,42 @@
 TEST_CASE("a steward with an old folder catches up; one with another's, with none or a broken one says so") {
     Drains d(plan_of());
     const std::size_t i = (d.rig.leader() + 1) % 3;
-    const std::string folder = d.rig.folder.path("s" + std::to_string(i + 1)),
-                      kept = d.rig.folder.path("kept");
+    const std::string directory = d.rig.directory.path("s" + std::to_string(i + 1)),
+                      kept = d.rig.directory.path("kept");
     const auto stop = [&] {
         d.rig.managers[i]->signal(SIGTERM);
         REQUIRE(d.rig.until([&] { return d.rig.managers[i]->ended(); }));
         CHECK(d.rig.managers[i]->status() == 0);
     };
     stop();
-    std::filesystem::copy(folder, kept, std::filesystem::copy_options::recursive);
+    std::filesystem::copy(directory, kept, std::filesystem::copy_options::recursive);
     d.rig.start_manager(i);
     CHECK(d.run({"drain", "n10"}, {0, 1, 2}) == 0);
     REQUIRE(d.done("n10"));
     stop();
-    std::filesystem::remove_all(folder);
-    std::filesystem::copy(kept, folder, std::filesystem::copy_options::recursive);
+    std::filesystem::remove_all(directory);
+    std::filesystem::copy(kept, directory, std::filesystem::copy_options::recursive);
     d.rig.start_manager(i);
     CHECK(d.rig.until([&] {
         const Json s = d.rig.status(i);
-        return s.is_object() && s["generation"] == d.rig.leading()["generation"];
+        return s.is_object() && s["generation"] == d.rig.leader_status()["generation"];
     }));
     const auto fails_with = [&](const std::string& words) {
         d.rig.start_manager(i);
         REQUIRE(d.rig.until([&] { return d.rig.managers[i]->ended(); }));
         CHECK(d.rig.until([&] { return !d.rig.managers[i]->lines().empty(); }));
-        INFO(d.rig.history.text(5));
+        INFO(d.rig.event_log.text(5));
         CHECK(d.rig.managers[i]->status() == 1);
         CHECK(d.rig.managers[i]->lines().size() == 1);
-        CHECK(d.rig.managers[i]->said(words));
+        CHECK(d.rig.managers[i]->has_printed(words));
     };
     stop();
-    const std::string mark = folder + "/steward.json";
+    const std::string mark = directory + "/steward.json";
     std::ofstream(mark) << R"({"form":1,"fleet":"rig","id":9})";
     fails_with("is that of steward 9 of \"rig\"");
     std::ofstream(mark) << R"({"form":7,"fleet":"rig","id":1})";
     fails_with("is of form 7, this program reads 1");
-    std::filesystem::remove_all(folder);
+    std::filesystem::remove_all(directory);
     fails_with("is no steward's: 'tealcart steward init' makes one");
     d.traffic_goes_on();
     d.none_lost();
@@ -317,16 +317,17 @@
     // Not one further segment of the log.
     d.rig.start_manager(i, {}, {"/bin/sh", "-c", "ulimit -f 100; exec \"$0\" \"$@\""});
     REQUIRE(d.rig.until([&] { return d.rig.managers[i]->ended(); }));
-    INFO(d.rig.history.text(20));
+    INFO(d.rig.event_log.text(20));
     CHECK(d.rig.managers[i]->status() == 1);
-    CHECK(d.rig.until([&] { return d.rig.managers[i]->said("tealcart steward: the log can't be written"); }));
+    CHECK(d.rig.until(
+        [&] { return d.rig.managers[i]->has_printed("tealcart steward: the log can't be written"); }));
     CHECK(d.run({"drain", "n3"}, {0, 1, 2}) == 0);
     REQUIRE(d.done("n3"));
     // With room again it goes on from what it had.
     d.rig.start_manager(i);
     CHECK(d.rig.until([&] {
         const Json s = d.rig.status(i);
-        return s.is_object() && s["generation"] == d.rig.leading()["generation"];
+        return s.is_object() && s["generation"] == d.rig.leader_status()["generation"];
     }));
     d.nothing_reaches(3);
     d.none_lost();
@@ -336,29 +337,29 @@
     Drains d(plan_of());
     CHECK(d.run({"drain", "--router", "r1"}, {0, 1, 2}) == 0);
     CHECK(d.run({"drain", "--router", "r2"}, {2, 1, 0}) == 0);
-    CHECK(d.rig.until([&] { return d.rig.routers[1]->said("and this router"); }));
+    CHECK(d.rig.until([&] { return d.rig.routers[1]->has_printed("and this router"); }));
     CHECK(d.rig.request_for("r2")["held_by"] == "routers: 1 of 6 are out, 1 may be");
     // One that dies uses up the budget as well.
     d.rig.routers[4]->signal(SIGKILL);
     CHECK(d.run({"undrain", "--router", "r1"}, {0, 1, 2}) == 0);
-    CHECK(d.rig.until([&] { return d.rig.leading()["requests"].size() == 1; }));
+    CHECK(d.rig.until([&] { return d.rig.leader_status()["requests"].size() == 1; }));
     CHECK(d.rig.until([&] {
         const Json r = d.rig.request_for("r2");
         return r.is_object() && (r["stage"] == "granted" || r["stage"] == "done" || r["stage"] == "queued");
     }));
     d.rig.start_router(4);
-    CHECK(d.rig.until([&] { return d.rig.all_up(); }));
+    CHECK(d.rig.until([&] { return d.rig.all_ready(); }));
     d.traffic_goes_on();
 }
 
 TEST_CASE("without a member block the program is what it was: no further socket, file, thread or message") {
     const bool member = GENERATE(false, true);
-    RigPlan plan = plan_of();
-    plan.membership = member;
-    plan.routers = 1;
-    plan.nodes = 6;
-    plan.gap_ms = 20;
-    Drains d(plan);
+    FleetRigOptions options = plan_of();
+    options.membership = member;
+    options.routers = 1;
+    options.nodes = 6;
+    options.gap_ms = 20;
+    Drains d(options);
     d.traffic_goes_on(3);
     const std::string proc = "/proc/" + std::to_string(d.rig.routers[0]->pid());
     const auto entries = [&](const char* of) {
@@ -367,7 +368,7 @@
         return n;
     };
     CHECK(entries("/task") == 1);
-    CHECK(d.rig.leading()["members"].size() == (member ? 1 : 0));
+    CHECK(d.rig.leader_status()["members"].size() == (member ? 1 : 0));
     const Sockets sockets = sockets_of(proc);
     CHECK(sockets.others == 0);
     CHECK(sockets.listening == 1);
@@ -381,7 +382,7 @@
         const std::string to = std::filesystem::read_symlink(e.path(), ec).string();
         CHECK((ec || to.front() != '/' || to.rfind("/dev/", 0) == 0));  // no file
     }
-    CHECK(d.rig.routers[0]->said("member ") == member);
+    CHECK(d.rig.routers[0]->has_printed("member ") == member);
 }
 
 TEST_CASE("simulated fleets under seeded faults: nothing over the budget, nothing sent after done") {
@@ -423,10 +424,10 @@
     Drains d(plan_of("serve_on = \"0s\"\n then = \"stop\""));
     std::knuth_b chance(seed);
     const auto pick = [&](std::size_t n) { return chance() % n; };
-    std::vector<std::pair<std::size_t, Moment>> out;  // nodes of which "done" was said, and when
+    std::vector<std::pair<std::size_t, TimePoint>> out;  // nodes of which "done" was said, and when
     const auto nothing_reached = [&] {
         for (const auto& [node, since] : out) {
-            INFO("n" << node << "\n" << d.rig.history.text());
+            INFO("n" << node << "\n" << d.rig.event_log.text());
             CHECK(d.calls_to(node, since) == 0);
         }
     };
@@ -438,7 +439,7 @@
         if (fault == 0) manager->signal(SIGKILL);
         if (fault == 1) manager->signal(SIGSTOP);
         if (fault == 2) d.rig.cut_off(who, pick(2) == 0, true);
-        if (fault == 3) d.rig.deafen(router, pick(2) == 0, true);
+        if (fault == 3) d.rig.cut_off_member(router, pick(2) == 0, true);
         if (fault == 4) d.rig.routers[router]->signal(SIGSTOP);
         // Two operators at once, through managers in another order each.
         const std::size_t first = pick(12), second = pick(12);
@@ -448,14 +449,14 @@
         CHECK(d.rig.until([&] { return ann->ended() && bob->ended(); }));
         Json s;
         const auto settled = [&] {
-            s = d.rig.leading();
+            s = d.rig.leader_status();
             if (!s.is_object() || s["held_for_ms"] > 0) return false;
             for (const Json& r : s["requests"])
                 if (r["stage"] != "done" && r["stage"] != "queued") return false;
             return true;
         };
         const bool all_settled = d.rig.until(settled);
-        INFO(d.rig.history.text());
+        INFO(d.rig.event_log.text());
         REQUIRE(all_settled);
         std::size_t granted = 0;
         for (const Json& r : s["requests"]) {
@@ -474,7 +475,7 @@
         if (fault == 1) manager->signal(SIGCONT);
         if (fault == 2 || fault == 3) d.rig.heal();
         if (fault == 4) d.rig.routers[router]->signal(SIGCONT);
-        CHECK(d.rig.until([&] { return d.rig.all_up(); }));
+        CHECK(d.rig.until([&] { return d.rig.all_ready(); }));
         nothing_reached();
         while (!out.empty()) {
             const std::string node = "n" + std::to_string(out.back().first);
@@ -485,7 +486,7 @@
         for (const std::size_t node : {first, second})
             d.run({"undrain", "n" + std::to_string(node)}, {2, 1, 0});
         CHECK(d.rig.until([&] {
-            const Json now = d.rig.leading();
+            const Json now = d.rig.leader_status();
             return now.is_object() && now["requests"].empty();
         }));
     }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -17,13 +17,13 @@
     explicit Changes(const std::string& managers = "", const std::string& relay = "", bool router = false)
         : rig(io, plan_of(managers, relay, router)) {}
 
-    static ChangePlan plan_of(const std::string& managers, const std::string& relay, bool router) {
-        ChangePlan plan;
-        plan.programs = PROGRAMS;
-        plan.changes = managers;
-        plan.relay = relay;
-        plan.router = router;
-        return plan;
+    static ChangeRigOptions plan_of(const std::string& managers, const std::string& relay, bool router) {
+        ChangeRigOptions options;
+        options.programs = PROGRAMS;
+        options.changes = managers;
+        options.relay = relay;
+        options.router = router;
+        return options;
     }
     Follower& follow(const std::string& name, std::vector<std::size_t> relays,
                      Follower::Refuses refuses = {}) {
@@ -32,17 +32,17 @@
     // What happened stands with the check that its status goes into.
     int config(std::vector<std::string> words, std::vector<std::size_t> through = {0, 1, 2}) {
         const int status = rig.config(std::move(words), std::move(through));
-        UNSCOPED_INFO(rig.rig.history.text(80));
+        UNSCOPED_INFO(rig.rig.event_log.text(80));
         return status;
     }
     // Until it holds, with what must never be otherwise looked at all the while.
     bool until(const std::function<bool()>& holds) {
         bool sound = true;
         const bool came = rig.until([&] {
-            sound = sound && rig.sound();
+            sound = sound && rig.followers_consistent();
             return !sound || holds();
         });
-        INFO(rig.rig.history.text(80));
+        INFO(rig.rig.event_log.text(80));
         CHECK(sound);
         CHECK(came);
         return sound && came;
@@ -98,10 +98,10 @@
     c.follow("f0", {0, 1}), c.follow("f1", {1, 0}), c.follow("f2", {0, 1});
     c.first_version("one\n");
     for (const auto& f : c.rig.followers) CHECK(f->acting.at("limits") == "one\n");
-    const auto show = c.rig.config_later({"show", "limits"});
+    const auto show = c.rig.start_config_command({"show", "limits"});
     REQUIRE(c.rig.until([&] { return show->ended(); }));
     CHECK(show->status() == 0);
-    CHECK(c.rig.until([&] { return show->said("one"); }));
+    CHECK(c.rig.until([&] { return show->has_printed("one"); }));
     CHECK(c.config({"show"}) == 0);
     CHECK(c.config({"show", "nothing"}) == 3);
     // Two keys as one version, and one removed.
@@ -155,9 +155,10 @@
     Changes c;
     c.follow("f0", {0}), c.follow("f1", {1});
     c.first_version();
-    c.rig.rig.deafen("relay0", false, true);
+    c.rig.rig.cut_off_member("relay0", false, true);
     REQUIRE(c.config({"set", c.rig.entry("limits", "two")}) == 0);
-    REQUIRE(c.until([&] { return c.rig.relays[0]->said("its lease is over: it hands on version 1"); }));
+    REQUIRE(
+        c.until([&] { return c.rig.relays[0]->has_printed("its lease is over: it hands on version 1"); }));
     REQUIRE(c.until(
         [&] { return c.rig.followers[1]->applied_version == 2 && !c.rig.followers[0]->has_lease(); }));
     CHECK(c.rig.followers[0]->applied_version == 1);
@@ -179,7 +180,7 @@
     Changes c;
     c.follow("f0", {0}), c.follow("f1", {1});
     c.first_version();
-    c.rig.rig.deafen("relay0", true, false);
+    c.rig.rig.cut_off_member("relay0", true, false);
     REQUIRE(c.config({"set", c.rig.entry("limits", "two")}) == 0);
     REQUIRE(c.in_force(2));
     CHECK_FALSE(c.rig.followers[0]->has_lease());
@@ -237,11 +238,12 @@
     c.first_version();
     c.rig.relays[0]->signal(SIGKILL);
     REQUIRE(c.rig.until([&] { return c.rig.relays[0]->ended(); }));
-    c.rig.rig.deafen("relay0", false, true);
+    c.rig.rig.cut_off_member("relay0", false, true);
     c.rig.start_relay(0);
     const std::size_t leader = c.rig.rig.leader();
     REQUIRE(leader < 3);
-    REQUIRE(c.until([&] { return c.rig.rig.managers[leader]->said("changes: over: version 1: relay0"); }));
+    REQUIRE(
+        c.until([&] { return c.rig.rig.managers[leader]->has_printed("changes: over: version 1: relay0"); }));
     c.rig.rig.heal();
     CHECK(c.until([&] { return c.rig.followers[0]->has_lease(); }));
     CHECK(c.config({"set", c.rig.entry("limits", "two"), "--wait"}) == 0);
@@ -268,13 +270,15 @@
     Changes c;
     c.follow("f0", {0, 1});
     c.first_version();
-    const auto ann = c.rig.config_later({"set", c.rig.entry("limits", "ann"), "--based-on", "1"}, {0, 1, 2});
-    const auto bob = c.rig.config_later({"set", c.rig.entry("limits", "bob"), "--based-on", "1"}, {2, 1, 0});
+    const auto ann =
+        c.rig.start_config_command({"set", c.rig.entry("limits", "ann"), "--based-on", "1"}, {0, 1, 2});
+    const auto bob =
+        c.rig.start_config_command({"set", c.rig.entry("limits", "bob"), "--based-on", "1"}, {2, 1, 0});
     REQUIRE(c.rig.until([&] { return ann->ended() && bob->ended(); }));
     CHECK(std::min(ann->status(), bob->status()) == 0);
     CHECK(std::max(ann->status(), bob->status()) == 3);
     CHECK(c.rig.until([&] {
-        return (ann->status() == 0 ? bob : ann)->said("refused: based on version 1, the latest is 2");
+        return (ann->status() == 0 ? bob : ann)->has_printed("refused: based on version 1, the latest is 2");
     }));
     CHECK(c.all_act_on(2));
     CHECK(c.rig.followers[0]->acting.at("limits") == (ann->status() == 0 ? "ann" : "bob"));
@@ -291,9 +295,9 @@
     }));
     CHECK(c.rig.followers[2]->applied_version == 1);
     CHECK(c.rig.changes()["in_force"] == 1);
-    const auto show = c.rig.config_later({"show"});
+    const auto show = c.rig.start_config_command({"show"});
     REQUIRE(c.rig.until([&] { return show->ended(); }));
-    CHECK(c.rig.until([&] { return show->said("refuses it: f2"); }));
+    CHECK(c.rig.until([&] { return show->has_printed("refuses it: f2"); }));
     CHECK(c.config({"back", "1", "--wait"}) == 0);
     CHECK(c.all_act_on(3));
     CHECK(c.rig.followers[2]->acting.at("limits") == "one");
@@ -341,7 +345,7 @@
     "a query router takes versions over through the relays, refuses what it can't read, and goes back") {
     Changes c("  halt_refused = 1\n", "", true);
     const auto said = [&](const std::string& words) {
-        return c.rig.until([&] { return c.rig.rig.routers[0]->said(words); });
+        return c.rig.until([&] { return c.rig.rig.routers[0]->has_printed(words); });
     };
     REQUIRE(c.all_live(1));
     CHECK(c.config({"set", c.rig.entry("log", "level = \"info\""), "--wait"}) == 0);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -977,7 +977,8 @@
     CHECK(w.answer(*c).first == 503);
     c->send(query("A"));
     w.until([&] { return w.watches.size() == 1; });
-    w.until([&] { return w.service->dispatcher().held() == 3; });  // the query and its shard requests
+    w.until(
+        [&] { return w.service->dispatcher().unfinished_count() == 3; });  // the query and its shard requests
     w.watches[0].second->send(
         reply(R"({"generation":5,"reset":false,"instances":[)" + w.entry(0, "draining") + "]}"));
     CHECK(w.answer(*c) == std::pair(200, whole_answer));
@@ -1022,7 +1023,7 @@
     w.until([&] { return held.size() == 1; });  // the other shard request's call waits for the dial
     leaver->socket.close();
     DataNode::say(held[0], "ERROR", "");
-    w.until([&] { return w.service->dispatcher().held() == 0; });
+    w.until([&] { return w.service->dispatcher().unfinished_count() == 0; });
     std::vector<boost::asio::ip::tcp::socket> taken;
     std::function<void()> take = [&] {
         door.async_accept([&](auto ec, auto socket) {
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -318,7 +318,7 @@
     w.client->ask(w.asking());
     w.until([&] { return w.fleet.work().words == 8; });
     w.client->leave();
-    w.until([&] { return w.service->dispatcher().held() == 0; });
+    w.until([&] { return w.service->dispatcher().unfinished_count() == 0; });
     w.connect();
     Asking keyed = w.asking();
     keyed.query_class = "keyed", keyed.key = "k";
@@ -437,7 +437,7 @@
         CHECK(got.whole);
     }
     w.until([&] { return w.service->dispatcher().attempts_in_flight() == 0; });
-    CHECK(w.service->dispatcher().held() == 0);
+    CHECK(w.service->dispatcher().unfinished_count() == 0);
 }
 
 TEST_CASE("frames in two phases are read back as written, and told when cut or changed") {
