--- a/measure/follower_cost.cpp
+++ b/measure/follower_cost.cpp
@@ -44,7 +44,7 @@
         take(first);
     }
     void take(const changes::Delta& delta) {
-        if (copy.take(delta) != changes::Copy::Taken::taken) std::abort();
+        if (copy.apply(delta) != changes::DocumentCopy::ApplyResult::applied) std::abort();
         auto read = configuration->read(copy.document());
         if (auto* settings = std::get_if<ConfigOverlay::Settings>(&read))
             applied_version = std::move(*settings);
@@ -67,7 +67,7 @@
     }
 
     const int entries;
-    changes::Copy copy;
+    changes::DocumentCopy copy;
     std::unique_ptr<ConfigOverlay> configuration;
     ConfigOverlay::Settings applied_version;
     std::size_t changed = 0;
--- a/src/changes/document.hpp
+++ b/src/changes/document.hpp
@@ -40,41 +40,41 @@
 };
 
 // A follower's copy of the document.
-class Copy {
+class DocumentCopy {
   public:
     // `max_bytes`: of keys and values that are still coming in pages; more is taken as spoilt.
-    explicit Copy(std::size_t max_bytes = std::size_t{64} << 20) : max_bytes_(max_bytes) {}
+    explicit DocumentCopy(std::size_t max_bytes = std::size_t{64} << 20) : max_bytes_(max_bytes) {}
 
-    enum class Taken : std::uint8_t {
-        taken,  // the copy is at the delta's or the last page's version now
-        more,   // a page was taken, further ones are wanted: ask for those after `wants_after`
-        known,  // nothing new
-        gap,    // it begins after the version that this copy has: ask for pages
-        spoilt  // its digest is not what comes out: nothing was changed; ask for pages
+    enum class ApplyResult : std::uint8_t {
+        applied,     // the copy is at the delta's or the last page's version now
+        incomplete,  // a page was taken, further ones are wanted: ask for those after `wants_after`
+        unchanged,   // nothing new
+        gap,         // it begins after the version that this copy has: ask for pages
+        corrupt      // its digest is not what comes out: nothing was changed; ask for pages
     };
 
     // One that begins earlier than what this copy has is taken too, where it leads further.
-    Taken take(const Delta& delta);
+    ApplyResult apply(const Delta& delta);
     // Pages of one version in their order; one of another version begins anew. A page that is not the next
     // one changes nothing: `more`.
-    Taken take(const Page& page);
+    ApplyResult apply(const Page& page);
 
     std::uint64_t version() const { return version_; }
     std::uint64_t digest() const { return digest_; }
     const Document& document() const { return document_; }
-    bool wants_pages() const { return wants_pages_; }
-    const std::string& wants_after() const { return after_; }
+    bool needs_pages() const { return needs_pages_; }
+    const std::string& next_page_after() const { return after_; }
 
   private:
-    Taken begin_anew(Taken why);
+    ApplyResult discard_pages(ApplyResult result);
 
-    std::size_t max_bytes_, coming_bytes_ = 0;
+    std::size_t max_bytes_, pending_bytes_ = 0;
     std::uint64_t version_ = 0, digest_ = 0;
     Document document_;
-    bool wants_pages_ = false;
+    bool needs_pages_ = false;
     std::string after_;  // the key of the last page's last entry
-    std::uint64_t coming_version_ = 0, coming_digest_ = 0;
-    Document coming_;
+    std::uint64_t pending_version_ = 0, pending_digest_ = 0;
+    Document pending_document_;
 };
 
 }  // namespace tealcart::changes
--- a/src/relay/delta_history.cpp
+++ b/src/relay/delta_history.cpp
@@ -52,7 +52,7 @@
     return merged;
 }
 
-changes::Page page_of(const changes::Copy& copy, const std::string& after, std::size_t max_bytes) {
+changes::Page page_of(const changes::DocumentCopy& copy, const std::string& after, std::size_t max_bytes) {
     const changes::Document& document = copy.document();
     changes::Page page{copy.version(), copy.digest(), after, {}, false};
     std::size_t bytes = 0;
--- a/src/relay/delta_history.hpp
+++ b/src/relay/delta_history.hpp
@@ -35,6 +35,6 @@
 };
 
 // Entries after the key `after`, up to so many bytes of keys and values, but one at least.
-changes::Page page_of(const changes::Copy& copy, const std::string& after, std::size_t max_bytes);
+changes::Page page_of(const changes::DocumentCopy& copy, const std::string& after, std::size_t max_bytes);
 
 }  // namespace tealcart::relay
--- a/src/relay/document_source.cpp
+++ b/src/relay/document_source.cpp
@@ -29,17 +29,17 @@
     : page_bytes_(page_bytes), page_limiter_(pages_a_second, now), history_(max_deltas, max_delta_bytes) {}
 
 DocumentSource::Applied DocumentSource::apply(const ChangesAnswer& answer) {
-    using Taken = changes::Copy::Taken;
-    Taken taken = Taken::known;
+    using ApplyResult = changes::DocumentCopy::ApplyResult;
+    ApplyResult result = ApplyResult::unchanged;
     if (answer.delta) {
-        taken = copy_.take(*answer.delta);
-        if (taken == Taken::taken) history_.append(*answer.delta);
+        result = copy_.apply(*answer.delta);
+        if (result == ApplyResult::applied) history_.append(*answer.delta);
     } else if (answer.page) {
-        taken = copy_.take(*answer.page);
-        if (taken == Taken::taken) history_.clear();
+        result = copy_.apply(*answer.page);
+        if (result == ApplyResult::applied) history_.clear();
     }
-    if (taken == Taken::spoilt) return Applied::wrong_digest;
-    if (taken != Taken::taken) return Applied::nothing;
+    if (result == ApplyResult::corrupt) return Applied::wrong_digest;
+    if (result != ApplyResult::applied) return Applied::nothing;
     merged_.clear();
     return Applied::new_version;
 }
--- a/src/relay/document_source.hpp
+++ b/src/relay/document_source.hpp
@@ -40,7 +40,7 @@
     // The answer that has no part of the document.
     ChangesAnswer empty_answer() const;
 
-    const changes::Copy& copy() const { return copy_; }
+    const changes::DocumentCopy& copy() const { return copy_; }
 
   private:
     // A delta to the latest version, where one is kept that is not too long.
@@ -48,7 +48,7 @@
 
     const std::size_t page_bytes_;
     PageLimiter page_limiter_;
-    changes::Copy copy_;
+    changes::DocumentCopy copy_;
     DeltaHistory history_;
     // Deltas to the latest version that were merged before, by the version that they begin at.
     std::map<std::uint64_t, std::optional<changes::Delta>> merged_;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -86,14 +86,14 @@
 }
 
 void Relay::show_status(Handle client) {
-    const changes::Copy& copy = documents_.copy();
+    const changes::DocumentCopy& copy = documents_.copy();
     const HostPort& manager = managers_.address();
     const nlohmann::ordered_json status = {{"relay", config_.name},
                                            {"zone", config_.zone},
                                            {"life", incarnation_},
                                            {"version", copy.version()},
                                            {"digest", copy.digest()},
-                                           {"wants_pages", copy.wants_pages()},
+                                           {"wants_pages", copy.needs_pages()},
                                            {"members", reports_.members()},
                                            {"most_members", config_.max_followers},
                                            {"waiting", followers_.waiting()},
@@ -112,11 +112,11 @@
         for (const auto& [name, incarnation] : *removed) followers_.forget(name, incarnation);
     exceptions_.clear();
     for (const changes::MemberReport& report : call.report.exceptions) exceptions_.push_back(report.name);
-    const changes::Copy& copy = documents_.copy();
+    const changes::DocumentCopy& copy = documents_.copy();
     call.position.known_version = copy.version();
     call.position.digest = copy.digest();
-    call.position.wants_pages = copy.wants_pages();
-    call.position.after = copy.wants_after();
+    call.position.wants_pages = copy.needs_pages();
+    call.position.after = copy.next_page_after();
     call.position.wait = lease_ > 0 ? std::max(min_wait, lease_ / 10) : first_wait;
     time_.due.drop(report_due_);
     return {write_relay_call(call), call.position.wait};
@@ -135,8 +135,8 @@
     apply(answer);
     observe_lease();
     // Followers that are told of a version now will soon report that they act on it.
-    const changes::Copy& copy = documents_.copy();
-    const Nanos pause = copy.wants_pages() ? page_call_interval : call_interval;
+    const changes::DocumentCopy& copy = documents_.copy();
+    const Nanos pause = copy.needs_pages() ? page_call_interval : call_interval;
     const Nanos gather = copy.version() > version_before ? gather_window : 0;
     const Nanos at = std::max(time_.now() + gather, called_at_ + pause);
     time_.due.move(report_due_, at, *this, Handle{}, 0);
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -70,7 +70,7 @@
         refusal_reason_};
     call.zone = config_.zone;
     call.leaves = leaving_;
-    call.position = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), 0};
+    call.position = {copy_.version(), copy_.digest(), copy_.needs_pages(), copy_.next_page_after(), 0};
     if (!leaving_) call.position.wait = lease_.wait(false);
     wait_ = call.position.wait;
     return {write_follower_call(call), wait_};
@@ -104,17 +104,17 @@
 }
 
 bool ConfigFollower::update_copy(const ChangesAnswer& answer) {
-    using Taken = changes::Copy::Taken;
+    using ApplyResult = changes::DocumentCopy::ApplyResult;
     const auto position = [this] {
-        return std::tuple(copy_.version(), copy_.wants_pages(), copy_.wants_after());
+        return std::tuple(copy_.version(), copy_.needs_pages(), copy_.next_page_after());
     };
     const auto before = position();
-    Taken taken = Taken::known;
-    if (answer.delta) taken = copy_.take(*answer.delta);
-    if (answer.page) taken = copy_.take(*answer.page);
+    ApplyResult result = ApplyResult::unchanged;
+    if (answer.delta) result = copy_.apply(*answer.delta);
+    if (answer.page) result = copy_.apply(*answer.page);
     const bool further = before != position();
-    if (taken == Taken::taken) apply_copy();
-    if (taken == Taken::spoilt)
+    if (result == ApplyResult::applied) apply_copy();
+    if (result == ApplyResult::corrupt)
         log_about(LogLevel::warn, {}, "configuration of relay %s:%u does not fit its digest; %llu stands",
                   relays_.address().host.c_str(), relays_.address().port, printable(accepted_version_));
     return further;
--- a/src/service/config_follower.hpp
+++ b/src/service/config_follower.hpp
@@ -52,7 +52,7 @@
     const std::string name_;
     QueryDispatcher& dispatcher_;
     LogConfig log_;  // that the router acts on
-    changes::Copy copy_;
+    changes::DocumentCopy copy_;
     ConfigOverlay overlay_;
     MemberLease lease_;
     ChangeWatch relays_;
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -31,7 +31,7 @@
     call.report = {name, incarnation_, 3600'000 * ms, applied_version, refused, why_};
     call.zone = "a";
     call.leaves = leaves_;
-    call.position = {copy.version(), copy.digest(), copy.wants_pages(), copy.wants_after(),
+    call.position = {copy.version(), copy.digest(), copy.needs_pages(), copy.next_page_after(),
                      lease_ > 0 ? lease_ / 5 : 200 * ms};
     return {write_follower_call(call), call.position.wait};
 }
@@ -41,16 +41,16 @@
         left_ = true;
         return;
     }
-    using Taken = changes::Copy::Taken;
+    using ApplyResult = changes::DocumentCopy::ApplyResult;
     if (answer.lease > 0) lease_ = answer.lease;
     lease_until = std::max(lease_until, sent + answer.lease);
-    Taken taken = Taken::known;
-    if (answer.delta) taken = copy.take(*answer.delta);
+    ApplyResult result = ApplyResult::unchanged;
+    if (answer.delta) result = copy.apply(*answer.delta);
     if (answer.page) {
         ++pages;
-        taken = copy.take(*answer.page);
+        result = copy.apply(*answer.page);
     }
-    if (taken == Taken::taken) {
+    if (result == ApplyResult::applied) {
         const std::string why = refuses_ ? refuses_(copy.document()) : "";
         if (why.empty()) {
             version_decreased |= copy.version() < applied_version;
--- a/src/testing/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -21,7 +21,7 @@
 
     const std::string name;
     std::uint64_t applied_version = 0, refused = 0;
-    changes::Copy copy;
+    changes::DocumentCopy copy;
     changes::Document acting;  // the document that it acts by
     Nanos lease_until = 0;
     bool version_decreased = false;  // never to be
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -83,7 +83,7 @@
     call.report = {config_.name, lease_.incarnation(), config_.lease_grace, copy_.version(), 0, ""};
     call.zone = config_.zone;
     wait_ = lease_.wait(false);
-    call.position = {copy_.version(), copy_.digest(), copy_.wants_pages(), copy_.wants_after(), wait_};
+    call.position = {copy_.version(), copy_.digest(), copy_.needs_pages(), copy_.next_page_after(), wait_};
     return {write_follower_call(call), wait_};
 }
 
@@ -98,26 +98,26 @@
 }
 
 void HollowFollower::on_changes(Nanos sent, const ChangesAnswer& answer) {
-    using Taken = changes::Copy::Taken;
+    using ApplyResult = changes::DocumentCopy::ApplyResult;
     const Nanos now = time_.now(), until = lease_.lease_until();
     if (answer.lease > 0) {
         lease_.renewed(sent, answer.lease);
         lapses_ += until > 0 && now > until;
     }
-    const auto before = std::tuple(copy_.version(), copy_.wants_pages(), copy_.wants_after());
+    const auto before = std::tuple(copy_.version(), copy_.needs_pages(), copy_.next_page_after());
     const std::uint64_t version = copy_.version();
-    Taken taken = Taken::known;
-    if (answer.delta) taken = copy_.take(*answer.delta);
-    if (answer.page) taken = copy_.take(*answer.page);
-    refused_ += taken == Taken::spoilt || taken == Taken::gap;
-    if (taken == Taken::taken) {
+    ApplyResult result = ApplyResult::unchanged;
+    if (answer.delta) result = copy_.apply(*answer.delta);
+    if (answer.page) result = copy_.apply(*answer.page);
+    refused_ += result == ApplyResult::corrupt || result == ApplyResult::gap;
+    if (result == ApplyResult::applied) {
         faults_ += copy_.version() <= version;
         if (answer.delta) look_at(*answer.delta);
         const Nanos at = steady_now();
         for (std::uint64_t v = version + 1; version > 0 && v <= copy_.version(); ++v) acted_[v].push_back(at);
     }
     without_lease_ = answer.lease > 0 || now < lease_.lease_until() ? 0 : without_lease_ + 1;
-    const bool further = before != std::tuple(copy_.version(), copy_.wants_pages(), copy_.wants_after());
+    const bool further = before != std::tuple(copy_.version(), copy_.needs_pages(), copy_.next_page_after());
     const Nanos earliest = sent + std::max(wait_, min_pause);
     if (!further && time_.now() < earliest)
         time_.due.move(pause_, earliest, *this, Handle{}, 0);
--- a/src/testing/hollow_follower.hpp
+++ b/src/testing/hollow_follower.hpp
@@ -41,7 +41,7 @@
                    std::size_t number, Acted& acted);
     ~HollowFollower() override;
 
-    const changes::Copy& copy() const { return copy_; }
+    const changes::DocumentCopy& copy() const { return copy_; }
     std::uint64_t applied_version() const { return copy_.version(); }
     bool holds() const { return lease_.serving_state(time_.now()) == ServingState::leased; }
     std::uint64_t lapses() const { return lapses_; }    // leases that were over before they were renewed
@@ -60,7 +60,7 @@
     EventClock& time_;
     const MemberConfig config_;
     Acted& acted_;
-    changes::Copy copy_;
+    changes::DocumentCopy copy_;
     MemberLease lease_;
     ChangeWatch watch_;
     Nanos wait_ = 0;
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -408,7 +408,7 @@
         l.max_kept = 8;
         Changes c(l);
         std::vector<Document> all{{}};
-        Copy copy;
+        DocumentCopy copy;
         std::vector<Delta> deltas;  // that were on the way once
         std::vector<Page> pages;
         for (int step = 0; step < 400; ++step) {
@@ -421,37 +421,37 @@
             }
             const std::uint64_t from = below(2) == 0 ? copy.version() : below(c.state.version() + 1);
             if (const auto delta = c.state.since(from)) deltas.push_back(*delta);
-            pages.push_back(c.state.page(below(3) == 0 ? "" : copy.wants_after(), 1 + below(60)));
+            pages.push_back(c.state.page(below(3) == 0 ? "" : copy.next_page_after(), 1 + below(60)));
             const std::uint64_t was = copy.version();
-            Copy::Taken came;
+            DocumentCopy::ApplyResult came;
             if (below(2) == 0 && !deltas.empty()) {
                 Delta d = below(3) == 0 ? deltas[below(deltas.size())] : deltas.back();
                 if (below(8) == 0 && !d.set.empty()) d.set.begin()->second += "!";
                 if (below(8) == 0) d.digest ^= 1;
                 if (below(12) == 0) d.removed.insert("k3");
-                came = copy.take(d);
-                if (came == Copy::Taken::gap) CHECK(copy.wants_pages());
+                came = copy.apply(d);
+                if (came == DocumentCopy::ApplyResult::gap) CHECK(copy.needs_pages());
             } else {
                 Page p = below(3) == 0 ? pages[below(pages.size())] : pages.back();
                 if (below(8) == 0 && !p.entries.empty()) p.entries.begin()->second += "!";
                 if (below(12) == 0) p.last = true;
-                came = copy.take(p);
-                by_pages += came == Copy::Taken::taken;
+                came = copy.apply(p);
+                by_pages += came == DocumentCopy::ApplyResult::applied;
             }
-            taken += came == Copy::Taken::taken;
-            spoilt += came == Copy::Taken::spoilt;
-            gaps += came == Copy::Taken::gap;
+            taken += came == DocumentCopy::ApplyResult::applied;
+            spoilt += came == DocumentCopy::ApplyResult::corrupt;
+            gaps += came == DocumentCopy::ApplyResult::gap;
             REQUIRE(copy.version() >= was);
-            REQUIRE((came == Copy::Taken::taken) == (copy.version() > was));
+            REQUIRE((came == DocumentCopy::ApplyResult::applied) == (copy.version() > was));
             REQUIRE(copy.document() == all[copy.version()]);
             REQUIRE(copy.digest() == digest_of(all[copy.version()]));
         }
         // By pages alone, while nothing changes.
-        Copy fresh;
+        DocumentCopy fresh;
         for (int i = 0; i < 100 && fresh.version() == 0; ++i)
-            fresh.take(c.state.page(fresh.wants_after(), 40));
+            fresh.apply(c.state.page(fresh.next_page_after(), 40));
         CHECK(fresh.document() == c.state.document());
-        CHECK_FALSE(fresh.wants_pages());
+        CHECK_FALSE(fresh.needs_pages());
     }
     CHECK(taken > 1000);
     CHECK(by_pages > 100);
@@ -460,24 +460,25 @@
 }
 
 TEST_CASE("pages that are too long, out of order or without an end are not taken") {
-    Copy copy(8);
-    CHECK(copy.take(Page{1, digest_of({{"a", "12345678"}}), "", {{"a", "12345678"}}, true}) ==
-          Copy::Taken::spoilt);
-    CHECK(copy.take(Page{1, 5, "", {}, false}) == Copy::Taken::spoilt);
-    CHECK(copy.take(Page{2, 5, "", {{"a", "1"}}, false}) == Copy::Taken::more);
-    CHECK(copy.wants_after() == "a");
-    CHECK(copy.take(Page{2, 5, "b", {{"c", "1"}}, false}) == Copy::Taken::more);  // one is missing
-    CHECK(copy.wants_after() == "a");
-    CHECK(copy.take(Page{2, 5, "a", {{"a", "1"}}, false}) == Copy::Taken::spoilt);
-    CHECK(copy.wants_after().empty());
+    DocumentCopy copy(8);
+    CHECK(copy.apply(Page{1, digest_of({{"a", "12345678"}}), "", {{"a", "12345678"}}, true}) ==
+          DocumentCopy::ApplyResult::corrupt);
+    CHECK(copy.apply(Page{1, 5, "", {}, false}) == DocumentCopy::ApplyResult::corrupt);
+    CHECK(copy.apply(Page{2, 5, "", {{"a", "1"}}, false}) == DocumentCopy::ApplyResult::incomplete);
+    CHECK(copy.next_page_after() == "a");
+    CHECK(copy.apply(Page{2, 5, "b", {{"c", "1"}}, false}) ==
+          DocumentCopy::ApplyResult::incomplete);  // one is missing
+    CHECK(copy.next_page_after() == "a");
+    CHECK(copy.apply(Page{2, 5, "a", {{"a", "1"}}, false}) == DocumentCopy::ApplyResult::corrupt);
+    CHECK(copy.next_page_after().empty());
     // Another relay that is not so far.
     const std::uint64_t digest = digest_of({{"a", "1"}});
-    CHECK(copy.take(Page{9, 5, "", {{"a", "1"}}, false}) == Copy::Taken::more);
-    CHECK(copy.take(Page{3, digest, "", {{"a", "1"}}, true}) == Copy::Taken::taken);
+    CHECK(copy.apply(Page{9, 5, "", {{"a", "1"}}, false}) == DocumentCopy::ApplyResult::incomplete);
+    CHECK(copy.apply(Page{3, digest, "", {{"a", "1"}}, true}) == DocumentCopy::ApplyResult::applied);
     CHECK(copy.version() == 3);
-    CHECK(copy.take(Page{3, digest, "", {{"a", "1"}}, true}) == Copy::Taken::known);
-    CHECK(copy.take(Delta{5, 6, {{"b", "1"}}, {}, 0}) == Copy::Taken::gap);
-    CHECK(copy.take(Delta{3, 4, {{"b", "1"}}, {"b"}, 0}) == Copy::Taken::spoilt);
+    CHECK(copy.apply(Page{3, digest, "", {{"a", "1"}}, true}) == DocumentCopy::ApplyResult::unchanged);
+    CHECK(copy.apply(Delta{5, 6, {{"b", "1"}}, {}, 0}) == DocumentCopy::ApplyResult::gap);
+    CHECK(copy.apply(Delta{3, 4, {{"b", "1"}}, {"b"}, 0}) == DocumentCopy::ApplyResult::corrupt);
 }
 
 TEST_CASE("a relay grants what is left of its own lease, to members that the stewards know") {
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -151,8 +151,8 @@
 TEST_CASE("what a relay keeps leads from each version that it still has the way from") {
     relay::DeltaHistory history(3, 1000);
     CHECK_FALSE(history.since(0));
-    changes::Copy relay_copy, copy;
-    std::vector<changes::Copy> at{copy};  // by version
+    changes::DocumentCopy relay_copy, copy;
+    std::vector<changes::DocumentCopy> at{copy};  // by version
     changes::Document document;
     for (std::uint64_t v = 1; v <= 4; ++v) {
         Delta d{v - 1, v, {{"k" + std::to_string(v % 2), std::to_string(v)}}, {}, 0};
@@ -160,7 +160,7 @@
         for (const auto& [key, value] : d.set) document[key] = value;
         for (const auto& key : d.removed) document.erase(key);
         d.digest = changes::digest_of(document);
-        REQUIRE(relay_copy.take(d) == changes::Copy::Taken::taken);
+        REQUIRE(relay_copy.apply(d) == changes::DocumentCopy::ApplyResult::applied);
         at.push_back(relay_copy);
         history.append(d);
     }
@@ -169,7 +169,7 @@
     for (std::uint64_t v = 1; v <= 3; ++v) {
         const auto delta = history.since(v);
         REQUIRE(delta);
-        CHECK(at[v].take(*delta) == changes::Copy::Taken::taken);
+        CHECK(at[v].apply(*delta) == changes::DocumentCopy::ApplyResult::applied);
         CHECK(at[v].document() == document);
     }
     history.clear();
@@ -180,18 +180,18 @@
 }
 
 TEST_CASE("pages hold one entry at least, and together the whole document") {
-    changes::Copy copy, other;
+    changes::DocumentCopy copy, other;
     Delta d{0, 1, {{"a", std::string(50, 'x')}, {"b", "1"}, {"c", "2"}, {"d", std::string(9, 'y')}}, {}, 0};
     d.digest = changes::digest_of(d.set);
-    REQUIRE(copy.take(d) == changes::Copy::Taken::taken);
+    REQUIRE(copy.apply(d) == changes::DocumentCopy::ApplyResult::applied);
     std::size_t pages = 0;
     while (other.version() == 0) {
-        const auto page = relay::page_of(copy, other.wants_after(), 10);
+        const auto page = relay::page_of(copy, other.next_page_after(), 10);
         CHECK_FALSE(page.entries.empty());
         REQUIRE(++pages < 10);
-        other.take(page);
+        other.apply(page);
     }
     CHECK(pages == 3);
     CHECK(other.document() == copy.document());
-    CHECK(relay::page_of(changes::Copy(), "", 10).last);
+    CHECK(relay::page_of(changes::DocumentCopy(), "", 10).last);
 }
