--- a/measure/changes.cpp
+++ b/measure/changes.cpp
@@ -57,16 +57,16 @@
     };
     const auto say = [&](int r, Spent& spent, std::size_t& bytes) {
         ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
-        const RelayReport word = gathered.of([&] { return g.word(now, second); });
+        const RelayReport word = gathered.of([&] { return g.next_report(now, second); });
         bytes = std::max(bytes, write_command({"", now, ReportBatch{{word}}}).size());
         const auto effects = spent.of([&] { return tell(ReportBatch{{word}}); });
-        g.taken(word.number, now, 10 * second);
+        g.acknowledge(word.number, now, 10 * second);
         return effects;
     };
     for (int r = 0; r < relays; ++r) {
         gathers.emplace_back("relay-" + std::to_string(r), "z" + std::to_string(r / 2), 1, 1000,
                              max_exceptions);
-        for (int m = 0; m < members; ++m) gathers.back().heard(now, member(r, m, 1));
+        for (int m = 0; m < members; ++m) gathers.back().record_report(now, member(r, m, 1));
         say(r, first, first_bytes);
     }
     std::size_t in_force = 0;
@@ -81,13 +81,13 @@
         for (int r = 0; r < relays; ++r) {
             ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
             for (int m = 0; m < members; ++m)
-                if (m % 10 != 0) g.heard(now, member(r, m, version));
+                if (m % 10 != 0) g.record_report(now, member(r, m, version));
             say(r, mixed, mixed_bytes);
             mixed_looked = std::max(mixed_looked, state.looked_at());
         }
         for (int r = 0; r < relays; ++r) {
             ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
-            for (int m = 0; m < members; m += 10) g.heard(now, member(r, m, version));
+            for (int m = 0; m < members; m += 10) g.record_report(now, member(r, m, version));
             std::size_t bytes = 0;
             for (const Effect& effect : say(r, mixed, bytes))
                 in_force += std::holds_alternative<AppliedEverywhere>(effect);
@@ -114,11 +114,11 @@
         now += second;
         for (int r = 1; r < relays; ++r) {
             ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
-            for (int m = 0; m < members; ++m) g.heard(now, member(r, m, state.version()));
-            const RelayReport word = g.word(now, second);
+            for (int m = 0; m < members; ++m) g.record_report(now, member(r, m, state.version()));
+            const RelayReport word = g.next_report(now, second);
             tell(ReportBatch{{word}});
             over_looked = std::max(over_looked, state.looked_at());
-            g.taken(word.number, now, 10 * second);
+            g.acknowledge(word.number, now, 10 * second);
         }
     }
     const bool kept = plain_looked == 1 && in_force == changes && state.members() == relays * members;
--- a/src/changes/change_state.cpp
+++ b/src/changes/change_state.cpp
@@ -63,10 +63,12 @@
 }
 
 std::optional<StaleReason> ChangeState::stale_reason(const RelayReport& report) const {
-    if (!well_formed(report.relay, max_name) || report.zone.size() > max_name) return StaleReason::malformed;
+    if (!well_formed(report.relay, max_name_bytes) || report.zone.size() > max_name_bytes)
+        return StaleReason::malformed;
     std::size_t new_members = 0;
     for (const MemberReport& member : report.joined) {
-        if (!well_formed(member.name, max_name) || member.lease_grace < 0) return StaleReason::malformed;
+        if (!well_formed(member.name, max_name_bytes) || member.lease_grace < 0)
+            return StaleReason::malformed;
         if (!members_.contains(member.name)) ++new_members;
     }
     // A member that is not counted must not be granted a lease: without room the report is not applied at
@@ -80,7 +82,7 @@
     if (const auto reason = stale_reason(report)) return emit_stale(report.relay, *reason);
     const std::string& name = report.relay;
     const Relay* known = relays_.find(name);
-    if (report.whole && known != nullptr) members_.release_all(name, known->lease_until);
+    if (report.full && known != nullptr) members_.release_all(name, known->lease_until);
     if (relays_.renew(report)) members_.set_lowest(name, 0, version());
     for (const auto& [member, incarnation] : report.left) members_.leave(member, incarnation);
     for (const auto& [member, incarnation] : report.lost) members_.lose(name, member, incarnation);
@@ -109,7 +111,7 @@
 }
 
 void ChangeState::publish(const std::string& asker, const DocumentChange& change) {
-    versions_.publish(cut(asker, max_name), now(), change);
+    versions_.publish(truncate_utf8(asker, max_name_bytes), now(), change);
     versions_.trim(limits_.max_kept, limits_.max_kept_bytes);
     looked_at_ += change.entries();
     emit(VersionPublished{version()});
--- a/src/changes/command_codec.cpp
+++ b/src/changes/command_codec.cpp
@@ -19,7 +19,7 @@
     json list = json::array();
     for (const MemberReport& report : reports)
         list.push_back({report.name, report.incarnation, report.lease_grace, report.applied_version,
-                        report.refused, report.why});
+                        report.refused_version, report.refusal_reason});
     return list;
 }
 std::vector<MemberReport> read_member_reports(const json& in) {
@@ -43,7 +43,7 @@
 }
 
 json json_of(const RelayReport& report) {
-    return json::array({report.relay, report.zone, report.incarnation, report.number, report.whole,
+    return json::array({report.relay, report.zone, report.incarnation, report.number, report.full,
                         json_of(report.joined), json_of(report.left), json_of(report.lost), report.lowest,
                         json_of(report.exceptions)});
 }
@@ -53,7 +53,7 @@
     report.zone = in.at(1);
     report.incarnation = in.at(2);
     report.number = in.at(3);
-    report.whole = in.at(4);
+    report.full = in.at(4);
     report.joined = read_member_reports(in.at(5));
     report.left = read_incarnations(in.at(6));
     report.lost = read_incarnations(in.at(7));
--- a/src/changes/member_table.cpp
+++ b/src/changes/member_table.cpp
@@ -18,8 +18,8 @@
 }
 
 void clear_refusal(Member& member) {
-    member.refused = 0;
-    member.why.clear();
+    member.refused_version = 0;
+    member.refusal_reason.clear();
 }
 
 // A refusal stands while a relay that has the member says so, or no relay has it.
@@ -80,7 +80,8 @@
     }
     if (place != Place::of_relay && place != Place::single) return;
     --live_;
-    if (member.refused > 0 && --refusing_[member.refused] == 0) refusing_.erase(member.refused);
+    if (member.refused_version > 0 && --refusing_[member.refused_version] == 0)
+        refusing_.erase(member.refused_version);
 }
 
 void MemberTable::put_in(const std::string& name, Entry& entry) {
@@ -95,7 +96,7 @@
         put_in_single(name, entry);
     }
     ++live_;
-    if (member.refused > 0) ++refusing_[member.refused];
+    if (member.refused_version > 0) ++refusing_[member.refused_version];
 }
 
 void MemberTable::put_in_gone(const std::string& name, Entry& entry) {
@@ -110,7 +111,7 @@
 void MemberTable::put_in_single(const std::string& name, Entry& entry) {
     Member& member = entry.member;
     entry.counted_applied = applied_version(member);
-    if (member.refused <= entry.counted_applied) clear_refusal(member);
+    if (member.refused_version <= entry.counted_applied) clear_refusal(member);
     index_.insert_single(name, entry.counted_applied);
     if (member.holds.empty()) lease_ends_.emplace(member.held_until, name);
     for (const Hold& hold : member.holds) shared_[hold.relay].insert(name);
@@ -184,7 +185,7 @@
         for (const Hold& hold : member.holds) exceptions_[hold.relay].erase(name);
         member.holds.clear();
         member.left = true;
-        member.refused = 0;
+        member.refused_version = 0;
         member.ended = now_;
     });
 }
@@ -228,16 +229,16 @@
                                                         const MemberReport& report, std::uint64_t latest) {
     hold.exception = true;
     member.stated = std::max(member.stated, agreed(report.applied_version, latest));
-    const std::uint64_t refused = agreed(report.refused, latest);
+    const std::uint64_t refused = agreed(report.refused_version, latest);
     if (refused > applied_version(member)) {
-        member.refused = refused;
-        member.why = cut(report.why, max_why);
+        member.refused_version = refused;
+        member.refusal_reason = truncate_utf8(report.refusal_reason, max_reason_bytes);
     } else {
         clear_refusal(member);
     }
-    if (member.refused <= member.refusal_emitted) return std::nullopt;
-    member.refusal_emitted = member.refused;
-    return MemberRefused{member.refused, report.name, member.why};
+    if (member.refused_version <= member.refusal_emitted) return std::nullopt;
+    member.refusal_emitted = member.refused_version;
+    return MemberRefused{member.refused_version, report.name, member.refusal_reason};
 }
 
 void MemberTable::clear_exceptions(const std::string& relay, const std::set<std::string>& names) {
@@ -324,7 +325,7 @@
             ++progress.applied;
         else
             append(progress.behind, name);
-        if (entry.member.refused > 0) append(progress.refusing, name);
+        if (entry.member.refused_version > 0) append(progress.refusing, name);
     }
     return progress;
 }
--- a/src/changes/member_table.hpp
+++ b/src/changes/member_table.hpp
@@ -29,8 +29,8 @@
 struct Member {
     std::uint64_t incarnation = 0;
     std::uint64_t stated = 0;  // the greatest version stated of it by name, or of all while it was among them
-    std::uint64_t refused = 0, refusal_emitted = 0;  // versions; 0: none
-    std::string why;                                 // of the refusal
+    std::uint64_t refused_version = 0, refusal_emitted = 0;  // versions; 0: none
+    std::string refusal_reason;                              // of the refusal
     Nanos lease_grace = 0;
     std::vector<Hold> holds;
     // The end of the leases of relays that have it no longer, and did not report it as lost.
--- a/src/changes/relay_table.cpp
+++ b/src/changes/relay_table.cpp
@@ -16,14 +16,14 @@
 std::optional<StaleReason> RelayTable::stale_reason(const RelayReport& report) const {
     const Relay* relay = find(report.relay);
     if (relay == nullptr) {
-        if (!report.whole) return StaleReason::unknown_relay;
+        if (!report.full) return StaleReason::unknown_relay;
         if (relays_.size() >= limits_.max_relays) return StaleReason::too_many_relays;
         return std::nullopt;
     }
     if (report.incarnation < relay->incarnation) return StaleReason::earlier_incarnation;
     if (report.incarnation == relay->incarnation && report.number <= relay->number)
         return StaleReason::overtaken;
-    if (report.whole) return std::nullopt;
+    if (report.full) return std::nullopt;
     if (report.incarnation > relay->incarnation) return StaleReason::new_incarnation;
     if (!relay->live) return StaleReason::lease_expired;
     return std::nullopt;
--- a/src/changes/report_aggregator.cpp
+++ b/src/changes/report_aggregator.cpp
@@ -17,10 +17,10 @@
       max_exceptions_(max_exceptions) {}
 
 // Reports may overtake each other: an older one shows that the member lives, and nothing else.
-bool ReportAggregator::heard(Nanos now, const MemberReport& report) {
-    if (report.name.empty() || report.name.size() > max_name) return false;
+bool ReportAggregator::record_report(Nanos now, const MemberReport& report) {
+    if (report.name.empty() || report.name.size() > max_name_bytes) return false;
     MemberReport kept = report;
-    kept.why = cut(kept.why, max_why);
+    kept.refusal_reason = truncate_utf8(kept.refusal_reason, max_reason_bytes);
     const auto it = members_.find(kept.name);
     if (it == members_.end()) {
         if (members_.size() >= max_members_) return false;
@@ -40,11 +40,11 @@
 
 // More of them than there may be members are not kept one by one: the next report is full instead.
 void ReportAggregator::depart(const std::string& name, std::uint64_t incarnation, bool lost) {
-    if (departed_.size() >= max_members_ && !departed_.contains(name)) return say_all();
+    if (departed_.size() >= max_members_ && !departed_.contains(name)) return require_full_report();
     departed_[name] = {incarnation, lost};
 }
 
-void ReportAggregator::left(const std::string& name, std::uint64_t incarnation) {
+void ReportAggregator::record_leave(const std::string& name, std::uint64_t incarnation) {
     const auto it = members_.find(name);
     if (it != members_.end()) {
         if (it->second.report.incarnation > incarnation) return;
@@ -53,7 +53,7 @@
     depart(name, incarnation, false);
 }
 
-Nanos ReportAggregator::grant(Nanos now, const std::string& name) {
+Nanos ReportAggregator::grant_lease(Nanos now, const std::string& name) {
     const auto it = members_.find(name);
     if (it == members_.end() || !it->second.acknowledged || lease_until_ <= now) return 0;
     it->second.granted_until = std::max(it->second.granted_until, lease_until_);
@@ -71,7 +71,7 @@
     return *nth;
 }
 
-RelayReport ReportAggregator::word(Nanos now, Nanos drift) {
+RelayReport ReportAggregator::next_report(Nanos now, Nanos drift) {
     depart_lost(now, drift);
     RelayReport report = current_report();
     if (last_report_) {
@@ -119,7 +119,7 @@
     for (const auto& [name, member] : members_) {
         if (named.size() >= max_exceptions_) break;
         const MemberReport& report = member.report;
-        if (report.applied_version >= lowest && report.refused > report.applied_version)
+        if (report.applied_version >= lowest && report.refused_version > report.applied_version)
             named.push_back(report);
     }
     std::sort(named.begin(), named.end(),
@@ -138,7 +138,7 @@
         if (departed.reported_since == 0) departed.reported_since = number_;
 }
 
-void ReportAggregator::taken(std::uint64_t number, Nanos sent, Nanos lease) {
+void ReportAggregator::acknowledge(std::uint64_t number, Nanos sent, Nanos lease) {
     const auto made = made_at_.find(number);
     if (made == made_at_.end()) return;
     lease_ = lease;
@@ -157,7 +157,7 @@
     if (last_report_ && number >= last_report_->number) last_report_.reset();
 }
 
-void ReportAggregator::say_all() {
+void ReportAggregator::require_full_report() {
     full_ = true;
     full_since_ = 0;
     departed_.clear();
--- a/src/changes/report_aggregator.hpp
+++ b/src/changes/report_aggregator.hpp
@@ -27,23 +27,23 @@
 
     // A member reported. False: an earlier incarnation than the one that is known, no room, or a malformed
     // name.
-    bool heard(Nanos now, const MemberReport& report);
+    bool record_report(Nanos now, const MemberReport& report);
     // By its own farewell.
-    void left(const std::string& name, std::uint64_t incarnation);
+    void record_leave(const std::string& name, std::uint64_t incarnation);
     // The lease that is granted to a member that is answered now: what is left of the relay's own; 0: none,
     // or the managers don't know of this member yet.
-    Nanos grant(Nanos now, const std::string& name);
+    Nanos grant_lease(Nanos now, const std::string& name);
 
     // The next report to the managers. Members are lost in it whose granted lease is over by now (and
     // `drift`), and which were not heard for a lease (and `drift`). The same report until `taken`, but for
     // what is new.
-    RelayReport word(Nanos now, Nanos drift);
+    RelayReport next_report(Nanos now, Nanos drift);
     // The managers applied the report of this number, which was sent then, for so long. One that was sent
     // twice counts from when it was first made.
-    void taken(std::uint64_t number, Nanos sent, Nanos lease);
+    void acknowledge(std::uint64_t number, Nanos sent, Nanos lease);
     // The managers know nothing of this incarnation (they lost it, or it is new to them): the next report is
     // full.
-    void say_all();
+    void require_full_report();
 
     // Of the relay's own lease; 0: it is over, or there was none yet.
     Nanos lease_left(Nanos now) const { return lease_until_ > now ? lease_until_ - now : 0; }
--- a/src/changes/reports.hpp
+++ b/src/changes/reports.hpp
@@ -12,7 +12,7 @@
 
 namespace tealcart::changes {
 
-constexpr std::size_t max_name = 128, max_why = 256;  // bytes
+constexpr std::size_t max_name_bytes = 128, max_reason_bytes = 256;  // bytes
 
 // Not empty, not longer, and without control characters.
 inline bool well_formed(const std::string& text, std::size_t max_bytes) {
@@ -22,7 +22,7 @@
 }
 
 // Not in the middle of a character of UTF-8, which no JSON would take.
-inline std::string cut(const std::string& text, std::size_t max_bytes) {
+inline std::string truncate_utf8(const std::string& text, std::size_t max_bytes) {
     if (text.size() <= max_bytes) return text;
     std::size_t end = max_bytes;
     while (end > 0 && (static_cast<unsigned char>(text[end]) & 0xc0) == 0x80) --end;
@@ -35,8 +35,8 @@
     std::uint64_t incarnation = 0;      // a new, greater number at each start
     Nanos lease_grace = 0;              // after its lease it may act by what it last knew for so long
     std::uint64_t applied_version = 0;  // the version it acts by; 0: what it was started with
-    std::uint64_t refused = 0;          // the version that it can't take over, 0 for none
-    std::string why;                    // of the refusal; what is longer than `max_why` is cut
+    std::uint64_t refused_version = 0;  // the version that it can't take over, 0 for none
+    std::string refusal_reason;         // of the refusal; what is longer than `max_why` is cut
 
     friend bool operator==(const MemberReport&, const MemberReport&) = default;
 };
@@ -48,7 +48,7 @@
 struct RelayReport {
     std::string relay, zone;
     std::uint64_t incarnation = 0, number = 0;
-    bool whole = false;  // `joined` are all its members
+    bool full = false;  // `joined` are all its members
     std::vector<MemberReport>
         joined;  // since the last report that the managers applied; refusals stand in exceptions
     std::vector<std::pair<std::string, std::uint64_t>> left,
--- a/src/changes/snapshot.cpp
+++ b/src/changes/snapshot.cpp
@@ -44,16 +44,17 @@
 json json_of(const Member& member) {
     json holds = json::array();
     for (const Hold& hold : member.holds) holds.push_back(json::array({hold.relay, hold.exception}));
-    return {member.incarnation, member.stated,    member.refused,    member.refusal_emitted, member.why,
-            member.lease_grace, std::move(holds), member.held_until, member.ended,           member.left};
+    return {member.incarnation,    member.stated,      member.refused_version, member.refusal_emitted,
+            member.refusal_reason, member.lease_grace, std::move(holds),       member.held_until,
+            member.ended,          member.left};
 }
 Member read_member(const json& in, const std::map<std::string, Relay>& relays) {
     Member member;
     member.incarnation = in.at(0);
     member.stated = in.at(1);
-    member.refused = in.at(2);
+    member.refused_version = in.at(2);
     member.refusal_emitted = in.at(3);
-    member.why = in.at(4);
+    member.refusal_reason = in.at(4);
     member.lease_grace = in.at(5);
     for (const json& hold : in.at(6)) {
         member.holds.push_back({hold.at(0), hold.at(1)});
--- a/src/relay/follower_service.cpp
+++ b/src/relay/follower_service.cpp
@@ -17,23 +17,23 @@
         return server_.answer(client, {409, write_superseded(last->second.incarnation), 0});
     if (call->leaves) return on_farewell(client, report);
     const Nanos now = time_.now();
-    if (!reports_.heard(now, report)) return error(client, 503, "it has as many followers as it may");
+    if (!reports_.record_report(now, report)) return error(client, 503, "it has as many followers as it may");
     record(report);
-    const bool lacks_lease = reports_.grant(now, report.name) == 0;
+    const bool lacks_lease = reports_.grant_lease(now, report.name) == 0;
     end_earlier_call(report.name);
     waiting_[client.slot] = {client, report.name, call->position, now + call->position.wait, lacks_lease};
     leases_changed_ = true;
 }
 
 void FollowerService::on_farewell(Handle client, const changes::MemberReport& report) {
-    reports_.left(report.name, report.incarnation);
+    reports_.record_leave(report.name, report.incarnation);
     last_reports_.erase(report.name);
     on_new_report_();
     answer(client, documents_.empty_answer());
 }
 
 void FollowerService::record(const changes::MemberReport& report) {
-    const LastReport current{report.incarnation, report.applied_version, report.refused};
+    const LastReport current{report.incarnation, report.applied_version, report.refused_version};
     const LastReport last = std::exchange(last_reports_[report.name], current);
     if (current.incarnation != last.incarnation || current.applied_version > last.applied_version ||
         current.refused != last.refused)
@@ -50,7 +50,7 @@
 
 bool FollowerService::is_due(const Waiting& waiting, Nanos now, bool leases_changed) {
     if (now >= waiting.until || waiting.position.known_version < documents_.copy().version()) return true;
-    return leases_changed && waiting.lacks_lease && reports_.grant(now, waiting.name) > 0;
+    return leases_changed && waiting.lacks_lease && reports_.grant_lease(now, waiting.name) > 0;
 }
 
 void FollowerService::answer_waiting() {
@@ -69,7 +69,7 @@
             continue;
         }
         if (!news) news = documents_.empty_answer();
-        news->lease = reports_.grant(now, waiting.name);
+        news->lease = reports_.grant_lease(now, waiting.name);
         const Handle client = waiting.client;
         it = waiting_.erase(it);
         answer(client, *news);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -107,7 +107,7 @@
 LongPollObserver::Call Relay::next_call() {
     called_at_ = time_.now();
     RelayCall call;
-    call.report = reports_.word(called_at_, drift_);
+    call.report = reports_.next_report(called_at_, drift_);
     for (const auto* removed : {&call.report.left, &call.report.lost})
         for (const auto& [name, incarnation] : *removed) followers_.forget(name, incarnation);
     exceptions_.clear();
@@ -125,10 +125,10 @@
 void Relay::on_changes(Nanos sent, const ChangesAnswer& answer) {
     managers_answered_ = true;
     drift_ = answer.drift;
-    if (answer.say_all) reports_.say_all();
+    if (answer.say_all) reports_.require_full_report();
     if (answer.taken > 0 && answer.lease > 0) {
         lease_ = answer.lease;
-        reports_.taken(answer.taken, sent, answer.lease);
+        reports_.acknowledge(answer.taken, sent, answer.lease);
         followers_.on_lease_renewed();
     }
     const std::uint64_t version_before = documents_.copy().version();
--- a/src/wire/change_messages.cpp
+++ b/src/wire/change_messages.cpp
@@ -39,8 +39,8 @@
     Json out = {{"name", report.name}, {"life", report.incarnation}};
     if (report.lease_grace > 0) out["serve_on_ms"] = report.lease_grace / millisecond;
     if (report.applied_version > 0) out["acts_on"] = report.applied_version;
-    if (report.refused > 0) out["refused"] = report.refused;
-    if (!report.why.empty()) out["why"] = cut(report.why);
+    if (report.refused_version > 0) out["refused"] = report.refused_version;
+    if (!report.refusal_reason.empty()) out["why"] = cut(report.refusal_reason);
     return out;
 }
 
@@ -54,9 +54,9 @@
     in.name("name", to.name, Presence::required, "'name' is missing or malformed");
     in.positive_number("life", to.incarnation, "'life' is missing or no number above 0");
     in.number("acts_on", to.applied_version, "'acts_on' or 'refused' is no number");
-    in.number("refused", to.refused, "'acts_on' or 'refused' is no number");
+    in.number("refused", to.refused_version, "'acts_on' or 'refused' is no number");
     in.duration("serve_on_ms", to.lease_grace, "'serve_on_ms' is no number of ms up to a year");
-    in.text("why", to.why, max_why, "'why' is no text of up to 512 bytes");
+    in.text("why", to.refusal_reason, max_why, "'why' is no text of up to 512 bytes");
 }
 
 bool read_report_item(const Json& item, MemberReport& to) {
@@ -173,7 +173,7 @@
                 {"lowest", report.lowest}};
     write_position(out, call.position);
     if (!report.zone.empty()) out["zone"] = report.zone;
-    if (report.whole) out["whole"] = true;
+    if (report.full) out["whole"] = true;
     if (!report.joined.empty()) out["joined"] = write_reports(report.joined);
     if (!report.left.empty()) out["left"] = report.left;
     if (!report.lost.empty()) out["lost"] = report.lost;
@@ -192,7 +192,7 @@
     in.positive_number("number", report.number, "'number' is missing or no number above 0");
     in.number("lowest", report.lowest, "'lowest' is no number");
     read_position(in, call.position);
-    in.flag("whole", report.whole, "'whole' is no truth value");
+    in.flag("whole", report.full, "'whole' is no truth value");
     in.list("joined", report.joined, read_report_item, "'joined' is malformed");
     in.list("left", report.left, read_incarnation, "'left' is malformed");
     in.list("lost", report.lost, read_incarnation, "'lost' is malformed");
--- a/tests/change_messages_test.cpp
+++ b/tests/change_messages_test.cpp
@@ -21,7 +21,7 @@
     RelayCall call;
     call.report.relay = "relay-a1", call.report.zone = "a", call.report.incarnation = 9,
     call.report.number = 3;
-    call.report.whole = true;
+    call.report.full = true;
     call.report.joined = {{"r1", 7, 1000 * ms, 41, 0, ""}, {"r2", 1, 0, 0, 0, ""}};
     call.report.left = {{"r3", 5}};
     call.report.lost = {{"r4", 6}, {"r5", 8}};
@@ -102,11 +102,11 @@
 
 TEST_CASE("what a refusal says is cut and never fails to be written") {
     FollowerCall call = follower();
-    call.report.why = "\xff\xfe" + std::string(2000, 'x');
+    call.report.refusal_reason = "\xff\xfe" + std::string(2000, 'x');
     const auto read = read_follower_call(write_follower_call(call));
     INFO((read ? "" : read.error().reason));
     REQUIRE(read);
-    CHECK(read->report.why.size() <= 512);
+    CHECK(read->report.refusal_reason.size() <= 512);
 }
 
 TEST_CASE("what is no call is refused with words") {
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -131,10 +131,10 @@
 
     std::optional<StaleReason> fault(const RelayReport& w) {
         const Relay* r = relay(w.relay);
-        if (r == nullptr) return w.whole ? std::nullopt : std::optional(StaleReason::unknown_relay);
+        if (r == nullptr) return w.full ? std::nullopt : std::optional(StaleReason::unknown_relay);
         if (w.incarnation < r->incarnation) return StaleReason::earlier_incarnation;
         if (w.incarnation == r->incarnation && w.number <= r->number) return StaleReason::overtaken;
-        if (w.whole) return std::nullopt;
+        if (w.full) return std::nullopt;
         if (w.incarnation > r->incarnation) return StaleReason::new_incarnation;
         return r->live ? std::nullopt : std::optional(StaleReason::lease_expired);
     }
@@ -142,7 +142,7 @@
         if (const auto reason = fault(w)) return effects.push_back(StaleReport{version(), w.relay, *reason});
         Relay* r = relay(w.relay);
         if (r == nullptr) r = &relays.emplace_back(Relay{w.relay, w.incarnation});
-        if (w.whole) drop_all(*r);
+        if (w.full) drop_all(*r);
         if (!r->live || r->incarnation != w.incarnation) r->lease = before_all;
         r->incarnation = w.incarnation, r->number = w.number, r->live = true;
         r->lease = std::max(r->lease, now + limits.lease);
@@ -188,10 +188,10 @@
             has->exception = true;
             listed.insert(e.name);
             m->stated = std::max(m->stated, agreed(e.applied_version));
-            m->refused = agreed(e.refused) > applied_version(*m) ? e.refused : 0;
+            m->refused = agreed(e.refused_version) > applied_version(*m) ? e.refused_version : 0;
             if (m->refused > m->told) {
                 m->told = m->refused;
-                effects.push_back(MemberRefused{m->refused, e.name, e.why});
+                effects.push_back(MemberRefused{m->refused, e.name, e.refusal_reason});
             }
         }
         for (Who& m : members)
@@ -308,7 +308,7 @@
         w.applied_version =
             version - std::min<std::uint64_t>(version, static_cast<std::uint64_t>(below(random, 4)));
         if (below(random, 25) == 0) w.applied_version = version + 3;
-        if (below(random, 3) == 0) w.refused = version, w.why = "no";
+        if (below(random, 3) == 0) w.refused_version = version, w.refusal_reason = "no";
         return w;
     }
     RelayReport relay_word(std::uint64_t version) {
@@ -320,7 +320,7 @@
         if (incarnation == 0 || below(random, 25) == 0) ++incarnation, number = 0, first = true;
         w.incarnation = incarnation;
         w.number = below(random, 12) == 0 ? number : ++number;
-        w.whole = std::exchange(first, false) || below(random, 8) == 0;
+        w.full = std::exchange(first, false) || below(random, 8) == 0;
         for (int i = below(random, 4); i > 0; --i) w.joined.push_back(member_word(version));
         for (int i = below(random, 2); i > 0; --i) {
             const MemberReport m = member_word(version);
@@ -553,8 +553,8 @@
         const auto at = static_cast<std::size_t>(m.relay);
         send([this, who, at, word = m.word(), sent, turn = m.turn] {
             RelayAt& r = relays[at];
-            if (!r.gather || !r.gather->heard(r.clock(now), word)) return;
-            const Nanos grant = r.gather->grant(r.clock(now), word.name);
+            if (!r.gather || !r.gather->record_report(r.clock(now), word)) return;
+            const Nanos grant = r.gather->grant_lease(r.clock(now), word.name);
             send([this, who, sent, turn, grant, latest = r.knows] {
                 MemberAt& to = members[who];
                 if (!to.runs || to.turn != turn || to.paused_until > now) return;
@@ -573,7 +573,7 @@
     }
     void relay_says(RelayAt& r) {
         r.says_at = now + (5 + below(random, 10)) * step;
-        const RelayReport word = r.gather->word(r.clock(now), drift);
+        const RelayReport word = r.gather->next_report(r.clock(now), drift);
         if (r.cut_until > now) return;
         const auto at = static_cast<std::size_t>(&r - relays.data());
         send([this, at, word, sent = r.clock(now), incarnation = r.incarnation] {
@@ -584,9 +584,9 @@
                 RelayAt& to = relays[at];
                 if (!to.gather || to.incarnation != incarnation || to.cut_until > now) return;
                 if (last >= number)
-                    to.gather->taken(number, sent, lease);
+                    to.gather->acknowledge(number, sent, lease);
                 else
-                    to.gather->say_all();
+                    to.gather->require_full_report();
                 to.knows = std::max(to.knows, latest);
             });
         });
@@ -671,7 +671,7 @@
                 if (below(random, 2) == 0)
                     send([this, at = static_cast<std::size_t>(m.relay), name = m.name,
                           incarnation = m.incarnation] {
-                        if (relays[at].gather) relays[at].gather->left(name, incarnation);
+                        if (relays[at].gather) relays[at].gather->record_leave(name, incarnation);
                     });
             }
         }
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -41,7 +41,7 @@
     }
     RelayReport first(const std::string& relay, std::vector<MemberReport> joined, std::uint64_t lowest = 0) {
         RelayReport w = word(relay, lowest);
-        w.whole = true;
+        w.full = true;
         w.joined = std::move(joined);
         return w;
     }
@@ -173,7 +173,7 @@
     RelayReport again = c.first("r1", {member("m1", 1)}, 1);
     again.incarnation = 2, again.number = 1;
     RelayReport not_whole = again;
-    not_whole.whole = false;
+    not_whole.full = false;
     CHECK(kinds(c.says(not_whole)) == kinds_of<Effect, StaleReport>());
     CHECK(c.says(again).empty());
     CHECK(c.state.knows_later_incarnation("r1", 1));
@@ -483,101 +483,102 @@
 
 TEST_CASE("a relay grants what is left of its own lease, to members that the stewards know") {
     ReportAggregator g("r1", "z", 1, 10, 2);
-    REQUIRE(g.heard(0, member("m1")));
-    CHECK(g.grant(0, "m1") == 0);
-    const RelayReport first = g.word(0, second);
-    CHECK(first.whole);
+    REQUIRE(g.record_report(0, member("m1")));
+    CHECK(g.grant_lease(0, "m1") == 0);
+    const RelayReport first = g.next_report(0, second);
+    CHECK(first.full);
     CHECK(first.joined.size() == 1);
-    REQUIRE(g.heard(second, member("m2", 3)));
-    const RelayReport next = g.word(second, second);
+    REQUIRE(g.record_report(second, member("m2", 3)));
+    const RelayReport next = g.next_report(second, second);
     CHECK(next.number == 2);
-    CHECK(next.whole);
+    CHECK(next.full);
     CHECK(next.joined.size() == 2);
-    CHECK(g.word(second, second) == next);  // nothing new
+    CHECK(g.next_report(second, second) == next);  // nothing new
     // Sent a second time later, it still counts from when it was made.
-    g.taken(1, 4 * second, 10 * second);
-    CHECK(g.grant(5 * second, "m1") == 5 * second);
-    CHECK(g.grant(5 * second, "m2") == 0);
-    g.taken(2, second, 10 * second);
-    CHECK(g.grant(5 * second, "m2") == 6 * second);
-    CHECK(g.grant(11 * second, "m2") == 0);
-    CHECK(g.grant(5 * second, "m3") == 0);
-    const RelayReport plain = g.word(6 * second, second);
-    CHECK_FALSE(plain.whole);
+    g.acknowledge(1, 4 * second, 10 * second);
+    CHECK(g.grant_lease(5 * second, "m1") == 5 * second);
+    CHECK(g.grant_lease(5 * second, "m2") == 0);
+    g.acknowledge(2, second, 10 * second);
+    CHECK(g.grant_lease(5 * second, "m2") == 6 * second);
+    CHECK(g.grant_lease(11 * second, "m2") == 0);
+    CHECK(g.grant_lease(5 * second, "m3") == 0);
+    const RelayReport plain = g.next_report(6 * second, second);
+    CHECK_FALSE(plain.full);
     CHECK(plain.joined.empty());
     CHECK(plain.number == 3);
     // The managers know nothing of it: all is said again, and nothing granted until they took it.
-    g.say_all();
-    CHECK(g.grant(6 * second, "m1") == 0);
-    const RelayReport all = g.word(6 * second, second);
-    CHECK(all.whole);
+    g.require_full_report();
+    CHECK(g.grant_lease(6 * second, "m1") == 0);
+    const RelayReport all = g.next_report(6 * second, second);
+    CHECK(all.full);
     CHECK(all.joined.size() == 2);
-    g.taken(3, 6 * second, 10 * second);
-    CHECK(g.grant(6 * second, "m1") == 0);
-    g.taken(all.number, 6 * second, 10 * second);
-    CHECK(g.grant(6 * second, "m1") == 10 * second);
+    g.acknowledge(3, 6 * second, 10 * second);
+    CHECK(g.grant_lease(6 * second, "m1") == 0);
+    g.acknowledge(all.number, 6 * second, 10 * second);
+    CHECK(g.grant_lease(6 * second, "m1") == 10 * second);
 }
 
 TEST_CASE("a relay says who is lost once what it granted and the drift are over, and who left") {
     ReportAggregator g("r1", "z", 1, 3, 2);
-    for (const char* name : {"m1", "m2", "m3"}) REQUIRE(g.heard(0, member(name)));
-    CHECK_FALSE(g.heard(0, member("m4")));
-    g.taken(g.word(0, second).number, 0, 10 * second);
-    for (const char* name : {"m1", "m2", "m3"}) CHECK(g.grant(second, name) == 9 * second);
-    g.left("m3", 1);
-    REQUIRE(g.heard(5 * second, member("m2")));
-    RelayReport w = g.word(11 * second, second);
+    for (const char* name : {"m1", "m2", "m3"}) REQUIRE(g.record_report(0, member(name)));
+    CHECK_FALSE(g.record_report(0, member("m4")));
+    g.acknowledge(g.next_report(0, second).number, 0, 10 * second);
+    for (const char* name : {"m1", "m2", "m3"}) CHECK(g.grant_lease(second, name) == 9 * second);
+    g.record_leave("m3", 1);
+    REQUIRE(g.record_report(5 * second, member("m2")));
+    RelayReport w = g.next_report(11 * second, second);
     CHECK(w.left == std::vector<std::pair<std::string, std::uint64_t>>{{"m3", 1}});
     CHECK(w.lost.empty());
-    w = g.word(11 * second + 1, second);
+    w = g.next_report(11 * second + 1, second);
     CHECK(w.lost == std::vector<std::pair<std::string, std::uint64_t>>{{"m1", 1}});
     CHECK(g.members() == 1);
     // Back before the managers took that: then it is not lost but joined.
-    REQUIRE(g.heard(12 * second, member("m1")));
-    const RelayReport back = g.word(12 * second, second);
+    REQUIRE(g.record_report(12 * second, member("m1")));
+    const RelayReport back = g.next_report(12 * second, second);
     CHECK(back.lost.empty());
     CHECK(back.joined == std::vector<MemberReport>{member("m1")});
-    g.taken(w.number, 11 * second, 10 * second);
-    CHECK(g.grant(12 * second, "m1") == 0);
-    g.taken(back.number, 12 * second, 10 * second);
-    CHECK(g.grant(12 * second, "m1") > 0);
-    CHECK(g.word(13 * second, second).left.empty());
+    g.acknowledge(w.number, 11 * second, 10 * second);
+    CHECK(g.grant_lease(12 * second, "m1") == 0);
+    g.acknowledge(back.number, 12 * second, 10 * second);
+    CHECK(g.grant_lease(12 * second, "m1") > 0);
+    CHECK(g.next_report(13 * second, second).left.empty());
     // An earlier incarnation says nothing, a later one is joined anew.
-    CHECK(g.heard(13 * second, member("m1", 2, 2)));
-    CHECK_FALSE(g.heard(13 * second, member("m1", 3, 1)));
-    CHECK(g.grant(13 * second, "m1") == 0);
-    g.left("m1", 1);
+    CHECK(g.record_report(13 * second, member("m1", 2, 2)));
+    CHECK_FALSE(g.record_report(13 * second, member("m1", 3, 1)));
+    CHECK(g.grant_lease(13 * second, "m1") == 0);
+    g.record_leave("m1", 1);
     CHECK(g.members() == 2);
 }
 
 TEST_CASE("where there are more exceptions than are named, the lowest version holds for those that aren't") {
     ReportAggregator g("r1", "z", 1, 100, 2);
     CHECK(g.lowest() == 0);
-    for (std::uint64_t i = 0; i < 6; ++i) REQUIRE(g.heard(0, member("m" + std::to_string(i), i < 4 ? i : 9)));
-    RelayReport w = g.word(0, second);
+    for (std::uint64_t i = 0; i < 6; ++i)
+        REQUIRE(g.record_report(0, member("m" + std::to_string(i), i < 4 ? i : 9)));
+    RelayReport w = g.next_report(0, second);
     CHECK(w.lowest == 2);
     CHECK(w.exceptions == std::vector<MemberReport>{member("m0", 0), member("m1", 1)});
-    REQUIRE(g.heard(0, member("m2", 9)));
-    REQUIRE(g.heard(0, member("m3", 9)));
-    CHECK(g.word(0, second).lowest == 9);
+    REQUIRE(g.record_report(0, member("m2", 9)));
+    REQUIRE(g.record_report(0, member("m3", 9)));
+    CHECK(g.next_report(0, second).lowest == 9);
     // A word that was overtaken says nothing.
-    REQUIRE(g.heard(0, member("m2", 4)));
-    CHECK(g.word(0, second).lowest == 9);
+    REQUIRE(g.record_report(0, member("m2", 4)));
+    CHECK(g.next_report(0, second).lowest == 9);
     // Who refuses is named as far as there is room, also where no version is lower.
     ReportAggregator all("r1", "z", 1, 100, 2);
-    for (int i = 0; i < 4; ++i) REQUIRE(all.heard(0, refuses("m" + std::to_string(i), 5, 6)));
-    w = all.word(0, second);
+    for (int i = 0; i < 4; ++i) REQUIRE(all.record_report(0, refuses("m" + std::to_string(i), 5, 6)));
+    w = all.next_report(0, second);
     CHECK(w.lowest == 5);
     CHECK(w.exceptions.size() == 2);
 }
 
 TEST_CASE("a long reason is cut between two characters, a name that is too long is not heard") {
-    CHECK(cut("abc", 3) == "abc");
-    CHECK(cut("a\xc3\xa4\xc3\xa4", 4) == "a\xc3\xa4");
-    CHECK(cut("a\xc3\xa4\xc3\xa4", 3) == "a\xc3\xa4");
+    CHECK(truncate_utf8("abc", 3) == "abc");
+    CHECK(truncate_utf8("a\xc3\xa4\xc3\xa4", 4) == "a\xc3\xa4");
+    CHECK(truncate_utf8("a\xc3\xa4\xc3\xa4", 3) == "a\xc3\xa4");
     MemberReport w = refuses("m1", 0, 1);
-    w.why.clear();
-    for (int i = 0; i < 200; ++i) w.why += "\xe2\x82\xac";
+    w.refusal_reason.clear();
+    for (int i = 0; i < 200; ++i) w.refusal_reason += "\xe2\x82\xac";
     Changes c;
     c.says(c.first("r1", {member("m1")}));
     c.set("a", "1");
@@ -585,8 +586,8 @@
     REQUIRE(told.size() >= 1);
     CHECK(std::get<MemberRefused>(told[0]).reason.size() == 255);
     ReportAggregator g("r1", "z", 1, 10, 2);
-    CHECK_FALSE(g.heard(0, member("")));
-    CHECK_FALSE(g.heard(0, member(std::string(129, 'm'))));
-    REQUIRE(g.heard(0, w));
-    CHECK(g.word(0, second).joined.at(0).why.size() == 255);
+    CHECK_FALSE(g.record_report(0, member("")));
+    CHECK_FALSE(g.record_report(0, member(std::string(129, 'm'))));
+    REQUIRE(g.record_report(0, w));
+    CHECK(g.next_report(0, second).joined.at(0).refusal_reason.size() == 255);
 }
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -176,7 +176,7 @@
     std::uint64_t version() const { return documents.size() - 1; }
     bool heard(std::uint64_t applied_version, std::uint64_t refused = 0) const {
         return !calls.empty() && calls.back().report.applied_version == applied_version &&
-               calls.back().report.refused == refused;
+               calls.back().report.refused_version == refused;
     }
 
     boost::asio::io_context& io;
@@ -384,7 +384,7 @@
     relay.publish({{"two_phase.part", "audit = 1"}, {"calls", "parts = 2"}, {"log", "level = \"loud\""}});
     w.until([&] { return relay.heard(1, 2); });
     CHECK(relay.calls.back().position.known_version == 2);
-    CHECK(relay.calls.back().report.why.find(
+    CHECK(relay.calls.back().report.refusal_reason.find(
               "block calls holds at the start only; log:1:9: 'level' is none of") == 0);
     w.ask(w.asking());
     CHECK(w.ask(w.asking()).pruned.sections > 0);  // no part of it was applied
@@ -393,12 +393,13 @@
     SECTION("a further version with the old content is taken over") {
         relay.publish(relay.documents[1]);
         w.until([&] { return relay.heard(3); });
-        CHECK(relay.calls.back().report.why.empty());
+        CHECK(relay.calls.back().report.refusal_reason.empty());
     }
     SECTION("another wrong one is refused in its turn") {
         relay.publish({{"sharding", ""}});
         w.until([&] { return relay.heard(1, 3); });
-        CHECK(relay.calls.back().report.why == "sharding:1:1: a block 'sharding' is not known here");
+        CHECK(relay.calls.back().report.refusal_reason ==
+              "sharding:1:1: a block 'sharding' is not known here");
     }
 }
 
--- a/tests/recorded_messages_test.cpp
+++ b/tests/recorded_messages_test.cpp
@@ -102,7 +102,7 @@
     RelayCall call;
     changes::RelayReport& report = call.report;
     report.relay = "relay-a1", report.zone = "a", report.incarnation = 9, report.number = 3;
-    report.whole = true;
+    report.full = true;
     report.joined = {{"r1", 7, 1000 * ms, 41, 0, ""}, {"r2", 1, 0, 0, 0, ""}};
     report.left = {{"r3", 5}};
     report.lost = {{"r4", 6}, {"r5", 8}};
