--- a/src/changes/applied_index.cpp
+++ b/src/changes/applied_index.cpp
@@ -15,17 +15,17 @@
     update_minimum(relay, entry);
 }
 
-void AppliedIndex::insert_of_relay(const std::string& relay, const std::string& member, std::uint64_t stated,
-                                   bool exception) {
+void AppliedIndex::insert_by_relay(const std::string& relay, const std::string& member,
+                                   std::uint64_t reported_version, bool exception) {
     Relay& entry = relays_[relay];
-    (exception ? entry.exceptions : entry.plain).emplace(stated, member);
+    (exception ? entry.exceptions : entry.plain).emplace(reported_version, member);
     update_minimum(relay, entry);
 }
 
-void AppliedIndex::erase_of_relay(const std::string& relay, const std::string& member, std::uint64_t stated,
-                                  bool exception) {
+void AppliedIndex::erase_by_relay(const std::string& relay, const std::string& member,
+                                  std::uint64_t reported_version, bool exception) {
     Relay& entry = relays_[relay];
-    (exception ? entry.exceptions : entry.plain).erase({stated, member});
+    (exception ? entry.exceptions : entry.plain).erase({reported_version, member});
     update_minimum(relay, entry);
 }
 
@@ -34,13 +34,13 @@
     const auto it = relays_.find(relay);
     if (it == relays_.end()) return names;
     for (const ByVersion* members : {&it->second.plain, &it->second.exceptions})
-        for (const auto& [stated, name] : *members) names.push_back(name);
+        for (const auto& [reported_version, name] : *members) names.push_back(name);
     return names;
 }
 
 std::optional<std::uint64_t> AppliedIndex::lowest() const {
     std::optional<std::uint64_t> lowest;
-    for (const ByVersion* versions : {&relay_minima_, &singles_}) {
+    for (const ByVersion* versions : {&relay_minima_, &individual_members_}) {
         if (versions->empty()) continue;
         lowest = std::min(lowest.value_or(UINT64_MAX), versions->begin()->first);
     }
@@ -49,7 +49,7 @@
 
 void AppliedIndex::clear_members() {
     relay_minima_.clear();
-    singles_.clear();
+    individual_members_.clear();
     for (auto& [name, relay] : relays_) {
         relay.plain.clear();
         relay.exceptions.clear();
--- a/src/changes/applied_index.hpp
+++ b/src/changes/applied_index.hpp
@@ -22,16 +22,18 @@
     void drop_relay(const std::string& relay) { relays_.erase(relay); }  // which has no members here
 
     // `stated`: the greatest version that was stated of the member itself.
-    void insert_of_relay(const std::string& relay, const std::string& member, std::uint64_t stated,
+    void insert_by_relay(const std::string& relay, const std::string& member, std::uint64_t reported_version,
                          bool exception);
-    void erase_of_relay(const std::string& relay, const std::string& member, std::uint64_t stated,
+    void erase_by_relay(const std::string& relay, const std::string& member, std::uint64_t reported_version,
                         bool exception);
     std::vector<std::string> members_of(const std::string& relay) const;
 
-    void insert_single(const std::string& member, std::uint64_t applied) {
-        singles_.emplace(applied, member);
+    void insert_individual(const std::string& member, std::uint64_t applied) {
+        individual_members_.emplace(applied, member);
+    }
+    void erase_individual(const std::string& member, std::uint64_t applied) {
+        individual_members_.erase({applied, member});
     }
-    void erase_single(const std::string& member, std::uint64_t applied) { singles_.erase({applied, member}); }
 
     // Nothing: there is no member.
     std::optional<std::uint64_t> lowest() const;
@@ -50,7 +52,7 @@
 
     std::map<std::string, Relay> relays_;
     ByVersion relay_minima_;
-    ByVersion singles_;
+    ByVersion individual_members_;
 };
 
 }  // namespace tealcart::changes
--- a/src/changes/member_table.cpp
+++ b/src/changes/member_table.cpp
@@ -9,12 +9,14 @@
 
 using replicated::saturating_add;
 
-std::uint64_t agreed(std::uint64_t version, std::uint64_t latest) { return version > latest ? 0 : version; }
+std::uint64_t agreed_or_none(std::uint64_t version, std::uint64_t latest) {
+    return version > latest ? 0 : version;
+}
 
-Hold* hold_of(Member& member, const std::string& relay) {
-    const auto hold = std::find_if(member.holds.begin(), member.holds.end(),
-                                   [&](const Hold& one) { return one.relay == relay; });
-    return hold == member.holds.end() ? nullptr : &*hold;
+RelayAttachment* attachment_of(Member& member, const std::string& relay) {
+    const auto attachment = std::find_if(member.attachments.begin(), member.attachments.end(),
+                                         [&](const RelayAttachment& one) { return one.relay == relay; });
+    return attachment == member.attachments.end() ? nullptr : &*attachment;
 }
 
 void clear_refusal(Member& member) {
@@ -24,13 +26,14 @@
 
 // A refusal stands while a relay that has the member says so, or no relay has it.
 void clear_unsupported_refusal(Member& member) {
-    const bool supported = std::any_of(member.holds.begin(), member.holds.end(),
-                                       [](const Hold& hold) { return hold.exception; });
+    const bool supported =
+        std::any_of(member.attachments.begin(), member.attachments.end(),
+                    [](const RelayAttachment& attachment) { return attachment.exception; });
     if (!supported) clear_refusal(member);
 }
 
 // When its last lease has ended.
-Nanos end_of(const Member& member) { return std::max(member.held_until, member.ended); }
+Nanos last_lease_end(const Member& member) { return std::max(member.lease_until, member.ended_at); }
 
 }  // namespace
 
@@ -44,96 +47,99 @@
 
 // What is known of the member by name, and what its relays say of all that they don't name.
 std::uint64_t MemberTable::applied_version(const Member& member) const {
-    std::uint64_t version = member.stated;
-    for (const Hold& hold : member.holds)
-        if (!hold.exception) version = std::max(version, index_.lowest_of(hold.relay));
+    std::uint64_t version = member.reported_version;
+    for (const RelayAttachment& attachment : member.attachments)
+        if (!attachment.exception) version = std::max(version, index_.lowest_of(attachment.relay));
     return version;
 }
 
 bool MemberTable::may_act(const Entry& entry) const {
     const Member& member = entry.member;
     if (member.left) return false;
-    if (entry.place != Place::gone) return true;
-    return now_ <= saturating_add(saturating_add(end_of(member), member.lease_grace), limits_.drift);
+    if (entry.counted_as != CountedAs::inactive) return true;
+    return now_ <= saturating_add(saturating_add(last_lease_end(member), member.lease_grace), limits_.drift);
 }
 
 template <typename Change>
 void MemberTable::change(const std::string& name, Entry& entry, Change change) {
-    take_out(name, entry);
+    remove_from_counts(name, entry);
     change(entry.member);
-    put_in(name, entry);
+    add_to_counts(name, entry);
 }
 
-void MemberTable::take_out(const std::string& name, Entry& entry) {
+void MemberTable::remove_from_counts(const std::string& name, Entry& entry) {
     ++looked_at_;
     Member& member = entry.member;
-    const Place place = std::exchange(entry.place, Place::nowhere);
-    if (place == Place::of_relay) {
-        const Hold& hold = member.holds.front();
-        index_.erase_of_relay(hold.relay, name, member.stated, hold.exception);
-    } else if (place == Place::single) {
-        index_.erase_single(name, entry.counted_applied);
-        if (member.holds.empty()) lease_ends_.erase({member.held_until, name});
-        for (const Hold& hold : member.holds) shared_[hold.relay].erase(name);
-    } else if (place == Place::gone) {
-        gone_.erase({entry.forget_at, name});
+    const CountedAs counted_as = std::exchange(entry.counted_as, CountedAs::nothing);
+    if (counted_as == CountedAs::by_relay) {
+        const RelayAttachment& attachment = member.attachments.front();
+        index_.erase_by_relay(attachment.relay, name, member.reported_version, attachment.exception);
+    } else if (counted_as == CountedAs::individual) {
+        index_.erase_individual(name, entry.counted_applied);
+        if (member.attachments.empty()) lease_ends_.erase({member.lease_until, name});
+        for (const RelayAttachment& attachment : member.attachments)
+            shared_members_[attachment.relay].erase(name);
+    } else if (counted_as == CountedAs::inactive) {
+        inactive_.erase({entry.forget_at, name});
     }
-    if (place != Place::of_relay && place != Place::single) return;
+    if (counted_as != CountedAs::by_relay && counted_as != CountedAs::individual) return;
     --live_;
     if (member.refused_version > 0 && --refusing_[member.refused_version] == 0)
         refusing_.erase(member.refused_version);
 }
 
-void MemberTable::put_in(const std::string& name, Entry& entry) {
+void MemberTable::add_to_counts(const std::string& name, Entry& entry) {
     Member& member = entry.member;
-    if (member.holds.empty() && (member.left || lease_expired(member.held_until)))
-        return put_in_gone(name, entry);
-    if (member.holds.size() == 1) {
-        const Hold& hold = member.holds.front();
-        index_.insert_of_relay(hold.relay, name, member.stated, hold.exception);
-        entry.place = Place::of_relay;
+    if (member.attachments.empty() && (member.left || lease_expired(member.lease_until)))
+        return add_inactive(name, entry);
+    if (member.attachments.size() == 1) {
+        const RelayAttachment& attachment = member.attachments.front();
+        index_.insert_by_relay(attachment.relay, name, member.reported_version, attachment.exception);
+        entry.counted_as = CountedAs::by_relay;
     } else {
-        put_in_single(name, entry);
+        add_individual(name, entry);
     }
     ++live_;
     if (member.refused_version > 0) ++refusing_[member.refused_version];
 }
 
-void MemberTable::put_in_gone(const std::string& name, Entry& entry) {
+void MemberTable::add_inactive(const std::string& name, Entry& entry) {
     const Member& member = entry.member;
     const Nanos may_act_for = saturating_add(member.lease_grace, limits_.drift);
     const Nanos remembered = member.left ? limits_.forget_after : std::max(limits_.forget_after, may_act_for);
-    entry.forget_at = saturating_add(end_of(member), remembered);
-    gone_.emplace(entry.forget_at, name);
-    entry.place = Place::gone;
+    entry.forget_at = saturating_add(last_lease_end(member), remembered);
+    inactive_.emplace(entry.forget_at, name);
+    entry.counted_as = CountedAs::inactive;
 }
 
-void MemberTable::put_in_single(const std::string& name, Entry& entry) {
+void MemberTable::add_individual(const std::string& name, Entry& entry) {
     Member& member = entry.member;
     entry.counted_applied = applied_version(member);
     if (member.refused_version <= entry.counted_applied) clear_refusal(member);
-    index_.insert_single(name, entry.counted_applied);
-    if (member.holds.empty()) lease_ends_.emplace(member.held_until, name);
-    for (const Hold& hold : member.holds) shared_[hold.relay].insert(name);
-    entry.place = Place::single;
+    index_.insert_individual(name, entry.counted_applied);
+    if (member.attachments.empty()) lease_ends_.emplace(member.lease_until, name);
+    for (const RelayAttachment& attachment : member.attachments)
+        shared_members_[attachment.relay].insert(name);
+    entry.counted_as = CountedAs::individual;
 }
 
 // What the relay said of the member while it had it stays true: no incarnation gives a version up for an
 // earlier one.
 void MemberTable::release(Member& member, const std::string& relay) {
-    member.stated = applied_version(member);
-    std::erase_if(member.holds, [&](const Hold& hold) { return hold.relay == relay; });
-    if (!member.holds.empty()) clear_unsupported_refusal(member);
+    member.reported_version = applied_version(member);
+    std::erase_if(member.attachments,
+                  [&](const RelayAttachment& attachment) { return attachment.relay == relay; });
+    if (!member.attachments.empty()) clear_unsupported_refusal(member);
 }
 
 void MemberTable::release_all(const std::string& relay, Nanos lease_until) {
     std::vector<std::string> names = index_.members_of(relay);
-    if (const auto shared = shared_.find(relay); shared != shared_.end())
+    if (const auto shared = shared_members_.find(relay); shared != shared_members_.end())
         names.insert(names.end(), shared->second.begin(), shared->second.end());
     for (const std::string& name : names)
         change(name, members_.at(name), [&](Member& member) {
             release(member, relay);
-            member.held_until = std::max(member.held_until, lease_until);
+            member.lease_until = std::max(member.lease_until, lease_until);
         });
     exceptions_.erase(relay);
 }
@@ -141,16 +147,16 @@
 void MemberTable::drop_relay(const std::string& relay) {
     ++looked_at_;
     index_.drop_relay(relay);
-    shared_.erase(relay);
+    shared_members_.erase(relay);
     exceptions_.erase(relay);
 }
 
 void MemberTable::set_lowest(const std::string& relay, std::uint64_t lowest, std::uint64_t latest) {
-    const std::uint64_t version = agreed(lowest, latest);
+    const std::uint64_t version = agreed_or_none(lowest, latest);
     if (version == index_.lowest_of(relay)) return;
     index_.set_lowest(relay, version);
-    const auto shared = shared_.find(relay);
-    if (shared == shared_.end()) return;
+    const auto shared = shared_members_.find(relay);
+    if (shared == shared_members_.end()) return;
     const std::set<std::string> names = shared->second;
     for (const std::string& name : names) change(name, members_.at(name), [](Member&) {});
 }
@@ -162,14 +168,16 @@
     if (report.incarnation < entry.member.incarnation) return StaleReason::earlier_incarnation;
     change(report.name, entry, [&](Member& member) {
         if (report.incarnation > member.incarnation) {
-            for (const Hold& hold : member.holds) exceptions_[hold.relay].erase(report.name);
+            for (const RelayAttachment& attachment : member.attachments)
+                exceptions_[attachment.relay].erase(report.name);
             member = Member{};
         }
         member.incarnation = report.incarnation;
         member.left = false;
         member.lease_grace = report.lease_grace;
-        member.stated = std::max(member.stated, agreed(report.applied_version, latest));
-        if (hold_of(member, relay) == nullptr) member.holds.push_back({relay, false});
+        member.reported_version =
+            std::max(member.reported_version, agreed_or_none(report.applied_version, latest));
+        if (attachment_of(member, relay) == nullptr) member.attachments.push_back({relay, false});
         clear_unsupported_refusal(member);
     });
     return std::nullopt;
@@ -181,12 +189,13 @@
     if (it == members_.end() || it->second.member.incarnation != incarnation || it->second.member.left)
         return;
     change(name, it->second, [&](Member& member) {
-        member.stated = applied_version(member);
-        for (const Hold& hold : member.holds) exceptions_[hold.relay].erase(name);
-        member.holds.clear();
+        member.reported_version = applied_version(member);
+        for (const RelayAttachment& attachment : member.attachments)
+            exceptions_[attachment.relay].erase(name);
+        member.attachments.clear();
         member.left = true;
         member.refused_version = 0;
-        member.ended = now_;
+        member.ended_at = now_;
     });
 }
 
@@ -194,11 +203,11 @@
     ++looked_at_;
     const auto it = members_.find(name);
     if (it == members_.end() || it->second.member.incarnation != incarnation) return;
-    if (hold_of(it->second.member, relay) == nullptr) return;
+    if (attachment_of(it->second.member, relay) == nullptr) return;
     change(name, it->second, [&](Member& member) {
         release(member, relay);
         exceptions_[relay].erase(name);
-        member.ended = std::max(member.ended, now_);
+        member.ended_at = std::max(member.ended_at, now_);
     });
 }
 
@@ -206,30 +215,32 @@
                                                        const std::vector<MemberReport>& reports,
                                                        std::uint64_t latest) {
     std::vector<MemberRefused> refusals;
-    std::set<std::string> no_more = std::exchange(exceptions_[relay], {});
+    std::set<std::string> no_longer_named = std::exchange(exceptions_[relay], {});
     std::set<std::string> now;
     for (const MemberReport& report : reports) {
         ++looked_at_;
         const auto it = members_.find(report.name);
         if (it == members_.end() || it->second.member.incarnation != report.incarnation) continue;
-        Hold* hold = hold_of(it->second.member, relay);
-        if (hold == nullptr) continue;
+        RelayAttachment* attachment = attachment_of(it->second.member, relay);
+        if (attachment == nullptr) continue;
         change(report.name, it->second, [&](Member& member) {
-            if (auto refusal = set_exception(member, *hold, report, latest)) refusals.push_back(*refusal);
+            if (auto refusal = set_exception(member, *attachment, report, latest))
+                refusals.push_back(*refusal);
         });
         now.insert(report.name);
-        no_more.erase(report.name);
+        no_longer_named.erase(report.name);
     }
-    clear_exceptions(relay, no_more);
+    clear_exceptions(relay, no_longer_named);
     exceptions_[relay] = std::move(now);
     return refusals;
 }
 
-std::optional<MemberRefused> MemberTable::set_exception(Member& member, Hold& hold,
+std::optional<MemberRefused> MemberTable::set_exception(Member& member, RelayAttachment& attachment,
                                                         const MemberReport& report, std::uint64_t latest) {
-    hold.exception = true;
-    member.stated = std::max(member.stated, agreed(report.applied_version, latest));
-    const std::uint64_t refused = agreed(report.refused_version, latest);
+    attachment.exception = true;
+    member.reported_version =
+        std::max(member.reported_version, agreed_or_none(report.applied_version, latest));
+    const std::uint64_t refused = agreed_or_none(report.refused_version, latest);
     if (refused > applied_version(member)) {
         member.refused_version = refused;
         member.refusal_reason = truncate_utf8(report.refusal_reason, max_reason_bytes);
@@ -244,10 +255,10 @@
 void MemberTable::clear_exceptions(const std::string& relay, const std::set<std::string>& names) {
     for (const std::string& name : names) {
         Entry& entry = members_.at(name);
-        Hold* hold = hold_of(entry.member, relay);
-        if (hold == nullptr) continue;
+        RelayAttachment* attachment = attachment_of(entry.member, relay);
+        if (attachment == nullptr) continue;
         change(name, entry, [&](Member& member) {
-            hold->exception = false;
+            attachment->exception = false;
             clear_unsupported_refusal(member);
         });
     }
@@ -262,8 +273,8 @@
     Ends extended;
     for (const auto& [until, name] : lease_ends_) {
         Member& member = members_.at(name).member;
-        member.held_until = saturating_add(until, interruption);
-        extended.emplace_hint(extended.end(), member.held_until, name);
+        member.lease_until = saturating_add(until, interruption);
+        extended.emplace_hint(extended.end(), member.lease_until, name);
     }
     lease_ends_ = std::move(extended);
     looked_at_ += lease_ends_.size();
@@ -277,18 +288,18 @@
 }
 
 void MemberTable::drop_forgotten() {
-    while (!gone_.empty() && gone_.begin()->first < now_) {
+    while (!inactive_.empty() && inactive_.begin()->first < now_) {
         ++looked_at_;
-        members_.erase(gone_.begin()->second);
-        gone_.erase(gone_.begin());
+        members_.erase(inactive_.begin()->second);
+        inactive_.erase(inactive_.begin());
     }
 }
 
 std::optional<std::string> MemberTable::forget(const std::string& name) {
     const auto it = members_.find(name);
     if (it == members_.end()) return "no such member";
-    if (it->second.place != Place::gone) return "its lease is not over";
-    take_out(name, it->second);
+    if (it->second.counted_as != CountedAs::inactive) return "its lease is not over";
+    remove_from_counts(name, it->second);
     members_.erase(it);
     return std::nullopt;
 }
@@ -300,10 +311,10 @@
 
 std::vector<std::string> MemberTable::may_lag(std::uint64_t version) const {
     std::vector<std::string> names;
-    for (const auto& [forget_at, name] : gone_) {
+    for (const auto& [forget_at, name] : inactive_) {
         ++looked_at_;
         const Entry& entry = members_.at(name);
-        if (entry.member.stated < version && may_act(entry)) names.push_back(name);
+        if (entry.member.reported_version < version && may_act(entry)) names.push_back(name);
     }
     std::sort(names.begin(), names.end());
     return names;
@@ -316,7 +327,7 @@
     };
     for (const auto& [name, entry] : members_) {
         const bool applied = applied_version(entry.member) >= version;
-        if (entry.place == Place::gone) {
+        if (entry.counted_as == CountedAs::inactive) {
             if (!applied && may_act(entry)) append(progress.unacknowledged, name);
             continue;
         }
@@ -341,16 +352,16 @@
 
 void MemberTable::recount() {
     index_.clear_members();
-    shared_.clear();
+    shared_members_.clear();
     exceptions_.clear();
     lease_ends_.clear();
-    gone_.clear();
+    inactive_.clear();
     refusing_.clear();
     live_ = 0;
     for (auto& [name, entry] : members_) {
-        for (const Hold& hold : entry.member.holds)
-            if (hold.exception) exceptions_[hold.relay].insert(name);
-        put_in(name, entry);
+        for (const RelayAttachment& attachment : entry.member.attachments)
+            if (attachment.exception) exceptions_[attachment.relay].insert(name);
+        add_to_counts(name, entry);
         ++looked_at_;
     }
 }
--- a/src/changes/member_table.hpp
+++ b/src/changes/member_table.hpp
@@ -20,7 +20,7 @@
 namespace tealcart::changes {
 
 // A relay that has a member: it reported it as joined, and neither as left nor as lost since.
-struct Hold {
+struct RelayAttachment {
     std::string relay;
     bool exception = false;  // the relay lists the member as one
 };
@@ -28,14 +28,15 @@
 // A router that follows the configuration, as its relays last reported it.
 struct Member {
     std::uint64_t incarnation = 0;
-    std::uint64_t stated = 0;  // the greatest version stated of it by name, or of all while it was among them
+    std::uint64_t reported_version =
+        0;  // the greatest version stated of it by name, or of all while it was among them
     std::uint64_t refused_version = 0, refusal_emitted = 0;  // versions; 0: none
     std::string refusal_reason;                              // of the refusal
     Nanos lease_grace = 0;
-    std::vector<Hold> holds;
+    std::vector<RelayAttachment> attachments;
     // The end of the leases of relays that have it no longer, and did not report it as lost.
-    Nanos held_until = before_all_times;
-    Nanos ended = before_all_times;  // when it was lost or left
+    Nanos lease_until = distant_past;
+    Nanos ended_at = distant_past;  // when it was lost or left
     bool left = false;
 };
 
@@ -101,30 +102,30 @@
 
   private:
     // Where a member is counted.
-    enum class Place : std::uint8_t {
-        nowhere,
-        of_relay,  // that alone has it
-        single,    // several relays have it, or none, but it may hold a lease
-        gone       // its lease is certainly over, or it left
+    enum class CountedAs : std::uint8_t {
+        nothing,
+        by_relay,    // that alone has it
+        individual,  // several relays have it, or none, but it may hold a lease
+        inactive     // its lease is certainly over, or it left
     };
     struct Entry {
         Member member;
-        Place place = Place::nowhere;
-        std::uint64_t counted_applied = 0;   // its key while it is single
-        Nanos forget_at = before_all_times;  // its key while it is gone
+        CountedAs counted_as = CountedAs::nothing;
+        std::uint64_t counted_applied = 0;  // its key while it is single
+        Nanos forget_at = distant_past;     // its key while it is gone
     };
     using Ends = std::set<std::pair<Nanos, std::string>>;
 
     // A member is taken out of the counts before it is changed, and put back after.
-    void take_out(const std::string& name, Entry& entry);
-    void put_in(const std::string& name, Entry& entry);
-    void put_in_gone(const std::string& name, Entry& entry);
-    void put_in_single(const std::string& name, Entry& entry);
+    void remove_from_counts(const std::string& name, Entry& entry);
+    void add_to_counts(const std::string& name, Entry& entry);
+    void add_inactive(const std::string& name, Entry& entry);
+    void add_individual(const std::string& name, Entry& entry);
     template <typename Change>
     void change(const std::string& name, Entry& entry, Change change);
     void release(Member& member, const std::string& relay);
-    std::optional<MemberRefused> set_exception(Member& member, Hold& hold, const MemberReport& report,
-                                               std::uint64_t latest);
+    std::optional<MemberRefused> set_exception(Member& member, RelayAttachment& attachment,
+                                               const MemberReport& report, std::uint64_t latest);
     void clear_exceptions(const std::string& relay, const std::set<std::string>& names);
     void recount();
 
@@ -136,10 +137,11 @@
     Nanos now_ = 0;
     std::map<std::string, Entry> members_;
     AppliedIndex index_;
-    std::map<std::string, std::set<std::string>> shared_;      // by relay: its members that others have too
+    std::map<std::string, std::set<std::string>>
+        shared_members_;                                       // by relay: its members that others have too
     std::map<std::string, std::set<std::string>> exceptions_;  // by relay: of its last report
     Ends lease_ends_;                                          // of members that no relay has
-    Ends gone_;                                                // by Entry::forget_at
+    Ends inactive_;                                            // by Entry::forget_at
     std::map<std::uint64_t, std::size_t> refusing_;            // live members by the version that they refuse
     std::size_t live_ = 0;
     mutable std::uint64_t looked_at_ = 0;
--- a/src/changes/relay_table.cpp
+++ b/src/changes/relay_table.cpp
@@ -33,7 +33,7 @@
     Relay& relay = relays_[report.relay];
     (relay.live ? live_leases_ : expired_leases_).erase({relay.lease_until, report.relay});
     const bool starts_anew = !relay.live || report.incarnation != relay.incarnation;
-    if (starts_anew) relay.lease_until = before_all_times;
+    if (starts_anew) relay.lease_until = distant_past;
     relay.zone = report.zone;
     relay.incarnation = report.incarnation;
     relay.number = report.number;
--- a/src/changes/relay_table.hpp
+++ b/src/changes/relay_table.hpp
@@ -16,13 +16,13 @@
 
 namespace tealcart::changes {
 
-constexpr Nanos before_all_times = INT64_MIN / 4;
+constexpr Nanos distant_past = INT64_MIN / 4;
 
 // A relay, as last reported.
 struct Relay {
     std::string zone;
     std::uint64_t incarnation = 0, number = 0;  // number: of the last report that was applied
-    Nanos lease_until = before_all_times;
+    Nanos lease_until = distant_past;
     bool live = false;  // its lease is not over, and it has reported all its members
 };
 
--- a/src/changes/report_aggregator.hpp
+++ b/src/changes/report_aggregator.hpp
@@ -55,7 +55,7 @@
     struct Member {
         MemberReport report;
         Nanos heard_at = 0;
-        Nanos granted_until = before_all_times;
+        Nanos granted_until = distant_past;
         bool acknowledged = false;  // the managers know of it
         std::uint64_t reported_since =
             0;  // the number of the first report that named it as joined; 0: none yet
@@ -83,7 +83,7 @@
     std::uint64_t full_since_ = 0;            // the number of the first full report since; 0: none yet
     std::optional<RelayReport> last_report_;  // made again until it is acknowledged
     std::map<std::uint64_t, Nanos> made_at_;  // by the number of a report
-    Nanos lease_until_ = before_all_times, lease_ = 0;
+    Nanos lease_until_ = distant_past, lease_ = 0;
 };
 
 }  // namespace tealcart::changes
--- a/src/changes/snapshot.cpp
+++ b/src/changes/snapshot.cpp
@@ -42,28 +42,31 @@
 }
 
 json json_of(const Member& member) {
-    json holds = json::array();
-    for (const Hold& hold : member.holds) holds.push_back(json::array({hold.relay, hold.exception}));
-    return {member.incarnation,    member.stated,      member.refused_version, member.refusal_emitted,
-            member.refusal_reason, member.lease_grace, std::move(holds),       member.held_until,
-            member.ended,          member.left};
+    json attachments = json::array();
+    for (const RelayAttachment& attachment : member.attachments)
+        attachments.push_back(json::array({attachment.relay, attachment.exception}));
+    return {member.incarnation,     member.reported_version,
+            member.refused_version, member.refusal_emitted,
+            member.refusal_reason,  member.lease_grace,
+            std::move(attachments), member.lease_until,
+            member.ended_at,        member.left};
 }
 Member read_member(const json& in, const std::map<std::string, Relay>& relays) {
     Member member;
     member.incarnation = in.at(0);
-    member.stated = in.at(1);
+    member.reported_version = in.at(1);
     member.refused_version = in.at(2);
     member.refusal_emitted = in.at(3);
     member.refusal_reason = in.at(4);
     member.lease_grace = in.at(5);
-    for (const json& hold : in.at(6)) {
-        member.holds.push_back({hold.at(0), hold.at(1)});
-        if (!relays.contains(member.holds.back().relay))
+    for (const json& attachment : in.at(6)) {
+        member.attachments.push_back({attachment.at(0), attachment.at(1)});
+        if (!relays.contains(member.attachments.back().relay))
             throw CodecError(CodecError::Fault::dangling_reference,
                              "a state of changes with a relay that is not there");
     }
-    member.held_until = in.at(7);
-    member.ended = in.at(8);
+    member.lease_until = in.at(7);
+    member.ended_at = in.at(8);
     member.left = in.at(9);
     return member;
 }
