--- a/measure/changes.cpp
+++ b/measure/changes.cpp
@@ -83,7 +83,7 @@
             for (int m = 0; m < members; ++m)
                 if (m % 10 != 0) g.record_report(now, member(r, m, version));
             say(r, mixed, mixed_bytes);
-            mixed_looked = std::max(mixed_looked, state.looked_at());
+            mixed_looked = std::max(mixed_looked, state.visited_count());
         }
         for (int r = 0; r < relays; ++r) {
             ReportAggregator& g = gathers[static_cast<std::size_t>(r)];
@@ -95,7 +95,7 @@
         if (i % 100 != 0) continue;
         for (int r = 0; r < relays; ++r) {
             say(r, plain, plain_bytes);
-            plain_looked = std::max(plain_looked, state.looked_at());
+            plain_looked = std::max(plain_looked, state.visited_count());
         }
     }
     std::size_t state_bytes = 0;
@@ -117,7 +117,7 @@
             for (int m = 0; m < members; ++m) g.record_report(now, member(r, m, state.version()));
             const RelayReport word = g.next_report(now, second);
             tell(ReportBatch{{word}});
-            over_looked = std::max(over_looked, state.looked_at());
+            over_looked = std::max(over_looked, state.visited_count());
             g.acknowledge(word.number, now, 10 * second);
         }
     }
--- a/measure/fleet_cost.cpp
+++ b/measure/fleet_cost.cpp
@@ -100,7 +100,7 @@
     for (auto _ : run) {
         const Command c{"", fleet.now, RequestRemoval{"a", {false, node_name(n++ % fleet.nodes)}}};
         const double asked = seconds_of([&] { fleet.state.apply(c); });
-        const Command undo{"", fleet.now, Undo{fleet.state.requests().begin()->first}};
+        const Command undo{"", fleet.now, UndoRemoval{fleet.state.requests().begin()->first}};
         const double undone = seconds_of([&] { fleet.state.apply(undo); });
         run.SetIterationTime(back ? undone : asked);
     }
--- a/src/changes/change_state.cpp
+++ b/src/changes/change_state.cpp
@@ -10,12 +10,12 @@
 namespace tealcart::changes {
 
 Effects ChangeState::apply(const Command& command) {
-    looked_at_ = 0;
-    members_.reset_looked_at();
+    visited_count_ = 0;
+    members_.reset_visited_count();
     if (const Effects* known = history_.find(command.id)) return *known;
     effects_.clear();
-    advance_clock(command.at);
-    std::visit([this](const auto& what) { on(what); }, command.what);
+    advance_clock(command.proposed_at);
+    std::visit([this](const auto& payload) { on(payload); }, command.payload);
     halt_on_refusals();
     advance_applied_everywhere();
     if (!command.id.empty()) {
@@ -43,7 +43,7 @@
     if (*interruption > 0) {
         relays_.extend_leases(*interruption);
         members_.extend_leases(*interruption);
-        looked_at_ += relays_.live_leases();
+        visited_count_ += relays_.live_leases();
     }
     expire_leases();
 }
@@ -78,7 +78,7 @@
 }
 
 void ChangeState::apply_report(const RelayReport& report) {
-    ++looked_at_;
+    ++visited_count_;
     if (const auto reason = stale_reason(report)) return emit_stale(report.relay, *reason);
     const std::string& name = report.relay;
     const Relay* known = relays_.find(name);
@@ -94,26 +94,26 @@
 }
 
 void ChangeState::on(const Publish& command) {
-    if (halted()) return reject("halted: " + halted_for());
+    if (halted()) return reject("halted: " + halt_reason());
     if (command.based_on && *command.based_on != version())
         return reject("based on version " + std::to_string(*command.based_on) + ", the latest is " +
                       std::to_string(version()));
     const auto checked = check_publish(command, document(), limits_);
     if (const auto* rejection = std::get_if<Rejection>(&checked)) return reject(rejection->reason);
-    publish(command.asker, std::get<DocumentChange>(checked));
+    publish(command.requested_by, std::get<DocumentChange>(checked));
 }
 
 void ChangeState::on(const Rollback& command) {
     const auto change = versions_.change_back_to(command.to);
     if (!change) return reject("version " + std::to_string(command.to) + " is not kept");
     if (change->empty()) return reject("nothing would change");
-    publish(command.asker, *change);
+    publish(command.requested_by, *change);
 }
 
-void ChangeState::publish(const std::string& asker, const DocumentChange& change) {
-    versions_.publish(truncate_utf8(asker, max_name_bytes), now(), change);
+void ChangeState::publish(const std::string& requested_by, const DocumentChange& change) {
+    versions_.publish(truncate_utf8(requested_by, max_name_bytes), now(), change);
     versions_.trim(limits_.max_kept, limits_.max_kept_bytes);
-    looked_at_ += change.entries();
+    visited_count_ += change.entries();
     emit(VersionPublished{version()});
 }
 
@@ -154,7 +154,7 @@
     std::vector<PublishedVersion> list;
     const auto& kept = versions_.kept();
     for (auto it = kept.rbegin(); it != kept.rend() && list.size() < max_versions; ++it)
-        list.push_back({it->version, it->published_at, it->asker, it->forward.entries(),
+        list.push_back({it->version, it->published_at, it->requested_by, it->forward.entries(),
                         it->version <= applied_everywhere_});
     return list;
 }
--- a/src/changes/change_state.hpp
+++ b/src/changes/change_state.hpp
@@ -33,8 +33,8 @@
 // When and by whom a version was published.
 struct PublishedVersion {
     std::uint64_t version = 0;
-    Nanos at = 0;
-    std::string asker;
+    Nanos published_at = 0;
+    std::string requested_by;
     std::size_t entries = 0;  // that it changed
     bool applied_everywhere = false;
 };
@@ -58,7 +58,7 @@
     // No version is found to be applied everywhere before.
     Nanos hold_until() const { return clock_.hold_until(); }
     bool halted() const { return halt_.halted(); }
-    const std::string& halted_for() const { return halt_.reason(); }
+    const std::string& halt_reason() const { return halt_.reason(); }
     std::uint64_t halted_version() const { return halt_.version(); }  // the last one that halted
     const Document& document() const { return versions_.document(); }
     std::uint64_t digest() const { return versions_.digest(); }
@@ -81,7 +81,7 @@
     std::uint64_t last_incarnation(const std::string& relay) const;  // 0: it is not known
     bool knows_later_incarnation(const std::string& relay, std::uint64_t incarnation) const;
     // Members, relays and entries that the last command looked at.
-    std::uint64_t looked_at() const { return looked_at_ + members_.looked_at(); }
+    std::uint64_t visited_count() const { return visited_count_ + members_.visited_count(); }
 
   private:
     void on(const Publish& command);
@@ -92,7 +92,7 @@
     void on(const SetLimits& command);
     void on(const Tick& command) { (void)command; }
 
-    void publish(const std::string& asker, const DocumentChange& change);
+    void publish(const std::string& requested_by, const DocumentChange& change);
     void apply_report(const RelayReport& report);
     std::optional<StaleReason> stale_reason(const RelayReport& report) const;
 
@@ -115,7 +115,7 @@
     std::uint64_t applied_everywhere_ = 0;
     replicated::CommandHistory<Effect> history_;
     Effects effects_;  // of the command that is being applied
-    std::uint64_t looked_at_ = 0;
+    std::uint64_t visited_count_ = 0;
 };
 
 }  // namespace tealcart::changes
--- a/src/changes/command_codec.cpp
+++ b/src/changes/command_codec.cpp
@@ -82,9 +82,11 @@
 struct Writer {
     KindAndBody operator()(const Publish& c) const {
         const json based_on = c.based_on ? json(*c.based_on) : json(nullptr);
-        return {"publish", json::array({c.asker, json_of_entries(c.set), c.removed, based_on})};
+        return {"publish", json::array({c.requested_by, json_of_entries(c.set), c.removed, based_on})};
+    }
+    KindAndBody operator()(const Rollback& c) const {
+        return {"go_back", json::array({c.requested_by, c.to})};
     }
-    KindAndBody operator()(const Rollback& c) const { return {"go_back", json::array({c.asker, c.to})}; }
     KindAndBody operator()(const Resume&) const { return {"resume", json::array()}; }
     KindAndBody operator()(const ReportBatch& c) const {
         json list = json::array();
@@ -98,7 +100,7 @@
     KindAndBody operator()(const Tick&) const { return {"tick", json::array()}; }
 };
 
-decltype(Command::what) read_body(const std::string& kind, const json& in) {
+decltype(Command::payload) read_body(const std::string& kind, const json& in) {
     if (kind == "publish") return read_publish(in);
     if (kind == "go_back") return Rollback{in.at(0), in.at(1)};
     if (kind == "resume") return Resume{};
@@ -112,14 +114,14 @@
 }  // namespace
 
 std::vector<std::uint8_t> write_command(const Command& command) {
-    auto [kind, body] = std::visit(Writer{}, command.what);
-    return replicated::write_envelope({command.id, command.at, kind, std::move(body)}, command_form);
+    auto [kind, body] = std::visit(Writer{}, command.payload);
+    return replicated::write_envelope({command.id, command.proposed_at, kind, std::move(body)}, command_form);
 }
 
 Command read_command(const std::uint8_t* bytes, std::size_t size) {
     try {
         const auto envelope = replicated::read_envelope(bytes, size, command_form, command_subject);
-        return {envelope.id, envelope.at, read_body(envelope.kind, envelope.body)};
+        return {envelope.id, envelope.proposed_at, read_body(envelope.kind, envelope.body)};
     } catch (const json::exception& e) {
         throw replicated::malformed(command_subject, e.what());
     }
--- a/src/changes/commands.hpp
+++ b/src/changes/commands.hpp
@@ -17,7 +17,7 @@
 
 // Entries to set and keys to remove, as the next version.
 struct Publish {
-    std::string asker;
+    std::string requested_by;
     std::map<std::string, std::string> set;
     std::set<std::string> removed;
     std::optional<std::uint64_t> based_on;  // rejected where another version is the latest
@@ -25,7 +25,7 @@
 
 // A further version with the content of an earlier one.
 struct Rollback {
-    std::string asker;
+    std::string requested_by;
     std::uint64_t to = 0;
 };
 
@@ -52,9 +52,9 @@
 
 // One entry of the replicated log.
 struct Command {
-    std::string id;  // the proposer's own, tells that a command comes again; empty: not deduplicated
-    Nanos at = 0;    // by the proposer's clock
-    std::variant<Publish, Rollback, Resume, ReportBatch, Forget, SetLimits, Tick> what;
+    std::string id;         // the proposer's own, tells that a command comes again; empty: not deduplicated
+    Nanos proposed_at = 0;  // by the proposer's clock
+    std::variant<Publish, Rollback, Resume, ReportBatch, Forget, SetLimits, Tick> payload;
 };
 
 // A command as bytes of the log, and back. Reading throws replicated::CodecError on noise, on another form
--- a/src/changes/member_table.cpp
+++ b/src/changes/member_table.cpp
@@ -68,7 +68,7 @@
 }
 
 void MemberTable::remove_from_counts(const std::string& name, Entry& entry) {
-    ++looked_at_;
+    ++visited_count_;
     Member& member = entry.member;
     const CountedAs counted_as = std::exchange(entry.counted_as, CountedAs::nothing);
     if (counted_as == CountedAs::by_relay) {
@@ -145,7 +145,7 @@
 }
 
 void MemberTable::drop_relay(const std::string& relay) {
-    ++looked_at_;
+    ++visited_count_;
     index_.drop_relay(relay);
     shared_members_.erase(relay);
     exceptions_.erase(relay);
@@ -163,7 +163,7 @@
 
 std::optional<StaleReason> MemberTable::join(const std::string& relay, const MemberReport& report,
                                              std::uint64_t latest) {
-    ++looked_at_;
+    ++visited_count_;
     Entry& entry = members_[report.name];
     if (report.incarnation < entry.member.incarnation) return StaleReason::earlier_incarnation;
     change(report.name, entry, [&](Member& member) {
@@ -184,7 +184,7 @@
 }
 
 void MemberTable::leave(const std::string& name, std::uint64_t incarnation) {
-    ++looked_at_;
+    ++visited_count_;
     const auto it = members_.find(name);
     if (it == members_.end() || it->second.member.incarnation != incarnation || it->second.member.left)
         return;
@@ -200,7 +200,7 @@
 }
 
 void MemberTable::lose(const std::string& relay, const std::string& name, std::uint64_t incarnation) {
-    ++looked_at_;
+    ++visited_count_;
     const auto it = members_.find(name);
     if (it == members_.end() || it->second.member.incarnation != incarnation) return;
     if (attachment_of(it->second.member, relay) == nullptr) return;
@@ -218,7 +218,7 @@
     std::set<std::string> no_longer_named = std::exchange(exceptions_[relay], {});
     std::set<std::string> now;
     for (const MemberReport& report : reports) {
-        ++looked_at_;
+        ++visited_count_;
         const auto it = members_.find(report.name);
         if (it == members_.end() || it->second.member.incarnation != report.incarnation) continue;
         RelayAttachment* attachment = attachment_of(it->second.member, relay);
@@ -277,7 +277,7 @@
         extended.emplace_hint(extended.end(), member.lease_until, name);
     }
     lease_ends_ = std::move(extended);
-    looked_at_ += lease_ends_.size();
+    visited_count_ += lease_ends_.size();
 }
 
 void MemberTable::expire_leases() {
@@ -289,7 +289,7 @@
 
 void MemberTable::drop_forgotten() {
     while (!inactive_.empty() && inactive_.begin()->first < now_) {
-        ++looked_at_;
+        ++visited_count_;
         members_.erase(inactive_.begin()->second);
         inactive_.erase(inactive_.begin());
     }
@@ -312,7 +312,7 @@
 std::vector<std::string> MemberTable::may_lag(std::uint64_t version) const {
     std::vector<std::string> names;
     for (const auto& [forget_at, name] : inactive_) {
-        ++looked_at_;
+        ++visited_count_;
         const Entry& entry = members_.at(name);
         if (entry.member.reported_version < version && may_act(entry)) names.push_back(name);
     }
@@ -362,7 +362,7 @@
         for (const RelayAttachment& attachment : entry.member.attachments)
             if (attachment.exception) exceptions_[attachment.relay].insert(name);
         add_to_counts(name, entry);
-        ++looked_at_;
+        ++visited_count_;
     }
 }
 
--- a/src/changes/member_table.hpp
+++ b/src/changes/member_table.hpp
@@ -97,8 +97,8 @@
                  const std::map<std::string, std::uint64_t>& lowest);
 
     // Members and entries that were looked at since the last reset.
-    std::uint64_t looked_at() const { return looked_at_; }
-    void reset_looked_at() { looked_at_ = 0; }
+    std::uint64_t visited_count() const { return visited_count_; }
+    void reset_visited_count() { visited_count_ = 0; }
 
   private:
     // Where a member is counted.
@@ -144,7 +144,7 @@
     Ends inactive_;                                            // by Entry::forget_at
     std::map<std::uint64_t, std::size_t> refusing_;            // live members by the version that they refuse
     std::size_t live_ = 0;
-    mutable std::uint64_t looked_at_ = 0;
+    mutable std::uint64_t visited_count_ = 0;
 };
 
 }  // namespace tealcart::changes
--- a/src/changes/snapshot.cpp
+++ b/src/changes/snapshot.cpp
@@ -29,8 +29,8 @@
 json json_of(const std::deque<KeptVersion>& kept) {
     json list = json::array();
     for (const KeptVersion& one : kept)
-        list.push_back(
-            {one.version, one.published_at, one.asker, json_of(one.forward), json_of(one.back), one.digest});
+        list.push_back({one.version, one.published_at, one.requested_by, json_of(one.forward),
+                        json_of(one.back), one.digest});
     return list;
 }
 std::deque<KeptVersion> read_kept(const json& in) {
--- a/src/changes/versioned_document.cpp
+++ b/src/changes/versioned_document.cpp
@@ -27,8 +27,8 @@
     return sum;
 }
 
-void VersionedDocument::publish(const std::string& asker, Nanos at, const DocumentChange& change) {
-    KeptVersion kept{++version_, at, asker, change, {}, 0};
+void VersionedDocument::publish(const std::string& requested_by, Nanos at, const DocumentChange& change) {
+    KeptVersion kept{++version_, at, requested_by, change, {}, 0};
     apply(change, kept.back);
     kept.digest = digest_;
     kept_bytes_ += bytes_of(kept);
--- a/src/changes/versioned_document.hpp
+++ b/src/changes/versioned_document.hpp
@@ -29,7 +29,7 @@
 struct KeptVersion {
     std::uint64_t version = 0;
     Nanos published_at = 0;
-    std::string asker;
+    std::string requested_by;
     DocumentChange forward, back;  // from the version before, and to it
     std::uint64_t digest = 0;
 };
@@ -42,7 +42,7 @@
     const std::deque<KeptVersion>& kept() const { return kept_; }  // the last ones, without a gap
 
     // Makes the next version, with the change.
-    void publish(const std::string& asker, Nanos at, const DocumentChange& change);
+    void publish(const std::string& requested_by, Nanos at, const DocumentChange& change);
     // What leads from the latest version back to the content of an earlier one; nothing: that is not kept.
     std::optional<DocumentChange> change_back_to(std::uint64_t version) const;
     // The latest version stays, however long it is.
--- a/src/fleet/budget_check.cpp
+++ b/src/fleet/budget_check.cpp
@@ -12,12 +12,12 @@
 // Not one of a fleet, however great.
 bool allows_none(const Limit& limit) {
     constexpr std::size_t great_fleet = 1'000'000;
-    return limit.of(great_fleet) == 0;
+    return limit.allowed(great_fleet) == 0;
 }
 
 std::optional<std::string> exceeded(const Limit& limit, const GroupCount& count, bool adds_one,
                                     const std::string& name) {
-    const std::size_t allowed = limit.of(count.all);
+    const std::size_t allowed = limit.allowed(count.all);
     if (count.out + (adds_one ? 1 : 0) <= allowed) return std::nullopt;
     return name + ": " + std::to_string(count.out) + " of " + std::to_string(count.all) + " are out, " +
            std::to_string(allowed) + " may be";
@@ -43,7 +43,7 @@
     for (const Limit* limit : {&budgets_.nodes, &budgets_.nodes_per_zone, &budgets_.nodes_per_kind})
         if (allows_none(*limit)) return "no data node may be out";
     for (const std::uint32_t shard : node->shards) {
-        ++looked_at_;
+        ++visited_count_;
         const std::size_t others = nodes_.counts().shards.at(shard).holders - 1;
         if (others < budgets_.min_holders)
             return "shard " + std::to_string(shard) + " has only " + std::to_string(others) +
@@ -53,7 +53,7 @@
 }
 
 std::optional<std::string> BudgetCheck::blocking_limit(const Target& target) {
-    ++looked_at_;
+    ++visited_count_;
     return target.router ? blocking_limit_of_router(target.name) : blocking_limit_of_node(target.name);
 }
 
@@ -86,7 +86,7 @@
 std::optional<std::string> BudgetCheck::blocking_shard(const Node& node, bool was_healthy) {
     std::map<std::uint32_t, std::size_t> times_listed;
     for (const std::uint32_t shard : node.shards) ++times_listed[shard];
-    looked_at_ += times_listed.size();
+    visited_count_ += times_listed.size();
     for (const auto& [shard, times] : times_listed) {
         const std::size_t healthy = nodes_.counts().shards.at(shard).healthy;
         const std::size_t holders = healthy - (was_healthy ? times : 0);
--- a/src/fleet/budget_check.hpp
+++ b/src/fleet/budget_check.hpp
@@ -25,7 +25,7 @@
     std::optional<std::string> blocking_limit(const Target& target);
 
     // Targets and shards that were looked at.
-    std::size_t looked_at() const { return looked_at_; }
+    std::size_t visited_count() const { return visited_count_; }
 
   private:
     std::optional<std::string> permanent_refusal_of_router(const std::string& name) const;
@@ -37,7 +37,7 @@
     const Budgets& budgets_;
     const NodeTable& nodes_;
     const MemberTable& members_;
-    std::size_t looked_at_ = 0;
+    std::size_t visited_count_ = 0;
 };
 
 }  // namespace tealcart::fleet
--- a/src/fleet/budgets.cpp
+++ b/src/fleet/budgets.cpp
@@ -5,7 +5,7 @@
 
 namespace tealcart::fleet {
 
-std::size_t Limit::of(std::size_t all) const {
+std::size_t Limit::allowed(std::size_t all) const {
     // A share is stated in decimals, which binary fractions miss by a little.
     constexpr double rounding_slack = 1e-9;
     const double by_share = std::floor(max_share * static_cast<double>(all) + rounding_slack);
--- a/src/fleet/budgets.hpp
+++ b/src/fleet/budgets.hpp
@@ -15,7 +15,7 @@
     std::size_t max_count = SIZE_MAX;
     double max_share = 1;
 
-    std::size_t of(std::size_t all) const;  // rounded down
+    std::size_t allowed(std::size_t all) const;  // rounded down
     friend bool operator==(const Limit&, const Limit&) = default;
 };
 
--- a/src/fleet/command_codec.cpp
+++ b/src/fleet/command_codec.cpp
@@ -81,9 +81,9 @@
         return {"nodes", json::array({json_of_nodes(c.nodes), c.full, c.removed})};
     }
     KindAndBody operator()(const RequestRemoval& c) const {
-        return {"ask", json::array({c.asker, json_of(c.target)})};
+        return {"ask", json::array({c.requested_by, json_of(c.target)})};
     }
-    KindAndBody operator()(const Undo& c) const { return {"undo", json::array({c.request})}; }
+    KindAndBody operator()(const UndoRemoval& c) const { return {"undo", json::array({c.request})}; }
     KindAndBody operator()(const Halt& c) const { return {"halt", json::array({c.reason})}; }
     KindAndBody operator()(const Resume&) const { return {"resume", json::array()}; }
     KindAndBody operator()(const Tick&) const { return {"tick", json::array()}; }
@@ -97,7 +97,7 @@
     }
 };
 
-decltype(Command::what) read_body(const std::string& kind, const json& in) {
+decltype(Command::payload) read_body(const std::string& kind, const json& in) {
     if (kind == "join") return read_join(in);
     if (kind == "renew") return read_renew(in);
     if (kind == "leave") return Leave{in.at(0), in.at(1)};
@@ -105,7 +105,7 @@
     if (kind == "nodes")
         return EndpointsObserved{read_nodes(in.at(0)), in.at(1), in.at(2).get<std::set<std::string>>()};
     if (kind == "ask") return RequestRemoval{in.at(0), read_target(in.at(1))};
-    if (kind == "undo") return Undo{in.at(0)};
+    if (kind == "undo") return UndoRemoval{in.at(0)};
     if (kind == "halt") return Halt{in.at(0)};
     if (kind == "resume") return Resume{};
     if (kind == "tick") return Tick{};
@@ -117,14 +117,14 @@
 }  // namespace
 
 std::vector<std::uint8_t> write_command(const Command& command) {
-    auto [kind, body] = std::visit(Writer{}, command.what);
-    return replicated::write_envelope({command.id, command.at, kind, std::move(body)}, command_form);
+    auto [kind, body] = std::visit(Writer{}, command.payload);
+    return replicated::write_envelope({command.id, command.proposed_at, kind, std::move(body)}, command_form);
 }
 
 Command read_command(const std::uint8_t* bytes, std::size_t size) {
     try {
         const auto envelope = replicated::read_envelope(bytes, size, command_form, command_subject);
-        return {envelope.id, envelope.at, read_body(envelope.kind, envelope.body)};
+        return {envelope.id, envelope.proposed_at, read_body(envelope.kind, envelope.body)};
     } catch (const json::exception& e) {
         throw replicated::malformed(command_subject, e.what());
     }
--- a/src/fleet/commands.hpp
+++ b/src/fleet/commands.hpp
@@ -58,12 +58,12 @@
 
 // An operator asks for a target to be drained.
 struct RequestRemoval {
-    std::string asker;
+    std::string requested_by;
     Target target;
 };
 
 // Ends a request, or brings its target back.
-struct Undo {
+struct UndoRemoval {
     std::uint64_t request;
 };
 
@@ -85,11 +85,11 @@
 
 // One entry of the replicated log.
 struct Command {
-    std::string id;  // the proposer's own, tells that a command comes again; empty: not deduplicated
-    Nanos at = 0;    // by the proposer's clock
-    std::variant<Join, Renew, Leave, EndpointsObserved, RequestRemoval, Undo, Halt, Resume, Tick, ReportBatch,
-                 Forget, SetBudgets>
-        what;
+    std::string id;         // the proposer's own, tells that a command comes again; empty: not deduplicated
+    Nanos proposed_at = 0;  // by the proposer's clock
+    std::variant<Join, Renew, Leave, EndpointsObserved, RequestRemoval, UndoRemoval, Halt, Resume, Tick,
+                 ReportBatch, Forget, SetBudgets>
+        payload;
 };
 
 // A command as bytes of the log, and back. Reading throws replicated::CodecError on noise, on another form
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -11,9 +11,9 @@
 Effects FleetState::apply(const Command& command) {
     if (const Effects* known = history_.find(command.id)) return *known;
     effects_.clear();
-    reset_looked_at();
-    advance_clock(command.at);
-    std::visit([this](const auto& what) { on(what); }, command.what);
+    reset_visited_count();
+    advance_clock(command.proposed_at);
+    std::visit([this](const auto& payload) { on(payload); }, command.payload);
     grant_and_advance();
     if (!command.id.empty()) {
         history_.record(command.id, effects_);
@@ -81,14 +81,14 @@
     }
     BudgetCheck check(budgets_, nodes_, members_);
     const auto why = check.permanent_refusal(target);
-    looked_at_ += check.looked_at();
+    visited_count_ += check.visited_count();
     if (why) return reject(target.name, *why);
-    const std::uint64_t id = removals_.add(command.asker, target);
+    const std::uint64_t id = removals_.add(command.requested_by, target);
     emit(RemovalQueued{id, target.name});
 }
 
 // What is not out yet just ends; what is out comes back in return_targets(), the last one out first.
-void FleetState::on(const Undo& command) {
+void FleetState::on(const UndoRemoval& command) {
     const Request* request = removals_.find(command.request);
     if (request == nullptr) return reject({}, "no such request is open", command.request);
     if (request->stage == Stage::queued) return end(command.request);
@@ -160,7 +160,7 @@
     const RequestCounts& counts = removals_.counts();
     for (auto it = counts.returning_in.begin(); it != counts.returning_in.end();) {
         const std::uint64_t id = *it++;
-        ++looked_at_;
+        ++visited_count_;
         if (!is_returning(*removals_.find(id))) end(id);
     }
     while (counts.returning_in.empty() && !counts.returning_out.empty()) {
@@ -184,7 +184,7 @@
     if (nodes.empty() && routers.empty()) return removals_.clear_block_reason();
     const bool held = halted() || clock_.holding();
     if (halted())
-        removals_.block_all("halted: " + halted_for());
+        removals_.block_all("halted: " + halt_reason());
     else if (held)
         removals_.block_all("agreement was interrupted: members are waited for");
     else
@@ -205,7 +205,7 @@
 bool FleetState::try_grant(std::uint64_t id) {
     BudgetCheck check(budgets_, nodes_, members_);
     const auto limit = check.blocking_limit(removals_.find(id)->target);
-    looked_at_ += check.looked_at();
+    visited_count_ += check.visited_count();
     if (limit) {
         removals_.block(id, *limit);
         return false;
@@ -216,15 +216,15 @@
     return true;
 }
 
-std::size_t FleetState::looked_at() const {
-    return looked_at_ + nodes_.looked_at() + members_.looked_at() + removals_.looked_at();
+std::size_t FleetState::visited_count() const {
+    return visited_count_ + nodes_.visited_count() + members_.visited_count() + removals_.visited_count();
 }
 
-void FleetState::reset_looked_at() {
-    looked_at_ = 0;
-    nodes_.reset_looked_at();
-    members_.reset_looked_at();
-    removals_.reset_looked_at();
+void FleetState::reset_visited_count() {
+    visited_count_ = 0;
+    nodes_.reset_visited_count();
+    members_.reset_visited_count();
+    removals_.reset_visited_count();
 }
 
 std::vector<std::uint8_t> FleetState::save() const {
--- a/src/fleet/fleet_state.hpp
+++ b/src/fleet/fleet_state.hpp
@@ -46,29 +46,33 @@
     Nanos now() const { return clock_.now(); }
     Nanos hold_until() const { return clock_.hold_until(); }  // nothing is granted before
     bool halted() const { return halt_.halted(); }
-    const std::string& halted_for() const { return halt_.reason(); }
+    const std::string& halt_reason() const { return halt_.reason(); }
     const std::map<std::string, Member>& members() const { return members_.all(); }
     const std::map<std::string, Node>& nodes() const { return nodes_.all(); }
     const RemovalQueue::Requests& requests() const { return removals_.requests(); }
 
     // What is out by agreement: no new work is to go there.
     const RemovedTargets& removed_targets() const { return removals_.removed(); }
-    bool out(const Target& target) const { return out(target.router, target.name); }
-    bool out(bool router, const std::string& name) const { return removals_.is_removed({router, name}); }
+    bool is_removed(const Target& target) const { return is_removed(target.router, target.name); }
+    bool is_removed(bool router, const std::string& name) const {
+        return removals_.is_removed({router, name});
+    }
     // Everything that is not healthy, whoever took it out.
-    bool counts_as_out(const Target& target) const { return counts_as_out(target.router, target.name); }
-    bool counts_as_out(bool router, const std::string& name) const {
+    bool is_out(const Target& target) const { return is_out(target.router, target.name); }
+    bool is_out(bool router, const std::string& name) const {
         return router ? members_.is_out(name) : nodes_.is_out(name);
     }
     // Members that a granted request still waits for.
-    std::vector<std::string> waits_for(const Request& request) const { return members_.pending(request); }
+    std::vector<std::string> pending_members(const Request& request) const {
+        return members_.pending(request);
+    }
 
     const NodeCounts& node_counts() const { return nodes_.counts(); }
     const MemberCounts& member_counts() const { return members_.counts(); }
     const VoteCounts& vote_counts() const { return members_.vote_counts(); }
     const RequestCounts& request_counts() const { return removals_.counts(); }
     // Members, nodes, their shards and requests that the last command looked at.
-    std::size_t looked_at() const;
+    std::size_t visited_count() const;
 
   private:
     void on(const Join& command);
@@ -76,7 +80,7 @@
     void on(const Leave& command);
     void on(const EndpointsObserved& command) { nodes_.observe(command); }
     void on(const RequestRemoval& command);
-    void on(const Undo& command);
+    void on(const UndoRemoval& command);
     void on(const Halt& command);
     void on(const Resume& command);
     void on(const Tick& command) { (void)command; }
@@ -102,7 +106,7 @@
     void emit_of(std::uint64_t id, const Request& request);
     void emit_stale(const std::string& member, std::optional<StaleReason> reason);
     void reject(std::string subject, std::string reason, std::uint64_t request = 0);
-    void reset_looked_at();
+    void reset_visited_count();
 
     Budgets budgets_;
     replicated::StateClock clock_;
@@ -112,7 +116,7 @@
     HaltSwitch halt_;
     replicated::CommandHistory<Effect> history_;
     Effects effects_;  // of the command that is being applied
-    std::size_t looked_at_ = 0;
+    std::size_t visited_count_ = 0;
 };
 
 }  // namespace tealcart::fleet
--- a/src/fleet/member_table.cpp
+++ b/src/fleet/member_table.cpp
@@ -123,7 +123,7 @@
 void MemberTable::drop_forgotten() {
     const auto& expired = counts_.expired_leases;
     for (auto it = expired.begin(); it != expired.end() && now_ - it->first > forget_after_;) {
-        ++looked_at_;
+        ++visited_count_;
         const std::string name = (it++)->second;
         if (removed_.contains(name)) continue;
         const auto member = members_.find(name);
@@ -160,7 +160,7 @@
 }
 
 bool MemberTable::any_pending(const Request& request) const {
-    ++looked_at_;
+    ++visited_count_;
     // The target itself is among those that are counted, though its removal does not wait for it.
     const Target& target = request.target;
     const Member* exempt = target.router && self_exempt_.contains(target.name) ? find(target.name) : nullptr;
@@ -190,7 +190,7 @@
         if (applied_generation >= generation) break;
         names.insert(name);
     }
-    looked_at_ += names.size();
+    visited_count_ += names.size();
     return names;
 }
 
@@ -219,7 +219,7 @@
 // Whether a member was counted as one whose lease is over, or which may act, is seen by the sets that it is
 // in: time may have gone on since.
 void MemberTable::count(const std::string& name, const Member& member, Step step) {
-    looked_at_ += 1 + member.report.unresponsive.size() + member.report.in_flight.size();
+    visited_count_ += 1 + member.report.unresponsive.size() + member.report.in_flight.size();
     const MemberCounts::End lease(member.lease_until, name);
     const MemberCounts::End acting_end(acts_until(member), name);
     bool expired = lease_expired(member);
--- a/src/fleet/member_table.hpp
+++ b/src/fleet/member_table.hpp
@@ -91,8 +91,8 @@
     void recount();
 
     // Members, with what they report, that were looked at since the last reset.
-    std::size_t looked_at() const { return looked_at_; }
-    void reset_looked_at() { looked_at_ = 0; }
+    std::size_t visited_count() const { return visited_count_; }
+    void reset_visited_count() { visited_count_ = 0; }
 
   private:
     void use(const Budgets& budgets);
@@ -118,7 +118,7 @@
     std::set<Target> released_targets_;
     // Routers that are out, lost and may act: their own removal does not wait for them, though all others do.
     std::set<std::string> self_exempt_;
-    mutable std::size_t looked_at_ = 0;
+    mutable std::size_t visited_count_ = 0;
 };
 
 }  // namespace tealcart::fleet
--- a/src/fleet/node_table.cpp
+++ b/src/fleet/node_table.cpp
@@ -73,7 +73,7 @@
 }
 
 void NodeTable::set_unresponsive(const std::string& name, bool unresponsive) {
-    ++looked_at_;
+    ++visited_count_;
     if (unresponsive == unresponsive_.contains(name)) return;
     change(name, [&] { insert_or_erase(unresponsive_, name, unresponsive); });
 }
@@ -92,7 +92,7 @@
 }
 
 void NodeTable::count(const std::string& name, const Node& node, Step step) {
-    looked_at_ += 1 + node.shards.size();
+    visited_count_ += 1 + node.shards.size();
     const bool out = is_out(name, node);
     tally(counts_.nodes, step, out);
     tally(counts_.zones, node.zone, step, out);
--- a/src/fleet/node_table.hpp
+++ b/src/fleet/node_table.hpp
@@ -57,8 +57,8 @@
                  std::set<std::string> unresponsive);
 
     // Nodes, and shards of nodes, that were looked at since the last reset.
-    std::size_t looked_at() const { return looked_at_; }
-    void reset_looked_at() { looked_at_ = 0; }
+    std::size_t visited_count() const { return visited_count_; }
+    void reset_visited_count() { visited_count_ = 0; }
 
   private:
     bool is_out(const std::string& name, const Node& node) const;
@@ -75,7 +75,7 @@
     std::set<std::string> unresponsive_;
     std::size_t min_holders_;
     NodeCounts counts_;
-    std::size_t looked_at_ = 0;
+    std::size_t visited_count_ = 0;
 };
 
 }  // namespace tealcart::fleet
--- a/src/fleet/removal.hpp
+++ b/src/fleet/removal.hpp
@@ -47,7 +47,7 @@
 
 // A request to take one target out, until the target is back.
 struct Request {
-    std::string asker;
+    std::string requested_by;
     Target target;
     Stage stage = Stage::queued;
     std::uint64_t fence = 0, generation = 0;  // 0 until granted
--- a/src/fleet/removal_queue.cpp
+++ b/src/fleet/removal_queue.cpp
@@ -15,9 +15,9 @@
     return it->second;
 }
 
-std::uint64_t RemovalQueue::add(const std::string& asker, const Target& target) {
+std::uint64_t RemovalQueue::add(const std::string& requested_by, const Target& target) {
     Request& request = requests_[++last_request_];
-    request = {asker, target, Stage::queued, 0, 0, block_reason_, {}};
+    request = {requested_by, target, Stage::queued, 0, 0, block_reason_, {}};
     put_in(last_request_, request);
     return last_request_;
 }
@@ -86,7 +86,7 @@
 }
 
 void RemovalQueue::block(std::uint64_t id, const std::string& reason) {
-    ++looked_at_;
+    ++visited_count_;
     requests_.at(id).blocked_by = reason;
 }
 
@@ -113,7 +113,7 @@
 }
 
 void RemovalQueue::take_out(std::uint64_t id, const Request& request) {
-    ++looked_at_;
+    ++visited_count_;
     const auto open = counts_.open.find(request.target);
     if (open != counts_.open.end() && open->second == id) counts_.open.erase(open);
     if (request.stage == Stage::queued) counts_.queued[request.target.router ? 1 : 0].erase(id);
@@ -122,7 +122,7 @@
 }
 
 void RemovalQueue::put_in(std::uint64_t id, const Request& request) {
-    ++looked_at_;
+    ++visited_count_;
     counts_.open.emplace(request.target, id);
     if (request.stage == Stage::queued) counts_.queued[request.target.router ? 1 : 0].insert(id);
     if (request.stage == Stage::returning) returning(request).insert(id);
--- a/src/fleet/removal_queue.hpp
+++ b/src/fleet/removal_queue.hpp
@@ -44,7 +44,7 @@
     std::uint64_t last_fence() const { return last_fence_; }
     std::uint64_t last_request() const { return last_request_; }
 
-    std::uint64_t add(const std::string& asker, const Target& target);
+    std::uint64_t add(const std::string& requested_by, const Target& target);
     void begin_return(std::uint64_t id);
     // Under the next fence and the next generation. The target is out.
     const Request& grant(std::uint64_t id);
@@ -73,8 +73,8 @@
     void recount();
 
     // Requests that were looked at since the last reset.
-    std::size_t looked_at() const { return looked_at_; }
-    void reset_looked_at() { looked_at_ = 0; }
+    std::size_t visited_count() const { return visited_count_; }
+    void reset_visited_count() { visited_count_ = 0; }
 
   private:
     // A request is taken out of the counts before it is changed, and put back after.
@@ -90,7 +90,7 @@
     std::uint64_t applied_to_ =
         0;  // requests that were granted up to this generation were given as possibly done
     std::string block_reason_;  // of the last block_all; empty: unknown
-    std::size_t looked_at_ = 0;
+    std::size_t visited_count_ = 0;
 };
 
 }  // namespace tealcart::fleet
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -129,7 +129,7 @@
 json json_of(const RemovalQueue::Requests& requests) {
     json list = json::array();
     for (const auto& [id, request] : requests)
-        list.push_back({id, request.asker, json_of(request.target), static_cast<int>(request.stage),
+        list.push_back({id, request.requested_by, json_of(request.target), static_cast<int>(request.stage),
                         request.fence, request.generation, request.blocked_by, request.unacknowledged});
     return list;
 }
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -69,8 +69,8 @@
     OrderedJson list = OrderedJson::array();
     for (const auto& published : state.history(max_history))
         list.push_back({{"version", published.version},
-                        {"at_ms", published.at / millisecond},
-                        {"asker", published.asker},
+                        {"at_ms", published.published_at / millisecond},
+                        {"asker", published.requested_by},
                         {"entries", published.entries},
                         {"in_force", published.applied_everywhere}});
     return list;
@@ -131,7 +131,7 @@
                  {"digest", state.digest()},
                  {"in_force", state.applied_everywhere()},
                  {"halted", state.halted()},
-                 {"halted_for", state.halted_for()},
+                 {"halted_for", state.halt_reason()},
                  {"halted_version", state.halted_version()},
                  {"held_for_ms", held_for / millisecond},
                  {"members", state.members()},
--- a/src/fleet_manager/operator_service.cpp
+++ b/src/fleet_manager/operator_service.cpp
@@ -72,7 +72,7 @@
     if (ids.empty()) return responder_.error(client, 404, "no request for it is open");
     std::vector<fleet::Command> commands;
     for (const std::uint64_t id : ids)
-        commands.push_back({command_id(call, std::to_string(id)), 0, fleet::Undo{id}});
+        commands.push_back({command_id(call, std::to_string(id)), 0, fleet::UndoRemoval{id}});
     propose(client, std::move(commands));
 }
 
--- a/src/fleet_manager/proposer.cpp
+++ b/src/fleet_manager/proposer.cpp
@@ -24,14 +24,14 @@
     };
     for (fleet::Command& command : commands) {
         last_fleet_proposal_ = time_.now();
-        command.at = last_fleet_proposal_ + clock_error_;
+        command.proposed_at = last_fleet_proposal_ + clock_error_;
         if (!raft_.propose(fleet::write_command(command), on_applied)) on_applied(false);
     }
 }
 
 void Proposer::propose(changes::Command command, ChangeOutcome outcome) {
     last_change_proposal_ = time_.now();
-    command.at = last_change_proposal_ + clock_error_;
+    command.proposed_at = last_change_proposal_ + clock_error_;
     const auto on_applied = [this, outcome = std::move(outcome)](bool applied) {
         outcome(applied, applied ? state_.change_effects() : changes::Effects{});
     };
--- a/src/fleet_manager/replicated_state.cpp
+++ b/src/fleet_manager/replicated_state.cpp
@@ -37,7 +37,7 @@
 
 void ReplicatedState::apply_to_fleet(const fleet::Command& command) {
     fleet_effects_ = fleet_.apply(command);
-    if (const auto* observed = std::get_if<fleet::EndpointsObserved>(&command.what))
+    if (const auto* observed = std::get_if<fleet::EndpointsObserved>(&command.payload))
         endpoints_.on_committed(*observed);
     for (const fleet::Effect& effect : fleet_effects_) log_effect(effect);
 }
--- a/src/fleet_manager/status_page.cpp
+++ b/src/fleet_manager/status_page.cpp
@@ -26,11 +26,11 @@
         list.push_back({{"request", id},
                         {"target", write_target(request.target)},
                         {"stage", fleet::stage_name(request.stage)},
-                        {"asker", request.asker},
+                        {"asker", request.requested_by},
                         {"fence", request.fence},
                         {"generation", request.generation},
                         {"held_by", request.blocked_by},
-                        {"waits_for", granted ? state.waits_for(request) : std::vector<std::string>{}},
+                        {"waits_for", granted ? state.pending_members(request) : std::vector<std::string>{}},
                         {"unheard", request.unacknowledged}});
     }
     return list;
@@ -38,11 +38,11 @@
 
 bool is_exception(const fleet::FleetState& state, const std::string& name, const fleet::Member& member) {
     return member.lost || member.left || member.report.applied_generation != state.generation() ||
-           state.out(true, name);
+           state.is_removed(true, name);
 }
 
 bool is_exception(const fleet::FleetState& state, const std::string& name, const fleet::Node&) {
-    return state.counts_as_out(false, name);
+    return state.is_out(false, name);
 }
 
 Json write_item(const fleet::FleetState& state, const std::string& name, const fleet::Member& member) {
@@ -56,7 +56,7 @@
             {"lease_left_ms", (member.lease_until - state.now()) / millisecond},
             {"lost", member.lost},
             {"left", member.left},
-            {"out", state.out(true, name)},
+            {"out", state.is_removed(true, name)},
             {"queries", member.report.queries},
             {"failed", member.report.failed}};
 }
@@ -66,8 +66,8 @@
             {"zone", node.zone},
             {"kind", node.kind},
             {"health", name_of(node.health)},
-            {"out", state.out(false, name)},
-            {"counts_as_out", state.counts_as_out(false, name)}};
+            {"out", state.is_removed(false, name)},
+            {"counts_as_out", state.is_out(false, name)}};
 }
 
 // The items of a list, and which of them these are.
@@ -114,7 +114,7 @@
                       {"applied", figures.applied},
                       {"generation", state.generation()},
                       {"halted", state.halted()},
-                      {"halted_for", state.halted_for()},
+                      {"halted_for", state.halt_reason()},
                       {"held_for_ms", held_for / millisecond},
                       {"discovery_silent_ms", figures.discovery_silent / millisecond},
                       {"members_listed", std::move(members.summary)},
--- a/src/replicated/command_envelope.cpp
+++ b/src/replicated/command_envelope.cpp
@@ -7,7 +7,7 @@
 std::vector<std::uint8_t> write_envelope(const CommandEnvelope& envelope, int form) {
     return json::to_cbor({{"form", form},
                           {"id", envelope.id},
-                          {"at", envelope.at},
+                          {"at", envelope.proposed_at},
                           {"what", json::array({envelope.kind, envelope.body})}});
 }
 
--- a/src/replicated/command_envelope.hpp
+++ b/src/replicated/command_envelope.hpp
@@ -16,7 +16,7 @@
 // What every command carries beside its own fields.
 struct CommandEnvelope {
     std::string id;
-    Nanos at = 0;
+    Nanos proposed_at = 0;
     std::string kind;
     nlohmann::json body;
 };
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -90,7 +90,7 @@
             if (told) told(false);
             return;
         }
-        c.at = now_ + skew_;
+        c.proposed_at = now_ + skew_;
         const auto epoch = epoch_;
         at(2 * ms + pick(4 * ms), [this, c = std::move(c), told = std::move(told), epoch] {
             const bool same = epoch == epoch_;
@@ -102,7 +102,7 @@
     void apply(const Command& c) {
         std::set<std::string> whole;
         for (const auto& [name, node] : state_.nodes())
-            if (!state_.counts_as_out({false, name})) whole.insert(name);
+            if (!state_.is_out({false, name})) whole.insert(name);
         const std::uint64_t before = state_.generation();
         for (const fleet::Effect& effect : state_.apply(c)) {
             if (const auto* granted = std::get_if<RemovalGranted>(&effect)) {
@@ -125,11 +125,11 @@
         std::size_t out = 0;
         std::map<std::uint32_t, std::size_t> holders;
         for (const auto& [name, n] : state_.nodes()) {
-            const bool is_out = n.health != Health::healthy || state_.out({false, name});
+            const bool is_out = n.health != Health::healthy || state_.is_removed({false, name});
             out += is_out;
             for (const std::uint32_t s : n.shards) holders[s] += !is_out;
         }
-        verdict_.over_budget += out > plan_.budgets.nodes.of(state_.nodes().size());
+        verdict_.over_budget += out > plan_.budgets.nodes.allowed(state_.nodes().size());
     }
 
     void tick() {
@@ -291,7 +291,7 @@
                 at(50 * ms, [this, id, node] { propose({id, 0, RequestRemoval{"t", {false, node}}}); });
         } else if (!state_.requests().empty()) {
             const auto n = static_cast<std::ptrdiff_t>(pick(static_cast<Nanos>(state_.requests().size())));
-            propose({id, 0, Undo{std::next(state_.requests().begin(), n)->first}});
+            propose({id, 0, UndoRemoval{std::next(state_.requests().begin(), n)->first}});
         }
     }
 
@@ -304,10 +304,10 @@
         (void)tool;
         const std::set<std::string> seen = alone_out_;
         at(50 * ms + pick(500 * ms), [this, seen, node] {
-            if (seen.size() + 1 > plan_.budgets.nodes.of(names_.size()) || seen.contains(node)) return;
+            if (seen.size() + 1 > plan_.budgets.nodes.allowed(names_.size()) || seen.contains(node)) return;
             alone_out_.insert(node);
             ++verdict_.grants;
-            verdict_.over_budget += alone_out_.size() > plan_.budgets.nodes.of(names_.size());
+            verdict_.over_budget += alone_out_.size() > plan_.budgets.nodes.allowed(names_.size());
         });
     }
 
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -254,8 +254,8 @@
 
     Effects apply(const Command& c) {
         effects.clear();
-        pass(c.at);
-        std::visit([this](const auto& what) { on(what); }, c.what);
+        pass(c.proposed_at);
+        std::visit([this](const auto& payload) { on(payload); }, c.payload);
         std::size_t live = 0, refusing = 0;
         std::uint64_t least = version();
         std::vector<std::string> names;
@@ -343,18 +343,19 @@
                 if (below(random, 3) == 0) p.set["l" + std::to_string(3 + below(random, 3))] = "x";
                 if (below(random, 4) == 0)
                     p.based_on = v - static_cast<std::uint64_t>(v > 0 && below(random, 2));
-                c.what = p;
+                c.payload = p;
                 if (below(random, 2) == 0) c.id = "p" + std::to_string(below(random, 40));
                 break;
             }
             case 2:
-                c.what = Rollback{"bob", static_cast<std::uint64_t>(below(random, static_cast<int>(v) + 2))};
+                c.payload =
+                    Rollback{"bob", static_cast<std::uint64_t>(below(random, static_cast<int>(v) + 2))};
                 break;
             case 3:
-                c.what = Resume{};
+                c.payload = Resume{};
                 break;
             case 4:
-                c.what = Forget{"m" + std::to_string(below(random, 9))};
+                c.payload = Forget{"m" + std::to_string(below(random, 9))};
                 break;
             case 5: {
                 if (below(random, 4) != 0) break;
@@ -362,7 +363,7 @@
                 l.drift = (1 + below(random, 3)) * second;
                 l.lease = (10 + below(random, 4)) * second;
                 l.forget_after = (20 + below(random, 20)) * second;
-                c.what = SetLimits{l};
+                c.payload = SetLimits{l};
                 break;
             }
             case 6:
@@ -373,12 +374,12 @@
                 now += (1 + below(random, 2)) * second;
                 if (below(random, 40) == 0) now += below(random, 30) * second;
                 if (below(random, 20) == 0) now -= second;
-                c.at = now;
+                c.proposed_at = now;
                 break;
             default: {
                 ReportBatch words;
                 for (int i = 1 + below(random, 2); i > 0; --i) words.reports.push_back(relay_word(v));
-                c.what = std::move(words);
+                c.payload = std::move(words);
             }
         }
         return c;
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -320,7 +320,7 @@
     const auto history = c.state.history(2);
     REQUIRE(history.size() == 2);
     CHECK(history[0].version == 7);
-    CHECK(history[0].asker == "ann");
+    CHECK(history[0].requested_by == "ann");
     CHECK(history[0].applied_everywhere);
     // Of long deltas fewer are kept, the latest always.
     l.max_kept_bytes = 1;
@@ -383,11 +383,11 @@
         }
         c.set("a", "1");
         c.says(c.word("r0", 0));
-        plain.push_back(c.state.looked_at());
+        plain.push_back(c.state.visited_count());
         c.says(c.word("r0", 1, {member("m0-7")}));
-        one_behind.push_back(c.state.looked_at());
+        one_behind.push_back(c.state.visited_count());
         c.says(c.word("r0", 1));
-        raised.push_back(c.state.looked_at());
+        raised.push_back(c.state.visited_count());
         CHECK(c.state.applied_everywhere() == (relays == 1 ? 1 : 0));
         CHECK(c.state.progress(1, 0).live == 300u * static_cast<unsigned>(relays));
     }
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -152,7 +152,7 @@
         const Request& is = state.requests().at(r.id);
         RC_ASSERT(is.target == r.target);
         RC_ASSERT(int(is.stage) == int(r.stage));
-        RC_ASSERT(state.out(r.target) == r.out);
+        RC_ASSERT(state.is_removed(r.target) == r.out);
     }
     RC_ASSERT(state.members().size() == plain.members.size());
 }
@@ -196,7 +196,7 @@
             Plain::Who* who = plain.member(router);
             switch (op.what) {
                 case 0:
-                    c.what = Join{router, Role::router, "a", "1", "d", ++lives[router]};
+                    c.payload = Join{router, Role::router, "a", "1", "d", ++lives[router]};
                     if (who == nullptr) who = &plain.members.emplace_back();
                     *who = {router, incarnation + 1, 0, now + 20 * second, false, {}};
                     break;
@@ -208,7 +208,7 @@
                         op.how % 2 == 0 || plain.generation == 0 ? plain.generation : plain.generation - 1;
                     const std::set<Target> hand =
                         op.how == 7 ? std::set<Target>{{false, node}} : std::set<Target>{};
-                    c.what = Renew{router, incarnation, {acts, hand, {}, 0, 0}};
+                    c.payload = Renew{router, incarnation, {acts, hand, {}, 0, 0}};
                     if (who == nullptr || who->left) break;
                     who->lease_until = now + 20 * second;
                     if (acts >= who->applied_generation)
@@ -216,7 +216,7 @@
                     break;
                 }
                 case 4:
-                    c.what = Leave{router, incarnation};
+                    c.payload = Leave{router, incarnation};
                     if (who == nullptr) break;
                     who->left = true, who->in_flight.clear(), who->applied_generation = 0;
                     who->lease_until = std::min(who->lease_until, now - second - 1);
@@ -224,7 +224,7 @@
                 case 5:
                 case 6:
                 case 7: {
-                    c.what = RequestRemoval{"ann", target};
+                    c.payload = RequestRemoval{"ann", target};
                     const bool open = std::any_of(plain.reqs.begin(), plain.reqs.end(),
                                                   [&](const auto& r) { return r.target == target; });
                     if (open || (target.router && who == nullptr)) break;
@@ -235,22 +235,22 @@
                 case 9: {
                     if (plain.reqs.empty()) break;
                     auto& r = plain.reqs[static_cast<std::size_t>(op.who) % plain.reqs.size()];
-                    c.what = Undo{r.id};
+                    c.payload = UndoRemoval{r.id};
                     r.stage = r.stage == Stage::queued ? Stage::ended : Stage::returning;
                     break;
                 }
                 case 10:
                 case 11:
                     all[node].health = plain.health[node] = static_cast<Health>(op.how % 4);
-                    c.what = EndpointsObserved{{{node, all[node]}}, false, {}};
+                    c.payload = EndpointsObserved{{{node, all[node]}}, false, {}};
                     break;
                 case 12:
                     now += op.how * second / 2;
-                    plain.now = c.at = now;
+                    plain.now = c.proposed_at = now;
                     break;
                 default:
-                    if (op.how == 0) c.what = Halt{"a person"}, plain.halted = true;
-                    if (op.how > 3) c.what = Resume{}, plain.halted = false;
+                    if (op.how == 0) c.payload = Halt{"a person"}, plain.halted = true;
+                    if (op.how > 3) c.payload = Resume{}, plain.halted = false;
             }
             for (const tealcart::fleet::Effect& e : state.apply(c)) {
                 granted += std::holds_alternative<RemovalGranted>(e);
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -86,7 +86,7 @@
 inline std::size_t left_undone(const FleetState& state, const Effects& effects) {
     return static_cast<std::size_t>(
         std::count_if(state.requests().begin(), state.requests().end(), [&](const auto& r) {
-            return r.second.stage == Stage::granted && state.waits_for(r.second).empty() &&
+            return r.second.stage == Stage::granted && state.pending_members(r.second).empty() &&
                    std::none_of(effects.begin(), effects.end(), [&](const Effect& e) {
                        const auto* granted = std::get_if<RemovalGranted>(&e);
                        return granted != nullptr && granted->request == r.first;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -89,9 +89,9 @@
     CHECK(f.tell(RequestRemoval{"ann", {false, "n2"}}, "ann-1") == first);
     CHECK(f.state.requests().size() == 2);
     // Once the first is back and whole the second goes out by itself, under a greater fence.
-    f.tell(Undo{1});
+    f.tell(UndoRemoval{1});
     const auto after = f.tell(Tick{});
-    CHECK(f.state.out({false, "n3"}));
+    CHECK(f.state.is_removed({false, "n3"}));
     CHECK(f.state.requests().at(2).fence > std::get<RemovalGranted>(first.at(1)).fence);
     CHECK(after.empty());
 }
@@ -129,15 +129,15 @@
     CHECK(kinds(f.tell(RequestRemoval{"bob", {false, "n4"}})) == kinds_of<Effect, RemovalQueued>());
     CHECK(f.state.requests().at(2).blocked_by == "nodes: 2 of 6 are out, 2 may be");
     f.pass(1800 * second);
-    CHECK(f.state.out({false, "n0"}));
-    CHECK_FALSE(f.state.out({false, "n4"}));
+    CHECK(f.state.is_removed({false, "n0"}));
+    CHECK_FALSE(f.state.is_removed({false, "n4"}));
     f.seen("n3", Health::healthy);
-    CHECK(f.state.out({false, "n4"}));
+    CHECK(f.state.is_removed({false, "n4"}));
     // Forgotten by discovery while it is out, it stays counted.
     f.nodes.erase("n0");
     f.tell(EndpointsObserved{f.nodes});
     CHECK(f.state.nodes().at("n0").health == Health::gone);
-    CHECK(f.state.out({false, "n0"}));
+    CHECK(f.state.is_removed({false, "n0"}));
 }
 
 TEST_CASE("what can never be granted is refused with the reason, what is asked twice is told of") {
@@ -157,7 +157,7 @@
     // Budgets lowered below what is out take nothing back, and grant nothing more.
     b.nodes.max_count = 0;
     f.tell(SetBudgets{b});
-    CHECK(f.state.out({false, "n0"}));
+    CHECK(f.state.is_removed({false, "n0"}));
     CHECK(std::holds_alternative<CommandRejected>(f.tell(RequestRemoval{"ann", {false, "n3"}}).at(0)));
 }
 
@@ -172,14 +172,14 @@
     CHECK(kinds(f.tell(Halt{"queries fail"})) == kinds_of<Effect, GrantsHalted>());
     CHECK(kinds(f.tell(RequestRemoval{"ann", {true, "r1"}})) == kinds_of<Effect, RemovalQueued>());
     CHECK(f.state.requests().at(3).blocked_by == "halted: queries fail");
-    f.tell(Undo{1});
-    f.tell(Undo{2});
-    CHECK(f.state.out({false, "n0"}) == false);  // asked back alone, and first
-    CHECK(f.state.out({false, "n3"}));           // waits for n0
+    f.tell(UndoRemoval{1});
+    f.tell(UndoRemoval{2});
+    CHECK(f.state.is_removed({false, "n0"}) == false);  // asked back alone, and first
+    CHECK(f.state.is_removed({false, "n3"}));           // waits for n0
     f.seen("n0", Health::cold);
-    CHECK(f.state.out({false, "n3"}));
+    CHECK(f.state.is_removed({false, "n3"}));
     CHECK(kinds(f.seen("n0", Health::healthy)) == kinds_of<Effect, RequestEnded, TargetReturned>());
-    CHECK_FALSE(f.state.out({false, "n3"}));
+    CHECK_FALSE(f.state.is_removed({false, "n3"}));
     CHECK(kinds(f.seen("n3", Health::healthy)) == kinds_of<Effect, RequestEnded>());
     CHECK(kinds(f.tell(Resume{})) == kinds_of<Effect, GrantsResumed, RemovalGranted>());
 }
@@ -223,19 +223,19 @@
     }
     SECTION("after a farewell too") {
         f.tell(Join{"r2", Role::router, "a", "1.0", "d1", 2});
-        CHECK(f.state.out({true, "r1"}));
-        f.tell(Undo{1});
+        CHECK(f.state.is_removed({true, "r1"}));
+        f.tell(UndoRemoval{1});
         f.says("r1", f.state.generation());
         f.tell(Leave{"r2", 2});
         f.tell(RequestRemoval{"ann", {true, "r1"}});
-        CHECK_FALSE(f.state.out({true, "r1"}));
+        CHECK_FALSE(f.state.is_removed({true, "r1"}));
         CHECK(kinds(f.says("r2", 0, {}, 2)) == kinds_of<Effect, StaleReport>());
     }
     SECTION("its time is up") {
         f.pass(57 * second, true, false);
-        CHECK_FALSE(f.state.out({true, "r1"}));
+        CHECK_FALSE(f.state.is_removed({true, "r1"}));
         f.pass(3 * second, true, false);
-        CHECK(f.state.out({true, "r1"}));
+        CHECK(f.state.is_removed({true, "r1"}));
     }
 }
 
@@ -246,9 +246,9 @@
     CHECK_FALSE(f.state.members().at("r1").lost);
     CHECK(f.state.requests().at(1).blocked_by == "agreement was interrupted: members are waited for");
     f.pass(10 * second, true, false);
-    CHECK_FALSE(f.state.out({false, "n0"}));
+    CHECK_FALSE(f.state.is_removed({false, "n0"}));
     f.pass(2 * second, true, false);
-    CHECK(f.state.out({false, "n0"}));
+    CHECK(f.state.is_removed({false, "n0"}));
     CHECK(f.state.members().at("r2").lost);
     // A leader whose clock is behind: time stands until it has caught up, and leases only get longer.
     const Nanos until = f.state.members().at("r1").lease_until;
@@ -270,7 +270,7 @@
     const Request& r = f.state.requests().at(1);
     CHECK(r.stage == (wait ? Stage::granted : Stage::done));
     CHECK(r.unacknowledged == (wait ? std::set<std::string>{} : std::set<std::string>{"r2"}));
-    CHECK(f.state.waits_for(r) == (wait ? std::vector<std::string>{"r2"} : std::vector<std::string>{}));
+    CHECK(f.state.pending_members(r) == (wait ? std::vector<std::string>{"r2"} : std::vector<std::string>{}));
     f.pass(30 * second, true, false);
     CHECK(r.stage == Stage::done);
 }
@@ -287,7 +287,7 @@
     CHECK(say(99, 99).empty());  // too few to judge by
     CHECK(say(1000, 100).empty());
     CHECK(kinds(say(1000, 101)) == kinds_of<Effect, GrantsHalted>());
-    CHECK(f.state.halted_for() == "101 of 1000 queries failed lately");
+    CHECK(f.state.halt_reason() == "101 of 1000 queries failed lately");
     f.tell(Resume{});
     CHECK(say(1000, 102).empty());  // a person has resumed over it
     CHECK_FALSE(f.state.halted());
@@ -298,11 +298,11 @@
     f.seen("n0", Health::gone);
     CHECK_FALSE(f.state.halted());
     CHECK(kinds(f.seen("n1", Health::cold)) == kinds_of<Effect, GrantsHalted>());
-    CHECK(f.state.halted_for() == "shard 0 has 1 whole holders");
+    CHECK(f.state.halt_reason() == "shard 0 has 1 whole holders");
     f.seen("n0", Health::healthy), f.seen("n1", Health::healthy);
     f.tell(Resume{});
     f.pass(12 * second, true, false);
-    CHECK(f.state.halted_for() == "1 of 2 routers are lost");
+    CHECK(f.state.halt_reason() == "1 of 2 routers are lost");
 }
 
 TEST_CASE("a node that enough of the routers find silent counts as out") {
@@ -311,17 +311,17 @@
     b.nodes = {1, 1};
     Fleet f(b);
     f.tell(Renew{"r1", 1, {0, {}, {"n3"}, 0, 0}});
-    CHECK_FALSE(f.state.counts_as_out({false, "n3"}));
+    CHECK_FALSE(f.state.is_out({false, "n3"}));
     f.tell(Renew{"r2", 1, {0, {}, {"n3", "n4"}, 0, 0}});
-    CHECK(f.state.counts_as_out({false, "n3"}));
-    CHECK_FALSE(f.state.counts_as_out({false, "n4"}));
+    CHECK(f.state.is_out({false, "n3"}));
+    CHECK_FALSE(f.state.is_out({false, "n4"}));
     f.tell(RequestRemoval{"ann", {false, "n0"}});
     CHECK(f.state.requests().at(1).blocked_by == "nodes: 1 of 6 are out, 1 may be");
 }
 
 TEST_CASE("commands that this program can't read are told, and noise is") {
     auto bytes = write_command({"c1", 7, Tick{}});
-    CHECK(read_command(bytes.data(), bytes.size()).at == 7);
+    CHECK(read_command(bytes.data(), bytes.size()).proposed_at == 7);
     const auto word = std::search(bytes.begin(), bytes.end(), "tick", "tick" + 4);
     REQUIRE(word != bytes.end());
     *word = 't' + 1;
@@ -353,33 +353,34 @@
         const std::string node = "n" + std::to_string(pick(12)), router = "r" + std::to_string(pick(6));
         Command c{"c" + std::to_string(i), now - pick(2) * second, Tick{}};
         const int what = pick(14);
-        if (what == 0) c.what = Join{router, Role::router, pick(2) ? "a" : "b", "1", "d", ++lives[router]};
+        if (what == 0) c.payload = Join{router, Role::router, pick(2) ? "a" : "b", "1", "d", ++lives[router]};
         if (what >= 1 && what <= 4)
-            c.what = Renew{router,
-                           lives[router],
-                           {state.generation() - std::min<std::uint64_t>(state.generation(), pick(2)),
-                            pick(8) == 0 ? std::set<Target>{{false, node}} : std::set<Target>{},
-                            pick(16) == 0 ? std::set<std::string>{node} : std::set<std::string>{}, 0, 0}};
+            c.payload = Renew{router,
+                              lives[router],
+                              {state.generation() - std::min<std::uint64_t>(state.generation(), pick(2)),
+                               pick(8) == 0 ? std::set<Target>{{false, node}} : std::set<Target>{},
+                               pick(16) == 0 ? std::set<std::string>{node} : std::set<std::string>{}, 0, 0}};
         if (what == 5 || what == 6)
-            c.what = RequestRemoval{"ann", {pick(4) == 0, pick(4) == 0 ? router : node}};
+            c.payload = RequestRemoval{"ann", {pick(4) == 0, pick(4) == 0 ? router : node}};
         if (what == 7 && !state.requests().empty())
-            c.what = Undo{std::next(state.requests().begin(), pick(int(state.requests().size())))->first};
+            c.payload =
+                UndoRemoval{std::next(state.requests().begin(), pick(int(state.requests().size())))->first};
         if (what >= 8 && what <= 10) {
             nodes[node].health = pick(8) == 0 ? static_cast<Health>(1 + pick(4)) : Health::healthy;
             if (pick(20) == 0) nodes.erase(node);
             if (pick(10) == 0) nodes[node] = ring(12)[node];
-            c.what = EndpointsObserved{nodes};
+            c.payload = EndpointsObserved{nodes};
         }
         if (what == 13) {
             ReportBatch all;
             for (const auto& [name, incarnation] : lives)
                 all.renewals.push_back({name, incarnation, {state.generation(), {}, {}, 0, 0}});
-            c.what = all;
+            c.payload = all;
         }
-        if (what == 12 && pick(3) == 0) c.what = Leave{router, lives[router]};
-        if (what == 12 && pick(3) == 0) c.what = Forget{router};
+        if (what == 12 && pick(3) == 0) c.payload = Leave{router, lives[router]};
+        if (what == 12 && pick(3) == 0) c.payload = Forget{router};
         if (what == 11)
-            c.what = pick(4) == 0 ? decltype(c.what)(Halt{"a person"}) : decltype(c.what)(Resume{});
+            c.payload = pick(4) == 0 ? decltype(c.payload)(Halt{"a person"}) : decltype(c.payload)(Resume{});
         const auto effects = state.apply(c);
         CHECK(kept_counts(state) == recount(state));
         CHECK(left_undone(state, effects) == 0);
@@ -392,25 +393,25 @@
             CHECK(e.fence == ++last_fence);
             CHECK(granted.insert(e.request).second);
             const Request& r = state.requests().at(e.request);
-            CHECK(state.out(r.target));
+            CHECK(state.is_removed(r.target));
         }
         if (!grants.empty()) {
             std::size_t out = 0, routers_out = 0;
             std::map<std::string, std::size_t> zone;
             std::map<std::uint32_t, std::size_t> whole;
             for (const auto& [name, n] : state.nodes()) {
-                const bool is_out = n.health != Health::healthy || state.out({false, name});
+                const bool is_out = n.health != Health::healthy || state.is_removed({false, name});
                 out += is_out, zone[n.zone] += is_out;
                 for (const std::uint32_t s : n.shards) whole[s] += !is_out;
             }
             for (const auto& [name, m] : state.members())
-                routers_out += state.out({true, name}) && m.lease_until + b.drift >= state.now();
+                routers_out += state.is_removed({true, name}) && m.lease_until + b.drift >= state.now();
             bool took_whole = false;
             for (const RemovalGranted& e : grants)
                 if (!state.requests().at(e.request).target.router)
                     took_whole |= state.nodes().at(e.target).health == Health::healthy;
             if (took_whole) {  // else it was out already, and uses up nothing more
-                CHECK(out <= b.nodes.of(state.nodes().size()));
+                CHECK(out <= b.nodes.allowed(state.nodes().size()));
                 for (const RemovalGranted& e : grants)
                     if (!state.requests().at(e.request).target.router &&
                         state.nodes().at(e.target).health == Health::healthy) {
@@ -499,29 +500,30 @@
         };
         Command c{"", now, Tick{}};
         const int what = pick(20);
-        if (what == 0 && router != mute) c.what = join();
-        if (what >= 1 && what <= 4 && router != mute) c.what = Renew{router, lives[router], word()};
+        if (what == 0 && router != mute) c.payload = join();
+        if (what >= 1 && what <= 4 && router != mute) c.payload = Renew{router, lives[router], word()};
         if (what >= 5 && what <= 7)
-            c.what = RequestRemoval{"ann", {pick(3) == 0, pick(4) == 0 ? router : node}};
+            c.payload = RequestRemoval{"ann", {pick(3) == 0, pick(4) == 0 ? router : node}};
         if (what == 8 && !state.requests().empty())
-            c.what = Undo{std::next(state.requests().begin(), pick(int(state.requests().size())))->first};
+            c.payload =
+                UndoRemoval{std::next(state.requests().begin(), pick(int(state.requests().size())))->first};
         if (what == 9 || what == 10)
-            c.what = EndpointsObserved{{{node, nodes[node] = node_of(n)}}, false, {}};
+            c.payload = EndpointsObserved{{{node, nodes[node] = node_of(n)}}, false, {}};
         if (what == 11 && pick(3) == 0) nodes.erase(node);
         if (what == 11)
-            c.what = pick(2) == 0 ? EndpointsObserved{nodes} : EndpointsObserved{{}, false, {node}};
+            c.payload = pick(2) == 0 ? EndpointsObserved{nodes} : EndpointsObserved{{}, false, {node}};
         if (what >= 12 && what <= 15) {
             ReportBatch all;
             if (pick(4) == 0) all.joins.push_back(join());
             for (const auto& [name, incarnation] : lives)
                 if (name != mute && pick(8) > 0) all.renewals.push_back({name, incarnation, word()});
-            c.what = all;
+            c.payload = all;
         }
         if (what == 16)
-            c.what = pick(2) == 0 ? decltype(c.what)(Leave{router, lives[router]}) : Forget{router};
-        if (what == 17 && pick(3) == 0) c.what = Halt{"a person"};
-        if (what == 18) c.what = Resume{};
-        if (what == 19 && pick(10) == 0) c.what = SetBudgets{budgets()};
+            c.payload = pick(2) == 0 ? decltype(c.payload)(Leave{router, lives[router]}) : Forget{router};
+        if (what == 17 && pick(3) == 0) c.payload = Halt{"a person"};
+        if (what == 18) c.payload = Resume{};
+        if (what == 19 && pick(10) == 0) c.payload = SetBudgets{budgets()};
         const auto effects = state.apply(c);
         CHECK(kept_counts(state) == recount(state));
         CHECK(left_undone(state, effects) == 0);
@@ -558,7 +560,7 @@
     Nanos now = 1000 * second;
     const auto tell = [&](auto what) {
         state.apply({"", now, std::move(what)});
-        return state.looked_at();
+        return state.visited_count();
     };
     const auto router = [&](int r) { return "r" + std::to_string(r % routers); };
     const auto all = ring(nodes);
@@ -577,7 +579,7 @@
     Looked looked;
     for (int i = 0; i < 20; ++i) looked.words = std::max(looked.words, batch());
     looked.asked = tell(RequestRemoval{"ann", {false, "n0"}});
-    REQUIRE(state.out({false, "n0"}));
+    REQUIRE(state.is_removed({false, "n0"}));
     while (state.requests().at(1).stage != Stage::done)
         looked.last_word = std::max(looked.last_word, batch());
     tell(RequestRemoval{"ann", {false, "n100"}});
@@ -588,7 +590,7 @@
     Node cold = all.at("n300");
     cold.health = Health::cold;
     looked.news = tell(EndpointsObserved{{{"n300", cold}}, false, {}});
-    looked.undone = tell(Undo{1});
+    looked.undone = tell(UndoRemoval{1});
     return looked;
 }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -61,7 +61,7 @@
         }
         const auto command = read_command(entry.data(), entry.size());
         CHECK(write_command(command) == entry);
-        kinds.insert(command.what.index());
+        kinds.insert(command.payload.index());
         const auto effects = replayed.apply(command);
         if (snapshot > 0) CHECK(loaded.apply(command) == effects);
     }
@@ -74,11 +74,11 @@
 TEST_CASE("stored data: the fleet's log and snapshots of an earlier release") {
     using namespace tealcart::fleet;
     const auto kinds = replay<FleetState, Budgets>("fleet", 7, read_command, write_command);
-    CHECK(kinds.size() == std::variant_size_v<decltype(Command::what)>);
+    CHECK(kinds.size() == std::variant_size_v<decltype(Command::payload)>);
 }
 
 TEST_CASE("stored data: the changes' log and snapshots of an earlier release") {
     using namespace tealcart::changes;
     const auto kinds = replay<ChangeState, Limits>("changes", 6, read_command, write_command);
-    CHECK(kinds.size() == std::variant_size_v<decltype(Command::what)>);
+    CHECK(kinds.size() == std::variant_size_v<decltype(Command::payload)>);
 }
