--- a/src/changes/command_codec.cpp
+++ b/src/changes/command_codec.cpp
@@ -79,7 +79,7 @@
     json body;
 };
 
-struct Writer {
+struct ToKindAndBody {
     KindAndBody operator()(const Publish& c) const {
         const json based_on = c.based_on ? json(*c.based_on) : json(nullptr);
         return {"publish", json::array({c.requested_by, json_of_entries(c.set), c.removed, based_on})};
@@ -114,7 +114,7 @@
 }  // namespace
 
 std::vector<std::uint8_t> write_command(const Command& command) {
-    auto [kind, body] = std::visit(Writer{}, command.payload);
+    auto [kind, body] = std::visit(ToKindAndBody{}, command.payload);
     return replicated::write_envelope({command.id, command.proposed_at, kind, std::move(body)}, command_form);
 }
 
--- a/src/changes/effects.cpp
+++ b/src/changes/effects.cpp
@@ -33,7 +33,7 @@
     return record.names.front();
 }
 
-struct RecordOf {
+struct ToRecord {
     EffectRecord operator()(const VersionPublished& e) const {
         return {EffectCode::published, e.version, {}, {}};
     }
@@ -69,7 +69,7 @@
 
 const char* describe(StaleReason reason) { return stale_reasons.at(static_cast<std::size_t>(reason)); }
 
-EffectRecord record_of(const Effect& effect) { return std::visit(RecordOf{}, effect); }
+EffectRecord record_of(const Effect& effect) { return std::visit(ToRecord{}, effect); }
 
 Effect effect_of(const EffectRecord& r) {
     switch (r.code) {
--- a/src/fleet/command_codec.cpp
+++ b/src/fleet/command_codec.cpp
@@ -72,7 +72,7 @@
     json body;
 };
 
-struct Writer {
+struct ToKindAndBody {
     KindAndBody operator()(const Join& c) const { return {"join", json_of_join(c)}; }
     KindAndBody operator()(const Renew& c) const { return {"renew", json_of_renew(c)}; }
     KindAndBody operator()(const Leave& c) const { return {"leave", json::array({c.name, c.incarnation})}; }
@@ -117,7 +117,7 @@
 }  // namespace
 
 std::vector<std::uint8_t> write_command(const Command& command) {
-    auto [kind, body] = std::visit(Writer{}, command.payload);
+    auto [kind, body] = std::visit(ToKindAndBody{}, command.payload);
     return replicated::write_envelope({command.id, command.proposed_at, kind, std::move(body)}, command_form);
 }
 
--- a/src/fleet/effects.cpp
+++ b/src/fleet/effects.cpp
@@ -25,7 +25,7 @@
     return static_cast<Enum>(found - names.begin());
 }
 
-struct RecordOf {
+struct ToRecord {
     EffectRecord operator()(const RemovalQueued& e) const {
         return {EffectCode::asked, e.request, 0, 0, e.target, {}};
     }
@@ -36,10 +36,10 @@
     EffectRecord operator()(const CommandRejected& e) const {
         return {EffectCode::refused, e.request, 0, e.generation, e.subject, e.reason};
     }
-    EffectRecord operator()(const RemovalGranted& e) const { return of_request(EffectCode::granted, e); }
-    EffectRecord operator()(const RemovalDone& e) const { return of_request(EffectCode::done, e); }
-    EffectRecord operator()(const TargetReturned& e) const { return of_request(EffectCode::returned, e); }
-    EffectRecord operator()(const RequestEnded& e) const { return of_request(EffectCode::ended, e); }
+    EffectRecord operator()(const RemovalGranted& e) const { return request_record(EffectCode::granted, e); }
+    EffectRecord operator()(const RemovalDone& e) const { return request_record(EffectCode::done, e); }
+    EffectRecord operator()(const TargetReturned& e) const { return request_record(EffectCode::returned, e); }
+    EffectRecord operator()(const RequestEnded& e) const { return request_record(EffectCode::ended, e); }
     EffectRecord operator()(const GrantsHalted& e) const {
         return {EffectCode::halted, 0, 0, e.generation, {}, e.reason};
     }
@@ -58,8 +58,8 @@
     }
 
   private:
-    template <typename OfRequest>
-    static EffectRecord of_request(EffectCode code, const OfRequest& e) {
+    template <typename RequestEffect>
+    static EffectRecord request_record(EffectCode code, const RequestEffect& e) {
         return {code, e.request, e.fence, e.generation, e.target, {}};
     }
 };
@@ -76,7 +76,7 @@
 
 const char* stage_name(Stage stage) { return stage_names.at(static_cast<std::size_t>(stage)); }
 
-EffectRecord record_of(const Effect& effect) { return std::visit(RecordOf{}, effect); }
+EffectRecord record_of(const Effect& effect) { return std::visit(ToRecord{}, effect); }
 
 Effect effect_of(const EffectRecord& r) {
     switch (r.code) {
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -33,9 +33,9 @@
     for (const std::string& node : nodes_.unresponsive()) members_.reconsider_node(node);
 }
 
-template <typename OfRequest>
-void FleetState::emit_of(std::uint64_t id, const Request& request) {
-    emit(OfRequest{id, request.fence, request.generation, request.target.name});
+template <typename RequestEffect>
+void FleetState::emit_for_request(std::uint64_t id, const Request& request) {
+    emit(RequestEffect{id, request.fence, request.generation, request.target.name});
 }
 
 void FleetState::emit_stale(const std::string& member, std::optional<StaleReason> reason) {
@@ -113,7 +113,9 @@
         nodes_.set_removed(target.name, removed);
 }
 
-void FleetState::end(std::uint64_t request) { emit_of<RequestEnded>(request, removals_.end(request)); }
+void FleetState::end(std::uint64_t request) {
+    emit_for_request<RequestEnded>(request, removals_.end(request));
+}
 
 void FleetState::grant_and_advance() {
     expire_leases();
@@ -125,20 +127,20 @@
 
 void FleetState::expire_leases() {
     for (const std::string& name : members_.expire_leases()) emit(MemberLeaseExpired{generation(), name});
-    for (const auto& [node, unresponsive] : members_.judge_nodes())
+    for (const auto& [node, unresponsive] : members_.evaluate_nodes())
         nodes_.set_unresponsive(node, unresponsive);
 }
 
 // A removal is done once all that it waits for have applied its generation and have nothing in flight there.
 // Only those are looked at of which the last report may have come since.
 void FleetState::finish_acknowledged() {
-    for (const Target& target : members_.take_released_targets()) removals_.reconsider(target);
-    for (const std::uint64_t id : removals_.take_possibly_done(members_.lowest_applied())) {
+    for (const Target& target : members_.take_released_targets()) removals_.recheck_completion(target);
+    for (const std::uint64_t id : removals_.take_completion_candidates(members_.lowest_applied())) {
         const Request* request = removals_.find(id);
         if (request == nullptr || request->stage != Stage::granted || members_.any_pending(*request))
             continue;
         removals_.finish(id, members_.may_lag(request->generation));
-        emit_of<RemovalDone>(id, *request);
+        emit_for_request<RemovalDone>(id, *request);
     }
 }
 
@@ -158,16 +160,16 @@
 // of a node that warms up hold for all routers together.
 void FleetState::return_targets() {
     const RequestCounts& counts = removals_.counts();
-    for (auto it = counts.returning_in.begin(); it != counts.returning_in.end();) {
+    for (auto it = counts.returning_restored.begin(); it != counts.returning_restored.end();) {
         const std::uint64_t id = *it++;
         ++visited_count_;
         if (!is_returning(*removals_.find(id))) end(id);
     }
-    while (counts.returning_in.empty() && !counts.returning_out.empty()) {
-        const std::uint64_t id = *counts.returning_out.rbegin();
+    while (counts.returning_restored.empty() && !counts.returning_removed.empty()) {
+        const std::uint64_t id = *counts.returning_removed.rbegin();
         const Request& request = removals_.release(id);
         set_removed(request.target, false);
-        emit_of<TargetReturned>(id, request);
+        emit_for_request<TargetReturned>(id, request);
         if (!is_returning(request)) end(id);
     }
 }
@@ -212,7 +214,7 @@
     }
     const Request& request = removals_.grant(id);
     set_removed(request.target, true);
-    emit_of<RemovalGranted>(id, request);
+    emit_for_request<RemovalGranted>(id, request);
     return true;
 }
 
--- a/src/fleet/fleet_state.hpp
+++ b/src/fleet/fleet_state.hpp
@@ -102,8 +102,8 @@
     void set_removed(const Target& target, bool removed);
     void end(std::uint64_t request);
     void emit(Effect effect) { effects_.push_back(std::move(effect)); }
-    template <typename OfRequest>
-    void emit_of(std::uint64_t id, const Request& request);
+    template <typename RequestEffect>
+    void emit_for_request(std::uint64_t id, const Request& request);
     void emit_stale(const std::string& member, std::optional<StaleReason> reason);
     void reject(std::string subject, std::string reason, std::uint64_t request = 0);
     void reset_visited_count();
--- a/src/fleet/member_table.cpp
+++ b/src/fleet/member_table.cpp
@@ -5,7 +5,7 @@
 
 namespace tealcart::fleet {
 
-void MemberTable::use(const Budgets& budgets) {
+void MemberTable::apply_budgets(const Budgets& budgets) {
     lease_ = budgets.lease;
     drift_ = budgets.drift;
     forget_after_ = budgets.forget_after;
@@ -27,7 +27,7 @@
     const auto [it, is_new] = members_.try_emplace(command.name);
     Member& member = it->second;
     if (command.incarnation < member.incarnation) return StaleReason::earlier_incarnation;
-    if (!is_new) count(command.name, member, Step::down);
+    if (!is_new) count(command.name, member, CountChange::decrement);
     // A new incarnation knows nothing of what the old one applied, and has nothing in flight. The old one's
     // process may still be there: its reports are stale from now on.
     if (command.incarnation > member.incarnation) member = Member{};
@@ -39,7 +39,7 @@
     member.lease_grace = command.lease_grace;
     member.lost = member.left = false;
     member.lease_until = std::max(member.lease_until, now_ + lease_);
-    count(command.name, member, Step::up);
+    count(command.name, member, CountChange::increment);
     return std::nullopt;
 }
 
@@ -48,14 +48,14 @@
     if (it == members_.end() || it->second.incarnation != command.incarnation || it->second.left)
         return StaleReason::unknown_incarnation;
     Member& member = it->second;
-    count(command.name, member, Step::down);
+    count(command.name, member, CountChange::decrement);
     member.lease_until = std::max(member.lease_until, now_ + lease_);
     member.lost = false;
     // Reports may overtake each other: an older one knows nothing of what the member has in flight now.
     const bool agreed = command.report.applied_generation <= latest_generation;
     if (agreed && command.report.applied_generation >= member.report.applied_generation)
         member.report = command.report;
-    count(command.name, member, Step::up);
+    count(command.name, member, CountChange::increment);
     if (!agreed) return StaleReason::unagreed_generation;
     return std::nullopt;
 }
@@ -65,11 +65,11 @@
     if (it == members_.end() || it->second.incarnation != command.incarnation)
         return StaleReason::unknown_incarnation;
     Member& member = it->second;
-    count(command.name, member, Step::down);
+    count(command.name, member, CountChange::decrement);
     member.left = true;
     member.lease_until = std::min(member.lease_until, now_ - drift_ - 1);
     member.report = {};
-    count(command.name, member, Step::up);
+    count(command.name, member, CountChange::increment);
     return std::nullopt;
 }
 
@@ -79,7 +79,7 @@
     if (!lease_expired(it->second)) return "its lease is not over";
     // Its request would be left without its target.
     if (removed_.contains(name)) return "it is out by agreement; undrain it first";
-    count(name, it->second, Step::down);
+    count(name, it->second, CountChange::decrement);
     members_.erase(it);
     return std::nullopt;
 }
@@ -92,16 +92,16 @@
 
 void MemberTable::set_removed(const std::string& router, bool removed) {
     const Member* member = find(router);
-    if (member != nullptr) count(router, *member, Step::down);
+    if (member != nullptr) count(router, *member, CountChange::decrement);
     if (removed)
         removed_.insert(router);
     else
         removed_.erase(router);
-    if (member != nullptr) count(router, *member, Step::up);
+    if (member != nullptr) count(router, *member, CountChange::increment);
 }
 
 void MemberTable::set_budgets(const Budgets& budgets) {
-    use(budgets);
+    apply_budgets(budgets);
     recount();
 }
 
@@ -127,13 +127,13 @@
         const std::string name = (it++)->second;
         if (removed_.contains(name)) continue;
         const auto member = members_.find(name);
-        count(name, member->second, Step::down);
+        count(name, member->second, CountChange::decrement);
         members_.erase(member);
     }
 }
 
-std::vector<UnresponsiveVotes::Verdict> MemberTable::judge_nodes() {
-    return votes_.judge(unresponsive_share_ * static_cast<double>(counts_.live_routers));
+std::vector<UnresponsiveVotes::VoteResult> MemberTable::evaluate_nodes() {
+    return votes_.evaluate(unresponsive_share_ * static_cast<double>(counts_.live_routers));
 }
 
 bool MemberTable::may_act(const Member& member) const { return !member.left && now_ <= acts_until(member); }
@@ -207,24 +207,24 @@
     newly_expired_.clear();
     released_targets_.clear();
     self_exempt_.clear();
-    for (const auto& [name, member] : members_) count(name, member, Step::up);
+    for (const auto& [name, member] : members_) count(name, member, CountChange::increment);
 }
 
 void MemberTable::recount(const std::string& name) {
     const Member& member = members_.at(name);
-    count(name, member, Step::down);
-    count(name, member, Step::up);
+    count(name, member, CountChange::decrement);
+    count(name, member, CountChange::increment);
 }
 
 // Whether a member was counted as one whose lease is over, or which may act, is seen by the sets that it is
 // in: time may have gone on since.
-void MemberTable::count(const std::string& name, const Member& member, Step step) {
+void MemberTable::count(const std::string& name, const Member& member, CountChange direction) {
     visited_count_ += 1 + member.report.unresponsive.size() + member.report.in_flight.size();
     const MemberCounts::End lease(member.lease_until, name);
     const MemberCounts::End acting_end(acts_until(member), name);
     bool expired = lease_expired(member);
     bool acting = may_act(member);
-    if (step == Step::up) {
+    if (direction == CountChange::increment) {
         (expired ? counts_.expired_leases : counts_.live_leases).insert(lease);
         if (acting) counts_.acting_ends.insert(acting_end);
         if (expired && !member.lost) newly_expired_.insert(name);
@@ -234,40 +234,40 @@
         acting = counts_.acting_ends.erase(acting_end) > 0;
     }
     const bool removed = removed_.contains(name);
-    if (member.role == Role::router) count_router(member, expired, removed, step);
+    if (member.role == Role::router) count_router(member, expired, removed, direction);
     if (expired && acting) {
         const std::pair key(member.report.applied_generation, name);
-        if (step == Step::up)
+        if (direction == CountChange::increment)
             counts_.lost_acting.insert(key);
         else
             counts_.lost_acting.erase(key);
     }
-    if (wait_for_lost_ && expired && acting && removed && step == Step::up)
+    if (wait_for_lost_ && expired && acting && removed && direction == CountChange::increment)
         self_exempt_.insert(name);
     else
         self_exempt_.erase(name);
-    if (wait_for_lost_ ? acting : !expired) count_acknowledged(member, step);
+    if (wait_for_lost_ ? acting : !expired) count_acknowledged(member, direction);
 }
 
-void MemberTable::count_router(const Member& member, bool expired, bool removed, Step step) {
-    tally(counts_.routers, step, removed || expired);
-    tally(counts_.router_zones, member.zone, step, removed || expired);
+void MemberTable::count_router(const Member& member, bool expired, bool removed, CountChange direction) {
+    tally(counts_.routers, direction, removed || expired);
+    tally(counts_.router_zones, member.zone, direction, removed || expired);
     if (!member.left) {
-        tally(counts_.known_routers, step);
-        if (expired) tally(counts_.lost_routers, step);
+        tally(counts_.known_routers, direction);
+        if (expired) tally(counts_.lost_routers, direction);
     }
     if (expired) return;
-    tally(counts_.live_routers, step);
-    for (const std::string& node : member.report.unresponsive) votes_.count(node, step);
+    tally(counts_.live_routers, direction);
+    for (const std::string& node : member.report.unresponsive) votes_.count(node, direction);
     if (member.left) return;
-    tally(counts_.queries, step, member.report.queries);
-    tally(counts_.failed, step, member.report.failed);
+    tally(counts_.queries, direction, member.report.queries);
+    tally(counts_.failed, direction, member.report.failed);
 }
 
-void MemberTable::count_acknowledged(const Member& member, Step step) {
-    tally(counts_.applied, member.report.applied_generation, step);
+void MemberTable::count_acknowledged(const Member& member, CountChange direction) {
+    tally(counts_.applied, member.report.applied_generation, direction);
     for (const Target& target : member.report.in_flight)
-        if (tally(counts_.in_flight, target, step) == 0) released_targets_.insert(target);
+        if (tally(counts_.in_flight, target, direction) == 0) released_targets_.insert(target);
 }
 
 }  // namespace tealcart::fleet
--- a/src/fleet/member_table.hpp
+++ b/src/fleet/member_table.hpp
@@ -43,7 +43,7 @@
 
 class MemberTable {
   public:
-    explicit MemberTable(const Budgets& budgets) { use(budgets); }
+    explicit MemberTable(const Budgets& budgets) { apply_budgets(budgets); }
 
     const std::map<std::string, Member>& all() const { return members_; }
     const Member* find(const std::string& name) const;
@@ -71,7 +71,7 @@
     // Members whose lease has ended since the last call, in the order of their names. Drops members that are
     // to be forgotten, but for those that are out by agreement.
     std::vector<std::string> expire_leases();
-    std::vector<UnresponsiveVotes::Verdict> judge_nodes();
+    std::vector<UnresponsiveVotes::VoteResult> evaluate_nodes();
     void reconsider_node(const std::string& name) { votes_.reconsider(name); }
 
     // Members that a granted removal still waits for: by name, and whether there are any.
@@ -95,14 +95,14 @@
     void reset_visited_count() { visited_count_ = 0; }
 
   private:
-    void use(const Budgets& budgets);
+    void apply_budgets(const Budgets& budgets);
     bool may_act(const Member& member) const;
     Nanos acts_until(const Member& member) const;
     bool is_pending(const std::string& name, const Member& member, const Request& request) const;
     // A member is taken out of the counts before it or what is known of it is changed, and put back after.
-    void count(const std::string& name, const Member& member, Step step);
-    void count_router(const Member& member, bool expired, bool removed, Step step);
-    void count_acknowledged(const Member& member, Step step);
+    void count(const std::string& name, const Member& member, CountChange direction);
+    void count_router(const Member& member, bool expired, bool removed, CountChange direction);
+    void count_acknowledged(const Member& member, CountChange direction);
     void recount(const std::string& name);
     void drop_forgotten();
 
--- a/src/fleet/node_table.cpp
+++ b/src/fleet/node_table.cpp
@@ -42,30 +42,30 @@
     for (const auto& [name, node] : seen.nodes) {
         const auto [it, is_new] = nodes_.try_emplace(name);
         if (!is_new && it->second == node) continue;
-        if (!is_new) count(name, it->second, Step::down);
+        if (!is_new) count(name, it->second, CountChange::decrement);
         it->second = node;
-        count(name, node, Step::up);
+        count(name, node, CountChange::increment);
     }
 }
 
 void NodeTable::drop(const std::string& name) {
     const auto it = nodes_.find(name);
     if (it == nodes_.end()) return;
-    count(name, it->second, Step::down);
+    count(name, it->second, CountChange::decrement);
     if (!removed_.contains(name)) {
         nodes_.erase(it);
         return;
     }
     it->second.health = Health::gone;
-    count(name, it->second, Step::up);
+    count(name, it->second, CountChange::increment);
 }
 
 template <typename Change>
 void NodeTable::change(const std::string& name, Change change) {
     const Node* node = find(name);
-    if (node != nullptr) count(name, *node, Step::down);
+    if (node != nullptr) count(name, *node, CountChange::decrement);
     change();
-    if (node != nullptr) count(name, *node, Step::up);
+    if (node != nullptr) count(name, *node, CountChange::increment);
 }
 
 void NodeTable::set_removed(const std::string& name, bool removed) {
@@ -91,25 +91,25 @@
     recount();
 }
 
-void NodeTable::count(const std::string& name, const Node& node, Step step) {
+void NodeTable::count(const std::string& name, const Node& node, CountChange direction) {
     visited_count_ += 1 + node.shards.size();
     const bool out = is_out(name, node);
-    tally(counts_.nodes, step, out);
-    tally(counts_.zones, node.zone, step, out);
-    tally(counts_.kinds, node.kind, step, out);
-    count_shards(node, out, step);
+    tally(counts_.nodes, direction, out);
+    tally(counts_.zones, node.zone, direction, out);
+    tally(counts_.kinds, node.kind, direction, out);
+    count_shards(node, out, direction);
 }
 
-void NodeTable::count_shards(const Node& node, bool is_out, Step step) {
+void NodeTable::count_shards(const Node& node, bool is_out, CountChange direction) {
     const auto& shards = node.shards;
     const bool ascending =
         std::adjacent_find(shards.begin(), shards.end(), std::greater_equal<>()) == shards.end();
     for (auto at = shards.begin(); at != shards.end(); ++at) {
         ShardCount& shard = counts_.shards[*at];
         const bool listed_first = ascending || std::find(shards.begin(), at, *at) == at;
-        if (listed_first) tally(shard.holders, step);
-        tally(shard.listed, step);
-        if (!is_out) tally(shard.healthy, step);
+        if (listed_first) tally(shard.holders, direction);
+        tally(shard.listed, direction);
+        if (!is_out) tally(shard.healthy, direction);
         if (shard.listed > 0 && shard.healthy < min_holders_)
             counts_.short_shards.insert(*at);
         else if (!counts_.short_shards.empty())
@@ -120,7 +120,7 @@
 
 void NodeTable::recount() {
     counts_ = {};
-    for (const auto& [name, node] : nodes_) count(name, node, Step::up);
+    for (const auto& [name, node] : nodes_) count(name, node, CountChange::increment);
 }
 
 }  // namespace tealcart::fleet
--- a/src/fleet/node_table.hpp
+++ b/src/fleet/node_table.hpp
@@ -64,8 +64,8 @@
     bool is_out(const std::string& name, const Node& node) const;
     void drop(const std::string& name);
     // A node is taken out of the counts before it or what is known of it is changed, and put back after.
-    void count(const std::string& name, const Node& node, Step step);
-    void count_shards(const Node& node, bool is_out, Step step);
+    void count(const std::string& name, const Node& node, CountChange direction);
+    void count_shards(const Node& node, bool is_out, CountChange direction);
     template <typename Change>
     void change(const std::string& name, Change change);
     void recount();
--- a/src/fleet/removal_queue.cpp
+++ b/src/fleet/removal_queue.cpp
@@ -18,64 +18,64 @@
 std::uint64_t RemovalQueue::add(const std::string& requested_by, const Target& target) {
     Request& request = requests_[++last_request_];
     request = {requested_by, target, Stage::queued, 0, 0, block_reason_, {}};
-    put_in(last_request_, request);
+    add_to_counts(last_request_, request);
     return last_request_;
 }
 
 void RemovalQueue::begin_return(std::uint64_t id) {
     Request& request = requests_.at(id);
-    take_out(id, request);
+    remove_from_counts(id, request);
     request.stage = Stage::returning;
-    put_in(id, request);
+    add_to_counts(id, request);
 }
 
 const Request& RemovalQueue::grant(std::uint64_t id) {
     Request& request = requests_.at(id);
-    take_out(id, request);
+    remove_from_counts(id, request);
     request.stage = Stage::granted;
     request.fence = ++last_fence_;
     request.generation = ++generation_;
     request.blocked_by.clear();
     removed_[request.target] = id;
-    put_in(id, request);
+    add_to_counts(id, request);
     return request;
 }
 
 void RemovalQueue::finish(std::uint64_t id, std::set<std::string> unacknowledged) {
     Request& request = requests_.at(id);
-    take_out(id, request);
+    remove_from_counts(id, request);
     request.stage = Stage::done;
     request.unacknowledged = std::move(unacknowledged);
-    put_in(id, request);
+    add_to_counts(id, request);
 }
 
 const Request& RemovalQueue::release(std::uint64_t id) {
     Request& request = requests_.at(id);
-    take_out(id, request);
+    remove_from_counts(id, request);
     removed_.erase(request.target);
     request.generation = ++generation_;
-    put_in(id, request);
+    add_to_counts(id, request);
     return request;
 }
 
 Request RemovalQueue::end(std::uint64_t id) {
     const auto it = requests_.find(id);
-    take_out(id, it->second);
+    remove_from_counts(id, it->second);
     Request request = std::move(it->second);
     requests_.erase(it);
     return request;
 }
 
-std::set<std::uint64_t> RemovalQueue::take_possibly_done(std::uint64_t lowest_applied) {
-    std::set<std::uint64_t> ids = std::exchange(reconsider_, {});
-    auto it = counts_.granted.upper_bound(applied_to_);
+std::set<std::uint64_t> RemovalQueue::take_completion_candidates(std::uint64_t lowest_applied) {
+    std::set<std::uint64_t> ids = std::exchange(completion_candidates_, {});
+    auto it = counts_.granted.upper_bound(checked_generation_);
     for (; it != counts_.granted.end() && it->first <= lowest_applied; ++it) ids.insert(it->second);
-    applied_to_ = lowest_applied;
+    checked_generation_ = lowest_applied;
     return ids;
 }
 
-void RemovalQueue::reconsider(const Target& target) {
-    if (const auto id = open_request(target)) reconsider_.insert(*id);
+void RemovalQueue::recheck_completion(const Target& target) {
+    if (const auto id = open_request(target)) completion_candidates_.insert(*id);
 }
 
 void RemovalQueue::block_all(const std::string& reason) {
@@ -102,17 +102,17 @@
 
 void RemovalQueue::recount() {
     counts_ = {};
-    reconsider_.clear();
-    applied_to_ = 0;
+    completion_candidates_.clear();
+    checked_generation_ = 0;
     block_reason_.clear();
-    for (const auto& [id, request] : requests_) put_in(id, request);
+    for (const auto& [id, request] : requests_) add_to_counts(id, request);
 }
 
 std::set<std::uint64_t>& RemovalQueue::returning(const Request& request) {
-    return removed_.contains(request.target) ? counts_.returning_out : counts_.returning_in;
+    return removed_.contains(request.target) ? counts_.returning_removed : counts_.returning_restored;
 }
 
-void RemovalQueue::take_out(std::uint64_t id, const Request& request) {
+void RemovalQueue::remove_from_counts(std::uint64_t id, const Request& request) {
     ++visited_count_;
     const auto open = counts_.open.find(request.target);
     if (open != counts_.open.end() && open->second == id) counts_.open.erase(open);
@@ -121,14 +121,14 @@
     if (request.stage == Stage::granted) counts_.granted.erase(request.generation);
 }
 
-void RemovalQueue::put_in(std::uint64_t id, const Request& request) {
+void RemovalQueue::add_to_counts(std::uint64_t id, const Request& request) {
     ++visited_count_;
     counts_.open.emplace(request.target, id);
     if (request.stage == Stage::queued) counts_.queued[request.target.router ? 1 : 0].insert(id);
     if (request.stage == Stage::returning) returning(request).insert(id);
     if (request.stage != Stage::granted) return;
     counts_.granted[request.generation] = id;
-    reconsider_.insert(id);
+    completion_candidates_.insert(id);
 }
 
 }  // namespace tealcart::fleet
--- a/src/fleet/removal_queue.hpp
+++ b/src/fleet/removal_queue.hpp
@@ -18,10 +18,10 @@
 
 // Follows from the requests and from what is out; kept so that no command looks through all requests.
 struct RequestCounts {
-    RemovedTargets open;                                  // requests by target
-    std::array<std::set<std::uint64_t>, 2> queued;        // of nodes, of routers
-    std::map<std::uint64_t, std::uint64_t> granted;       // by generation
-    std::set<std::uint64_t> returning_out, returning_in;  // still out; not out, but not healthy yet
+    RemovedTargets open;                                            // requests by target
+    std::array<std::set<std::uint64_t>, 2> queued;                  // of nodes, of routers
+    std::map<std::uint64_t, std::uint64_t> granted;                 // by generation
+    std::set<std::uint64_t> returning_removed, returning_restored;  // still out; not out, but not healthy yet
 
     friend bool operator==(const RequestCounts&, const RequestCounts&) = default;
 };
@@ -56,8 +56,8 @@
 
     // Granted requests that may be done: those whose generation has come to be the lowest that all have
     // applied, or lower, and those that were to be reconsidered.
-    std::set<std::uint64_t> take_possibly_done(std::uint64_t lowest_applied);
-    void reconsider(const Target& target);
+    std::set<std::uint64_t> take_completion_candidates(std::uint64_t lowest_applied);
+    void recheck_completion(const Target& target);
 
     // What blocks each queued request that is not the first of its sort; remembered for those that come
     // later.
@@ -78,16 +78,16 @@
 
   private:
     // A request is taken out of the counts before it is changed, and put back after.
-    void take_out(std::uint64_t id, const Request& request);
-    void put_in(std::uint64_t id, const Request& request);
+    void remove_from_counts(std::uint64_t id, const Request& request);
+    void add_to_counts(std::uint64_t id, const Request& request);
     std::set<std::uint64_t>& returning(const Request& request);
 
     Requests requests_;
     RemovedTargets removed_;
     std::uint64_t generation_ = 0, last_fence_ = 0, last_request_ = 0;
     RequestCounts counts_;
-    std::set<std::uint64_t> reconsider_;
-    std::uint64_t applied_to_ =
+    std::set<std::uint64_t> completion_candidates_;
+    std::uint64_t checked_generation_ =
         0;  // requests that were granted up to this generation were given as possibly done
     std::string block_reason_;  // of the last block_all; empty: unknown
     std::size_t visited_count_ = 0;
--- a/src/fleet/unresponsive_votes.cpp
+++ b/src/fleet/unresponsive_votes.cpp
@@ -4,30 +4,30 @@
 
 namespace tealcart::fleet {
 
-void UnresponsiveVotes::count(const std::string& node, Step step) {
-    const std::size_t now = tally(counts_.by_node, node, step);
-    const std::size_t before = step == Step::up ? now - 1 : now + 1;
+void UnresponsiveVotes::count(const std::string& node, CountChange direction) {
+    const std::size_t now = tally(counts_.by_node, node, direction);
+    const std::size_t before = direction == CountChange::increment ? now - 1 : now + 1;
     if (before > 0) counts_.by_votes.erase({before, node});
     if (now > 0) counts_.by_votes.emplace(now, node);
-    to_judge_.insert(node);
+    nodes_to_evaluate_.insert(node);
 }
 
 void UnresponsiveVotes::clear() {
     counts_ = {};
-    to_judge_.clear();
+    nodes_to_evaluate_.clear();
 }
 
-std::vector<UnresponsiveVotes::Verdict> UnresponsiveVotes::judge(double min_votes) {
+std::vector<UnresponsiveVotes::VoteResult> UnresponsiveVotes::evaluate(double min_votes) {
     reconsider_between(min_votes, last_min_votes_);
     last_min_votes_ = min_votes;
-    std::vector<Verdict> verdicts;
-    for (const std::string& node : to_judge_) {
+    std::vector<VoteResult> verdicts;
+    for (const std::string& node : nodes_to_evaluate_) {
         const auto votes = counts_.by_node.find(node);
         const bool unresponsive =
             votes != counts_.by_node.end() && static_cast<double>(votes->second) >= min_votes;
         verdicts.push_back({node, unresponsive});
     }
-    to_judge_.clear();
+    nodes_to_evaluate_.clear();
     return verdicts;
 }
 
@@ -36,7 +36,7 @@
     if (from >= to) return;
     auto it = counts_.by_votes.lower_bound({static_cast<std::size_t>(std::max(0.0, from)), {}});
     for (; it != counts_.by_votes.end() && static_cast<double>(it->first) < to; ++it)
-        to_judge_.insert(it->second);
+        nodes_to_evaluate_.insert(it->second);
 }
 
 }  // namespace tealcart::fleet
--- a/src/fleet/unresponsive_votes.hpp
+++ b/src/fleet/unresponsive_votes.hpp
@@ -22,26 +22,26 @@
 
 class UnresponsiveVotes {
   public:
-    struct Verdict {
+    struct VoteResult {
         std::string node;
         bool unresponsive = false;
     };
 
     const VoteCounts& counts() const { return counts_; }
-    void count(const std::string& node, Step step);  // one router's vote
+    void count(const std::string& node, CountChange direction);  // one router's vote
     void clear();
     // The node is judged again the next time.
-    void reconsider(const std::string& node) { to_judge_.insert(node); }
+    void reconsider(const std::string& node) { nodes_to_evaluate_.insert(node); }
 
     // Nodes whose votes have changed since the last call, and those that another threshold may judge
     // otherwise. A node with at least `min_votes` votes, and with one at all, is unresponsive.
-    std::vector<Verdict> judge(double min_votes);
+    std::vector<VoteResult> evaluate(double min_votes);
 
   private:
     void reconsider_between(double min_votes, double last_min_votes);
 
     VoteCounts counts_;
-    std::set<std::string> to_judge_;
+    std::set<std::string> nodes_to_evaluate_;
     double last_min_votes_ = 0;
 };
 
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -76,7 +76,8 @@
         if (r.stage == Stage::queued) requests.queued[r.target.router ? 1 : 0].insert(id);
         if (r.stage == Stage::granted) requests.granted[r.generation] = id;
         if (r.stage == Stage::returning)
-            (out(r.target.router, r.target.name) ? requests.returning_out : requests.returning_in).insert(id);
+            (out(r.target.router, r.target.name) ? requests.returning_removed : requests.returning_restored)
+                .insert(id);
     }
     return counts;
 }
