--- a/src/changes/command_codec.cpp
+++ b/src/changes/command_codec.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr int command_form = 1;
+constexpr int command_format_version = 1;
 constexpr const char* command_subject = "a command of changes";
 
 json json_of(const std::vector<MemberReport>& reports) {
@@ -115,12 +115,13 @@
 
 std::vector<std::uint8_t> write_command(const Command& command) {
     auto [kind, body] = std::visit(ToKindAndBody{}, command.payload);
-    return replicated::write_envelope({command.id, command.proposed_at, kind, std::move(body)}, command_form);
+    return replicated::write_envelope({command.id, command.proposed_at, kind, std::move(body)},
+                                      command_format_version);
 }
 
 Command read_command(const std::uint8_t* bytes, std::size_t size) {
     try {
-        const auto envelope = replicated::read_envelope(bytes, size, command_form, command_subject);
+        const auto envelope = replicated::read_envelope(bytes, size, command_format_version, command_subject);
         return {envelope.id, envelope.proposed_at, read_body(envelope.kind, envelope.body)};
     } catch (const json::exception& e) {
         throw replicated::malformed(command_subject, e.what());
--- a/src/changes/snapshot.cpp
+++ b/src/changes/snapshot.cpp
@@ -16,7 +16,7 @@
 using replicated::CodecError;
 
 // Goes up with every change that an earlier release can't read.
-constexpr int snapshot_form = 1;
+constexpr int snapshot_format_version = 1;
 constexpr const char* snapshot_subject = "a state of changes";
 
 json json_of(const DocumentChange& change) {
@@ -141,7 +141,7 @@
 
 std::vector<std::uint8_t> write_snapshot(const SnapshotView& view) {
     const SnapshotScalars& scalars = view.scalars;
-    return json::to_cbor({{"form", snapshot_form},
+    return json::to_cbor({{"form", snapshot_format_version},
                           {"limits", json_of(view.limits)},
                           {"document", json_of_entries(view.document)},
                           {"versions", {scalars.version, scalars.applied_everywhere, scalars.halted_version}},
@@ -157,7 +157,7 @@
 Snapshot read_snapshot(const std::vector<std::uint8_t>& bytes) {
     try {
         const json document = json::from_cbor(bytes);
-        replicated::check_form(document, snapshot_form, snapshot_subject);
+        replicated::check_format_version(document, snapshot_format_version, snapshot_subject);
         Snapshot snapshot;
         snapshot.limits = read_limits(document.at("limits"));
         snapshot.document = read_entries(document.at("document"));
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -22,7 +22,7 @@
 using replicated::CodecError;
 
 // Goes up with every change that an earlier release can't read.
-constexpr int snapshot_form = 2;
+constexpr int snapshot_format_version = 2;
 constexpr const char* snapshot_subject = "a fleet's state";
 constexpr const char* members_key = "members";
 constexpr const char* nodes_key = "nodes";
@@ -200,7 +200,7 @@
 // All but members and nodes.
 json document_of(const SnapshotView& view) {
     const SnapshotScalars& scalars = view.scalars;
-    return {{"form", snapshot_form},
+    return {{"form", snapshot_format_version},
             {"budgets", json_of(view.budgets)},
             {"requests", json_of(view.requests)},
             {"out", json_of(view.removed)},
@@ -224,15 +224,16 @@
     CborReader in(bytes.data(), bytes.size());
     for (std::size_t left = in.map(); left > 0; --left) {
         const std::string key = in.text();
-        const std::uint8_t* const begin = in.at();
+        const std::uint8_t* const begin = in.position();
         in.skip();
         if (key == members_key || key == nodes_key)
-            parts.tables.insert_or_assign(key, CborReader(begin, static_cast<std::size_t>(in.at() - begin)));
+            parts.tables.insert_or_assign(key,
+                                          CborReader(begin, static_cast<std::size_t>(in.position() - begin)));
         else
-            parts.document[key] = json::from_cbor(begin, in.at());
+            parts.document[key] = json::from_cbor(begin, in.position());
     }
-    replicated::check_form(parts.document, snapshot_form, snapshot_subject);
-    if (parts.tables.size() != 2 || in.at() != bytes.data() + bytes.size())
+    replicated::check_format_version(parts.document, snapshot_format_version, snapshot_subject);
+    if (parts.tables.size() != 2 || in.position() != bytes.data() + bytes.size())
         throw CodecError(CodecError::Fault::malformed, "a part is missing, or bytes are left over");
     return parts;
 }
@@ -276,7 +277,7 @@
     try {
         return read_parts(find_parts(bytes));
     } catch (const CodecError& e) {
-        if (e.fault() == CodecError::Fault::unsupported_form) throw;
+        if (e.fault() == CodecError::Fault::unsupported_format) throw;
         throw replicated::malformed(snapshot_subject, e.what());
     } catch (const std::exception& e) {
         throw replicated::malformed(snapshot_subject, e.what());
--- a/src/replicated/cbor.cpp
+++ b/src/replicated/cbor.cpp
@@ -10,17 +10,17 @@
 // Major types, and what stands in the low five bits of a first byte.
 constexpr unsigned unsigned_type = 0, negative_type = 1, text_type = 3, array_type = 4, map_type = 5,
                    simple_type = 7;
-constexpr unsigned major_shift = 5, low_mask = 31;
-constexpr unsigned inline_limit = 24;  // lower: the value itself
-constexpr unsigned max_low = 27;       // 24 to 27: the value follows in 1, 2, 4 or 8 bytes
+constexpr unsigned major_shift = 5, additional_information_mask = 31;
+constexpr unsigned first_length_code = 24;           // lower: the value itself
+constexpr unsigned max_additional_information = 27;  // 24 to 27: the value follows in 1, 2, 4 or 8 bytes
 constexpr std::uint8_t false_byte = 0xf4, true_byte = 0xf5;
 
 // How many bytes a value takes behind its first one, as a power of two; nothing: it stands in the first.
-unsigned low_bits(std::uint64_t value) {
-    if (value < inline_limit) return static_cast<unsigned>(value);
-    if (value <= 0xff) return inline_limit;
-    if (value <= 0xffff) return inline_limit + 1;
-    return value <= 0xffffffff ? inline_limit + 2 : inline_limit + 3;
+unsigned additional_information(std::uint64_t value) {
+    if (value < first_length_code) return static_cast<unsigned>(value);
+    if (value <= 0xff) return first_length_code;
+    if (value <= 0xffff) return first_length_code + 1;
+    return value <= 0xffffffff ? first_length_code + 2 : first_length_code + 3;
 }
 
 [[noreturn]] void fail() { throw CodecError(CodecError::Fault::malformed, "its CBOR is spoilt"); }
@@ -28,10 +28,10 @@
 }  // namespace
 
 void CborWriter::head(unsigned major, std::uint64_t value) {
-    const unsigned low = low_bits(value);
-    bytes_.push_back(static_cast<std::uint8_t>(major << major_shift | low));
-    if (low < inline_limit) return;
-    for (int shift = 8 * (1 << (low - inline_limit)) - 8; shift >= 0; shift -= 8)
+    const unsigned additional = additional_information(value);
+    bytes_.push_back(static_cast<std::uint8_t>(major << major_shift | additional));
+    if (additional < first_length_code) return;
+    for (int shift = 8 * (1 << (additional - first_length_code)) - 8; shift >= 0; shift -= 8)
         bytes_.push_back(static_cast<std::uint8_t>(value >> shift));
 }
 
@@ -56,26 +56,26 @@
 void CborWriter::map(std::size_t size) { head(map_type, size); }
 
 std::uint8_t CborReader::peek() const {
-    if (at_ == end_) fail();
-    return *at_;
+    if (position_ == end_) fail();
+    return *position_;
 }
 
 std::uint64_t CborReader::head(unsigned major) {
     const unsigned first = peek();
-    const unsigned low = first & low_mask;
-    if (first >> major_shift != major || low > max_low) fail();
-    ++at_;
-    if (low < inline_limit) return low;
-    const std::ptrdiff_t size = std::ptrdiff_t{1} << (low - inline_limit);
-    if (end_ - at_ < size) fail();
+    const unsigned additional = first & additional_information_mask;
+    if (first >> major_shift != major || additional > max_additional_information) fail();
+    ++position_;
+    if (additional < first_length_code) return additional;
+    const std::ptrdiff_t size = std::ptrdiff_t{1} << (additional - first_length_code);
+    if (end_ - position_ < size) fail();
     std::uint64_t value = 0;
-    for (std::ptrdiff_t i = 0; i < size; ++i) value = value << 8 | *at_++;
+    for (std::ptrdiff_t i = 0; i < size; ++i) value = value << 8 | *position_++;
     return value;
 }
 
-std::uint64_t CborReader::size_of(unsigned major, std::uint64_t min_bytes_each) {
+std::uint64_t CborReader::read_size(unsigned major, std::uint64_t min_bytes_each) {
     const std::uint64_t size = head(major);
-    if (size > static_cast<std::uint64_t>(end_ - at_) / min_bytes_each) fail();
+    if (size > static_cast<std::uint64_t>(end_ - position_) / min_bytes_each) fail();
     return size;
 }
 
@@ -89,23 +89,23 @@
 bool CborReader::flag() {
     const std::uint8_t byte = peek();
     if (byte != false_byte && byte != true_byte) fail();
-    ++at_;
+    ++position_;
     return byte == true_byte;
 }
 
 std::string CborReader::text() {
-    const auto size = static_cast<std::ptrdiff_t>(size_of(text_type, 1));
-    const std::uint8_t* const from = std::exchange(at_, at_ + size);
-    return {from, at_};
+    const auto size = static_cast<std::ptrdiff_t>(read_size(text_type, 1));
+    const std::uint8_t* const from = std::exchange(position_, position_ + size);
+    return {from, position_};
 }
 
-std::size_t CborReader::array() { return static_cast<std::size_t>(size_of(array_type, 1)); }
+std::size_t CborReader::array() { return static_cast<std::size_t>(read_size(array_type, 1)); }
 
 void CborReader::array(std::size_t size) {
     if (array() != size) fail();
 }
 
-std::size_t CborReader::map() { return static_cast<std::size_t>(size_of(map_type, 2)); }
+std::size_t CborReader::map() { return static_cast<std::size_t>(read_size(map_type, 2)); }
 
 void CborReader::skip() {
     for (std::uint64_t left = 1; left > 0; --left) {
@@ -117,7 +117,7 @@
             left += array();
         else if (major == map_type)
             left += 2 * map();
-        else if (major == simple_type && (first & low_mask) < inline_limit + 1)
+        else if (major == simple_type && (first & additional_information_mask) < first_length_code + 1)
             flag();
         else
             head(major);
--- a/src/replicated/cbor.hpp
+++ b/src/replicated/cbor.hpp
@@ -32,9 +32,9 @@
 // bytes end.
 class CborReader {
   public:
-    CborReader(const std::uint8_t* begin, std::size_t size) : at_(begin), end_(begin + size) {}
+    CborReader(const std::uint8_t* begin, std::size_t size) : position_(begin), end_(begin + size) {}
 
-    const std::uint8_t* at() const { return at_; }
+    const std::uint8_t* position() const { return position_; }
     std::uint64_t unsigned_number();
     std::int64_t signed_number();
     bool flag();
@@ -49,9 +49,9 @@
     std::uint8_t peek() const;
     std::uint64_t head(unsigned major);
     // A size, of no more than there are bytes left for.
-    std::uint64_t size_of(unsigned major, std::uint64_t min_bytes_each);
+    std::uint64_t read_size(unsigned major, std::uint64_t min_bytes_each);
 
-    const std::uint8_t* at_;
+    const std::uint8_t* position_;
     const std::uint8_t* end_;
 };
 
--- a/src/replicated/command_envelope.cpp
+++ b/src/replicated/command_envelope.cpp
@@ -4,27 +4,27 @@
 
 using nlohmann::json;
 
-std::vector<std::uint8_t> write_envelope(const CommandEnvelope& envelope, int form) {
-    return json::to_cbor({{"form", form},
+std::vector<std::uint8_t> write_envelope(const CommandEnvelope& envelope, int format_version) {
+    return json::to_cbor({{"form", format_version},
                           {"id", envelope.id},
                           {"at", envelope.proposed_at},
                           {"what", json::array({envelope.kind, envelope.body})}});
 }
 
-CommandEnvelope read_envelope(const std::uint8_t* bytes, std::size_t size, int form,
+CommandEnvelope read_envelope(const std::uint8_t* bytes, std::size_t size, int format_version,
                               const std::string& subject) {
     const json document = json::from_cbor(bytes, bytes + size);
-    check_form(document, form, subject);
+    check_format_version(document, format_version, subject);
     const json& what = document.at("what");
     return {document.at("id"), document.at("at"), what.at(0), what.at(1)};
 }
 
-void check_form(const json& document, int supported, const std::string& subject) {
-    const int form = document.at("form").get<int>();
-    if (form == supported) return;
-    throw CodecError(
-        CodecError::Fault::unsupported_form,
-        subject + " of form " + std::to_string(form) + ", this program reads " + std::to_string(supported));
+void check_format_version(const json& document, int supported, const std::string& subject) {
+    const int format_version = document.at("form").get<int>();
+    if (format_version == supported) return;
+    throw CodecError(CodecError::Fault::unsupported_format,
+                     subject + " of form " + std::to_string(format_version) + ", this program reads " +
+                         std::to_string(supported));
 }
 
 CodecError unknown_command(const std::string& kind) {
--- a/src/replicated/command_envelope.hpp
+++ b/src/replicated/command_envelope.hpp
@@ -21,14 +21,14 @@
     nlohmann::json body;
 };
 
-std::vector<std::uint8_t> write_envelope(const CommandEnvelope& envelope, int form);
+std::vector<std::uint8_t> write_envelope(const CommandEnvelope& envelope, int format_version);
 
 // `subject` names in errors what is read. Throws CodecError (unsupported_form) and nlohmann::json::exception.
-CommandEnvelope read_envelope(const std::uint8_t* bytes, std::size_t size, int form,
+CommandEnvelope read_envelope(const std::uint8_t* bytes, std::size_t size, int format_version,
                               const std::string& subject);
 
 // Throws CodecError (unsupported_form) where the document is of another form than this release reads.
-void check_form(const nlohmann::json& document, int supported, const std::string& subject);
+void check_format_version(const nlohmann::json& document, int supported, const std::string& subject);
 
 // The error for a kind of command that this release does not have.
 CodecError unknown_command(const std::string& kind);
