--- a/src/fleet/budget_check.cpp
+++ b/src/fleet/budget_check.cpp
@@ -9,10 +9,10 @@
 constexpr const char* unknown_router = "no such query router is a member";
 constexpr const char* unknown_node = "no such data node is known";
 
-// Not one of a fleet, however great.
+// Whether the limit allows none of a fleet to be out, however large the fleet is.
 bool allows_none(const Limit& limit) {
-    constexpr std::size_t great_fleet = 1'000'000;
-    return limit.allowed(great_fleet) == 0;
+    constexpr std::size_t large_fleet = 1'000'000;
+    return limit.allowed(large_fleet) == 0;
 }
 
 std::optional<std::string> exceeded(const Limit& limit, const GroupCount& count, bool adds_one,
@@ -62,10 +62,10 @@
     if (member == nullptr) return unknown_router;
     const bool adds_one = !members_.is_out(name);
     const MemberCounts& counts = members_.counts();
-    if (auto why = exceeded(budgets_.routers, counts.routers, adds_one, "routers")) return why;
+    if (auto reason = exceeded(budgets_.routers, counts.routers, adds_one, "routers")) return reason;
     const auto zone = counts.router_zones.find(member->zone);
-    const GroupCount of_zone = zone == counts.router_zones.end() ? GroupCount{} : zone->second;
-    return exceeded(budgets_.routers_per_zone, of_zone, adds_one, "routers_a_zone " + member->zone);
+    const GroupCount zone_count = zone == counts.router_zones.end() ? GroupCount{} : zone->second;
+    return exceeded(budgets_.routers_per_zone, zone_count, adds_one, "routers_a_zone " + member->zone);
 }
 
 std::optional<std::string> BudgetCheck::blocking_limit_of_node(const std::string& name) {
@@ -73,13 +73,13 @@
     if (node == nullptr) return unknown_node;
     const bool adds_one = !nodes_.is_out(name);
     const NodeCounts& counts = nodes_.counts();
-    if (auto why = exceeded(budgets_.nodes, counts.nodes, adds_one, "nodes")) return why;
-    if (auto why = exceeded(budgets_.nodes_per_zone, counts.zones.at(node->zone), adds_one,
-                            "nodes_a_zone " + node->zone))
-        return why;
-    if (auto why = exceeded(budgets_.nodes_per_kind, counts.kinds.at(node->kind), adds_one,
-                            "nodes_a_kind " + node->kind))
-        return why;
+    if (auto reason = exceeded(budgets_.nodes, counts.nodes, adds_one, "nodes")) return reason;
+    if (auto reason = exceeded(budgets_.nodes_per_zone, counts.zones.at(node->zone), adds_one,
+                               "nodes_a_zone " + node->zone))
+        return reason;
+    if (auto reason = exceeded(budgets_.nodes_per_kind, counts.kinds.at(node->kind), adds_one,
+                               "nodes_a_kind " + node->kind))
+        return reason;
     return blocking_shard(*node, adds_one);
 }
 
--- a/src/fleet/budget_check.hpp
+++ b/src/fleet/budget_check.hpp
@@ -1,4 +1,4 @@
-// Whether a target may be taken out of service now, by the operators' budgets.
+// Checks whether the operators' budgets allow a target to be taken out of service now.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +12,20 @@
 
 namespace tealcart::fleet {
 
-// Lives no longer than what it was made of.
+// Evaluates the budgets against the current counts. It holds references, so it must not outlive the objects
+// that it was constructed from.
 class BudgetCheck {
   public:
     BudgetCheck(const Budgets& budgets, const NodeTable& nodes, const MemberTable& members)
         : budgets_(budgets), nodes_(nodes), members_(members) {}
 
-    // Why the target can never be taken out, however long one waits; nothing: it may be, some time.
+    // Why the target can never be taken out, however long the request waits; nullopt if it can at some time.
     std::optional<std::string> permanent_refusal(const Target& target);
-    // The limit that would be broken if the target went out now; nothing: none. What is out already, for
-    // whatever reason, uses up nothing more.
+    // The limit that would be exceeded if the target were taken out now; nullopt if there is none. A target
+    // that is already out, for whatever reason, uses no further budget.
     std::optional<std::string> blocking_limit(const Target& target);
 
-    // Targets and shards that were looked at.
+    // The number of targets and shards that the checks have visited.
     std::size_t visited_count() const { return visited_count_; }
 
   private:
--- a/src/fleet/budgets.cpp
+++ b/src/fleet/budgets.cpp
@@ -6,7 +6,7 @@
 namespace tealcart::fleet {
 
 std::size_t Limit::allowed(std::size_t all) const {
-    // A share is stated in decimals, which binary fractions miss by a little.
+    // The share is configured as a decimal fraction, which a binary floating-point number only approximates.
     constexpr double rounding_slack = 1e-9;
     const double by_share = std::floor(max_share * static_cast<double>(all) + rounding_slack);
     return std::min(max_count, static_cast<std::size_t>(std::max(0.0, by_share)));
--- a/src/fleet/codec_parts.hpp
+++ b/src/fleet/codec_parts.hpp
@@ -1,5 +1,5 @@
-// Parts that commands and snapshots have in common, as JSON values of their CBOR: lists, whose order is the
-// format.
+// The parts that stored commands and snapshots have in common, as JSON values that are written as CBOR. They
+// are arrays; the order of the elements is the stored format.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/fleet/command_codec.cpp
+++ b/src/fleet/command_codec.cpp
@@ -1,4 +1,5 @@
-// The fleet's commands as bytes of the log: the body of each kind is a list, whose order is the format.
+// Encodes and decodes the fleet's commands for the replicated log. The body of each kind is an array; the
+// order of its elements is the stored format.
 #include <nlohmann/json.hpp>
 #include <utility>
 
@@ -12,7 +13,7 @@
 using nlohmann::json;
 
 constexpr int command_format_version = 1;
-constexpr const char* command_subject = "a fleet's command";
+constexpr const char* command_subject = "fleet command";
 
 json json_of_node(const Node& node) {
     return {node.zone, node.kind, node.shards, static_cast<int>(node.health), node.started_at};
--- a/src/fleet/commands.hpp
+++ b/src/fleet/commands.hpp
@@ -1,4 +1,4 @@
-// What can be proposed to the fleet's agreed state.
+// The commands that can be proposed to the fleet's replicated state.
 #pragma once
 
 #include <cstddef>
@@ -22,52 +22,54 @@
     Role role;
     std::string zone, version, digest;
     std::uint64_t incarnation;
-    Nanos lease_grace = 0;  // the member's own, see Member
+    Nanos lease_grace = 0;  // as the member is configured, see Member::lease_grace
 };
 
-// A member renews its lease and reports on itself.
+// A member renews its lease and reports its state.
 struct Renew {
     std::string name;
     std::uint64_t incarnation;
     MemberReport report;
 };
 
-// What many members said in a short time, as one command. Joins are applied first.
+// The joins and renewals that arrived within a short time, as one command. Joins are applied first.
 struct ReportBatch {
     std::vector<Join> joins;
     std::vector<Renew> renewals;
 };
 
-// A member says farewell: its lease ends at once.
+// A member announces that it stops: its lease ends at once.
 struct Leave {
     std::string name;
     std::uint64_t incarnation;
 };
 
-// A member whose lease is over, and which an operator knows not to come back.
+// Removes a member whose lease has expired and which, as an operator knows, will not come back.
 struct Forget {
     std::string name;
 };
 
-// What discovery lists of the data nodes, as the leader sees it.
+// The data nodes that discovery lists, as the leading fleet manager sees them.
 struct EndpointsObserved {
     std::map<std::string, Node> nodes;
-    bool full = true;  // all nodes: one that is not among them is gone; else what is new ...
-    std::set<std::string> removed = {};  // ... and what is gone
+    // If true, `nodes` are all nodes and any other node is gone. If false, `nodes` are those that have
+    // changed and `removed` those that are gone.
+    bool full = true;
+    std::set<std::string> removed = {};
 };
 
-// An operator asks for a target to be drained.
+// An operator requests that a target be drained.
 struct RequestRemoval {
     std::string requested_by;
     Target target;
 };
 
-// Ends a request, or brings its target back.
+// Cancels a queued request, or returns the target of a granted one.
 struct UndoRemoval {
     std::uint64_t request;
 };
 
-// No removal is granted until Resume.
+// Stops granting removals until Resume.
 struct Halt {
     std::string reason;
 };
@@ -75,25 +77,26 @@
 // Ends a halt.
 struct Resume {};
 
-// Time goes on.
+// Advances the time and does nothing else.
 struct Tick {};
 
-// From the operators' file. Takes nothing back; nothing more is granted until the budgets hold.
+// Replaces the budgets with those of the operators' file. What is out stays out; no further removal is
+// granted until the budgets hold.
 struct SetBudgets {
     Budgets budgets;
 };
 
 // One entry of the replicated log.
 struct Command {
-    std::string id;         // the proposer's own, tells that a command comes again; empty: not deduplicated
+    std::string id;         // chosen by the proposer, for deduplication; empty: not deduplicated
     Nanos proposed_at = 0;  // by the proposer's clock
     std::variant<Join, Renew, Leave, EndpointsObserved, RequestRemoval, UndoRemoval, Halt, Resume, Tick,
                  ReportBatch, Forget, SetBudgets>
         payload;
 };
 
-// A command as bytes of the log, and back. Reading throws replicated::CodecError on noise, on another form
-// and on a kind of command that this release does not have.
+// Encodes a command for the replicated log, and decodes it. Decoding throws replicated::CodecError for
+// malformed bytes, another format version and a kind of command that this release does not implement.
 std::vector<std::uint8_t> write_command(const Command& command);
 Command read_command(const std::uint8_t* bytes, std::size_t size);
 
--- a/src/fleet/effects.cpp
+++ b/src/fleet/effects.cpp
@@ -21,7 +21,7 @@
     const auto found = std::find(names.begin(), names.end(), name);
     if (found == names.end())
         throw CodecError(CodecError::Fault::malformed,
-                         "an effect with a reason that is not known: " + std::string(name));
+                         "unknown reason of an effect: '" + std::string(name) + "'");
     return static_cast<Enum>(found - names.begin());
 }
 
@@ -103,7 +103,8 @@
         case EffectCode::forgotten:
             return MemberForgotten{r.generation, r.subject};
     }
-    throw CodecError(CodecError::Fault::malformed, "an effect of a kind that is not known");
+    throw CodecError(CodecError::Fault::malformed,
+                     "unknown effect code " + std::to_string(static_cast<int>(r.code)));
 }
 
 }  // namespace tealcart::fleet
--- a/src/fleet/effects.hpp
+++ b/src/fleet/effects.hpp
@@ -1,5 +1,5 @@
-// What a command has changed in the fleet's agreed state. Each effect names the generation that it belongs
-// to: that of its request, or the latest one.
+// The effects of a command on the fleet's replicated state. Each effect carries the generation that it
+// belongs to: that of its request, or the latest one.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 namespace tealcart::fleet {
 
-// A removal was accepted and waits for its budgets.
+// A removal was accepted and waits until the budgets allow it.
 struct RemovalQueued {
     std::uint64_t request = 0;
     std::string target;
     friend bool operator==(const RemovalQueued&, const RemovalQueued&) = default;
 };
 
-// The target has a request already, which has come so far.
+// The target already has an open request, which has reached `stage`.
 struct RemovalAlreadyOpen {
     std::uint64_t request = 0, fence = 0, generation = 0;
     std::string target;
@@ -26,44 +26,44 @@
     friend bool operator==(const RemovalAlreadyOpen&, const RemovalAlreadyOpen&) = default;
 };
 
-// The command is wrong, or can never be granted.
+// The command is invalid, or can never be granted.
 struct CommandRejected {
-    std::uint64_t request = 0;  // 0: it names none
+    std::uint64_t request = 0;  // 0 if the command names none
     std::uint64_t generation = 0;
-    std::string subject;  // the target or the member that it names; empty: none
+    std::string subject;  // the target or member that the command names; empty if none
     std::string reason;
     friend bool operator==(const CommandRejected&, const CommandRejected&) = default;
 };
 
-// The target is out under this fence; all members are to be notified of the generation.
+// The target is out under this fence; all members must be notified of the generation.
 struct RemovalGranted {
     std::uint64_t request = 0, fence = 0, generation = 0;
     std::string target;
     friend bool operator==(const RemovalGranted&, const RemovalGranted&) = default;
 };
 
-// Nothing more reaches the target.
+// No member sends work to the target any more.
 struct RemovalDone {
     std::uint64_t request = 0, fence = 0, generation = 0;
     std::string target;
     friend bool operator==(const RemovalDone&, const RemovalDone&) = default;
 };
 
-// The target may be given work again.
+// Members may send work to the target again.
 struct TargetReturned {
     std::uint64_t request = 0, fence = 0, generation = 0;
     std::string target;
     friend bool operator==(const TargetReturned&, const TargetReturned&) = default;
 };
 
-// The target is healthy again, or its request was taken back before it was out.
+// The target is healthy again, or its request was cancelled before it was granted.
 struct RequestEnded {
     std::uint64_t request = 0, fence = 0, generation = 0;
     std::string target;
     friend bool operator==(const RequestEnded&, const RequestEnded&) = default;
 };
 
-// No removal is granted from now on.
+// No removal is granted until grants are resumed.
 struct GrantsHalted {
     std::uint64_t generation = 0;
     std::string reason;
@@ -76,7 +76,7 @@
     friend bool operator==(const GrantsResumed&, const GrantsResumed&) = default;
 };
 
-// The member's lease has certainly ended.
+// The member's lease has expired, even by a clock that is slow by the permitted drift.
 struct MemberLeaseExpired {
     std::uint64_t generation = 0;
     std::string member;
@@ -86,11 +86,11 @@
 // Why a report was not applied.
 enum class StaleReason : std::uint8_t {
     earlier_incarnation,  // a later incarnation of the member has joined
-    unknown_incarnation,  // not a member, or another incarnation is
-    unagreed_generation,  // it states a generation that was never agreed
+    unknown_incarnation,  // the sender is no member, or another incarnation of it is
+    unagreed_generation,  // it reports a generation that was never committed
 };
 
-// A member's message was not applied, or only as a renewal of its lease.
+// A member's report was not applied, or only renewed its lease.
 struct StaleReport {
     std::uint64_t generation = 0;
     std::string member;
@@ -98,7 +98,7 @@
     friend bool operator==(const StaleReport&, const StaleReport&) = default;
 };
 
-// A member whose lease is over counts no more.
+// A member whose lease has expired was removed and is no longer counted.
 struct MemberForgotten {
     std::uint64_t generation = 0;
     std::string member;
@@ -110,7 +110,7 @@
                             StaleReport, MemberForgotten>;
 using Effects = std::vector<Effect>;
 
-// Stored and answered by number: append only.
+// Stored and sent by number: append only.
 enum class EffectCode : std::uint8_t {
     asked,
     refused,
@@ -125,15 +125,15 @@
     forgotten
 };
 
-// The flat form of an effect in snapshots, in answers to operators and in the manager's log. A field that the
-// effect does not have is 0 or empty.
+// The flat form of an effect in snapshots, in responses to operators and in the fleet manager's log. A field
+// that the effect does not have is 0 or empty.
 struct EffectRecord {
     EffectCode code = EffectCode::asked;
     std::uint64_t request = 0, fence = 0, generation = 0;
     std::string subject, reason;
 };
 EffectRecord record_of(const Effect& effect);
-// Throws replicated::CodecError on a record that no effect gives.
+// Throws replicated::CodecError for a record that corresponds to no effect.
 Effect effect_of(const EffectRecord& record);
 
 }  // namespace tealcart::fleet
--- a/src/fleet/fleet_state.cpp
+++ b/src/fleet/fleet_state.cpp
@@ -22,8 +22,8 @@
     return std::exchange(effects_, {});
 }
 
-// Where nothing was agreed for a while, nobody could renew: what was not lost before gets that time back, and
-// nothing is granted until all have had the time to report.
+// While no command was committed, nobody could renew a lease: leases that had not expired before are extended
+// by that time, and nothing is granted until all members have had the time to report.
 void FleetState::advance_clock(Nanos at) {
     const auto interruption = clock_.advance(at, budgets_.lease, budgets_.drift);
     members_.set_now(clock_.now());
@@ -58,7 +58,7 @@
 }
 
 void FleetState::on(const Forget& command) {
-    if (const auto why = members_.forget(command.name)) return reject(command.name, *why);
+    if (const auto reason = members_.forget(command.name)) return reject(command.name, *reason);
     emit(MemberForgotten{generation(), command.name});
 }
 
@@ -80,14 +80,14 @@
         return emit(RemovalAlreadyOpen{*id, open.fence, open.generation, target.name, open.stage});
     }
     BudgetCheck check(budgets_, nodes_, members_);
-    const auto why = check.permanent_refusal(target);
+    const auto reason = check.permanent_refusal(target);
     visited_count_ += check.visited_count();
-    if (why) return reject(target.name, *why);
+    if (reason) return reject(target.name, *reason);
     const std::uint64_t id = removals_.add(command.requested_by, target);
     emit(RemovalQueued{id, target.name});
 }
 
-// What is not out yet just ends; what is out comes back in return_targets(), the last one out first.
+// A queued request just ends. A granted target is returned by return_targets(), the last one granted first.
 void FleetState::on(const UndoRemoval& command) {
     const Request* request = removals_.find(command.request);
     if (request == nullptr) return reject({}, "no such request is open", command.request);
@@ -131,8 +131,8 @@
         nodes_.set_unresponsive(node, unresponsive);
 }
 
-// A removal is done once all that it waits for have applied its generation and have nothing in flight there.
-// Only those are looked at of which the last report may have come since.
+// A removal is done once all members that it waits for have applied its generation and have nothing in flight
+// at the target. Only requests whose last missing report may have arrived are checked.
 void FleetState::finish_acknowledged() {
     for (const Target& target : members_.take_released_targets()) removals_.recheck_completion(target);
     for (const std::uint64_t id : removals_.take_completion_candidates(members_.lowest_applied())) {
@@ -144,8 +144,8 @@
     }
 }
 
-// Not healthy yet, but there: what has died in the meantime holds nobody back. A router is healthy again once
-// it has applied the generation that lets it back.
+// Whether a returned target exists but is not healthy yet. A target that has died in the meantime delays no
+// other. A router is healthy again once it has applied the generation that returned it.
 bool FleetState::is_returning(const Request& request) const {
     if (request.target.router) {
         const Member* member = members_.find(request.target.name);
@@ -156,8 +156,9 @@
     return node != nullptr && node->health != Health::gone && node->health != Health::healthy;
 }
 
-// Back in the reverse order, and the next one only when the one before is healthy again, so that the limits
-// of a node that warms up hold for all routers together.
+// Targets are returned in the reverse order of their grants, each one only after the previous one is healthy
+// again. Otherwise several nodes would warm up at the same time, and the routers' limits for a cold node
+// would not hold in total.
 void FleetState::return_targets() {
     const RequestCounts& counts = removals_.counts();
     for (auto it = counts.returning_restored.begin(); it != counts.returning_restored.end();) {
@@ -179,28 +180,28 @@
     if (halt_.trip(conditions)) emit(GrantsHalted{generation(), halt_.reason()});
 }
 
-// The first request is granted first, of nodes and of routers. One that waits holds back those behind it of
-// its sort, or one whose shards are scarce would never be granted.
+// Requests for nodes and requests for routers are each granted in order. A request that has to wait blocks
+// those behind it in its queue; otherwise later requests could starve one whose shards have few holders.
 void FleetState::grant_queued() {
     const auto& [nodes, routers] = removals_.counts().queued;
     if (nodes.empty() && routers.empty()) return removals_.clear_block_reason();
-    const bool held = halted() || clock_.holding();
+    const bool on_hold = halted() || clock_.holding();
     if (halted())
         removals_.block_all("halted: " + halt_reason());
-    else if (held)
+    else if (on_hold)
         removals_.block_all("agreement was interrupted: members are waited for");
     else
         removals_.block_all("an earlier request waits");
-    if (held) return;
-    bool nodes_wait = false;
-    bool routers_wait = false;
+    if (on_hold) return;
+    bool nodes_blocked = false;
+    bool routers_blocked = false;
     while (true) {
-        const bool node_next = !nodes_wait && !nodes.empty();
-        const bool router_next = !routers_wait && !routers.empty();
+        const bool node_next = !nodes_blocked && !nodes.empty();
+        const bool router_next = !routers_blocked && !routers.empty();
         if (!node_next && !router_next) return;
         const bool router = !node_next || (router_next && *routers.begin() < *nodes.begin());
         if (try_grant(router ? *routers.begin() : *nodes.begin())) continue;
-        (router ? routers_wait : nodes_wait) = true;
+        (router ? routers_blocked : nodes_blocked) = true;
     }
 }
 
--- a/src/fleet/fleet_state.hpp
+++ b/src/fleet/fleet_state.hpp
@@ -1,12 +1,12 @@
-// What a fleet has agreed: its members and their leases, its data nodes, and who may be out of service at a
-// time. One deterministic state machine for a replicated log: apply(command) gives effects, and the same
-// commands in the same order give the same state and the same effects on every replica. No I/O and no clock:
-// the time stands in each command, as the one who proposed it read it. docs/design-fleet.md has the promise
-// and its assumptions.
+// The replicated state of a fleet: its members and their leases, its data nodes, and which of them may be out
+// of service. It is a deterministic state machine for a replicated log: apply(command) returns effects, and
+// the same commands in the same order produce the same state and the same effects on every replica. It
+// performs no I/O and reads no clock: each command carries the time that its proposer read.
+// docs/design-fleet.md describes the guarantee and its assumptions.
 //
-// This class keeps the order of what follows from a command. The members and their leases are in MemberTable,
-// the data nodes in NodeTable, the requests and what is out by them in RemovalQueue, halts in HaltSwitch;
-// budgets are judged by BudgetCheck.
+// FleetState determines the order of the steps that follow a command. MemberTable holds the members and their
+// leases, NodeTable the data nodes, RemovalQueue the requests and the removed targets, and HaltSwitch the
+// halts. BudgetCheck evaluates the budgets.
 #pragma once
 
 #include <cstddef>
@@ -29,40 +29,43 @@
 
 namespace tealcart::fleet {
 
+// The state machine of the fleet.
 class FleetState {
   public:
     explicit FleetState(const Budgets& budgets)
         : budgets_(budgets), nodes_(budgets.halt_min_holders), members_(budgets) {}
 
+    // Applies one committed command. A command whose id is in the history changes nothing and returns the
+    // effects of its first application.
     Effects apply(const Command& command);
 
-    // The whole state, with a number for its form. `load` throws replicated::CodecError on another form and
-    // on noise, and changes nothing then.
+    // Encodes the whole state, with a format version. `load` throws replicated::CodecError for another format
+    // version and for malformed bytes, and changes nothing then.
     std::vector<std::uint8_t> save() const;
     void load(const std::vector<std::uint8_t>& bytes);
 
     const Budgets& budgets() const { return budgets_; }
     std::uint64_t generation() const { return removals_.generation(); }
     Nanos now() const { return clock_.now(); }
-    Nanos hold_until() const { return clock_.hold_until(); }  // nothing is granted before
+    Nanos hold_until() const { return clock_.hold_until(); }  // no removal is granted before this time
     bool halted() const { return halt_.halted(); }
     const std::string& halt_reason() const { return halt_.reason(); }
     const std::map<std::string, Member>& members() const { return members_.all(); }
     const std::map<std::string, Node>& nodes() const { return nodes_.all(); }
     const RemovalQueue::Requests& requests() const { return removals_.requests(); }
 
-    // What is out by agreement: no new work is to go there.
+    // The targets that are out by agreement: no new work may be sent to them.
     const RemovedTargets& removed_targets() const { return removals_.removed(); }
     bool is_removed(const Target& target) const { return is_removed(target.router, target.name); }
     bool is_removed(bool router, const std::string& name) const {
         return removals_.is_removed({router, name});
     }
-    // Everything that is not healthy, whoever took it out.
+    // Whether a target is not healthy, whoever took it out.
     bool is_out(const Target& target) const { return is_out(target.router, target.name); }
     bool is_out(bool router, const std::string& name) const {
         return router ? members_.is_out(name) : nodes_.is_out(name);
     }
-    // Members that a granted request still waits for.
+    // The members that a granted request still waits for.
     std::vector<std::string> pending_members(const Request& request) const {
         return members_.pending(request);
     }
@@ -71,7 +74,7 @@
     const MemberCounts& member_counts() const { return members_.counts(); }
     const VoteCounts& vote_counts() const { return members_.vote_counts(); }
     const RequestCounts& request_counts() const { return removals_.counts(); }
-    // Members, nodes, their shards and requests that the last command looked at.
+    // The number of members, nodes, shards and requests that the last command visited.
     std::size_t visited_count() const;
 
   private:
@@ -89,7 +92,7 @@
     void on(const SetBudgets& command);
 
     void advance_clock(Nanos at);
-    // What follows from any command, in this order.
+    // The steps that follow every command, in this order.
     void grant_and_advance();
     void expire_leases();
     void finish_acknowledged();
--- a/src/fleet/halt_switch.cpp
+++ b/src/fleet/halt_switch.cpp
@@ -35,15 +35,15 @@
 }
 
 bool HaltSwitch::trip(const HaltConditions& conditions) {
-    bool halts = false;
-    for (const auto& [name, words] : conditions) {
+    bool halted_now = false;
+    for (const auto& [name, description] : conditions) {
         const bool is_new = tripped_.insert(name).second;
         if (!is_new || halted_) continue;
-        halt(words);
-        halts = true;
+        halt(description);
+        halted_now = true;
     }
     std::erase_if(tripped_, [&](const std::string& name) { return !conditions.contains(name); });
-    return halts;
+    return halted_now;
 }
 
 void HaltSwitch::restore(bool halted, std::string reason, std::set<std::string> tripped) {
--- a/src/fleet/halt_switch.hpp
+++ b/src/fleet/halt_switch.hpp
@@ -1,4 +1,4 @@
-// Whether grants are halted, by a person or by a condition of the fleet.
+// Whether grants of removals are halted, by an operator or by a condition of the fleet.
 #pragma once
 
 #include <map>
@@ -12,25 +12,27 @@
 
 namespace tealcart::fleet {
 
-using HaltConditions = std::map<std::string, std::string>;  // what holds, in words, by the condition's name
+using HaltConditions =
+    std::map<std::string, std::string>;  // a description of each condition that holds, by its name
 
 // The conditions of Budgets that hold now.
 HaltConditions halt_conditions(const Budgets& budgets, const NodeCounts& nodes, const MemberCounts& members);
 
+// Halts and resumes grants, and remembers which conditions have already caused a halt.
 class HaltSwitch {
   public:
     bool halted() const { return halted_; }
     const std::string& reason() const { return reason_; }
-    // Conditions that held when they were looked at last.
+    // The conditions that held at the last evaluation.
     const std::set<std::string>& tripped() const { return tripped_; }
 
     void halt(const std::string& reason);
     void resume();
-    // A condition halts when it begins to hold, and one that a person has resumed over does not halt again
-    // until it has ended. Gives whether it has halted now.
+    // Halts if a condition has begun to hold. A condition that an operator has resumed over does not halt
+    // again until it has ceased to hold. Returns whether this call has halted grants.
     bool trip(const HaltConditions& conditions);
 
-    // From a snapshot.
+    // Restores the state of a snapshot.
     void restore(bool halted, std::string reason, std::set<std::string> tripped);
 
   private:
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -1,5 +1,5 @@
-// A member of the fleet: a query router or a control service that holds a lease and reports what it has
-// applied.
+// A member of the fleet: a query router or a control service that holds a lease and reports which generation
+// it has applied.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
 // Stored by number: append only.
 enum class Role : std::uint8_t { router, control };
 
-// What a member reports of itself with each renewal.
+// What a member reports with each renewal of its lease.
 struct MemberReport {
     std::uint64_t applied_generation = 0;
-    std::set<Target> in_flight;             // targets that are out and still have work of this member's
-    std::set<std::string> unresponsive;     // data nodes that do not answer it
-    std::uint64_t queries = 0, failed = 0;  // of the last seconds
+    std::set<Target> in_flight;          // removed targets at which this member still has requests in flight
+    std::set<std::string> unresponsive;  // data nodes that do not answer this member
+    std::uint64_t queries = 0, failed = 0;  // in the last few seconds
 
     friend bool operator==(const MemberReport&, const MemberReport&) = default;
 };
@@ -28,11 +28,11 @@
 struct Member {
     Role role = Role::router;
     std::string zone, version, digest;
-    std::uint64_t incarnation = 0;  // a greater number at each start
-    Nanos lease_grace = 0;          // for so long after its lease it may act by what it last knew
+    std::uint64_t incarnation = 0;  // a greater number at each process start
+    Nanos lease_grace = 0;          // how long it may go on serving by its last known state after its lease
     Nanos lease_until = 0;
-    bool lost = false;  // its lease has certainly ended
-    bool left = false;  // by its own farewell
+    bool lost = false;  // the lease has expired, drift included
+    bool left = false;  // announced by the member itself
     MemberReport report;
 };
 
--- a/src/fleet/member_table.cpp
+++ b/src/fleet/member_table.cpp
@@ -28,8 +28,8 @@
     Member& member = it->second;
     if (command.incarnation < member.incarnation) return StaleReason::earlier_incarnation;
     if (!is_new) count(command.name, member, CountChange::decrement);
-    // A new incarnation knows nothing of what the old one applied, and has nothing in flight. The old one's
-    // process may still be there: its reports are stale from now on.
+    // A new incarnation has applied nothing and has nothing in flight. The process of the old incarnation may
+    // still run: its reports are stale from now on.
     if (command.incarnation > member.incarnation) member = Member{};
     member.role = command.role;
     member.zone = command.zone;
@@ -51,12 +51,12 @@
     count(command.name, member, CountChange::decrement);
     member.lease_until = std::max(member.lease_until, now_ + lease_);
     member.lost = false;
-    // Reports may overtake each other: an older one knows nothing of what the member has in flight now.
-    const bool agreed = command.report.applied_generation <= latest_generation;
-    if (agreed && command.report.applied_generation >= member.report.applied_generation)
+    // Reports may arrive out of order: an older one does not show what the member has in flight now.
+    const bool committed = command.report.applied_generation <= latest_generation;
+    if (committed && command.report.applied_generation >= member.report.applied_generation)
         member.report = command.report;
     count(command.name, member, CountChange::increment);
-    if (!agreed) return StaleReason::unagreed_generation;
+    if (!committed) return StaleReason::unagreed_generation;
     return std::nullopt;
 }
 
@@ -77,7 +77,7 @@
     const auto it = members_.find(name);
     if (it == members_.end()) return "no such member";
     if (!lease_expired(it->second)) return "its lease is not over";
-    // Its request would be left without its target.
+    // Its open request would be left without a target.
     if (removed_.contains(name)) return "it is out by agreement; undrain it first";
     count(name, it->second, CountChange::decrement);
     members_.erase(it);
@@ -145,7 +145,8 @@
 
 bool MemberTable::is_pending(const std::string& name, const Member& member, const Request& request) const {
     if (wait_for_lost_ ? !may_act(member) : lease_expired(member)) return false;
-    // A router that is lost can't report that it has nothing in flight; it has nothing that counts.
+    // A router that has lost its lease can't report that it has nothing in flight, so its own removal does
+    // not wait for it.
     const bool is_target = request.target.router && request.target.name == name;
     if (is_target && lease_expired(member)) return false;
     return member.report.applied_generation < request.generation ||
@@ -161,13 +162,13 @@
 
 bool MemberTable::any_pending(const Request& request) const {
     ++visited_count_;
-    // The target itself is among those that are counted, though its removal does not wait for it.
+    // The counts include the target itself, although its removal does not wait for it.
     const Target& target = request.target;
     const Member* exempt = target.router && self_exempt_.contains(target.name) ? find(target.name) : nullptr;
     for (const auto& [generation, members] : counts_.applied) {
         if (generation >= request.generation) break;
-        const bool exempt_is_one = exempt != nullptr && exempt->report.applied_generation == generation;
-        if (members > (exempt_is_one ? 1U : 0U)) return true;
+        const bool exempt_is_counted = exempt != nullptr && exempt->report.applied_generation == generation;
+        if (members > (exempt_is_counted ? 1U : 0U)) return true;
     }
     const auto busy = counts_.in_flight.find(target);
     const bool exempt_is_busy = exempt != nullptr && exempt->report.in_flight.contains(target);
@@ -216,8 +217,8 @@
     count(name, member, CountChange::increment);
 }
 
-// Whether a member was counted as one whose lease is over, or which may act, is seen by the sets that it is
-// in: time may have gone on since.
+// On a decrement, the sets that contain the member show whether it was counted as expired or acting. That
+// can't be computed again, since the time may have advanced in between.
 void MemberTable::count(const std::string& name, const Member& member, CountChange direction) {
     visited_count_ += 1 + member.report.unresponsive.size() + member.report.in_flight.size();
     const MemberCounts::End lease(member.lease_until, name);
--- a/src/fleet/member_table.hpp
+++ b/src/fleet/member_table.hpp
@@ -1,4 +1,4 @@
-// The fleet's members, their leases, and what they have acknowledged.
+// The members of the fleet, their leases, and the generations that they have acknowledged.
 #pragma once
 
 #include <cstddef>
@@ -19,28 +19,30 @@
 
 namespace tealcart::fleet {
 
-// Follows from the members, from who is out and from the time; kept so that no command looks through all
-// members.
+// Derived from the members, from what is out and from the time. The counts are maintained incrementally so
+// that no command has to scan all members.
 struct MemberCounts {
     using End = std::pair<Nanos, std::string>;  // a time, and the member's name
 
     GroupCount routers;
     GroupCounts router_zones;
-    std::size_t live_routers = 0;                     // whose lease is not over
-    std::size_t known_routers = 0, lost_routers = 0;  // of those that have not left
-    std::uint64_t queries = 0, failed = 0;            // reported by routers that live and have not left
-    std::set<End> live_leases, expired_leases;        // by Member::lease_until
-    std::set<End> acting_ends;                        // of members that may act, until when
-    std::set<std::pair<std::uint64_t, std::string>>
-        lost_acting;  // lease over, may act; by applied generation
-    // Of members that removals wait for: how many have applied a generation, or have work in flight at a
-    // target.
+    std::size_t live_routers = 0;  // routers whose lease has not expired
+    std::size_t known_routers = 0,
+                lost_routers = 0;  // routers that have not left, and those of them whose lease has expired
+    std::uint64_t queries = 0, failed = 0;      // as reported by live routers that have not left
+    std::set<End> live_leases, expired_leases;  // by Member::lease_until
+    std::set<End> acting_ends;                  // members that may act, by the time until which they may
+    // Members whose lease has expired and which may still act, by their applied generation.
+    std::set<std::pair<std::uint64_t, std::string>> lost_acting;
+    // Of the members that removals wait for, how many have applied each generation, and how many have
+    // requests in flight at each target.
     std::map<std::uint64_t, std::size_t> applied;
     std::map<Target, std::size_t> in_flight;
 
     friend bool operator==(const MemberCounts&, const MemberCounts&) = default;
 };
 
+// Holds the members, renews and expires their leases, and keeps MemberCounts up to date.
 class MemberTable {
   public:
     explicit MemberTable(const Budgets& budgets) { apply_budgets(budgets); }
@@ -50,47 +52,51 @@
     const MemberCounts& counts() const { return counts_; }
     const VoteCounts& vote_counts() const { return votes_.counts(); }
 
-    // Its lease has certainly ended, for all clocks that run apart by less than the drift.
+    // Whether the member's lease has expired by any clock that deviates by less than the drift.
     bool lease_expired(const Member& member) const { return now_ > member.lease_until + drift_; }
-    // Whether a router is out, for whatever reason. One that is not known counts as out.
+    // Whether a router is out, for whatever reason. An unknown router counts as out.
     bool is_out(const std::string& name) const;
 
-    // Each gives why the command was not applied as a whole.
+    // Each returns why the command was not or only partly applied, or nullopt.
     std::optional<StaleReason> join(const Join& command);
     std::optional<StaleReason> renew(const Renew& command, std::uint64_t latest_generation);
     std::optional<StaleReason> leave(const Leave& command);
-    // Gives why the member can't be forgotten.
+    // Removes a member. Returns why that is not possible, or nullopt.
     std::optional<std::string> forget(const std::string& name);
 
     void set_now(Nanos now) { now_ = now; }
-    // What was not lost or left before an interruption gets that time back.
+    // Extends all leases by the length of an interruption, except those of members that were lost or had
+    // left.
     void extend_leases(Nanos interruption);
-    void set_removed(const std::string& router, bool removed);  // by agreement
+    // Marks a router as removed by agreement, or as returned.
+    void set_removed(const std::string& router, bool removed);
     void set_budgets(const Budgets& budgets);
 
-    // Members whose lease has ended since the last call, in the order of their names. Drops members that are
-    // to be forgotten, but for those that are out by agreement.
+    // The members whose lease has expired since the last call, sorted by name. Also drops members that have
+    // been expired for Budgets::forget_after, except those that are out by agreement.
     std::vector<std::string> expire_leases();
+    // Evaluates the nodes whose votes have changed, see UnresponsiveVotes::evaluate().
     std::vector<UnresponsiveVotes::VoteResult> evaluate_nodes();
     void reconsider_node(const std::string& name) { votes_.reconsider(name); }
 
-    // Members that a granted removal still waits for: by name, and whether there are any.
+    // The members that a granted removal still waits for, and whether there are any.
     std::vector<std::string> pending(const Request& request) const;
     bool any_pending(const Request& request) const;
-    // What all members that removals wait for have applied; the greatest number where there is no such
-    // member.
+    // The lowest generation that a member has applied, of the members that removals wait for; the greatest
+    // number if there is no such member.
     std::uint64_t lowest_applied() const;
-    // Targets that may have become free of work or of their own member since the last call.
+    // The targets that may no longer have requests in flight, or no longer wait for their own member, since
+    // the last call.
     std::set<Target> take_released_targets();
-    // Members whose lease is over, and which may act by an older generation.
+    // The members whose lease has expired and which may still act on an older generation.
     std::set<std::string> may_lag(std::uint64_t generation) const;
 
-    // From a snapshot.
+    // Restores the state of a snapshot.
     void restore(std::map<std::string, Member> members, std::set<std::string> removed, Nanos now);
-    // All that is kept as counts anew; every vote and every member is looked at.
+    // Rebuilds the counts from all members and votes.
     void recount();
 
-    // Members, with what they report, that were looked at since the last reset.
+    // The number of members and report entries visited since the last reset.
     std::size_t visited_count() const { return visited_count_; }
     void reset_visited_count() { visited_count_ = 0; }
 
@@ -99,7 +105,7 @@
     bool may_act(const Member& member) const;
     Nanos acts_until(const Member& member) const;
     bool is_pending(const std::string& name, const Member& member, const Request& request) const;
-    // A member is taken out of the counts before it or what is known of it is changed, and put back after.
+    // Subtracts a member from the counts before a change, or adds it after the change.
     void count(const std::string& name, const Member& member, CountChange direction);
     void count_router(const Member& member, bool expired, bool removed, CountChange direction);
     void count_acknowledged(const Member& member, CountChange direction);
@@ -116,7 +122,8 @@
     UnresponsiveVotes votes_;
     std::set<std::string> newly_expired_;
     std::set<Target> released_targets_;
-    // Routers that are out, lost and may act: their own removal does not wait for them, though all others do.
+    // Routers that are out, have lost their lease and may still act. Their own removal does not wait for
+    // them, but all other removals do.
     std::set<std::string> self_exempt_;
     mutable std::size_t visited_count_ = 0;
 };
--- a/src/fleet/node.hpp
+++ b/src/fleet/node.hpp
@@ -1,4 +1,4 @@
-// A data node, as the fleet manager that leads sees it in discovery.
+// A data node, as the leading fleet manager sees it in discovery.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 // Stored by number: append only.
 enum class Health : std::uint8_t { healthy, draining, cold, gone, unknown };
 
-// A data node, as discovery lists it.
+// The zone, machine kind, shards and health of one data node.
 struct Node {
-    std::string zone, kind;             // kind: of machine
-    std::vector<std::uint32_t> shards;  // that it holds
-    Health health = Health::unknown;    // by discovery, and by whether it has warmed up
+    std::string zone, kind;             // kind: of the machine
+    std::vector<std::uint32_t> shards;  // the shards that it holds
+    Health health = Health::unknown;    // from discovery, and from whether the node has warmed up
     Nanos started_at = 0;
 
     friend bool operator==(const Node&, const Node&) = default;
--- a/src/fleet/removal.hpp
+++ b/src/fleet/removal.hpp
@@ -1,4 +1,4 @@
-// What can be taken out of service by agreement, and how far a request for it has come.
+// The targets that can be taken out of service by agreement, and the stages of a request to do so.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace tealcart::fleet {
 
-// A data node by its name, or a query router by its member's name.
+// A data node, or a query router by its name as a member.
 struct Target {
     bool router = false;
     std::string name;
@@ -19,13 +19,13 @@
     }
 };
 
-// Looks a target up by a name that need not be copied.
+// A non-owning key to look up a target without copying its name.
 struct TargetView {
     bool router = false;
     std::string_view name;
 };
 
-// The order of Target, over both.
+// The order of Target, for Target and TargetView alike.
 struct TargetLess {
     using is_transparent = void;  // NOLINT(readability-identifier-naming): the standard library looks for it
     template <typename A, typename B>
@@ -37,22 +37,22 @@
 
 // Stored by number: append only.
 enum class Stage : std::uint8_t {
-    queued,     // waits for its budgets
-    granted,    // out by agreement; members may not have acknowledged it yet
-    done,       // nothing more reaches the target
-    returning,  // on its way back; out until those granted after it are back
+    queued,     // waits until the budgets allow it
+    granted,    // removed by agreement; members may not have acknowledged it yet
+    done,       // no member sends work to the target any more
+    returning,  // to be returned; stays out until all targets granted after it are back
     ended
 };
 const char* stage_name(Stage stage);
 
-// A request to take one target out, until the target is back.
+// A request to take one target out of service. It stays open until the target is back.
 struct Request {
     std::string requested_by;
     Target target;
     Stage stage = Stage::queued;
     std::uint64_t fence = 0, generation = 0;  // 0 until granted
-    std::string blocked_by;                   // while queued: the limit that it waits for
-    // When it was done: members whose lease was over, and which might still have acted by an older
+    std::string blocked_by;                   // while queued: the limit that blocks it
+    // Members whose lease had expired when the removal was done and which might still have acted on an older
     // generation.
     std::set<std::string> unacknowledged;
 };
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -1,5 +1,5 @@
-// Snapshots are a CBOR map whose keys stand in their order. Members and nodes, which are nearly all of it,
-// are written and read without a document in between.
+// A snapshot is a CBOR map with sorted keys. Members and nodes, which make up nearly all of it, are written
+// and read directly, without a JSON document in memory.
 #include "fleet/snapshot.hpp"
 
 #include <cstddef>
@@ -21,9 +21,9 @@
 using replicated::CborWriter;
 using replicated::CodecError;
 
-// Goes up with every change that an earlier release can't read.
+// Incremented with every change that an earlier release can't read.
 constexpr int snapshot_format_version = 2;
-constexpr const char* snapshot_subject = "a fleet's state";
+constexpr const char* snapshot_subject = "fleet snapshot";
 constexpr const char* members_key = "members";
 constexpr const char* nodes_key = "nodes";
 constexpr std::size_t node_fields = 5, member_fields = 10, report_fields = 5, target_fields = 2;
@@ -136,14 +136,14 @@
 
 RemovalQueue::Requests read_requests(const json& in) {
     RemovalQueue::Requests requests;
-    for (const json& one : in)
-        requests[one.at(0)] = {one.at(1),
-                               read_target(one.at(2)),
-                               static_cast<Stage>(one.at(3).get<int>()),
-                               one.at(4),
-                               one.at(5),
-                               one.at(6),
-                               one.at(7).get<std::set<std::string>>()};
+    for (const json& item : in)
+        requests[item.at(0)] = {item.at(1),
+                                read_target(item.at(2)),
+                                static_cast<Stage>(item.at(3).get<int>()),
+                                item.at(4),
+                                item.at(5),
+                                item.at(6),
+                                item.at(7).get<std::set<std::string>>()};
     return requests;
 }
 
@@ -155,7 +155,7 @@
 
 RemovedTargets read_removed(const json& in) {
     RemovedTargets removed;
-    for (const json& one : in) removed[read_target(one.at(0))] = one.at(1);
+    for (const json& item : in) removed[read_target(item.at(0))] = item.at(1);
     return removed;
 }
 
@@ -197,7 +197,7 @@
     return scalars;
 }
 
-// All but members and nodes.
+// Everything except members and nodes.
 json document_of(const SnapshotView& view) {
     const SnapshotScalars& scalars = view.scalars;
     return {{"form", snapshot_format_version},
@@ -213,7 +213,7 @@
             {"times", {scalars.now, scalars.hold_until}}};
 }
 
-// Where the parts of a snapshot stand.
+// The parts of a snapshot: the document, and readers positioned at the tables.
 struct Parts {
     json document = json::object();
     std::map<std::string, CborReader> tables;  // members and nodes
--- a/src/fleet/snapshot.hpp
+++ b/src/fleet/snapshot.hpp
@@ -1,4 +1,5 @@
-// A snapshot of the fleet's agreed state: what it holds beyond what can be counted anew, as bytes and back.
+// Encodes and decodes a snapshot of the fleet's replicated state. A snapshot holds everything that can't be
+// derived from the rest of the state.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 namespace tealcart::fleet {
 
-// The single values of a snapshot.
+// The scalar values of a snapshot.
 struct SnapshotScalars {
     std::uint64_t generation = 0, last_fence = 0, last_request = 0;
     bool halted = false;
@@ -24,7 +25,7 @@
     Nanos now = 0, hold_until = 0;
 };
 
-// All of the state that can't be derived from the rest of it.
+// A decoded snapshot.
 struct Snapshot {
     Budgets budgets;
     std::map<std::string, Member> members;
@@ -32,12 +33,13 @@
     RemovalQueue::Requests requests;
     RemovedTargets removed;
     std::set<std::string> unresponsive;  // data nodes
-    std::set<std::string> tripped;       // conditions for a halt
+    std::set<std::string> tripped;       // names of halt conditions that hold
     replicated::CommandHistory<Effect> history;
     SnapshotScalars scalars;
 };
 
-// The same, of a state that need not be copied. Lives no longer than that state.
+// The same contents as references, so that a state need not be copied to be written. It must not outlive the
+// state.
 struct SnapshotView {
     const Budgets& budgets;
     const std::map<std::string, Member>& members;
@@ -51,7 +53,7 @@
 };
 
 std::vector<std::uint8_t> write_snapshot(const SnapshotView& view);
-// Throws replicated::CodecError on noise and on another form.
+// Throws replicated::CodecError for malformed bytes and for another format version.
 Snapshot read_snapshot(const std::vector<std::uint8_t>& bytes);
 
 }  // namespace tealcart::fleet
--- a/src/fleet/tally.hpp
+++ b/src/fleet/tally.hpp
@@ -1,4 +1,4 @@
-// Counting up and down under keys, for what is kept as counts.
+// Helpers to maintain counts, plain and by key.
 #pragma once
 
 #include <cstddef>
@@ -7,16 +7,17 @@
 
 namespace tealcart::fleet {
 
-// How many there are of something, and how many of them are out.
+// The number of items in a group, and how many of them are out.
 struct GroupCount {
     std::size_t all = 0, out = 0;
     friend bool operator==(const GroupCount&, const GroupCount&) = default;
 };
 using GroupCounts = std::map<std::string, GroupCount>;  // by zone, or by kind
 
-// Whether an item is taken out of a count or added to it.
+// Whether an item is removed from a count or added to it.
 enum class CountChange : bool { decrement, increment };
 
+// Adds `by` to a number or subtracts it.
 template <typename Number>
 void tally(Number& number, CountChange direction, Number by = 1) {
     if (direction == CountChange::increment)
@@ -25,19 +26,20 @@
         number -= by;
 }
 
+// Counts an item that is out or not.
 inline void tally(GroupCount& count, CountChange direction, bool is_out) {
     tally(count.all, direction);
     if (is_out) tally(count.out, direction);
 }
 
-// Drops a group with none.
+// Counts an item under its group and erases a group that becomes empty.
 inline void tally(GroupCounts& counts, const std::string& group, CountChange direction, bool is_out) {
     const auto it = counts.try_emplace(group).first;
     tally(it->second, direction, is_out);
     if (it->second.all == 0) counts.erase(it);
 }
 
-// Gives the number now, and drops a key with none.
+// Counts an item under its key, erases a key that reaches zero, and returns the new count.
 template <typename Key>
 std::size_t tally(std::map<Key, std::size_t>& counts, const Key& key, CountChange direction) {
     const auto it = counts.try_emplace(key, 0).first;
--- a/src/fleet/unresponsive_votes.cpp
+++ b/src/fleet/unresponsive_votes.cpp
@@ -20,15 +20,15 @@
 std::vector<UnresponsiveVotes::VoteResult> UnresponsiveVotes::evaluate(double min_votes) {
     reconsider_between(min_votes, last_min_votes_);
     last_min_votes_ = min_votes;
-    std::vector<VoteResult> verdicts;
+    std::vector<VoteResult> results;
     for (const std::string& node : nodes_to_evaluate_) {
         const auto votes = counts_.by_node.find(node);
         const bool unresponsive =
             votes != counts_.by_node.end() && static_cast<double>(votes->second) >= min_votes;
-        verdicts.push_back({node, unresponsive});
+        results.push_back({node, unresponsive});
     }
     nodes_to_evaluate_.clear();
-    return verdicts;
+    return results;
 }
 
 void UnresponsiveVotes::reconsider_between(double min_votes, double last_min_votes) {
--- a/src/fleet/unresponsive_votes.hpp
+++ b/src/fleet/unresponsive_votes.hpp
@@ -1,4 +1,4 @@
-// How many live routers find each data node unresponsive.
+// Decides from the live routers' reports which data nodes count as unresponsive.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace tealcart::fleet {
 
-// How many live routers find each node unresponsive.
+// The number of live routers that report each node as unresponsive: by node, and sorted by that number.
 struct VoteCounts {
     std::map<std::string, std::size_t> by_node;
     std::set<std::pair<std::size_t, std::string>> by_votes;
@@ -20,6 +20,7 @@
     friend bool operator==(const VoteCounts&, const VoteCounts&) = default;
 };
 
+// Counts the votes and evaluates the nodes whose votes have changed.
 class UnresponsiveVotes {
   public:
     struct VoteResult {
@@ -28,13 +29,14 @@
     };
 
     const VoteCounts& counts() const { return counts_; }
-    void count(const std::string& node, CountChange direction);  // one router's vote
+    // Adds or removes one router's vote.
+    void count(const std::string& node, CountChange direction);
     void clear();
-    // The node is judged again the next time.
+    // Includes the node in the next evaluation.
     void reconsider(const std::string& node) { nodes_to_evaluate_.insert(node); }
 
-    // Nodes whose votes have changed since the last call, and those that another threshold may judge
-    // otherwise. A node with at least `min_votes` votes, and with one at all, is unresponsive.
+    // Evaluates the nodes whose votes have changed since the last call, and those for which the new threshold
+    // may give another result. A node is unresponsive if it has at least one vote and at least `min_votes`.
     std::vector<VoteResult> evaluate(double min_votes);
 
   private:
--- a/src/replicated/cbor.cpp
+++ b/src/replicated/cbor.cpp
@@ -7,15 +7,17 @@
 namespace tealcart::replicated {
 namespace {
 
-// Major types, and what stands in the low five bits of a first byte.
+// Major types (the high three bits of an item's first byte) and the additional information (the low five
+// bits), as RFC 8949 names them.
 constexpr unsigned unsigned_type = 0, negative_type = 1, text_type = 3, array_type = 4, map_type = 5,
                    simple_type = 7;
 constexpr unsigned major_shift = 5, additional_information_mask = 31;
-constexpr unsigned first_length_code = 24;           // lower: the value itself
-constexpr unsigned max_additional_information = 27;  // 24 to 27: the value follows in 1, 2, 4 or 8 bytes
+constexpr unsigned first_length_code = 24;           // a lower number is the value itself
+constexpr unsigned max_additional_information = 27;  // with 24 to 27 the value follows in 1, 2, 4 or 8 bytes
 constexpr std::uint8_t false_byte = 0xf4, true_byte = 0xf5;
 
-// How many bytes a value takes behind its first one, as a power of two; nothing: it stands in the first.
+// The additional information for a value: the value itself if it is small, otherwise the code for the number
+// of bytes that follow.
 unsigned additional_information(std::uint64_t value) {
     if (value < first_length_code) return static_cast<unsigned>(value);
     if (value <= 0xff) return first_length_code;
@@ -23,7 +25,7 @@
     return value <= 0xffffffff ? first_length_code + 2 : first_length_code + 3;
 }
 
-[[noreturn]] void fail() { throw CodecError(CodecError::Fault::malformed, "its CBOR is spoilt"); }
+[[noreturn]] void throw_malformed() { throw CodecError(CodecError::Fault::malformed, "invalid CBOR"); }
 
 }  // namespace
 
@@ -56,18 +58,18 @@
 void CborWriter::map(std::size_t size) { head(map_type, size); }
 
 std::uint8_t CborReader::peek() const {
-    if (position_ == end_) fail();
+    if (position_ == end_) throw_malformed();
     return *position_;
 }
 
 std::uint64_t CborReader::head(unsigned major) {
     const unsigned first = peek();
     const unsigned additional = first & additional_information_mask;
-    if (first >> major_shift != major || additional > max_additional_information) fail();
+    if (first >> major_shift != major || additional > max_additional_information) throw_malformed();
     ++position_;
     if (additional < first_length_code) return additional;
     const std::ptrdiff_t size = std::ptrdiff_t{1} << (additional - first_length_code);
-    if (end_ - position_ < size) fail();
+    if (end_ - position_ < size) throw_malformed();
     std::uint64_t value = 0;
     for (std::ptrdiff_t i = 0; i < size; ++i) value = value << 8 | *position_++;
     return value;
@@ -75,7 +77,7 @@
 
 std::uint64_t CborReader::read_size(unsigned major, std::uint64_t min_bytes_each) {
     const std::uint64_t size = head(major);
-    if (size > static_cast<std::uint64_t>(end_ - position_) / min_bytes_each) fail();
+    if (size > static_cast<std::uint64_t>(end_ - position_) / min_bytes_each) throw_malformed();
     return size;
 }
 
@@ -88,21 +90,21 @@
 
 bool CborReader::flag() {
     const std::uint8_t byte = peek();
-    if (byte != false_byte && byte != true_byte) fail();
+    if (byte != false_byte && byte != true_byte) throw_malformed();
     ++position_;
     return byte == true_byte;
 }
 
 std::string CborReader::text() {
     const auto size = static_cast<std::ptrdiff_t>(read_size(text_type, 1));
-    const std::uint8_t* const from = std::exchange(position_, position_ + size);
-    return {from, position_};
+    const std::uint8_t* const begin = std::exchange(position_, position_ + size);
+    return {begin, position_};
 }
 
 std::size_t CborReader::array() { return static_cast<std::size_t>(read_size(array_type, 1)); }
 
 void CborReader::array(std::size_t size) {
-    if (array() != size) fail();
+    if (array() != size) throw_malformed();
 }
 
 std::size_t CborReader::map() { return static_cast<std::size_t>(read_size(map_type, 2)); }
--- a/src/replicated/cbor.hpp
+++ b/src/replicated/cbor.hpp
@@ -1,5 +1,5 @@
-// CBOR (RFC 8949) in the subset that nlohmann/json writes, without a document in between: for the parts of a
-// snapshot that grow with the fleet.
+// A streaming CBOR (RFC 8949) writer and reader for the subset that nlohmann/json writes. They build no JSON
+// document in memory, and serve the parts of a snapshot that grow with the fleet.
 #pragma once
 
 #include <cstddef>
@@ -16,10 +16,10 @@
     void number(std::int64_t value);
     void flag(bool on);
     void text(const std::string& value);
-    void array(std::size_t size);  // then its values
-    void map(std::size_t size);    // then its keys, each with its value
+    void array(std::size_t size);  // write this many values next
+    void map(std::size_t size);    // write this many keys next, each followed by its value
 
-    // What was written so far; more may be appended.
+    // The bytes written so far. The caller may append further items to them.
     std::vector<std::uint8_t>& bytes() { return bytes_; }
 
   private:
@@ -28,8 +28,8 @@
     std::vector<std::uint8_t> bytes_;
 };
 
-// Reads what CborWriter writes. Each call throws CodecError (malformed) where something else comes, or the
-// bytes end.
+// Reads what CborWriter writes. Each call throws CodecError (malformed) if the next item has another type or
+// the bytes end.
 class CborReader {
   public:
     CborReader(const std::uint8_t* begin, std::size_t size) : position_(begin), end_(begin + size) {}
@@ -39,16 +39,17 @@
     std::int64_t signed_number();
     bool flag();
     std::string text();
-    std::size_t array();  // its size
-    void array(std::size_t size);
-    std::size_t map();  // its size
-    // Passes over one value, with all that it holds; also a number with a fraction.
+    std::size_t array();           // returns the number of values
+    void array(std::size_t size);  // throws unless the array has this size
+    std::size_t map();             // returns the number of keys
+    // Skips one value with everything nested in it. Floating-point numbers are skipped too.
     void skip();
 
   private:
     std::uint8_t peek() const;
     std::uint64_t head(unsigned major);
-    // A size, of no more than there are bytes left for.
+    // Reads a size and rejects one that the remaining bytes can't hold, so that a corrupt size never causes a
+    // large allocation.
     std::uint64_t read_size(unsigned major, std::uint64_t min_bytes_each);
 
     const std::uint8_t* position_;
--- a/src/replicated/codec_error.hpp
+++ b/src/replicated/codec_error.hpp
@@ -1,4 +1,4 @@
-// What can be wrong with stored bytes: a command of the log or a snapshot.
+// The error for stored bytes that can't be decoded: a command of the replicated log, or a snapshot.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 
 namespace tealcart::replicated {
 
-// Bytes are not of the form that the reader knows.
+// Thrown when stored bytes are not in a format that the reader supports.
 class CodecError : public std::runtime_error {
   public:
     enum class Fault : std::uint8_t {
-        malformed,           // no such bytes were ever written: cut off, spoilt, or of something else
-        unsupported_format,  // written by another release, under another number for the form
-        unknown_command,     // a kind of command that this release does not have
-        dangling_reference   // names something that the same bytes should hold and don't
+        malformed,           // truncated, corrupted, or not this kind of record at all
+        unsupported_format,  // written by another release, under another format version
+        unknown_command,     // a kind of command that this release does not implement
+        dangling_reference   // refers to an item that the same bytes should contain but don't
     };
 
     CodecError(Fault fault, const std::string& message) : std::runtime_error(message), fault_(fault) {}
--- a/src/replicated/command_envelope.cpp
+++ b/src/replicated/command_envelope.cpp
@@ -15,24 +15,24 @@
                               const std::string& subject) {
     const json document = json::from_cbor(bytes, bytes + size);
     check_format_version(document, format_version, subject);
-    const json& what = document.at("what");
-    return {document.at("id"), document.at("at"), what.at(0), what.at(1)};
+    const json& kind_and_body = document.at("what");
+    return {document.at("id"), document.at("at"), kind_and_body.at(0), kind_and_body.at(1)};
 }
 
 void check_format_version(const json& document, int supported, const std::string& subject) {
     const int format_version = document.at("form").get<int>();
     if (format_version == supported) return;
     throw CodecError(CodecError::Fault::unsupported_format,
-                     subject + " of form " + std::to_string(format_version) + ", this program reads " +
-                         std::to_string(supported));
+                     subject + " has format version " + std::to_string(format_version) +
+                         "; this program reads version " + std::to_string(supported));
 }
 
 CodecError unknown_command(const std::string& kind) {
-    return {CodecError::Fault::unknown_command, "a command '" + kind + "' that this program does not know"};
+    return {CodecError::Fault::unknown_command, "unknown command kind '" + kind + "'"};
 }
 
-CodecError malformed(const std::string& subject, const std::string& why) {
-    return {CodecError::Fault::malformed, subject + " that can't be read: " + why};
+CodecError malformed(const std::string& subject, const std::string& reason) {
+    return {CodecError::Fault::malformed, "malformed " + subject + ": " + reason};
 }
 
 }  // namespace tealcart::replicated
--- a/src/replicated/command_envelope.hpp
+++ b/src/replicated/command_envelope.hpp
@@ -1,6 +1,6 @@
-// What stands around a command in the log: CBOR of {form, id, at, what: [kind, body]}. Each kind has a word
-// of its own, so that none changes its meaning with the order of a list. The number for the form goes up with
-// every change that an earlier release can't read.
+// The envelope of a command in the replicated log: CBOR of {form, id, at, what: [kind, body]}. A kind is
+// stored as a string, so that its meaning does not depend on the order of an enumeration. The format version
+// ("form") is incremented with every change that an earlier release can't read.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace tealcart::replicated {
 
-// What every command carries beside its own fields.
+// The fields that every command carries, around the body of its kind.
 struct CommandEnvelope {
     std::string id;
     Nanos proposed_at = 0;
@@ -23,17 +23,18 @@
 
 std::vector<std::uint8_t> write_envelope(const CommandEnvelope& envelope, int format_version);
 
-// `subject` names in errors what is read. Throws CodecError (unsupported_form) and nlohmann::json::exception.
+// `subject` names the record in error messages. Throws CodecError (unsupported_format) and
+// nlohmann::json::exception.
 CommandEnvelope read_envelope(const std::uint8_t* bytes, std::size_t size, int format_version,
                               const std::string& subject);
 
-// Throws CodecError (unsupported_form) where the document is of another form than this release reads.
+// Throws CodecError (unsupported_format) if the document has another format version than `supported`.
 void check_format_version(const nlohmann::json& document, int supported, const std::string& subject);
 
-// The error for a kind of command that this release does not have.
+// The error for a kind of command that this release does not implement.
 CodecError unknown_command(const std::string& kind);
 
-// The error for bytes that are not what `subject` looks like.
-CodecError malformed(const std::string& subject, const std::string& why);
+// The error for bytes that can't be decoded as `subject`.
+CodecError malformed(const std::string& subject, const std::string& reason);
 
 }  // namespace tealcart::replicated
--- a/src/replicated/state_clock.hpp
+++ b/src/replicated/state_clock.hpp
@@ -1,5 +1,5 @@
-// The time of a replicated state, as its commands state it. No replica reads a clock, so all have the same
-// time.
+// The clock of a replicated state. It advances only with the times that the commands carry: no replica reads
+// its own clock, so all replicas have the same time.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,23 @@
 
 using Nanos = std::int64_t;
 
-// Ends at the greatest time where the sum would wrap around: a span may mean for ever.
+// The sum of a time and a span, or the greatest time if the sum would overflow: a span may mean "for ever".
 inline Nanos saturating_add(Nanos at, Nanos span) { return at > INT64_MAX - span ? INT64_MAX : at + span; }
 
-// Never runs back: a new leader's clock may be behind the last one's, and then time stands until it has
-// caught up.
+// A monotonic clock. A new leader's clock may be behind that of the last leader; the time then stands still
+// until the new clock has caught up.
 class StateClock {
   public:
-    // The latest time that a command has stated.
+    // The latest time that a command has carried.
     Nanos now() const { return now_; }
-    // After an interruption of the agreement members may not have been heard yet: nothing is to be concluded
-    // from their silence before this time.
+    // After an interruption of the consensus, members may not have been able to report yet. Until this time
+    // nothing may be concluded from their silence.
     Nanos hold_until() const { return hold_until_; }
     bool holding() const { return now_ < hold_until_; }
 
-    // Goes on to a command's time. Nothing: time stands. Else for how long nothing was agreed, so that nobody
-    // could renew a lease, where that was over a quarter of a lease; otherwise 0. All times in nanoseconds.
+    // Advances to a command's time. Returns nullopt if the time stands still. Otherwise returns how long no
+    // command was committed, if that was more than a quarter of a lease (nobody could renew a lease in that
+    // time), and 0 if it was less. All times are in nanoseconds.
     std::optional<Nanos> advance(Nanos at, Nanos lease, Nanos drift) {
         const Nanos gap = at - now_;
         if (gap <= 0) return std::nullopt;
@@ -35,6 +36,7 @@
         return gap;
     }
 
+    // Restores the values of a snapshot.
     void restore(Nanos now, Nanos hold_until) {
         now_ = now;
         hold_until_ = hold_until;
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -1,5 +1,5 @@
-// The fleet's state machine against a slow plain model of the design page, by generated commands that are
-// made small again where they differ.
+// Compares the fleet's state machine with a slow and simple reference model, over generated commands.
+// RapidCheck shrinks a sequence of commands for which they differ.
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -16,12 +16,13 @@
 constexpr Nanos second = 1'000'000'000;
 constexpr int nodes = 6, routers = 4, width = 3;
 
-struct Op {
-    int what = 0, who = 0, how = 0;
+// One generated command: its kind, the node or router it is about, and a variant of it.
+struct Operation {
+    int kind = 0, subject = 0, variant = 0;
 };
 
-std::ostream& operator<<(std::ostream& out, const Op& op) {
-    return out << '{' << op.what << ' ' << op.who << ' ' << op.how << '}';
+std::ostream& operator<<(std::ostream& out, const Operation& operation) {
+    return out << '{' << operation.kind << ' ' << operation.subject << ' ' << operation.variant << '}';
 }
 
 std::string node_name(int n) { return "n" + std::to_string(n % nodes); }
@@ -36,105 +37,109 @@
     return b;
 }
 
-// Everything is looked up anew each time, in lists; no index, nothing kept beside what is meant.
-struct Plain {
-    struct Req {
+// The reference model. It looks everything up in lists each time and maintains no index or count.
+struct ReferenceModel {
+    struct ModelRequest {
         std::uint64_t id, generation;
         Target target;
         Stage stage;
         bool out;
     };
-    struct Who {
+    struct ModelMember {
         std::string name;
         std::uint64_t incarnation, applied_generation;
         Nanos lease_until;
         bool left;
         std::set<Target> in_flight;
     };
-    std::vector<Req> reqs;
-    std::vector<Who> members;
+    std::vector<ModelRequest> requests;
+    std::vector<ModelMember> members;
     std::map<std::string, Health> health;
-    std::uint64_t generation = 0, last = 0;
+    std::uint64_t generation = 0, last_request = 0;
     bool halted = false;
     Nanos now = 0;
 
-    Who* member(const std::string& name) {
-        for (Who& w : members)
-            if (w.name == name) return &w;
+    ModelMember* find_member(const std::string& name) {
+        for (ModelMember& member : members)
+            if (member.name == name) return &member;
         return nullptr;
     }
-    bool over(const Who& w) const { return now > w.lease_until + second; }
-    bool out(const Target& t) const {
-        return std::any_of(reqs.begin(), reqs.end(), [&](const Req& r) { return r.target == t && r.out; });
+    bool lease_expired(const ModelMember& member) const { return now > member.lease_until + second; }
+    bool is_removed(const Target& target) const {
+        return std::any_of(requests.begin(), requests.end(),
+                           [&](const ModelRequest& r) { return r.target == target && r.out; });
     }
-    bool is_out(const Target& t) {
-        if (out(t)) return true;
-        if (!t.router) return health.at(t.name) != Health::healthy;
-        const Who* w = member(t.name);
-        return w == nullptr || over(*w);
+    bool is_out(const Target& target) {
+        if (is_removed(target)) return true;
+        if (!target.router) return health.at(target.name) != Health::healthy;
+        const ModelMember* member = find_member(target.name);
+        return member == nullptr || lease_expired(*member);
     }
-    bool may_go(const Target& t) {
-        const bool more = !is_out(t);
+    bool within_budgets(const Target& target) {
+        const bool adds_one = !is_out(target);
         std::size_t n = 0;
-        if (t.router) {
-            for (const Who& w : members) n += is_out({true, w.name});
-            return n + more <= 1;
+        if (target.router) {
+            for (const ModelMember& member : members) n += is_out({true, member.name});
+            return n + adds_one <= 1;
         }
         for (const auto& [name, h] : health) n += is_out({false, name});
-        if (n + more > 2) return false;
-        const int self = std::stoi(t.name.substr(1));
+        if (n + adds_one > 2) return false;
+        const int self = std::stoi(target.name.substr(1));
         for (int j = 0; j < width; ++j) {
             const int shard = (self + nodes - j) % nodes;
-            int whole = 0;
+            int healthy_holders = 0;
             for (int k = 0; k < width; ++k) {
                 const std::string holder = node_name(shard + k);
-                whole += holder != t.name && !is_out({false, holder});
+                healthy_holders += holder != target.name && !is_out({false, holder});
             }
-            if (whole < 2) return false;
+            if (healthy_holders < 2) return false;
         }
         return true;
     }
-    void settle() {
-        std::erase_if(members, [&](const Who& w) {
-            return over(w) && now - w.lease_until > 40 * second && !out({true, w.name});
+    void advance() {
+        std::erase_if(members, [&](const ModelMember& member) {
+            return lease_expired(member) && now - member.lease_until > 40 * second &&
+                   !is_removed({true, member.name});
         });
-        for (Req& r : reqs)
-            if (r.stage == Stage::granted && std::all_of(members.begin(), members.end(), [&](const Who& w) {
-                    return over(w) ||
-                           (w.applied_generation >= r.generation && !w.in_flight.contains(r.target));
+        for (ModelRequest& r : requests)
+            if (r.stage == Stage::granted &&
+                std::all_of(members.begin(), members.end(), [&](const ModelMember& member) {
+                    return lease_expired(member) || (member.applied_generation >= r.generation &&
+                                                     !member.in_flight.contains(r.target));
                 }))
                 r.stage = Stage::done;
-        const auto comes = [&](const Req& r) {
+        const auto is_returning = [&](const ModelRequest& r) {
             if (r.target.router) {
-                const Who* w = member(r.target.name);
-                return w != nullptr && !over(*w) && w->applied_generation < r.generation;
+                const ModelMember* member = find_member(r.target.name);
+                return member != nullptr && !lease_expired(*member) &&
+                       member->applied_generation < r.generation;
             }
             const Health h = health.at(r.target.name);
             return h != Health::gone && h != Health::healthy;
         };
-        bool waits = false;
-        for (Req& r : reqs) {
+        bool return_pending = false;
+        for (ModelRequest& r : requests) {
             if (r.stage != Stage::returning || r.out) continue;
-            if (comes(r))
-                waits = true;
+            if (is_returning(r))
+                return_pending = true;
             else
                 r.stage = Stage::ended;
         }
-        for (auto r = reqs.rbegin(); r != reqs.rend() && !waits; ++r) {
+        for (auto r = requests.rbegin(); r != requests.rend() && !return_pending; ++r) {
             if (r->stage != Stage::returning || !r->out) continue;
             r->out = false;
             r->generation = ++generation;
-            if (comes(*r))
-                waits = true;
+            if (is_returning(*r))
+                return_pending = true;
             else
                 r->stage = Stage::ended;
         }
-        std::erase_if(reqs, [](const Req& r) { return r.stage == Stage::ended; });
-        bool stuck[2] = {halted, halted};
-        for (Req& r : reqs) {
-            if (r.stage != Stage::queued || stuck[r.target.router]) continue;
-            if (!may_go(r.target)) {
-                stuck[r.target.router] = true;
+        std::erase_if(requests, [](const ModelRequest& r) { return r.stage == Stage::ended; });
+        bool blocked[2] = {halted, halted};
+        for (ModelRequest& r : requests) {
+            if (r.stage != Stage::queued || blocked[r.target.router]) continue;
+            if (!within_budgets(r.target)) {
+                blocked[r.target.router] = true;
                 continue;
             }
             r.stage = Stage::granted;
@@ -144,38 +149,39 @@
     }
 };
 
-void compare(const FleetState& state, Plain& plain) {
-    RC_ASSERT(state.generation() == plain.generation);
-    RC_ASSERT(state.halted() == plain.halted);
-    RC_ASSERT(state.requests().size() == plain.reqs.size());
-    for (const Plain::Req& r : plain.reqs) {
-        const Request& is = state.requests().at(r.id);
-        RC_ASSERT(is.target == r.target);
-        RC_ASSERT(int(is.stage) == int(r.stage));
+void compare(const FleetState& state, ReferenceModel& model) {
+    RC_ASSERT(state.generation() == model.generation);
+    RC_ASSERT(state.halted() == model.halted);
+    RC_ASSERT(state.requests().size() == model.requests.size());
+    for (const ReferenceModel::ModelRequest& r : model.requests) {
+        const Request& request = state.requests().at(r.id);
+        RC_ASSERT(request.target == r.target);
+        RC_ASSERT(int(request.stage) == int(r.stage));
         RC_ASSERT(state.is_removed(r.target) == r.out);
     }
-    RC_ASSERT(state.members().size() == plain.members.size());
+    RC_ASSERT(state.members().size() == model.members.size());
 }
 
 }  // namespace
 
 namespace rc {
 template <>
-struct Arbitrary<Op> {
-    static Gen<Op> arbitrary() {
-        return gen::build<Op>(gen::set(&Op::what, gen::inRange(0, 14)),
-                              gen::set(&Op::who, gen::inRange(0, 24)),
-                              gen::set(&Op::how, gen::inRange(0, 8)));
+struct Arbitrary<Operation> {
+    static Gen<Operation> arbitrary() {
+        return gen::build<Operation>(gen::set(&Operation::kind, gen::inRange(0, 14)),
+                                     gen::set(&Operation::subject, gen::inRange(0, 24)),
+                                     gen::set(&Operation::variant, gen::inRange(0, 8)));
     }
 };
 }  // namespace rc
 
-TEST_CASE("any commands give what the plain model gives") {
-    ::setenv("RC_PARAMS", "seed=20 max_success=400 max_size=200", 1);  // the same runs each time
-    std::size_t granted = 0, done = 0, back = 0;
-    const bool held = rc::check([&](const std::vector<Op>& ops) {
+TEST_CASE("generated commands give the same state as the reference model") {
+    ::setenv("RC_PARAMS", "seed=20 max_success=400 max_size=200",
+             1);  // a fixed seed, so that every run is the same
+    std::size_t granted = 0, done = 0, returned = 0;
+    const bool held = rc::check([&](const std::vector<Operation>& operations) {
         FleetState state(budgets());
-        Plain plain;
+        ReferenceModel model;
         Nanos now = 1000 * second;
         std::map<std::string, Node> all;
         for (int n = 0; n < nodes; ++n) {
@@ -183,88 +189,91 @@
             node = {"a", "m", {}, Health::healthy, 0};
             for (int j = 0; j < width; ++j)
                 node.shards.push_back(static_cast<std::uint32_t>((n + nodes - j) % nodes));
-            plain.health[node_name(n)] = Health::healthy;
+            model.health[node_name(n)] = Health::healthy;
         }
         state.apply({"", now, EndpointsObserved{all}});
-        plain.now = now;
-        std::map<std::string, std::uint64_t> lives;
-        for (const Op& op : ops) {
-            const std::string router = router_name(op.who), node = node_name(op.who);
-            const Target target = op.how == 0 ? Target{true, router} : Target{false, node};
-            const std::uint64_t incarnation = lives[router];
+        model.now = now;
+        std::map<std::string, std::uint64_t> incarnations;
+        for (const Operation& operation : operations) {
+            const std::string router = router_name(operation.subject), node = node_name(operation.subject);
+            const Target target = operation.variant == 0 ? Target{true, router} : Target{false, node};
+            const std::uint64_t incarnation = incarnations[router];
             Command c{"", now, Tick{}};
-            Plain::Who* who = plain.member(router);
-            switch (op.what) {
+            ReferenceModel::ModelMember* member = model.find_member(router);
+            switch (operation.kind) {
                 case 0:
-                    c.payload = Join{router, Role::router, "a", "1", "d", ++lives[router]};
-                    if (who == nullptr) who = &plain.members.emplace_back();
-                    *who = {router, incarnation + 1, 0, now + 20 * second, false, {}};
+                    c.payload = Join{router, Role::router, "a", "1", "d", ++incarnations[router]};
+                    if (member == nullptr) member = &model.members.emplace_back();
+                    *member = {router, incarnation + 1, 0, now + 20 * second, false, {}};
                     break;
                 case 1:
                 case 2:
                 case 3: {
-                    // What it acts on: all, or one behind; with work in hand at a node, or none.
-                    const std::uint64_t acts =
-                        op.how % 2 == 0 || plain.generation == 0 ? plain.generation : plain.generation - 1;
-                    const std::set<Target> hand =
-                        op.how == 7 ? std::set<Target>{{false, node}} : std::set<Target>{};
-                    c.payload = Renew{router, incarnation, {acts, hand, {}, 0, 0}};
-                    if (who == nullptr || who->left) break;
-                    who->lease_until = now + 20 * second;
-                    if (acts >= who->applied_generation)
-                        who->applied_generation = acts, who->in_flight = hand;
+                    // It has applied the latest generation or the one before, with or without requests in
+                    // flight at a node.
+                    const std::uint64_t applied_generation =
+                        operation.variant % 2 == 0 || model.generation == 0 ? model.generation
+                                                                            : model.generation - 1;
+                    const std::set<Target> in_flight =
+                        operation.variant == 7 ? std::set<Target>{{false, node}} : std::set<Target>{};
+                    c.payload = Renew{router, incarnation, {applied_generation, in_flight, {}, 0, 0}};
+                    if (member == nullptr || member->left) break;
+                    member->lease_until = now + 20 * second;
+                    if (applied_generation >= member->applied_generation)
+                        member->applied_generation = applied_generation, member->in_flight = in_flight;
                     break;
                 }
                 case 4:
                     c.payload = Leave{router, incarnation};
-                    if (who == nullptr) break;
-                    who->left = true, who->in_flight.clear(), who->applied_generation = 0;
-                    who->lease_until = std::min(who->lease_until, now - second - 1);
+                    if (member == nullptr) break;
+                    member->left = true, member->in_flight.clear(), member->applied_generation = 0;
+                    member->lease_until = std::min(member->lease_until, now - second - 1);
                     break;
                 case 5:
                 case 6:
                 case 7: {
                     c.payload = RequestRemoval{"ann", target};
-                    const bool open = std::any_of(plain.reqs.begin(), plain.reqs.end(),
+                    const bool open = std::any_of(model.requests.begin(), model.requests.end(),
                                                   [&](const auto& r) { return r.target == target; });
-                    if (open || (target.router && who == nullptr)) break;
-                    plain.reqs.push_back({++plain.last, 0, target, Stage::queued, false});
+                    if (open || (target.router && member == nullptr)) break;
+                    model.requests.push_back({++model.last_request, 0, target, Stage::queued, false});
                     break;
                 }
                 case 8:
                 case 9: {
-                    if (plain.reqs.empty()) break;
-                    auto& r = plain.reqs[static_cast<std::size_t>(op.who) % plain.reqs.size()];
+                    if (model.requests.empty()) break;
+                    auto& r =
+                        model.requests[static_cast<std::size_t>(operation.subject) % model.requests.size()];
                     c.payload = UndoRemoval{r.id};
                     r.stage = r.stage == Stage::queued ? Stage::ended : Stage::returning;
                     break;
                 }
                 case 10:
                 case 11:
-                    all[node].health = plain.health[node] = static_cast<Health>(op.how % 4);
+                    all[node].health = model.health[node] = static_cast<Health>(operation.variant % 4);
                     c.payload = EndpointsObserved{{{node, all[node]}}, false, {}};
                     break;
                 case 12:
-                    now += op.how * second / 2;
-                    plain.now = c.proposed_at = now;
+                    now += operation.variant * second / 2;
+                    model.now = c.proposed_at = now;
                     break;
                 default:
-                    if (op.how == 0) c.payload = Halt{"a person"}, plain.halted = true;
-                    if (op.how > 3) c.payload = Resume{}, plain.halted = false;
+                    if (operation.variant == 0) c.payload = Halt{"a person"}, model.halted = true;
+                    if (operation.variant > 3) c.payload = Resume{}, model.halted = false;
             }
             for (const tealcart::fleet::Effect& e : state.apply(c)) {
                 granted += std::holds_alternative<RemovalGranted>(e);
                 done += std::holds_alternative<RemovalDone>(e);
-                back += std::holds_alternative<TargetReturned>(e);
+                returned += std::holds_alternative<TargetReturned>(e);
             }
-            plain.settle();
-            compare(state, plain);
+            model.advance();
+            compare(state, model);
             RC_ASSERT(kept_counts(state) == recount(state));
         }
     });
     CHECK(held);
-    // The runs go through all of it.
+    // Makes sure that the runs cover grants, completed removals and returns.
     CHECK(granted > 500);
     CHECK(done > 100);
-    CHECK(back > 100);
+    CHECK(returned > 100);
 }
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -1,5 +1,5 @@
-// What the fleet's state keeps as counts, counted anew from what can be seen of it; slow and plain, and by
-// nothing of the code that it checks.
+// Recomputes the counts that FleetState maintains incrementally from its visible state. The code is slow and
+// simple on purpose and shares nothing with the code that it checks.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace tealcart::fleet {
 
-// All that is kept.
+// All counts that FleetState maintains.
 struct Counts {
     NodeCounts nodes;
     MemberCounts members;
@@ -19,36 +19,39 @@
     friend bool operator==(const Counts&, const Counts&) = default;
 };
 
+// The counts as maintained by the state.
 inline Counts kept_counts(const FleetState& state) {
     return {state.node_counts(), state.member_counts(), state.vote_counts(), state.request_counts()};
 }
 
+// The counts as recomputed.
 inline Counts recount(const FleetState& state) {
     const Budgets& b = state.budgets();
     const Nanos now = state.now();
-    const auto expired = [&](const Member& m) { return now > m.lease_until + b.drift; };
-    const auto until = [&](const Member& m) { return m.lease_until + m.lease_grace + b.drift; };
-    const auto acting = [&](const Member& m) { return !m.left && now <= until(m); };
-    const auto out = [&](bool router, const std::string& name) {
-        return std::any_of(state.removed_targets().begin(), state.removed_targets().end(),
-                           [&](const auto& o) { return o.first.router == router && o.first.name == name; });
+    const auto is_expired = [&](const Member& m) { return now > m.lease_until + b.drift; };
+    const auto acts_until = [&](const Member& m) { return m.lease_until + m.lease_grace + b.drift; };
+    const auto may_act = [&](const Member& m) { return !m.left && now <= acts_until(m); };
+    const auto is_removed = [&](bool router, const std::string& name) {
+        return std::any_of(
+            state.removed_targets().begin(), state.removed_targets().end(),
+            [&](const auto& entry) { return entry.first.router == router && entry.first.name == name; });
     };
     Counts counts;
     MemberCounts& c = counts.members;
     for (const auto& [name, m] : state.members()) {
-        (expired(m) ? c.expired_leases : c.live_leases).insert({m.lease_until, name});
-        if (acting(m)) c.acting_ends.insert({until(m), name});
-        if (expired(m) && acting(m)) c.lost_acting.insert({m.report.applied_generation, name});
-        if (b.wait_for_lost ? acting(m) : !expired(m)) {
+        (is_expired(m) ? c.expired_leases : c.live_leases).insert({m.lease_until, name});
+        if (may_act(m)) c.acting_ends.insert({acts_until(m), name});
+        if (is_expired(m) && may_act(m)) c.lost_acting.insert({m.report.applied_generation, name});
+        if (b.wait_for_lost ? may_act(m) : !is_expired(m)) {
             ++c.applied[m.report.applied_generation];
             for (const Target& t : m.report.in_flight) ++c.in_flight[t];
         }
         if (m.role != Role::router) continue;
-        const bool is_out = expired(m) || out(true, name);
+        const bool is_out = is_expired(m) || is_removed(true, name);
         ++c.routers.all, c.routers.out += is_out;
         ++c.router_zones[m.zone].all, c.router_zones[m.zone].out += is_out;
-        c.known_routers += !m.left, c.lost_routers += !m.left && expired(m);
-        if (expired(m)) continue;
+        c.known_routers += !m.left, c.lost_routers += !m.left && is_expired(m);
+        if (is_expired(m)) continue;
         ++c.live_routers;
         if (!m.left) c.queries += m.report.queries, c.failed += m.report.failed;
         for (const std::string& node : m.report.unresponsive) ++counts.votes.by_node[node];
@@ -57,7 +60,7 @@
     NodeCounts& n = counts.nodes;
     for (const auto& [name, node] : state.nodes()) {
         const auto votes = counts.votes.by_node.find(name);
-        const bool is_out = node.health != Health::healthy || out(false, name) ||
+        const bool is_out = node.health != Health::healthy || is_removed(false, name) ||
                             (votes != counts.votes.by_node.end() &&
                              static_cast<double>(votes->second) >=
                                  b.unresponsive_share * static_cast<double>(c.live_routers));
@@ -76,15 +79,16 @@
         if (r.stage == Stage::queued) requests.queued[r.target.router ? 1 : 0].insert(id);
         if (r.stage == Stage::granted) requests.granted[r.generation] = id;
         if (r.stage == Stage::returning)
-            (out(r.target.router, r.target.name) ? requests.returning_removed : requests.returning_restored)
+            (is_removed(r.target.router, r.target.name) ? requests.returning_removed
+                                                        : requests.returning_restored)
                 .insert(id);
     }
     return counts;
 }
 
-// Granted requests that no member holds up and that are not done: there are none, but for those that the last
-// command granted itself.
-inline std::size_t left_undone(const FleetState& state, const Effects& effects) {
+// The number of granted requests that no member holds up and that are nevertheless not done. It has to be 0;
+// requests that the last command itself granted are not included.
+inline std::size_t unfinished_requests(const FleetState& state, const Effects& effects) {
     return static_cast<std::size_t>(
         std::count_if(state.requests().begin(), state.requests().end(), [&](const auto& r) {
             return r.second.stage == Stage::granted && state.pending_members(r.second).empty() &&
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// Logs and snapshots that an earlier release has written: they are read, written back byte for byte, and
-// replayed to the same states. tests/data/stored/README.md has their form.
+// Guards the stored formats: logs and snapshots written by an earlier release must be read, written back byte
+// for byte, and replayed to the same states. tests/data/stored/README.md describes the files.
 #include <catch2/catch.hpp>
 #include <cstdint>
 #include <fstream>
@@ -21,26 +21,26 @@
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// The log's entries in order; an empty one marks a snapshot.
+// The entries of the log in order. An empty entry marks the position of a snapshot.
 std::vector<Bytes> stored_log(const std::string& name) {
     constexpr std::size_t length_bytes = 4;
     const Bytes file = stored_file(name);
     std::vector<Bytes> entries;
-    for (std::size_t at = 0; at < file.size();) {
-        REQUIRE(at + length_bytes <= file.size());
+    for (std::size_t offset = 0; offset < file.size();) {
+        REQUIRE(offset + length_bytes <= file.size());
         std::size_t length = 0;
-        for (std::size_t i = 0; i < length_bytes; ++i) length = length << 8 | file[at++];
-        REQUIRE(at + length <= file.size());
-        const auto begin = file.begin() + static_cast<std::ptrdiff_t>(at);
+        for (std::size_t i = 0; i < length_bytes; ++i) length = length << 8 | file[offset++];
+        REQUIRE(offset + length <= file.size());
+        const auto begin = file.begin() + static_cast<std::ptrdiff_t>(offset);
         entries.emplace_back(begin, begin + static_cast<std::ptrdiff_t>(length));
-        at += length;
+        offset += length;
     }
     return entries;
 }
 
-// Replays the log; each snapshot must be what the replayed state saves, and what a state loaded from it
-// saves. A state that was loaded from the last one goes on beside the replayed one, to the same bytes.
-// Returns the kinds of commands seen.
+// Replays the log. Each snapshot must equal what the replayed state saves, and what a state loaded from that
+// snapshot saves. The state loaded from the last snapshot applies the same commands and must stay equal to
+// the replayed one. Returns the kinds of commands in the log.
 template <typename State, typename Rules, typename ReadCommand, typename WriteCommand>
 std::set<std::size_t> replay(const std::string& name, std::size_t snapshots, ReadCommand read_command,
                              WriteCommand write_command) {
@@ -71,13 +71,15 @@
 
 }  // namespace
 
-TEST_CASE("stored data: the fleet's log and snapshots of an earlier release") {
+TEST_CASE("stored data: the fleet log and snapshots of an earlier release replay to the same bytes") {
     using namespace tealcart::fleet;
     const auto kinds = replay<FleetState, Budgets>("fleet", 7, read_command, write_command);
     CHECK(kinds.size() == std::variant_size_v<decltype(Command::payload)>);
 }
 
-TEST_CASE("stored data: the changes' log and snapshots of an earlier release") {
+TEST_CASE(
+    "stored data: the configuration change log and snapshots of an earlier release replay to the same "
+    "bytes") {
     using namespace tealcart::changes;
     const auto kinds = replay<ChangeState, Limits>("changes", 6, read_command, write_command);
     CHECK(kinds.size() == std::variant_size_v<decltype(Command::payload)>);
