--- a/src/changes/applied_index.hpp
+++ b/src/changes/applied_index.hpp
@@ -1,6 +1,7 @@
-// The lowest version that any live member acts on, without a look at all members. A member that one relay
-// alone has is kept by what was stated of it, under that relay's lowest version, which moves all of them at
-// once. Members that several relays have, or none any more, are kept one by one.
+// Maintains the lowest version that any live member acts on, without a scan of all members. A member that is
+// attached to exactly one relay is indexed by its reported version, under that relay's lowest version, which
+// raises all of its members at once. Members with several relays, or with none any more, are indexed
+// individually.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +14,17 @@
 
 namespace tealcart::changes {
 
+// The index of applied versions.
 class AppliedIndex {
   public:
-    // What a relay says of all its members that it does not list as exceptions: they act on this version at
-    // least.
+    // The version that, as the relay reports, all its members act on at least, except those that it lists as
+    // exceptions.
     std::uint64_t lowest_of(const std::string& relay) const;
     void set_lowest(const std::string& relay, std::uint64_t lowest);
-    void drop_relay(const std::string& relay) { relays_.erase(relay); }  // which has no members here
+    // Removes a relay that has no members in the index.
+    void drop_relay(const std::string& relay) { relays_.erase(relay); }
 
-    // `stated`: the greatest version that was stated of the member itself.
+    // `reported_version`: the greatest version reported for the member itself.
     void insert_by_relay(const std::string& relay, const std::string& member, std::uint64_t reported_version,
                          bool exception);
     void erase_by_relay(const std::string& relay, const std::string& member, std::uint64_t reported_version,
@@ -35,17 +38,17 @@
         individual_members_.erase({applied, member});
     }
 
-    // Nothing: there is no member.
+    // The lowest version over all members; nullopt if there is no member.
     std::optional<std::uint64_t> lowest() const;
-    // The members; what relays say stays.
+    // Removes all members and keeps the lowest versions of the relays.
     void clear_members();
 
   private:
     using ByVersion = std::set<std::pair<std::uint64_t, std::string>>;
     struct Relay {
         std::uint64_t lowest = 0;
-        ByVersion plain, exceptions;           // members by what was stated of them
-        std::optional<std::uint64_t> minimum;  // over both; the relay's key in relay_minima_
+        ByVersion plain, exceptions;           // members by their reported version
+        std::optional<std::uint64_t> minimum;  // over both sets; the relay's key in relay_minima_
     };
 
     void update_minimum(const std::string& name, Relay& relay);
--- a/src/changes/change_state.cpp
+++ b/src/changes/change_state.cpp
@@ -33,8 +33,8 @@
     emit(StaleReport{version(), sender, reason});
 }
 
-// Where nothing was agreed for a while, no relay could renew: leases get that time back, and no version is
-// found to be applied everywhere until all have had the time to report.
+// While no command was committed, no relay could renew its lease: leases are extended by that time, and no
+// version is declared applied everywhere until all relays have had the time to report.
 void ChangeState::advance_clock(Nanos at) {
     const auto interruption = clock_.advance(at, limits_.lease, limits_.drift);
     if (!interruption) return;
@@ -71,8 +71,8 @@
             return StaleReason::malformed;
         if (!members_.contains(member.name)) ++new_members;
     }
-    // A member that is not counted must not be granted a lease: without room the report is not applied at
-    // all.
+    // A member that is not counted must not be granted a lease. If there is no room for all new members, the
+    // report is therefore not applied at all.
     if (members_.size() + new_members > limits_.max_members) return StaleReason::too_many_members;
     return relays_.stale_reason(report);
 }
@@ -124,7 +124,7 @@
 }
 
 void ChangeState::on(const Forget& command) {
-    if (auto why = members_.forget(command.name)) return reject(std::move(*why), command.name);
+    if (auto reason = members_.forget(command.name)) return reject(std::move(*reason), command.name);
     emit(MemberForgotten{version(), command.name});
 }
 
--- a/src/changes/change_state.hpp
+++ b/src/changes/change_state.hpp
@@ -1,12 +1,13 @@
-// Changes of a fleet's configuration, agreed in one order: versions, each a delta with the digest of its
-// result, and how far each has come. One deterministic state machine for the managers' log, as FleetState is:
-// apply(command) gives effects, and the same commands in the same order give the same state and the same
-// effects on every replica. No I/O and no clock: the time stands in each command. docs/design-changes.md has
-// the promise and its assumptions.
+// The replicated state of a fleet's configuration changes: a totally ordered sequence of versions, each a
+// delta with the digest of its result, and the rollout progress of each. Like FleetState it is a
+// deterministic state machine for the fleet managers' log: apply(command) returns effects, and the same
+// commands in the same order produce the same state and the same effects on every replica. It performs no I/O
+// and reads no clock: each command carries its time. docs/design-changes.md describes the guarantee and its
+// assumptions.
 //
-// This class keeps the order of what follows from a command. The versions are in VersionedDocument, the
-// relays and their leases in RelayTable, the members that they report in MemberTable, halts in
-// PublishingHalt.
+// ChangeState determines the order of the steps that follow a command. VersionedDocument holds the versions,
+// RelayTable the relays and their leases, MemberTable the members that they report, and PublishingHalt the
+// halts.
 #pragma once
 
 #include <cstddef>
@@ -35,52 +36,58 @@
     std::uint64_t version = 0;
     Nanos published_at = 0;
     std::string requested_by;
-    std::size_t entries = 0;  // that it changed
+    std::size_t entries = 0;  // the number of entries that it changed
     bool applied_everywhere = false;
 };
 
+// The state machine of configuration changes.
 class ChangeState {
   public:
     explicit ChangeState(const Limits& limits) : limits_(limits), relays_(limits), members_(limits) {}
 
+    // Applies one committed command. A command whose id is in the history changes nothing and returns the
+    // effects of its first application.
     Effects apply(const Command& command);
 
-    // The whole state, with a number for its form. `load` throws replicated::CodecError on another form and
-    // on noise, and changes nothing then.
+    // Encodes the whole state, with a format version. `load` throws replicated::CodecError for another format
+    // version and for malformed bytes, and changes nothing then.
     std::vector<std::uint8_t> save() const;
     void load(const std::vector<std::uint8_t>& bytes);
 
     const Limits& limits() const { return limits_; }
-    std::uint64_t version() const { return versions_.version(); }  // the latest; 0: none was published
-    // The latest version that was found to be applied everywhere.
+    std::uint64_t version() const { return versions_.version(); }  // the latest; 0 if none was published
+    // The latest version that was found to be applied by every live member.
     std::uint64_t applied_everywhere() const { return applied_everywhere_; }
     Nanos now() const { return clock_.now(); }
-    // No version is found to be applied everywhere before.
+    // Until this time no version is declared applied everywhere.
     Nanos hold_until() const { return clock_.hold_until(); }
     bool halted() const { return halt_.halted(); }
     const std::string& halt_reason() const { return halt_.reason(); }
-    std::uint64_t halted_version() const { return halt_.version(); }  // the last one that halted
+    std::uint64_t halted_version() const { return halt_.version(); }  // the last version that caused a halt
     const Document& document() const { return versions_.document(); }
     std::uint64_t digest() const { return versions_.digest(); }
 
-    // What leads from a copy's version to the latest; nothing: ask for pages.
+    // The delta from a follower's version to the latest one; nullopt if the follower has to request pages.
     std::optional<Delta> since(std::uint64_t version) const { return versions_.since(version); }
-    // The latest version in pages: entries after this key, up to so many bytes.
+    // A page of the latest version: the entries after this key, up to `max_bytes`.
     Page page(const std::string& after, std::size_t max_bytes) const {
         return versions_.page(after, max_bytes);
     }
     RolloutProgress progress(std::uint64_t version, std::size_t max_names) const {
         return members_.progress(version, max_names);
     }
-    // Kept versions, the latest first.
+    // The versions whose deltas are kept, latest first.
     std::vector<PublishedVersion> history(std::size_t max_versions) const;
 
-    std::size_t members() const { return members_.size(); }  // that are known
-    // Of the last report that was applied of this incarnation of a relay; 0: none, or its lease is over.
+    // The number of known members.
+    std::size_t members() const { return members_.size(); }
+    // The number of the last report applied from this incarnation of a relay; 0 if there is none or the
+    // relay's lease has expired.
     std::uint64_t last_number(const std::string& relay, std::uint64_t incarnation) const;
-    std::uint64_t last_incarnation(const std::string& relay) const;  // 0: it is not known
+    // The latest incarnation of a relay; 0 if the relay is unknown.
+    std::uint64_t last_incarnation(const std::string& relay) const;
     bool knows_later_incarnation(const std::string& relay, std::uint64_t incarnation) const;
-    // Members, relays and entries that the last command looked at.
+    // The number of members, relays and entries that the last command visited.
     std::uint64_t visited_count() const { return visited_count_ + members_.visited_count(); }
 
   private:
@@ -98,7 +105,7 @@
 
     void advance_clock(Nanos at);
     void expire_leases();
-    // What follows from any command, in this order.
+    // The steps that follow every command, in this order.
     void halt_on_refusals();
     void advance_applied_everywhere();
 
--- a/src/changes/codec_parts.hpp
+++ b/src/changes/codec_parts.hpp
@@ -1,4 +1,4 @@
-// Parts that commands and snapshots have in common, as JSON values of their CBOR.
+// The parts that stored commands and snapshots have in common, as JSON values that are written as CBOR.
 #pragma once
 
 #include <map>
@@ -12,7 +12,7 @@
 nlohmann::json json_of(const Limits& limits);
 Limits read_limits(const nlohmann::json& in);
 
-// An object of texts by key.
+// The entries as a JSON object of strings.
 nlohmann::json json_of_entries(const std::map<std::string, std::string>& entries);
 std::map<std::string, std::string> read_entries(const nlohmann::json& in);
 
--- a/src/changes/command_codec.cpp
+++ b/src/changes/command_codec.cpp
@@ -1,5 +1,5 @@
-// The commands of configuration changes as bytes of the log: the body of each kind is a list, whose order is
-// the format.
+// Encodes and decodes the commands of configuration changes for the replicated log. The body of each kind is
+// an array; the order of its elements is the stored format.
 #include <nlohmann/json.hpp>
 #include <utility>
 
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 constexpr int command_format_version = 1;
-constexpr const char* command_subject = "a command of changes";
+constexpr const char* command_subject = "configuration change command";
 
 json json_of(const std::vector<MemberReport>& reports) {
     json list = json::array();
@@ -24,8 +24,8 @@
 }
 std::vector<MemberReport> read_member_reports(const json& in) {
     std::vector<MemberReport> reports;
-    for (const json& one : in)
-        reports.push_back({one.at(0), one.at(1), one.at(2), one.at(3), one.at(4), one.at(5)});
+    for (const json& item : in)
+        reports.push_back({item.at(0), item.at(1), item.at(2), item.at(3), item.at(4), item.at(5)});
     return reports;
 }
 
@@ -38,7 +38,7 @@
 }
 Incarnations read_incarnations(const json& in) {
     Incarnations members;
-    for (const json& one : in) members.emplace_back(one.at(0), one.at(1));
+    for (const json& item : in) members.emplace_back(item.at(0), item.at(1));
     return members;
 }
 
--- a/src/changes/commands.hpp
+++ b/src/changes/commands.hpp
@@ -1,4 +1,4 @@
-// What can be proposed to the agreed state of configuration changes.
+// The commands that can be proposed to the replicated state of configuration changes.
 #pragma once
 
 #include <cstddef>
@@ -15,29 +15,29 @@
 
 namespace tealcart::changes {
 
-// Entries to set and keys to remove, as the next version.
+// Publishes the next version: entries to set and keys to remove.
 struct Publish {
     std::string requested_by;
     std::map<std::string, std::string> set;
     std::set<std::string> removed;
-    std::optional<std::uint64_t> based_on;  // rejected where another version is the latest
+    std::optional<std::uint64_t> based_on;  // the command is rejected if another version is the latest
 };
 
-// A further version with the content of an earlier one.
+// Publishes a new version with the content of the earlier version `to`.
 struct Rollback {
     std::string requested_by;
     std::uint64_t to = 0;
 };
 
-// After a halt by refusals.
+// Allows publishing again after a halt.
 struct Resume {};
 
-// What relays said in a short time.
+// The relays' reports that arrived within a short time, as one command.
 struct ReportBatch {
     std::vector<RelayReport> reports;
 };
 
-// A member whose lease is over, and which an operator knows not to come back.
+// Removes a member whose lease has expired and which, as an operator knows, will not come back.
 struct Forget {
     std::string name;
 };
@@ -47,18 +47,18 @@
     Limits limits;
 };
 
-// Time goes on.
+// Advances the time and does nothing else.
 struct Tick {};
 
 // One entry of the replicated log.
 struct Command {
-    std::string id;         // the proposer's own, tells that a command comes again; empty: not deduplicated
+    std::string id;         // chosen by the proposer, for deduplication; empty: not deduplicated
     Nanos proposed_at = 0;  // by the proposer's clock
     std::variant<Publish, Rollback, Resume, ReportBatch, Forget, SetLimits, Tick> payload;
 };
 
-// A command as bytes of the log, and back. Reading throws replicated::CodecError on noise, on another form
-// and on a kind of command that this release does not have.
+// Encodes a command for the replicated log, and decodes it. Decoding throws replicated::CodecError for
+// malformed bytes, another format version and a kind of command that this release does not implement.
 std::vector<std::uint8_t> write_command(const Command& command);
 Command read_command(const std::uint8_t* bytes, std::size_t size);
 
--- a/src/changes/document.cpp
+++ b/src/changes/document.cpp
@@ -24,7 +24,7 @@
     return result;
 }
 
-// The digest of what would come out is known before anything is changed.
+// The digest of the result is computed and checked before anything is changed.
 DocumentCopy::ApplyResult DocumentCopy::apply(const Delta& delta) {
     if (delta.to <= version_) return ApplyResult::unchanged;
     if (delta.from > version_) {
@@ -57,8 +57,8 @@
 DocumentCopy::ApplyResult DocumentCopy::apply(const Page& page) {
     if (page.version <= version_) return ApplyResult::unchanged;
     if (page.version != pending_version_ || page.digest != pending_digest_) {
-        // A late one of an earlier version; but its first page may come of another relay, which is not so
-        // far.
+        // Ignore a late page of an earlier version. A first page is accepted nevertheless: it may come from
+        // another relay that has not received the later version yet.
         if (page.version < pending_version_ && !page.after.empty()) return ApplyResult::incomplete;
         discard_pages(ApplyResult::incomplete);
         pending_version_ = page.version;
--- a/src/changes/effects.cpp
+++ b/src/changes/effects.cpp
@@ -23,13 +23,15 @@
     const auto found = std::find(stale_reasons.begin(), stale_reasons.end(), description);
     if (found == stale_reasons.end())
         throw CodecError(CodecError::Fault::malformed,
-                         "an effect with a reason that is not known: " + description);
+                         "unknown reason of a stale report: '" + description + "'");
     return static_cast<StaleReason>(found - stale_reasons.begin());
 }
 
 const std::string& only_name(const EffectRecord& record) {
     if (record.names.size() != 1)
-        throw CodecError(CodecError::Fault::malformed, "an effect that has to name one member or relay");
+        throw CodecError(
+            CodecError::Fault::malformed,
+            "an effect names " + std::to_string(record.names.size()) + " members or relays; expected one");
     return record.names.front();
 }
 
@@ -93,7 +95,8 @@
         case EffectCode::forgotten:
             return MemberForgotten{r.version, only_name(r)};
     }
-    throw CodecError(CodecError::Fault::malformed, "an effect of a kind that is not known");
+    throw CodecError(CodecError::Fault::malformed,
+                     "unknown effect code " + std::to_string(static_cast<int>(r.code)));
 }
 
 }  // namespace tealcart::changes
--- a/src/changes/member_table.cpp
+++ b/src/changes/member_table.cpp
@@ -9,13 +9,15 @@
 
 using replicated::saturating_add;
 
+// A reported version that was never published counts as none.
 std::uint64_t agreed_or_none(std::uint64_t version, std::uint64_t latest) {
     return version > latest ? 0 : version;
 }
 
 RelayAttachment* attachment_of(Member& member, const std::string& relay) {
-    const auto attachment = std::find_if(member.attachments.begin(), member.attachments.end(),
-                                         [&](const RelayAttachment& one) { return one.relay == relay; });
+    const auto attachment =
+        std::find_if(member.attachments.begin(), member.attachments.end(),
+                     [&](const RelayAttachment& candidate) { return candidate.relay == relay; });
     return attachment == member.attachments.end() ? nullptr : &*attachment;
 }
 
@@ -24,7 +26,7 @@
     member.refusal_reason.clear();
 }
 
-// A refusal stands while a relay that has the member says so, or no relay has it.
+// A refusal is kept while a relay of the member reports it, or while the member is attached to no relay.
 void clear_unsupported_refusal(Member& member) {
     const bool supported =
         std::any_of(member.attachments.begin(), member.attachments.end(),
@@ -32,7 +34,7 @@
     if (!supported) clear_refusal(member);
 }
 
-// When its last lease has ended.
+// The time at which the member's last lease ended.
 Nanos last_lease_end(const Member& member) { return std::max(member.lease_until, member.ended_at); }
 
 }  // namespace
@@ -45,7 +47,8 @@
 
 bool MemberTable::lease_expired(Nanos until) const { return now_ > saturating_add(until, limits_.drift); }
 
-// What is known of the member by name, and what its relays say of all that they don't name.
+// The greatest version known for the member: reported for it by name, or for all members of one of its relays
+// that are no exceptions.
 std::uint64_t MemberTable::applied_version(const Member& member) const {
     std::uint64_t version = member.reported_version;
     for (const RelayAttachment& attachment : member.attachments)
@@ -123,8 +126,8 @@
     entry.counted_as = CountedAs::individual;
 }
 
-// What the relay said of the member while it had it stays true: no incarnation gives a version up for an
-// earlier one.
+// Detaches the member from the relay. What the relay reported until then stays valid, since no incarnation
+// goes back to an earlier version.
 void MemberTable::release(Member& member, const std::string& relay) {
     member.reported_version = applied_version(member);
     std::erase_if(member.attachments,
--- a/src/changes/publish_check.cpp
+++ b/src/changes/publish_check.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t max_key = 128;  // bytes
 
-// Why the command can't be published on any document; empty: it can.
+// Why the command can't be published whatever the document holds; empty if it can.
 std::string fault_of(const Publish& command, const Limits& limits) {
     for (const auto& [key, value] : command.set) {
         if (!well_formed(key, max_key)) return "a malformed key";
@@ -26,8 +26,8 @@
 DocumentChange difference(const Publish& command, const Document& document) {
     DocumentChange change;
     for (const auto& [key, value] : command.set) {
-        const auto now = document.find(key);
-        if (now == document.end() || now->second != value) change.set.emplace(key, value);
+        const auto current = document.find(key);
+        if (current == document.end() || current->second != value) change.set.emplace(key, value);
     }
     for (const std::string& key : command.removed)
         if (document.contains(key)) change.removed.insert(key);
--- a/src/changes/publish_check.hpp
+++ b/src/changes/publish_check.hpp
@@ -1,4 +1,4 @@
-// What a Publish command would change of a document, or why it is rejected.
+// Validates a Publish command.
 #pragma once
 
 #include <string>
@@ -10,12 +10,13 @@
 
 namespace tealcart::changes {
 
-// Why a version is not published.
+// The reason why a version is not published.
 struct Rejection {
     std::string reason;
 };
 
-// Only what differs from the document is a change.
+// The change that the command makes to the document, without entries that it leaves as they are; or the
+// reason why it is rejected.
 std::variant<DocumentChange, Rejection> check_publish(const Publish& command, const Document& document,
                                                       const Limits& limits);
 
--- a/src/changes/relay_table.hpp
+++ b/src/changes/relay_table.hpp
@@ -16,16 +16,18 @@
 
 namespace tealcart::changes {
 
+// A time before any other. Spans can be added to it and subtracted from it without overflow.
 constexpr Nanos distant_past = INT64_MIN / 4;
 
-// A relay, as last reported.
+// A relay, as of its last applied report.
 struct Relay {
     std::string zone;
-    std::uint64_t incarnation = 0, number = 0;  // number: of the last report that was applied
+    std::uint64_t incarnation = 0, number = 0;  // number: of the last applied report
     Nanos lease_until = distant_past;
-    bool live = false;  // its lease is not over, and it has reported all its members
+    bool live = false;  // its lease has not expired, and it has reported all its members
 };
 
+// Holds the relays, and renews and expires their leases.
 class RelayTable {
   public:
     explicit RelayTable(const Limits& limits) : limits_(limits) {}
@@ -33,21 +35,21 @@
     const std::map<std::string, Relay>& all() const { return relays_; }
     const Relay* find(const std::string& name) const;
 
-    // Why a report is not applied, as far as it is the relay's; nothing: it is.
+    // Why a report is stale, judged by the relay alone; nullopt if it is not.
     std::optional<StaleReason> stale_reason(const RelayReport& report) const;
-    // Renews the lease. Gives whether the relay is new, its lease was over, or another incarnation reports
-    // now.
+    // Renews the relay's lease. Returns whether the relay is new, its lease had expired, or another
+    // incarnation reports now.
     bool renew(const RelayReport& report);
 
     void set_now(Nanos now) { now_ = now; }
     void set_limits(const Limits& limits) { limits_ = limits; }
     void extend_leases(Nanos interruption);
-    // Relays whose lease has certainly ended since the last call, in the order of its end.
+    // The relays whose lease has expired (drift included) since the last call, in the order of expiry.
     std::vector<std::pair<std::string, Relay>> expire_leases();
-    // Relays that are remembered no more.
+    // Removes relays that have been expired for Limits::forget_after, and returns their names.
     std::vector<std::string> drop_forgotten();
 
-    // From a snapshot.
+    // Restores the relays of a snapshot.
     void restore(std::map<std::string, Relay> relays);
 
     std::size_t live_leases() const { return live_leases_.size(); }
--- a/src/changes/report_aggregator.cpp
+++ b/src/changes/report_aggregator.cpp
@@ -7,7 +7,8 @@
 namespace tealcart::changes {
 namespace {
 
-constexpr std::size_t max_unacknowledged = 64;  // reports of which is known when they were made
+// The creation times of at most this many unacknowledged reports are kept.
+constexpr std::size_t max_unacknowledged = 64;
 
 }  // namespace
 
@@ -16,7 +17,7 @@
     : relay_(std::move(relay)), zone_(std::move(zone)), incarnation_(incarnation), max_members_(max_members),
       max_exceptions_(max_exceptions) {}
 
-// Reports may overtake each other: an older one shows that the member lives, and nothing else.
+// Reports may arrive out of order: an older one shows only that the member is alive.
 bool ReportAggregator::record_report(Nanos now, const MemberReport& report) {
     if (report.name.empty() || report.name.size() > max_name_bytes) return false;
     MemberReport kept = report;
@@ -38,7 +39,8 @@
     return true;
 }
 
-// More of them than there may be members are not kept one by one: the next report is full instead.
+// If there are more departed members than there may be members, they are not kept individually: the next
+// report is full instead.
 void ReportAggregator::depart(const std::string& name, std::uint64_t incarnation, bool lost) {
     if (departed_.size() >= max_members_ && !departed_.contains(name)) return require_full_report();
     departed_[name] = {incarnation, lost};
@@ -85,7 +87,8 @@
 }
 
 void ReportAggregator::depart_lost(Nanos now, Nanos drift) {
-    // Before the first answer nothing was granted, and nobody knows for how long a member may be silent.
+    // Before the first acknowledgement no lease was granted, and the time after which a silent member counts
+    // as lost is unknown.
     if (lease_ == 0) return;
     for (auto it = members_.begin(); it != members_.end();) {
         const Member& member = it->second;
@@ -100,7 +103,7 @@
     }
 }
 
-// Without its number.
+// Builds the report without its number.
 RelayReport ReportAggregator::current_report() const {
     RelayReport report{relay_, zone_, incarnation_, 0, full_, {}, {}, {}, lowest(), {}};
     for (const auto& [name, departed] : departed_)
@@ -112,25 +115,26 @@
 }
 
 std::vector<MemberReport> ReportAggregator::exceptions(std::uint64_t lowest) const {
-    std::vector<MemberReport> named;
+    std::vector<MemberReport> exceptions;
     for (const auto& [name, member] : members_)
-        if (member.report.applied_version < lowest) named.push_back(member.report);
-    // Who refuses is named too, as far as there is room: it acts on an earlier version by that alone.
+        if (member.report.applied_version < lowest) exceptions.push_back(member.report);
+    // Members that refuse a version are listed too as far as there is room: a refusal means that they act on
+    // an earlier version.
     for (const auto& [name, member] : members_) {
-        if (named.size() >= max_exceptions_) break;
+        if (exceptions.size() >= max_exceptions_) break;
         const MemberReport& report = member.report;
         if (report.applied_version >= lowest && report.refused_version > report.applied_version)
-            named.push_back(report);
+            exceptions.push_back(report);
     }
-    std::sort(named.begin(), named.end(),
+    std::sort(exceptions.begin(), exceptions.end(),
               [](const MemberReport& a, const MemberReport& b) { return a.name < b.name; });
-    return named;
+    return exceptions;
 }
 
 void ReportAggregator::number_report(Nanos now) {
     ++number_;
-    made_at_[number_] = now;
-    while (made_at_.size() > max_unacknowledged) made_at_.erase(made_at_.begin());
+    created_at_[number_] = now;
+    while (created_at_.size() > max_unacknowledged) created_at_.erase(created_at_.begin());
     if (full_ && full_since_ == 0) full_since_ = number_;
     for (auto& [name, member] : members_)
         if (!member.acknowledged && member.reported_since == 0) member.reported_since = number_;
@@ -139,11 +143,11 @@
 }
 
 void ReportAggregator::acknowledge(std::uint64_t number, Nanos sent, Nanos lease) {
-    const auto made = made_at_.find(number);
-    if (made == made_at_.end()) return;
+    const auto created = created_at_.find(number);
+    if (created == created_at_.end()) return;
     lease_ = lease;
-    lease_until_ = std::max(lease_until_, std::min(sent, made->second) + lease);
-    made_at_.erase(made_at_.begin(), std::next(made));
+    lease_until_ = std::max(lease_until_, std::min(sent, created->second) + lease);
+    created_at_.erase(created_at_.begin(), std::next(created));
     const auto is_acknowledged = [number](std::uint64_t reported_since) {
         return reported_since > 0 && number >= reported_since;
     };
--- a/src/changes/reports.hpp
+++ b/src/changes/reports.hpp
@@ -1,4 +1,5 @@
-// What is said of members upward: by a member itself, and by a relay of all its members at once.
+// The reports about members: a member's own report to a relay, and a relay's report about all its members to
+// the fleet managers.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +15,15 @@
 
 constexpr std::size_t max_name_bytes = 128, max_reason_bytes = 256;  // bytes
 
-// Not empty, not longer, and without control characters.
+// Whether the text is not empty, not longer than `max_bytes` and free of control characters.
 inline bool well_formed(const std::string& text, std::size_t max_bytes) {
     return !text.empty() && text.size() <= max_bytes && std::none_of(text.begin(), text.end(), [](char c) {
         return static_cast<unsigned char>(c) < 0x20 || c == 0x7f;
     });
 }
 
-// Not in the middle of a character of UTF-8, which no JSON would take.
+// The beginning of the text, at most `max_bytes` long. It never ends inside a UTF-8 character, which would
+// not be valid in JSON.
 inline std::string truncate_utf8(const std::string& text, std::size_t max_bytes) {
     if (text.size() <= max_bytes) return text;
     std::size_t end = max_bytes;
@@ -29,32 +31,35 @@
     return text.substr(0, end);
 }
 
-// What a relay says of one member: in its first report, and later where it is an exception.
+// A relay's report about one member: sent once the member has joined, and later while the member is an
+// exception.
 struct MemberReport {
     std::string name;
-    std::uint64_t incarnation = 0;      // a new, greater number at each start
-    Nanos lease_grace = 0;              // after its lease it may act by what it last knew for so long
-    std::uint64_t applied_version = 0;  // the version it acts by; 0: what it was started with
-    std::uint64_t refused_version = 0;  // the version that it can't take over, 0 for none
-    std::string refusal_reason;         // of the refusal; what is longer than `max_why` is cut
+    std::uint64_t incarnation = 0;  // a greater number at each process start
+    Nanos lease_grace = 0;          // how long it may go on serving by its last known state after its lease
+    std::uint64_t applied_version =
+        0;  // the version that it acts on; 0: the configuration it was started with
+    std::uint64_t refused_version = 0;  // the version that it can't apply; 0 if none
+    std::string refusal_reason;         // truncated to `max_reason_bytes`
 
     friend bool operator==(const MemberReport&, const MemberReport&) = default;
 };
 
-// What a relay says of all its members at once. Numbered by the relay: one that is no later than the last
-// applied of that incarnation renews nothing and changes nothing. An incarnation's first report is full
-// (`whole`), and so is the first after the relay's lease was over: another is stale, and the relay is to send
-// a full one.
+// A relay's report about all its members. The relay numbers its reports: a report that is not later than the
+// last one applied from the same incarnation renews nothing and changes nothing. The first report of an
+// incarnation has to be full, and so does the first one after the relay's lease has expired; any other is
+// stale, and the relay has to send a full one.
 struct RelayReport {
     std::string relay, zone;
     std::uint64_t incarnation = 0, number = 0;
-    bool full = false;  // `joined` are all its members
-    std::vector<MemberReport>
-        joined;  // since the last report that the managers applied; refusals stand in exceptions
-    std::vector<std::pair<std::string, std::uint64_t>> left,
-        lost;                  // name and incarnation: by farewell; lease over
-    std::uint64_t lowest = 0;  // all its members that are no exception act on this version at least
-    std::vector<MemberReport> exceptions;  // all of them at present, by name
+    bool full = false;  // whether `joined` lists all its members
+    // Members that joined since the last applied report. Their refusals are listed in `exceptions`.
+    std::vector<MemberReport> joined;
+    // Name and incarnation of members that announced their stop, and of those whose lease has expired.
+    std::vector<std::pair<std::string, std::uint64_t>> left, lost;
+    // The version that all members act on at least, except those in `exceptions`.
+    std::uint64_t lowest = 0;
+    std::vector<MemberReport> exceptions;  // all current ones, sorted by name
 
     friend bool operator==(const RelayReport&, const RelayReport&) = default;
 };
--- a/src/changes/snapshot.cpp
+++ b/src/changes/snapshot.cpp
@@ -1,4 +1,4 @@
-// Snapshots are a CBOR map; what it holds are lists, whose order is the format.
+// A snapshot is a CBOR map of arrays; the order of the elements of an array is the stored format.
 #include "changes/snapshot.hpp"
 
 #include <nlohmann/json.hpp>
@@ -15,9 +15,9 @@
 using nlohmann::json;
 using replicated::CodecError;
 
-// Goes up with every change that an earlier release can't read.
+// Incremented with every change that an earlier release can't read.
 constexpr int snapshot_format_version = 1;
-constexpr const char* snapshot_subject = "a state of changes";
+constexpr const char* snapshot_subject = "configuration change snapshot";
 
 json json_of(const DocumentChange& change) {
     return json::array({json_of_entries(change.set), change.removed});
@@ -28,16 +28,16 @@
 
 json json_of(const std::deque<KeptVersion>& kept) {
     json list = json::array();
-    for (const KeptVersion& one : kept)
-        list.push_back({one.version, one.published_at, one.requested_by, json_of(one.forward),
-                        json_of(one.back), one.digest});
+    for (const KeptVersion& version : kept)
+        list.push_back({version.version, version.published_at, version.requested_by, json_of(version.forward),
+                        json_of(version.back), version.digest});
     return list;
 }
 std::deque<KeptVersion> read_kept(const json& in) {
     std::deque<KeptVersion> kept;
-    for (const json& one : in)
-        kept.push_back(
-            {one.at(0), one.at(1), one.at(2), read_change(one.at(3)), read_change(one.at(4)), one.at(5)});
+    for (const json& item : in)
+        kept.push_back({item.at(0), item.at(1), item.at(2), read_change(item.at(3)), read_change(item.at(4)),
+                        item.at(5)});
     return kept;
 }
 
@@ -63,7 +63,8 @@
         member.attachments.push_back({attachment.at(0), attachment.at(1)});
         if (!relays.contains(member.attachments.back().relay))
             throw CodecError(CodecError::Fault::dangling_reference,
-                             "a state of changes with a relay that is not there");
+                             "configuration change snapshot: a member is attached to the unknown relay '" +
+                                 member.attachments.back().relay + "'");
     }
     member.lease_until = in.at(7);
     member.ended_at = in.at(8);
--- a/src/changes/snapshot.hpp
+++ b/src/changes/snapshot.hpp
@@ -1,5 +1,5 @@
-// A snapshot of the agreed state of configuration changes: what it holds beyond what can be counted anew, as
-// bytes and back.
+// Encodes and decodes a snapshot of the replicated state of configuration changes. A snapshot holds
+// everything that can't be derived from the rest of the state.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace tealcart::changes {
 
-// The single values of a snapshot.
+// The scalar values of a snapshot.
 struct SnapshotScalars {
     std::uint64_t version = 0, applied_everywhere = 0, halted_version = 0;
     bool halted = false;
@@ -25,7 +25,7 @@
     Nanos now = 0, hold_until = 0;
 };
 
-// All of the state that can't be derived from the rest of it.
+// A decoded snapshot.
 struct Snapshot {
     Limits limits;
     Document document;
@@ -37,7 +37,8 @@
     SnapshotScalars scalars;
 };
 
-// The same, of a state that need not be copied. Lives no longer than that state.
+// The same contents as references, so that a state need not be copied to be written. It must not outlive the
+// state.
 struct SnapshotView {
     const Limits& limits;
     const Document& document;
@@ -50,8 +51,8 @@
 };
 
 std::vector<std::uint8_t> write_snapshot(const SnapshotView& view);
-// Throws replicated::CodecError on noise, on another form, and where a member names a relay that is not
-// there.
+// Throws replicated::CodecError for malformed bytes, for another format version, and if a member is attached
+// to a relay that the snapshot doesn't contain.
 Snapshot read_snapshot(const std::vector<std::uint8_t>& bytes);
 
 }  // namespace tealcart::changes
--- a/src/changes/versioned_document.cpp
+++ b/src/changes/versioned_document.cpp
@@ -61,10 +61,10 @@
         return std::nullopt;
     DocumentChange back;
     for (auto it = kept_.rbegin(); it->version > version; ++it) back.append(it->back);
-    // What comes back to what it is now is no change.
+    // Entries that end up with their current value are no change.
     std::erase_if(back.set, [&](const auto& entry) {
-        const auto now = document_.find(entry.first);
-        return now != document_.end() && now->second == entry.second;
+        const auto current = document_.find(entry.first);
+        return current != document_.end() && current->second == entry.second;
     });
     std::erase_if(back.removed, [&](const std::string& key) { return !document_.contains(key); });
     return back;
@@ -109,7 +109,7 @@
     digest_ = digest_of(document_);
     kept_ = std::move(kept);
     kept_bytes_ = 0;
-    for (const KeptVersion& one : kept_) kept_bytes_ += bytes_of(one);
+    for (const KeptVersion& kept_version : kept_) kept_bytes_ += bytes_of(kept_version);
 }
 
 }  // namespace tealcart::changes
--- a/src/changes/versioned_document.hpp
+++ b/src/changes/versioned_document.hpp
@@ -1,4 +1,5 @@
-// The document's versions: the latest one as a whole, and of the last ones what they changed, there and back.
+// The versions of the document: the latest one in full, and the changes of the most recent ones, forward and
+// backward.
 #pragma once
 
 #include <cstddef>
@@ -13,47 +14,50 @@
 
 namespace tealcart::changes {
 
-// Entries that are set and keys that are removed; no key is both.
+// Entries that are set and keys that are removed. No key is both.
 struct DocumentChange {
     std::map<std::string, std::string> set;
     std::set<std::string> removed;
 
     bool empty() const { return set.empty() && removed.empty(); }
     std::size_t entries() const { return set.size() + removed.size(); }
-    std::size_t bytes() const;  // of keys and values
-    // This change and then the next one, as one.
+    std::size_t bytes() const;  // of all keys and values
+    // Merges the next change into this one.
     void append(const DocumentChange& next);
 };
 
-// A version whose delta is kept, in both directions.
+// A version whose change is kept in both directions.
 struct KeptVersion {
     std::uint64_t version = 0;
     Nanos published_at = 0;
     std::string requested_by;
-    DocumentChange forward, back;  // from the version before, and to it
+    DocumentChange forward, back;  // from the previous version, and back to it
     std::uint64_t digest = 0;
 };
 
+// Holds the latest version and produces deltas, pages and rollbacks.
 class VersionedDocument {
   public:
     const Document& document() const { return document_; }
-    std::uint64_t version() const { return version_; }             // the latest; 0: none was published
-    std::uint64_t digest() const { return digest_; }               // of the latest
-    const std::deque<KeptVersion>& kept() const { return kept_; }  // the last ones, without a gap
+    std::uint64_t version() const { return version_; }             // the latest; 0 if none was published
+    std::uint64_t digest() const { return digest_; }               // of the latest version
+    const std::deque<KeptVersion>& kept() const { return kept_; }  // the most recent versions, without gaps
 
-    // Makes the next version, with the change.
+    // Creates the next version by applying the change.
     void publish(const std::string& requested_by, Nanos at, const DocumentChange& change);
-    // What leads from the latest version back to the content of an earlier one; nothing: that is not kept.
+    // The change from the latest version back to the content of an earlier one; nullopt if that one is not
+    // kept.
     std::optional<DocumentChange> change_back_to(std::uint64_t version) const;
-    // The latest version stays, however long it is.
+    // Drops the oldest versions beyond the limits. The latest version is kept, however large it is.
     void trim(std::size_t max_kept, std::size_t max_kept_bytes);
 
-    // What leads from a copy's version to the latest; nothing: it is not kept, or was never published.
+    // The delta from a follower's version to the latest one; nullopt if that version is not kept or was never
+    // published.
     std::optional<Delta> since(std::uint64_t version) const;
-    // The latest version in pages: entries after this key, of so many bytes or one.
+    // A page of the latest version: the entries after this key, up to `max_bytes` but at least one entry.
     Page page(const std::string& after, std::size_t max_bytes) const;
 
-    // From a snapshot.
+    // Restores the versions of a snapshot.
     void restore(Document document, std::uint64_t version, std::deque<KeptVersion> kept);
 
   private:
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -1,5 +1,6 @@
-// Changes of configuration against a slow plain model of the rules, by generated commands; and with relays
-// and members on a virtual clock, under an observer who knows everything.
+// Compares the state of configuration changes with a slow and simple reference model over generated commands.
+// Also simulates relays and members on a virtual clock, where an observer that knows the state of all of them
+// checks the guarantees.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <functional>
@@ -13,25 +14,25 @@
 namespace {
 
 constexpr Nanos second = 1'000'000'000;
-constexpr Nanos before_all = INT64_MIN / 4;
+constexpr Nanos earliest_time = INT64_MIN / 4;
 
-// Everything is looked up anew each time, in lists; no index and no count is kept.
-struct Plain {
-    struct Has {
+// The reference model. It looks everything up in lists each time and maintains no index or count.
+struct ReferenceModel {
+    struct ModelAttachment {
         std::string relay;
         bool exception;
     };
-    struct Who {
+    struct ModelMember {
         std::string name;
-        std::uint64_t incarnation = 0, stated = 0, refused = 0, told = 0;
-        Nanos lease_grace = 0, bound = before_all, ended = before_all;
+        std::uint64_t incarnation = 0, reported_version = 0, refused_version = 0, refusal_emitted = 0;
+        Nanos lease_grace = 0, lease_until = earliest_time, ended_at = earliest_time;
         bool left = false;
-        std::vector<Has> has;
+        std::vector<ModelAttachment> attachments;
     };
     struct Relay {
         std::string name;
         std::uint64_t incarnation = 0, number = 0, lowest = 0;
-        Nanos lease = before_all;
+        Nanos lease = earliest_time;
         bool live = false;
     };
     struct Version {
@@ -39,69 +40,76 @@
     };
 
     Limits limits;
-    std::vector<Document> versions{{}};  // by version; all are kept here
-    std::vector<Who> members;
+    std::vector<Document> versions{{}};  // by version; the model keeps all of them
+    std::vector<ModelMember> members;
     std::vector<Relay> relays;
-    std::uint64_t in_force = 0, tripped = 0;
+    std::uint64_t applied_everywhere = 0, halted_version = 0;
     bool halted = false;
-    Nanos now = 0, hold = 0;
+    Nanos now = 0, hold_until = 0;
     Effects effects;
 
     std::uint64_t version() const { return versions.size() - 1; }
-    std::uint64_t agreed(std::uint64_t v) const { return v > version() ? 0 : v; }
-    Who* member(const std::string& name) {
-        for (Who& w : members)
+    std::uint64_t agreed_or_none(std::uint64_t v) const { return v > version() ? 0 : v; }
+    ModelMember* find_member(const std::string& name) {
+        for (ModelMember& w : members)
             if (w.name == name) return &w;
         return nullptr;
     }
-    Relay* relay(const std::string& name) {
+    Relay* find_relay(const std::string& name) {
         for (Relay& r : relays)
             if (r.name == name) return &r;
         return nullptr;
     }
-    std::uint64_t applied_version(const Who& w) {
-        std::uint64_t most = w.stated;
-        for (const Has& h : w.has)
-            if (!h.exception) most = std::max(most, relay(h.relay)->lowest);
+    std::uint64_t applied_version(const ModelMember& member) {
+        std::uint64_t most = member.reported_version;
+        for (const ModelAttachment& h : member.attachments)
+            if (!h.exception) most = std::max(most, find_relay(h.relay)->lowest);
         return most;
     }
-    bool lives(const Who& w) const { return !w.left && (!w.has.empty() || now <= w.bound + limits.drift); }
-    bool may_act(const Who& w) const {
-        return !w.left && (lives(w) || now <= std::max(w.bound, w.ended) + w.lease_grace + limits.drift);
+    bool is_live(const ModelMember& member) const {
+        return !member.left && (!member.attachments.empty() || now <= member.lease_until + limits.drift);
     }
-    static bool named(const Who& w) {
-        return std::any_of(w.has.begin(), w.has.end(), [](const Has& h) { return h.exception; });
+    bool may_act(const ModelMember& member) const {
+        return !member.left && (is_live(member) || now <= std::max(member.lease_until, member.ended_at) +
+                                                              member.lease_grace + limits.drift);
     }
-    // The relay has the member no more.
-    void drop(Who& w, const std::string& r) {
-        w.stated = applied_version(w);
-        const std::size_t had = w.has.size();
-        std::erase_if(w.has, [&](const Has& h) { return h.relay == r; });
-        if (had > 0 && !w.has.empty() && !named(w)) w.refused = 0;
+    static bool is_exception(const ModelMember& member) {
+        return std::any_of(member.attachments.begin(), member.attachments.end(),
+                           [](const ModelAttachment& h) { return h.exception; });
     }
-    void drop_all(const Relay& r) {
-        for (Who& w : members) {
-            if (std::none_of(w.has.begin(), w.has.end(), [&](const Has& h) { return h.relay == r.name; }))
+    // The member is no longer attached to the relay.
+    void detach(ModelMember& member, const std::string& relay) {
+        member.reported_version = applied_version(member);
+        const std::size_t had = member.attachments.size();
+        std::erase_if(member.attachments, [&](const ModelAttachment& h) { return h.relay == relay; });
+        if (had > 0 && !member.attachments.empty() && !is_exception(member)) member.refused_version = 0;
+    }
+    void detach_all(const Relay& relay) {
+        for (ModelMember& member : members) {
+            if (std::none_of(member.attachments.begin(), member.attachments.end(),
+                             [&](const ModelAttachment& h) { return h.relay == relay.name; }))
                 continue;
-            drop(w, r.name);
-            w.bound = std::max(w.bound, r.lease);
+            detach(member, relay.name);
+            member.lease_until = std::max(member.lease_until, relay.lease);
         }
     }
-    // A refusal of one that several relays have, or none, ends by itself once it acts on the version.
-    void mend_refusals() {
-        for (Who& w : members)
-            if (lives(w) && w.has.size() != 1 && w.refused <= applied_version(w)) w.refused = 0;
+    // The refusal of a member with several relays, or with none, ends once the member acts on the version.
+    void clear_outdated_refusals() {
+        for (ModelMember& member : members)
+            if (is_live(member) && member.attachments.size() != 1 &&
+                member.refused_version <= applied_version(member))
+                member.refused_version = 0;
     }
 
-    void pass(Nanos at) {
+    void advance(Nanos at) {
         if (at <= now) return;
         const Nanos gap = at - now;
         if (now > 0 && gap > limits.lease / 4) {
             for (Relay& r : relays)
                 if (r.live) r.lease += gap;
-            for (Who& w : members)
-                if (lives(w) && w.has.empty()) w.bound += gap;
-            hold = at + limits.lease + limits.drift;
+            for (ModelMember& member : members)
+                if (is_live(member) && member.attachments.empty()) member.lease_until += gap;
+            hold_until = at + limits.lease + limits.drift;
         }
         now = at;
         std::vector<Relay*> over;
@@ -111,134 +119,141 @@
             return std::pair(a->lease, a->name) < std::pair(b->lease, b->name);
         });
         for (Relay* r : over) {
-            drop_all(*r);
+            detach_all(*r);
             r->live = false;
             effects.push_back(RelayLeaseExpired{version(), r->name});
         }
-        forget();
-    }
-    void forget() {
-        std::erase_if(members, [&](const Who& w) {
-            if (lives(w)) return false;
-            const Nanos kept =
-                w.left ? limits.forget_after : std::max(limits.forget_after, w.lease_grace + limits.drift);
-            return now > std::max(w.bound, w.ended) + kept;
+        drop_forgotten();
+    }
+    void drop_forgotten() {
+        std::erase_if(members, [&](const ModelMember& member) {
+            if (is_live(member)) return false;
+            const Nanos kept = member.left ? limits.forget_after
+                                           : std::max(limits.forget_after, member.lease_grace + limits.drift);
+            return now > std::max(member.lease_until, member.ended_at) + kept;
         });
         std::erase_if(relays, [&](const Relay& r) {
             return !r.live && now > r.lease + limits.forget_after + limits.drift;
         });
     }
 
-    std::optional<StaleReason> fault(const RelayReport& w) {
-        const Relay* r = relay(w.relay);
-        if (r == nullptr) return w.full ? std::nullopt : std::optional(StaleReason::unknown_relay);
-        if (w.incarnation < r->incarnation) return StaleReason::earlier_incarnation;
-        if (w.incarnation == r->incarnation && w.number <= r->number) return StaleReason::overtaken;
-        if (w.full) return std::nullopt;
-        if (w.incarnation > r->incarnation) return StaleReason::new_incarnation;
-        return r->live ? std::nullopt : std::optional(StaleReason::lease_expired);
-    }
-    void take(const RelayReport& w) {
-        if (const auto reason = fault(w)) return effects.push_back(StaleReport{version(), w.relay, *reason});
-        Relay* r = relay(w.relay);
-        if (r == nullptr) r = &relays.emplace_back(Relay{w.relay, w.incarnation});
-        if (w.full) drop_all(*r);
-        if (!r->live || r->incarnation != w.incarnation) r->lease = before_all;
-        r->incarnation = w.incarnation, r->number = w.number, r->live = true;
-        r->lease = std::max(r->lease, now + limits.lease);
-        for (const auto& [name, incarnation] : w.left) {
-            Who* m = member(name);
-            if (m == nullptr || m->incarnation != incarnation || m->left) continue;
-            m->stated = applied_version(*m);
-            m->has.clear();
-            m->left = true, m->refused = 0, m->ended = now;
+    std::optional<StaleReason> stale_reason(const RelayReport& report) {
+        const Relay* relay = find_relay(report.relay);
+        if (relay == nullptr) return report.full ? std::nullopt : std::optional(StaleReason::unknown_relay);
+        if (report.incarnation < relay->incarnation) return StaleReason::earlier_incarnation;
+        if (report.incarnation == relay->incarnation && report.number <= relay->number)
+            return StaleReason::overtaken;
+        if (report.full) return std::nullopt;
+        if (report.incarnation > relay->incarnation) return StaleReason::new_incarnation;
+        return relay->live ? std::nullopt : std::optional(StaleReason::lease_expired);
+    }
+    void apply_report(const RelayReport& report) {
+        if (const auto reason = stale_reason(report))
+            return effects.push_back(StaleReport{version(), report.relay, *reason});
+        Relay* relay = find_relay(report.relay);
+        if (relay == nullptr) relay = &relays.emplace_back(Relay{report.relay, report.incarnation});
+        if (report.full) detach_all(*relay);
+        if (!relay->live || relay->incarnation != report.incarnation) relay->lease = earliest_time;
+        relay->incarnation = report.incarnation, relay->number = report.number, relay->live = true;
+        relay->lease = std::max(relay->lease, now + limits.lease);
+        for (const auto& [name, incarnation] : report.left) {
+            ModelMember* member = find_member(name);
+            if (member == nullptr || member->incarnation != incarnation || member->left) continue;
+            member->reported_version = applied_version(*member);
+            member->attachments.clear();
+            member->left = true, member->refused_version = 0, member->ended_at = now;
         }
-        for (const auto& [name, incarnation] : w.lost) {
-            Who* m = member(name);
-            if (m == nullptr || m->incarnation != incarnation) continue;
-            if (std::none_of(m->has.begin(), m->has.end(), [&](const Has& h) { return h.relay == w.relay; }))
+        for (const auto& [name, incarnation] : report.lost) {
+            ModelMember* member = find_member(name);
+            if (member == nullptr || member->incarnation != incarnation) continue;
+            if (std::none_of(member->attachments.begin(), member->attachments.end(),
+                             [&](const ModelAttachment& h) { return h.relay == report.relay; }))
                 continue;
-            drop(*m, w.relay);
-            m->ended = std::max(m->ended, now);
+            detach(*member, report.relay);
+            member->ended_at = std::max(member->ended_at, now);
         }
-        r->lowest = agreed(w.lowest);
-        mend_refusals();
-        for (const MemberReport& j : w.joined) {
-            Who* m = member(j.name);
-            if (m != nullptr && j.incarnation < m->incarnation) {
+        relay->lowest = agreed_or_none(report.lowest);
+        clear_outdated_refusals();
+        for (const MemberReport& j : report.joined) {
+            ModelMember* member = find_member(j.name);
+            if (member != nullptr && j.incarnation < member->incarnation) {
                 effects.push_back(StaleReport{version(), j.name, StaleReason::earlier_incarnation});
                 continue;
             }
-            if (m == nullptr) m = &members.emplace_back();
-            if (j.incarnation > m->incarnation) *m = Who{};
-            m->name = j.name, m->incarnation = j.incarnation, m->left = false, m->lease_grace = j.lease_grace;
-            m->stated = std::max(m->stated, agreed(j.applied_version));
-            if (std::none_of(m->has.begin(), m->has.end(), [&](const Has& h) { return h.relay == w.relay; }))
-                m->has.push_back({w.relay, false});
-            if (!named(*m)) m->refused = 0;
-            mend_refusals();
+            if (member == nullptr) member = &members.emplace_back();
+            if (j.incarnation > member->incarnation) *member = ModelMember{};
+            member->name = j.name, member->incarnation = j.incarnation, member->left = false,
+            member->lease_grace = j.lease_grace;
+            member->reported_version = std::max(member->reported_version, agreed_or_none(j.applied_version));
+            if (std::none_of(member->attachments.begin(), member->attachments.end(),
+                             [&](const ModelAttachment& h) { return h.relay == report.relay; }))
+                member->attachments.push_back({report.relay, false});
+            if (!is_exception(*member)) member->refused_version = 0;
+            clear_outdated_refusals();
         }
         std::set<std::string> listed;
-        for (const MemberReport& e : w.exceptions) {
-            Who* m = member(e.name);
-            if (m == nullptr || m->incarnation != e.incarnation) continue;
-            const auto has =
-                std::find_if(m->has.begin(), m->has.end(), [&](const Has& h) { return h.relay == w.relay; });
-            if (has == m->has.end()) continue;
-            has->exception = true;
+        for (const MemberReport& e : report.exceptions) {
+            ModelMember* member = find_member(e.name);
+            if (member == nullptr || member->incarnation != e.incarnation) continue;
+            const auto attachment =
+                std::find_if(member->attachments.begin(), member->attachments.end(),
+                             [&](const ModelAttachment& h) { return h.relay == report.relay; });
+            if (attachment == member->attachments.end()) continue;
+            attachment->exception = true;
             listed.insert(e.name);
-            m->stated = std::max(m->stated, agreed(e.applied_version));
-            m->refused = agreed(e.refused_version) > applied_version(*m) ? e.refused_version : 0;
-            if (m->refused > m->told) {
-                m->told = m->refused;
-                effects.push_back(MemberRefused{m->refused, e.name, e.refusal_reason});
+            member->reported_version = std::max(member->reported_version, agreed_or_none(e.applied_version));
+            member->refused_version =
+                agreed_or_none(e.refused_version) > applied_version(*member) ? e.refused_version : 0;
+            if (member->refused_version > member->refusal_emitted) {
+                member->refusal_emitted = member->refused_version;
+                effects.push_back(MemberRefused{member->refused_version, e.name, e.refusal_reason});
             }
         }
-        for (Who& m : members)
-            for (Has& h : m.has)
-                if (h.relay == w.relay && h.exception && !listed.contains(m.name)) {
+        for (ModelMember& member : members)
+            for (ModelAttachment& h : member.attachments)
+                if (h.relay == report.relay && h.exception && !listed.contains(member.name)) {
                     h.exception = false;
-                    if (!named(m)) m.refused = 0;
+                    if (!is_exception(member)) member.refused_version = 0;
                 }
-        mend_refusals();
+        clear_outdated_refusals();
     }
 
-    void refuse(const std::string& why, std::optional<std::string> name = std::nullopt) {
-        effects.push_back(CommandRejected{version(), why, std::move(name)});
+    void reject(const std::string& reason, std::optional<std::string> name = std::nullopt) {
+        effects.push_back(CommandRejected{version(), reason, std::move(name)});
     }
-    void make(const Document& next) {
-        if (next == versions.back()) return refuse("nothing would change");
+    void publish(const Document& next) {
+        if (next == versions.back()) return reject("nothing would change");
         versions.push_back(next);
         effects.push_back(VersionPublished{version()});
     }
     void on(const Publish& c) {
-        if (halted) return refuse("halted: " + halted_for);
+        if (halted) return reject("halted: " + halt_reason);
         if (c.based_on && *c.based_on != version())
-            return refuse("based on version " + std::to_string(*c.based_on) + ", the latest is " +
+            return reject("based on version " + std::to_string(*c.based_on) + ", the latest is " +
                           std::to_string(version()));
         Document next = versions.back();
         for (const auto& [key, value] : c.set) next[key] = value;
         for (const std::string& key : c.removed) next.erase(key);
-        make(next);
+        publish(next);
     }
     void on(const Rollback& c) {
         if (c.to == 0 || c.to > version() || c.to + limits.max_kept <= version())
-            return refuse("version " + std::to_string(c.to) + " is not kept");
-        make(Document(versions[c.to]));
+            return reject("version " + std::to_string(c.to) + " is not kept");
+        publish(Document(versions[c.to]));
     }
     void on(const Resume&) {
         halted = false;
-        halted_for.clear();
+        halt_reason.clear();
         effects.push_back(PublishingResumed{version()});
     }
     void on(const ReportBatch& c) {
-        for (const RelayReport& w : c.reports) take(w);
+        for (const RelayReport& w : c.reports) apply_report(w);
     }
     void on(const Forget& c) {
-        const Who* m = member(c.name);
-        if (m == nullptr) return refuse("no such member", c.name);
-        if (lives(*m)) return refuse("its lease is not over", c.name);
-        std::erase_if(members, [&](const Who& w) { return w.name == c.name; });
+        const ModelMember* m = find_member(c.name);
+        if (m == nullptr) return reject("no such member", c.name);
+        if (is_live(*m)) return reject("its lease is not over", c.name);
+        std::erase_if(members, [&](const ModelMember& w) { return w.name == c.name; });
         effects.push_back(MemberForgotten{version(), c.name});
     }
     void on(const SetLimits& c) {
@@ -246,43 +261,43 @@
         Effects kept = effects;
         const Nanos at = now;
         now = at - 1;
-        limits.lease = INT64_MAX / 8;  // no gap
-        pass(at);
+        limits.lease = INT64_MAX / 8;  // the time advances without an interruption
+        advance(at);
         limits = c.limits;
     }
     void on(const Tick&) {}
 
     Effects apply(const Command& c) {
         effects.clear();
-        pass(c.proposed_at);
+        advance(c.proposed_at);
         std::visit([this](const auto& payload) { on(payload); }, c.payload);
         std::size_t live = 0, refusing = 0;
         std::uint64_t least = version();
         std::vector<std::string> names;
-        for (const Who& w : members) {
-            if (!lives(w)) continue;
+        for (const ModelMember& w : members) {
+            if (!is_live(w)) continue;
             ++live;
-            refusing += w.refused > 0 && w.refused == version();
+            refusing += w.refused_version > 0 && w.refused_version == version();
             least = std::min(least, applied_version(w));
         }
-        if (tripped != version() && refusing > 0 && refusing >= limits.halt_min_refusals &&
+        if (halted_version != version() && refusing > 0 && refusing >= limits.halt_min_refusals &&
             static_cast<double>(refusing) > limits.halt_refused_share * static_cast<double>(live)) {
-            tripped = version();
+            halted_version = version();
             halted = true;
-            halted_for = std::to_string(refusing) + " of " + std::to_string(live) +
-                         " members refuse version " + std::to_string(version());
-            effects.push_back(PublishingHalted{version(), halted_for});
+            halt_reason = std::to_string(refusing) + " of " + std::to_string(live) +
+                          " members refuse version " + std::to_string(version());
+            effects.push_back(PublishingHalted{version(), halt_reason});
         }
-        if (now >= hold && least > in_force) {
-            in_force = least;
-            for (const Who& w : members)
-                if (!lives(w) && may_act(w) && w.stated < least) names.push_back(w.name);
+        if (now >= hold_until && least > applied_everywhere) {
+            applied_everywhere = least;
+            for (const ModelMember& w : members)
+                if (!is_live(w) && may_act(w) && w.reported_version < least) names.push_back(w.name);
             std::sort(names.begin(), names.end());
             effects.push_back(AppliedEverywhere{least, names});
         }
         return effects;
     }
-    std::string halted_for;
+    std::string halt_reason;
 };
 
 Limits limits_of_test() {
@@ -294,75 +309,85 @@
 }
 
 using Random = std::knuth_b;
-int below(Random& random, int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); }
+int random_below(Random& random, int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); }
 
-// ReportBatch that no ReportAggregator would say are among them: what is stated need not fit together.
+// Generates commands. They include reports that no ReportAggregator would produce, since their parts need not
+// be consistent.
 struct Generator {
     explicit Generator(std::uint64_t seed) : random(seed) {}
 
-    MemberReport member_word(std::uint64_t version) {
-        MemberReport w{"m" + std::to_string(below(random, 9)), 1, below(random, 4) * 10 * second, 0, 0, ""};
-        std::uint64_t& incarnation = lives[w.name];
-        if (incarnation == 0 || below(random, 12) == 0) ++incarnation;
-        w.incarnation = below(random, 10) == 0 && incarnation > 1 ? incarnation - 1 : incarnation;
+    MemberReport random_member_report(std::uint64_t version) {
+        MemberReport w{"m" + std::to_string(random_below(random, 9)),
+                       1,
+                       random_below(random, 4) * 10 * second,
+                       0,
+                       0,
+                       ""};
+        std::uint64_t& incarnation = member_incarnations[w.name];
+        if (incarnation == 0 || random_below(random, 12) == 0) ++incarnation;
+        w.incarnation = random_below(random, 10) == 0 && incarnation > 1 ? incarnation - 1 : incarnation;
         w.applied_version =
-            version - std::min<std::uint64_t>(version, static_cast<std::uint64_t>(below(random, 4)));
-        if (below(random, 25) == 0) w.applied_version = version + 3;
-        if (below(random, 3) == 0) w.refused_version = version, w.refusal_reason = "no";
+            version - std::min<std::uint64_t>(version, static_cast<std::uint64_t>(random_below(random, 4)));
+        if (random_below(random, 25) == 0) w.applied_version = version + 3;
+        if (random_below(random, 3) == 0) w.refused_version = version, w.refusal_reason = "no";
         return w;
     }
-    RelayReport relay_word(std::uint64_t version) {
+    RelayReport random_relay_report(std::uint64_t version) {
         RelayReport w;
-        // At any time one of them is silent.
-        w.relay = "r" + std::to_string((now / (40 * second) + 1 + below(random, 3)) % 4);
+        // At any time one of the relays is silent.
+        w.relay = "r" + std::to_string((now / (40 * second) + 1 + random_below(random, 3)) % 4);
         w.zone = "z";
         auto& [incarnation, number, first] = relays[w.relay];
-        if (incarnation == 0 || below(random, 25) == 0) ++incarnation, number = 0, first = true;
+        if (incarnation == 0 || random_below(random, 25) == 0) ++incarnation, number = 0, first = true;
         w.incarnation = incarnation;
-        w.number = below(random, 12) == 0 ? number : ++number;
-        w.full = std::exchange(first, false) || below(random, 8) == 0;
-        for (int i = below(random, 4); i > 0; --i) w.joined.push_back(member_word(version));
-        for (int i = below(random, 2); i > 0; --i) {
-            const MemberReport m = member_word(version);
-            (below(random, 3) == 0 ? w.left : w.lost).emplace_back(m.name, m.incarnation);
+        w.number = random_below(random, 12) == 0 ? number : ++number;
+        w.full = std::exchange(first, false) || random_below(random, 8) == 0;
+        for (int i = random_below(random, 4); i > 0; --i) w.joined.push_back(random_member_report(version));
+        for (int i = random_below(random, 2); i > 0; --i) {
+            const MemberReport m = random_member_report(version);
+            (random_below(random, 3) == 0 ? w.left : w.lost).emplace_back(m.name, m.incarnation);
         }
-        const auto behind = static_cast<std::uint64_t>(below(random, 3));
+        const auto behind = static_cast<std::uint64_t>(random_below(random, 3));
         w.lowest = version - std::min(version, behind);
-        for (int i = below(random, 5); i > 0; --i) w.exceptions.push_back(member_word(version));
+        for (int i = random_below(random, 5); i > 0; --i)
+            w.exceptions.push_back(random_member_report(version));
         return w;
     }
     Command next(const ChangeState& state) {
         Command c{"", now, Tick{}};
         const std::uint64_t v = state.version();
-        switch (below(random, 24)) {
+        switch (random_below(random, 24)) {
             case 0:
             case 1: {
                 Publish p{"ann", {}, {}, {}};
-                p.set["k" + std::to_string(below(random, 5))] = std::to_string(below(random, 3));
-                if (below(random, 3) == 0) p.removed.insert("l" + std::to_string(below(random, 3)));
-                if (below(random, 3) == 0) p.set["l" + std::to_string(3 + below(random, 3))] = "x";
-                if (below(random, 4) == 0)
-                    p.based_on = v - static_cast<std::uint64_t>(v > 0 && below(random, 2));
+                p.set["k" + std::to_string(random_below(random, 5))] =
+                    std::to_string(random_below(random, 3));
+                if (random_below(random, 3) == 0)
+                    p.removed.insert("l" + std::to_string(random_below(random, 3)));
+                if (random_below(random, 3) == 0)
+                    p.set["l" + std::to_string(3 + random_below(random, 3))] = "x";
+                if (random_below(random, 4) == 0)
+                    p.based_on = v - static_cast<std::uint64_t>(v > 0 && random_below(random, 2));
                 c.payload = p;
-                if (below(random, 2) == 0) c.id = "p" + std::to_string(below(random, 40));
+                if (random_below(random, 2) == 0) c.id = "p" + std::to_string(random_below(random, 40));
                 break;
             }
             case 2:
-                c.payload =
-                    Rollback{"bob", static_cast<std::uint64_t>(below(random, static_cast<int>(v) + 2))};
+                c.payload = Rollback{
+                    "bob", static_cast<std::uint64_t>(random_below(random, static_cast<int>(v) + 2))};
                 break;
             case 3:
                 c.payload = Resume{};
                 break;
             case 4:
-                c.payload = Forget{"m" + std::to_string(below(random, 9))};
+                c.payload = Forget{"m" + std::to_string(random_below(random, 9))};
                 break;
             case 5: {
-                if (below(random, 4) != 0) break;
+                if (random_below(random, 4) != 0) break;
                 Limits l = limits_of_test();
-                l.drift = (1 + below(random, 3)) * second;
-                l.lease = (10 + below(random, 4)) * second;
-                l.forget_after = (20 + below(random, 20)) * second;
+                l.drift = (1 + random_below(random, 3)) * second;
+                l.lease = (10 + random_below(random, 4)) * second;
+                l.forget_after = (20 + random_below(random, 20)) * second;
                 c.payload = SetLimits{l};
                 break;
             }
@@ -371,66 +396,67 @@
             case 8:
             case 9:
             case 10:
-                now += (1 + below(random, 2)) * second;
-                if (below(random, 40) == 0) now += below(random, 30) * second;
-                if (below(random, 20) == 0) now -= second;
+                now += (1 + random_below(random, 2)) * second;
+                if (random_below(random, 40) == 0) now += random_below(random, 30) * second;
+                if (random_below(random, 20) == 0) now -= second;
                 c.proposed_at = now;
                 break;
             default: {
-                ReportBatch words;
-                for (int i = 1 + below(random, 2); i > 0; --i) words.reports.push_back(relay_word(v));
-                c.payload = std::move(words);
+                ReportBatch batch;
+                for (int i = 1 + random_below(random, 2); i > 0; --i)
+                    batch.reports.push_back(random_relay_report(v));
+                c.payload = std::move(batch);
             }
         }
         return c;
     }
 
-    struct Of {
+    struct RelayNumbers {
         std::uint64_t incarnation = 0, number = 0;
         bool first = true;
     };
     Random random;
     Nanos now = 1000 * second;
-    std::map<std::string, std::uint64_t> lives;
-    std::map<std::string, Of> relays;
+    std::map<std::string, std::uint64_t> member_incarnations;
+    std::map<std::string, RelayNumbers> relays;
 };
 
-void compare(const ChangeState& state, Plain& plain) {
-    REQUIRE(state.version() == plain.version());
-    REQUIRE(state.applied_everywhere() == plain.in_force);
-    REQUIRE(state.halted() == plain.halted);
-    REQUIRE(state.document() == plain.versions.back());
-    REQUIRE(state.digest() == digest_of(plain.versions.back()));
-    REQUIRE(state.members() == plain.members.size());
+void compare(const ChangeState& state, ReferenceModel& model) {
+    REQUIRE(state.version() == model.version());
+    REQUIRE(state.applied_everywhere() == model.applied_everywhere);
+    REQUIRE(state.halted() == model.halted);
+    REQUIRE(state.document() == model.versions.back());
+    REQUIRE(state.digest() == digest_of(model.versions.back()));
+    REQUIRE(state.members() == model.members.size());
     for (const std::uint64_t v :
          {state.version(), state.applied_everywhere(), state.applied_everywhere() + 1}) {
-        RolloutProgress want;
-        for (Plain::Who& w : plain.members) {
-            const std::uint64_t acts = plain.applied_version(w);
-            if (!plain.lives(w)) {
-                if (acts < v && plain.may_act(w)) want.unacknowledged.push_back(w.name);
+        RolloutProgress expected;
+        for (ReferenceModel::ModelMember& w : model.members) {
+            const std::uint64_t applied_version = model.applied_version(w);
+            if (!model.is_live(w)) {
+                if (applied_version < v && model.may_act(w)) expected.unacknowledged.push_back(w.name);
                 continue;
             }
-            ++want.live;
-            want.applied += acts >= v;
-            if (acts < v) want.behind.push_back(w.name);
-            if (w.refused > 0) want.refusing.push_back(w.name);
+            ++expected.live;
+            expected.applied += applied_version >= v;
+            if (applied_version < v) expected.behind.push_back(w.name);
+            if (w.refused_version > 0) expected.refusing.push_back(w.name);
         }
-        const RolloutProgress is = state.progress(v, 100);
-        REQUIRE(is.live == want.live);
-        REQUIRE(is.applied == want.applied);
-        for (auto* list : {&want.behind, &want.refusing, &want.unacknowledged})
+        const RolloutProgress actual = state.progress(v, 100);
+        REQUIRE(actual.live == expected.live);
+        REQUIRE(actual.applied == expected.applied);
+        for (auto* list : {&expected.behind, &expected.refusing, &expected.unacknowledged})
             std::sort(list->begin(), list->end());
-        REQUIRE(is.behind == want.behind);
-        REQUIRE(is.refusing == want.refusing);
-        REQUIRE(is.unacknowledged == want.unacknowledged);
+        REQUIRE(actual.behind == expected.behind);
+        REQUIRE(actual.refusing == expected.refusing);
+        REQUIRE(actual.unacknowledged == expected.unacknowledged);
     }
-    // What leads from each version to the latest, as far as it is kept.
+    // The delta from each version to the latest one, as far as it is kept.
     for (std::uint64_t v = 0; v <= state.version(); ++v) {
         const auto delta = state.since(v);
         REQUIRE(delta.has_value() == (v + state.limits().max_kept >= state.version()));
         if (!delta) continue;
-        Document document = plain.versions[v];
+        Document document = model.versions[v];
         for (const auto& [key, value] : delta->set) document[key] = value;
         for (const std::string& key : delta->removed) document.erase(key);
         REQUIRE(document == state.document());
@@ -440,27 +466,28 @@
 
 }  // namespace
 
-TEST_CASE("generated commands give what the plain model of changes gives, on each replica") {
-    std::map<std::size_t, std::size_t> told;
+TEST_CASE("generated commands give the same effects as the reference model of changes, on each replica") {
+    std::map<std::size_t, std::size_t> effect_counts;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
         Generator generator(seed);
         ChangeState state(limits_of_test()), other(limits_of_test());
-        Plain plain;
-        plain.limits = limits_of_test();
-        std::map<std::string, std::vector<Effect>> came;
+        ReferenceModel model;
+        model.limits = limits_of_test();
+        std::map<std::string, std::vector<Effect>> first_effects;
         for (int step = 0; step < 600; ++step) {
             CAPTURE(step);
             const Command c = generator.next(state);
             const Effects effects = state.apply(c);
-            // One that comes twice is one, on whichever replica; a later one with its id is taken for it.
-            const auto [known, is_new] = came.emplace(c.id, effects);
+            // A duplicate command is applied once, on each replica. A later command with the same id counts
+            // as a duplicate.
+            const auto [known, is_new] = first_effects.emplace(c.id, effects);
             if (!is_new && !c.id.empty()) {
                 REQUIRE(effects == known->second);
             } else {
-                const Effects want = plain.apply(c);
-                REQUIRE(effects == want);
-                for (const Effect& e : effects) ++told[e.index()];
+                const Effects expected = model.apply(c);
+                REQUIRE(effects == expected);
+                for (const Effect& e : effects) ++effect_counts[e.index()];
             }
             const auto bytes = write_command(c);
             REQUIRE(other.apply(read_command(bytes.data(), bytes.size())) == effects);
@@ -471,49 +498,55 @@
             }
             if (step % 5 == 0) {
                 REQUIRE(other.save() == state.save());
-                compare(state, plain);
+                compare(state, model);
             }
         }
     }
-    // The runs go through all of it.
+    // Makes sure that the runs cover all kinds of effects.
     for (std::size_t kind = 0; kind < std::variant_size_v<Effect>; ++kind) {
         CAPTURE(kind);
-        CHECK(told[kind] > 50);
+        CHECK(effect_counts[kind] > 50);
     }
 }
 
 namespace {
 
-// Relays, members and managers on a virtual clock. Every message may be late, lost, or come twice; each
-// process has a clock of its own that runs up to 3% wrong, which with the leases here stays below `drift`.
-struct World {
+// Relays, members and fleet managers on a virtual clock. Every message may be delayed, lost or duplicated.
+// Each process has its own clock, whose rate is wrong by up to 3%; over the leases used here that error stays
+// below `drift`.
+struct Simulation {
     static constexpr Nanos step = 100'000'000, lease = 10 * second, drift = second, lease_grace = 4 * second;
     static constexpr int all_relays = 3, all_members = 9;
 
-    struct RelayAt {
+    struct SimulatedRelay {
         std::string name;
-        std::uint64_t incarnation = 0, knows = 0;  // the version
-        std::optional<ReportAggregator> gather;    // none: it is down
+        std::uint64_t incarnation = 0, known_version = 0;  // the latest version that it knows of
+        std::optional<ReportAggregator> aggregator;        // empty while the relay is down
         double rate = 1;
-        Nanos cut_until = 0, says_at = 0;
+        Nanos partitioned_until = 0, next_report_at = 0;
         Nanos clock(Nanos now) const { return static_cast<Nanos>(static_cast<double>(now) * rate); }
     };
-    struct MemberAt {
+    struct SimulatedMember {
         std::string name;
         bool runs = false;
-        std::uint64_t incarnation = 0, applied_version = 0, refused = 0, turn = 0;
+        std::uint64_t incarnation = 0, applied_version = 0, refused_version = 0, relay_epoch = 0;
         int relay = 0;
         double rate = 1;
-        Nanos lease_until = before_all, paused_until = 0, says_at = 0, heard_at = 0, comes_at = 0;
+        Nanos lease_until = earliest_time, paused_until = 0, next_report_at = 0, last_response_at = 0,
+              starts_at = 0;
         bool had_lease = false;
         Nanos clock(Nanos now) const { return static_cast<Nanos>(static_cast<double>(now) * rate); }
-        MemberReport word() const {
-            return {name, incarnation, lease_grace, applied_version, refused > applied_version ? refused : 0,
+        MemberReport report() const {
+            return {name,
+                    incarnation,
+                    lease_grace,
+                    applied_version,
+                    refused_version > applied_version ? refused_version : 0,
                     "no"};
         }
     };
 
-    explicit World(std::uint64_t seed)
+    explicit Simulation(std::uint64_t seed)
         : random(seed), state([] {
               Limits l;
               l.lease = lease, l.drift = drift, l.forget_after = 20 * second;
@@ -522,85 +555,90 @@
           }()) {
         for (int i = 0; i < all_relays; ++i) relays.emplace_back().name = "r" + std::to_string(i);
         for (int i = 0; i < all_members; ++i) members.push_back({"m" + std::to_string(i)});
-        for (RelayAt& r : relays) start(r);
-        for (MemberAt& m : members) m.comes_at = now + below(random, 40) * step;
+        for (SimulatedRelay& r : relays) start(r);
+        for (SimulatedMember& m : members) m.starts_at = now + random_below(random, 40) * step;
     }
 
-    double some_rate() { return 0.97 + 0.06 * below(random, 1001) / 1000.0; }
-    void start(RelayAt& r) {
-        r.gather.emplace(r.name, "z", ++r.incarnation, 6, 2);
-        r.rate = some_rate();
-        r.knows = 0;
+    double random_clock_rate() { return 0.97 + 0.06 * random_below(random, 1001) / 1000.0; }
+    void start(SimulatedRelay& r) {
+        r.aggregator.emplace(r.name, "z", ++r.incarnation, 6, 2);
+        r.rate = random_clock_rate();
+        r.known_version = 0;
     }
-    void start(MemberAt& m) {
+    void start(SimulatedMember& m) {
         m = {m.name, true, m.incarnation + 1};
-        m.rate = some_rate();
-        m.relay = below(random, all_relays);
-        m.turn = ++turns;
-        m.heard_at = now;
+        m.rate = random_clock_rate();
+        m.relay = random_below(random, all_relays);
+        m.relay_epoch = ++last_relay_epoch;
+        m.last_response_at = now;
+    }
+    Nanos delay() {
+        return random_below(random, 30) == 0 ? random_below(random, 60) * step
+                                             : random_below(random, 5) * step;
     }
-    Nanos delay() { return below(random, 30) == 0 ? below(random, 60) * step : below(random, 5) * step; }
-    void send(std::function<void()> what) {
-        if (faults && below(random, 20) == 0) return;
-        if (faults && below(random, 30) == 0) messages.emplace(now + delay(), what);
-        messages.emplace(now + delay(), std::move(what));
+    void send(std::function<void()> action) {
+        if (faults && random_below(random, 20) == 0) return;
+        if (faults && random_below(random, 30) == 0) messages.emplace(now + delay(), action);
+        messages.emplace(now + delay(), std::move(action));
     }
 
-    // The member's call, and the relay's answer.
-    void member_says(MemberAt& m) {
-        m.says_at = now + (5 + below(random, 6)) * step;
+    // Sends the member's report, and the relay's response to it.
+    void send_member_report(SimulatedMember& m) {
+        m.next_report_at = now + (5 + random_below(random, 6)) * step;
         const Nanos sent = m.clock(now);
-        const auto who = static_cast<std::size_t>(&m - members.data());
-        const auto at = static_cast<std::size_t>(m.relay);
-        send([this, who, at, word = m.word(), sent, turn = m.turn] {
-            RelayAt& r = relays[at];
-            if (!r.gather || !r.gather->record_report(r.clock(now), word)) return;
-            const Nanos grant = r.gather->grant_lease(r.clock(now), word.name);
-            send([this, who, sent, turn, grant, latest = r.knows] {
-                MemberAt& to = members[who];
-                if (!to.runs || to.turn != turn || to.paused_until > now) return;
-                to.heard_at = now;
-                if (grant > 0) {
-                    to.lease_until = std::max(to.lease_until, sent + grant);
+        const auto member_index = static_cast<std::size_t>(&m - members.data());
+        const auto relay_index = static_cast<std::size_t>(m.relay);
+        send([this, member_index, relay_index, report = m.report(), sent, relay_epoch = m.relay_epoch] {
+            SimulatedRelay& r = relays[relay_index];
+            if (!r.aggregator || !r.aggregator->record_report(r.clock(now), report)) return;
+            const Nanos lease_grant = r.aggregator->grant_lease(r.clock(now), report.name);
+            send([this, member_index, sent, relay_epoch, lease_grant, latest = r.known_version] {
+                SimulatedMember& to = members[member_index];
+                if (!to.runs || to.relay_epoch != relay_epoch || to.paused_until > now) return;
+                to.last_response_at = now;
+                if (lease_grant > 0) {
+                    to.lease_until = std::max(to.lease_until, sent + lease_grant);
                     to.had_lease = true;
                 }
-                if (latest <= to.applied_version || to.refused == latest) return;
-                if (faults && below(random, 25) == 0)
-                    to.refused = latest;
-                else if (below(random, 3) != 0)
+                if (latest <= to.applied_version || to.refused_version == latest) return;
+                if (faults && random_below(random, 25) == 0)
+                    to.refused_version = latest;
+                else if (random_below(random, 3) != 0)
                     to.applied_version = latest;
             });
         });
     }
-    void relay_says(RelayAt& r) {
-        r.says_at = now + (5 + below(random, 10)) * step;
-        const RelayReport word = r.gather->next_report(r.clock(now), drift);
-        if (r.cut_until > now) return;
-        const auto at = static_cast<std::size_t>(&r - relays.data());
-        send([this, at, word, sent = r.clock(now), incarnation = r.incarnation] {
+    // Sends the relay's report, and the fleet managers' response to it.
+    void send_relay_report(SimulatedRelay& r) {
+        r.next_report_at = now + (5 + random_below(random, 10)) * step;
+        const RelayReport report = r.aggregator->next_report(r.clock(now), drift);
+        if (r.partitioned_until > now) return;
+        const auto relay_index = static_cast<std::size_t>(&r - relays.data());
+        send([this, relay_index, report, sent = r.clock(now), incarnation = r.incarnation] {
             if (no_leader_until > now) return;
-            apply(ReportBatch{{word}});
-            const std::uint64_t last = state.last_number(word.relay, incarnation);
-            send([this, at, incarnation, number = word.number, last, sent, latest = state.version()] {
-                RelayAt& to = relays[at];
-                if (!to.gather || to.incarnation != incarnation || to.cut_until > now) return;
+            apply(ReportBatch{{report}});
+            const std::uint64_t last = state.last_number(report.relay, incarnation);
+            send([this, relay_index, incarnation, number = report.number, last, sent,
+                  latest = state.version()] {
+                SimulatedRelay& to = relays[relay_index];
+                if (!to.aggregator || to.incarnation != incarnation || to.partitioned_until > now) return;
                 if (last >= number)
-                    to.gather->acknowledge(number, sent, lease);
+                    to.aggregator->acknowledge(number, sent, lease);
                 else
-                    to.gather->require_full_report();
-                to.knows = std::max(to.knows, latest);
+                    to.aggregator->require_full_report();
+                to.known_version = std::max(to.known_version, latest);
             });
         });
     }
 
-    template <typename What>
-    void apply(What what) {
-        for (const Effect& e : state.apply({"", now + offset, std::move(what)})) {
+    template <typename Payload>
+    void apply(Payload action) {
+        for (const Effect& e : state.apply({"", now + leader_clock_offset, std::move(action)})) {
             if (std::holds_alternative<PublishingHalted>(e)) halted = true;
             const auto* applied = std::get_if<AppliedEverywhere>(&e);
             if (applied == nullptr) continue;
-            ++in_force, named += applied->may_lag.size();
-            for (const MemberAt& m : members) {
+            ++applied_count, lagging_count += applied->may_lag.size();
+            for (const SimulatedMember& m : members) {
                 if (!m.runs || m.applied_version >= applied->version || !m.had_lease) continue;
                 CAPTURE(m.name, applied->version, m.applied_version);
                 REQUIRE(m.clock(now) > m.lease_until);
@@ -611,108 +649,111 @@
         }
     }
 
-    void turn() {
+    void advance() {
         now += step;
         while (!messages.empty() && messages.begin()->first <= now) {
-            const auto what = std::move(messages.begin()->second);
+            const auto deliver = std::move(messages.begin()->second);
             messages.erase(messages.begin());
-            what();
+            deliver();
         }
-        if (faults) play_faults();
-        for (RelayAt& r : relays)
-            if (r.gather && r.says_at <= now) relay_says(r);
-        for (MemberAt& m : members) {
-            if (!m.runs && m.comes_at <= now) start(m);
+        if (faults) inject_faults();
+        for (SimulatedRelay& r : relays)
+            if (r.aggregator && r.next_report_at <= now) send_relay_report(r);
+        for (SimulatedMember& m : members) {
+            if (!m.runs && m.starts_at <= now) start(m);
             if (!m.runs || m.paused_until > now) continue;
-            if (now - m.heard_at > 4 * second) {
-                m.relay = below(random, all_relays);
-                m.turn = ++turns;
-                m.heard_at = now;
+            if (now - m.last_response_at > 4 * second) {
+                m.relay = random_below(random, all_relays);
+                m.relay_epoch = ++last_relay_epoch;
+                m.last_response_at = now;
             }
-            if (m.says_at <= now) member_says(m);
+            if (m.next_report_at <= now) send_member_report(m);
         }
         if (no_leader_until <= now) {
             if (std::exchange(halted, false) && state.halted()) apply(Resume{});
-            if (publishes && below(random, 25) == 0)
+            if (publishes && random_below(random, 25) == 0)
                 apply(Publish{"ann", {{"k", std::to_string(++published)}}, {}, {}});
             else
                 apply(Tick{});
         }
-        // Who holds a lease by its own clock lives, as the managers see it.
+        // A member that holds a lease by its own clock must be live in the fleet managers' state.
         const RolloutProgress progress = state.progress(UINT64_MAX, 1000);
-        for (const MemberAt& m : members) {
+        for (const SimulatedMember& m : members) {
             if (!m.runs || m.clock(now) > m.lease_until) continue;
             CAPTURE(m.name);
             REQUIRE(std::binary_search(progress.behind.begin(), progress.behind.end(), m.name));
         }
     }
 
-    void play_faults() {
-        for (RelayAt& r : relays) {
-            if (!r.gather) {
-                if (below(random, 40) == 0) start(r);
-            } else if (below(random, 400) == 0) {
-                r.gather.reset();
-                if (below(random, 2) == 0) start(r);
-            } else if (below(random, 500) == 0) {
-                r.cut_until = now + below(random, 200) * step;
+    void inject_faults() {
+        for (SimulatedRelay& r : relays) {
+            if (!r.aggregator) {
+                if (random_below(random, 40) == 0) start(r);
+            } else if (random_below(random, 400) == 0) {
+                r.aggregator.reset();
+                if (random_below(random, 2) == 0) start(r);
+            } else if (random_below(random, 500) == 0) {
+                r.partitioned_until = now + random_below(random, 200) * step;
             }
         }
-        for (MemberAt& m : members) {
+        for (SimulatedMember& m : members) {
             if (!m.runs) continue;
-            const int what = below(random, 3000);
-            if (what < 8) {
-                m.paused_until = now + below(random, 200) * step;
-            } else if (what < 14) {
-                m.relay = below(random, all_relays);
-                m.turn = ++turns;
-            } else if (what < 18) {
+            const int action = random_below(random, 3000);
+            if (action < 8) {
+                m.paused_until = now + random_below(random, 200) * step;
+            } else if (action < 14) {
+                m.relay = random_below(random, all_relays);
+                m.relay_epoch = ++last_relay_epoch;
+            } else if (action < 18) {
                 m.runs = false;
-                m.comes_at = now + below(random, 100) * step;
-                if (below(random, 2) == 0)
-                    send([this, at = static_cast<std::size_t>(m.relay), name = m.name,
+                m.starts_at = now + random_below(random, 100) * step;
+                if (random_below(random, 2) == 0)
+                    send([this, relay_index = static_cast<std::size_t>(m.relay), name = m.name,
                           incarnation = m.incarnation] {
-                        if (relays[at].gather) relays[at].gather->record_leave(name, incarnation);
+                        if (relays[relay_index].aggregator)
+                            relays[relay_index].aggregator->record_leave(name, incarnation);
                     });
             }
         }
-        if (no_leader_until <= now && below(random, 600) == 0) {
-            no_leader_until = now + below(random, 150) * step;
-            offset -= below(random, 4) * step;
+        if (no_leader_until <= now && random_below(random, 600) == 0) {
+            no_leader_until = now + random_below(random, 150) * step;
+            leader_clock_offset -= random_below(random, 4) * step;
         }
     }
 
     Random random;
     ChangeState state;
-    Nanos now = 1000 * second, offset = 0, no_leader_until = 0;
-    std::vector<RelayAt> relays;
-    std::vector<MemberAt> members;
+    Nanos now = 1000 * second, leader_clock_offset = 0, no_leader_until = 0;
+    std::vector<SimulatedRelay> relays;
+    std::vector<SimulatedMember> members;
     std::multimap<Nanos, std::function<void()>> messages;
-    std::uint64_t turns = 0, published = 0;
-    std::size_t in_force = 0, named = 0;
+    std::uint64_t last_relay_epoch = 0, published = 0;
+    std::size_t applied_count = 0, lagging_count = 0;
     bool faults = true, publishes = true, halted = false;
 };
 
 }  // namespace
 
-TEST_CASE("no version is told in force while a member whose lease holds acts on an earlier one") {
-    std::size_t in_force = 0, named = 0, published = 0;
+TEST_CASE(
+    "no version counts as applied everywhere while a member with a valid lease acts on an earlier one") {
+    std::size_t applied_count = 0, lagging_count = 0, published = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         CAPTURE(seed);
-        World world(seed);
-        for (int i = 0; i < 3000; ++i) world.turn();
-        // Without faults all that is published comes through.
-        world.faults = false;
-        for (auto& relay : world.relays)
-            if (!relay.gather) world.start(relay);
-        for (int i = 0; i < 200; ++i) world.turn();
-        world.apply(Publish{"ann", {{"last", "1"}}, {}, {}});
-        world.publishes = false;
-        for (int i = 0; i < 300; ++i) world.turn();
-        CHECK(world.state.applied_everywhere() == world.state.version());
-        in_force += world.in_force, named += world.named, published += world.state.version();
-    }
-    CHECK(in_force > 1000);
-    CHECK(named > 100);
+        Simulation simulation(seed);
+        for (int i = 0; i < 3000; ++i) simulation.advance();
+        // Without faults everything that is published is applied everywhere.
+        simulation.faults = false;
+        for (auto& relay : simulation.relays)
+            if (!relay.aggregator) simulation.start(relay);
+        for (int i = 0; i < 200; ++i) simulation.advance();
+        simulation.apply(Publish{"ann", {{"last", "1"}}, {}, {}});
+        simulation.publishes = false;
+        for (int i = 0; i < 300; ++i) simulation.advance();
+        CHECK(simulation.state.applied_everywhere() == simulation.state.version());
+        applied_count += simulation.applied_count, lagging_count += simulation.lagging_count,
+            published += simulation.state.version();
+    }
+    CHECK(applied_count > 1000);
+    CHECK(lagging_count > 100);
     CHECK(published > 5000);
 }
