--- a/measure/leaf_times.cpp
+++ b/measure/leaf_times.cpp
@@ -110,17 +110,19 @@
     std::deque<Open> open(static_cast<std::size_t>(clients));
     const int warm_up = queries / 10;
     for (Open& o : open)
-        o.client = std::make_unique<Client>(io, service.port(), [&came, warm_up, at = &o](Answered got) {
-            at->busy = false;
-            came.failed += got.status != 200 || !got.whole;
-            if (++came.answered > warm_up)
-                came.ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - at->at).count());
-        });
+        o.client =
+            std::make_unique<Client>(io, service.port(), [&came, warm_up, at = &o](ClientResponse got) {
+                at->busy = false;
+                came.failed += got.status != 200 || !got.whole;
+                if (++came.answered > warm_up)
+                    came.ms.push_back(
+                        std::chrono::duration<double, std::milli>(Clock::now() - at->at).count());
+            });
     const auto end = Clock::now() + std::chrono::seconds(90);
     while (came.answered < queries && Clock::now() < end) {
         for (Open& o : open) {
             if (o.busy || came.asked >= queries) continue;
-            Asking asking;
+            ClientQuery asking;
             asking.query_class = "whole", asking.id = "q" + std::to_string(++came.asked);
             asking.deadline_ms = 2000, asking.two_phase = false;
             for (int p = 0; p < width_of_query; ++p)
--- a/measure/two_phase.cpp
+++ b/measure/two_phase.cpp
@@ -34,7 +34,7 @@
 };
 
 struct Came {
-    Work work;
+    WorkCounts work;
     PhaseCounts counts;
     std::vector<double> ms;
     int finals = 0, served = 0, whole = 0, differing = 0, asked = 0;
@@ -84,12 +84,12 @@
     Came came;
     struct Open {
         std::unique_ptr<Client> client;
-        Asking asking;
+        ClientQuery asking;
         Clock::time_point at;
         bool busy = false;
     };
     std::vector<Open> open(static_cast<std::size_t>(day.clients));
-    const auto check = [&](Open& o, const Answered& got) {
+    const auto check = [&](Open& o, const ClientResponse& got) {
         o.busy = false;
         ++came.finals;
         came.ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - o.at).count());
@@ -106,17 +106,17 @@
                     missing.push_back(s);
         for (const std::uint32_t s : o.asking.shards)
             if (std::find(missing.begin(), missing.end(), s) == missing.end()) covered.push_back(s);
-        came.differing += got.rows(rows) != true_answer(fleet.script().sections, covered, o.asking.find);
+        came.differing += got.rows(rows) != expected_rows(fleet.script().sections, covered, o.asking.find);
     };
     for (Open& o : open)
-        o.client =
-            std::make_unique<Client>(io, service.port(), [&, at = &o](Answered got) { check(*at, got); });
+        o.client = std::make_unique<Client>(io, service.port(),
+                                            [&, at = &o](ClientResponse got) { check(*at, got); });
     const auto end = Clock::now() + std::chrono::seconds(60);
     while (came.finals < day.queries && Clock::now() < end) {
         for (Open& o : open) {
             if (o.busy || came.asked >= day.queries) continue;
             if (day.before) day.before(fleet, came.asked);
-            Asking& a = o.asking = {};
+            ClientQuery& a = o.asking = {};
             a.query_class = "part", a.id = "q" + std::to_string(++came.asked), a.deadline_ms = 2000;
             a.two_phase = day.two_phase;
             a.find = {{day.term(came.asked)}, {}, rows};
@@ -255,7 +255,7 @@
         day.clients = 1;
         const Came c = play(day);
         add(c);
-        words[remember] = c.work.words;
+        words[remember] = c.work.summaries;
         if (remember) memory_bytes = c.memory_bytes;
     }
     const Taken taken = time_lookups(2000);
--- a/measure/xds.cpp
+++ b/measure/xds.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using namespace tealcart;
-using Held = Recorder::Held;
+using State = Recorder::State;
 using Clock = std::chrono::steady_clock;
 
 constexpr Nanos ms = 1'000'000;
@@ -95,7 +95,7 @@
         return c;
     }
     void tell(std::vector<ListedEndpoint> nodes) {
-        server.take_list({++generation, true, std::move(nodes), 0});
+        server.apply_list({++generation, true, std::move(nodes), 0});
     }
 };
 
@@ -118,25 +118,26 @@
             std::make_unique<Recorder>(channels[static_cast<std::size_t>(i) % channels.size()],
                                        Recorder::Options{.node = "p" + std::to_string(i), .delta = delta}));
     }
-    bool until(const std::function<bool(const Held&)>& holds, int seconds = 60) {
+    bool until(const std::function<bool(const State&)>& holds, int seconds = 60) {
         const auto end = Clock::now() + std::chrono::seconds(seconds);
         for (auto& r : all)
-            if (!r->until(holds, std::chrono::duration_cast<std::chrono::milliseconds>(end - Clock::now())))
+            if (!r->wait_until(holds,
+                               std::chrono::duration_cast<std::chrono::milliseconds>(end - Clock::now())))
                 return false;
         return true;
     }
-    std::uint64_t sum(std::uint64_t Held::*what) const {
+    std::uint64_t sum(std::uint64_t State::*what) const {
         std::uint64_t total = 0;
-        for (const auto& r : all) total += r->held().*what;
+        for (const auto& r : all) total += r->state().*what;
         return total;
     }
 };
 
-bool complete(const Held& h) {
+bool complete(const State& h) {
     return h.limits.size() == places && h.endpoints.size() == places && h.routes.size() == 1;
 }
 
-bool takes(const Held& h, const std::string& pool, const std::string& node) {
+bool takes(const State& h, const std::string& pool, const std::string& node) {
     const auto& endpoints = h.endpoints.at(pool);
     const auto e = endpoints.find(node);
     return e != endpoints.end() && !e->second.draining;
@@ -210,7 +211,7 @@
             for (int look = 0; look < 5; ++look) {
                 std::this_thread::sleep_for(std::chrono::milliseconds(100));
                 for (const auto& r : proxies.all) {
-                    const Held h = r->held();
+                    const State h = r->state();
                     // Read after what is held, which only climbs.
                     const double age =
                         static_cast<double>(wall() - list[static_cast<std::size_t>(wave * 4)].started_at);
@@ -226,10 +227,10 @@
         std::this_thread::sleep_for(std::chrono::seconds(6));
         std::map<std::string, std::uint64_t> limits;
         for (const auto& r : proxies.all)
-            for (const auto& [name, limit] : r->held().limits) limits[name] += limit;
+            for (const auto& [name, limit] : r->state().limits) limits[name] += limit;
         for (const auto& [name, sum] : limits) {
             const auto pool = static_cast<std::size_t>(std::stoi(name.substr(name.rfind('-') + 1)));
-            over += sum > service.server.look([&](const Controller& c) { return c.shares().total(pool); });
+            over += sum > service.server.inspect([&](const Controller& c) { return c.limits().total(pool); });
         }
         std::printf(
             "drains: %zu sightings, p1 %.0f ms, p50 %.0f ms, p99 %.0f ms, most %.0f ms, unseen %d; cold rule "
@@ -239,22 +240,22 @@
             unseen, over);
 
         // All lose their connection at once and come again.
-        mixes += proxies.sum(&Held::mixes);
-        older += proxies.sum(&Held::older);
+        mixes += proxies.sum(&State::unknown_references);
+        older += proxies.sum(&State::version_regressions);
         const auto storm = Clock::now();
-        for (auto& r : proxies.all) r->cut();
+        for (auto& r : proxies.all) r->cancel();
         proxies.all.clear();
         for (int i = 0; i < count; ++i) proxies.connect(i, i % 2 == 1);
         aim(proxies.until(complete), "every proxy is back after the storm");
         storm_s = std::chrono::duration<double>(Clock::now() - storm).count();
-        mixes += proxies.sum(&Held::mixes);
-        older += proxies.sum(&Held::older);
+        mixes += proxies.sum(&State::unknown_references);
+        older += proxies.sum(&State::version_regressions);
         // The service stops with all of them connected, and starts again: versions of the two never meet.
-        const std::string last = proxies.all[0]->held().version;
+        const std::string last = proxies.all[0]->state().version;
         const int port = service.port;
         const auto restart = Clock::now();
         running.reset();
-        aim(proxies.until([](const Held& h) { return h.ended; }), "a stop ends every stream");
+        aim(proxies.until([](const State& h) { return h.ended; }), "a stop ends every stream");
         Service next(2000, port);
         next.generation = 100;
         next.tell(fleet(nodes));
@@ -262,8 +263,8 @@
         for (int i = 0; i < count; ++i) proxies.connect(i, i % 2 == 1);
         aim(proxies.until(complete), "every proxy is back after the restart");
         restart_s = std::chrono::duration<double>(Clock::now() - restart).count();
-        for (const auto& r : proxies.all) older += r->held().version == last;
-        mixes += proxies.sum(&Held::mixes);
+        for (const auto& r : proxies.all) older += r->state().version == last;
+        mixes += proxies.sum(&State::unknown_references);
         std::printf("restart: all back after %.2f s\n", restart_s);
         std::printf("storm: %d proxies back and complete after %.2f s\n", count, storm_s);
     }
@@ -278,7 +279,7 @@
         Proxies proxies(service.port, few, false, delta);
         aim(proxies.until(complete), "10,000 endpoints reach every proxy");
         std::this_thread::sleep_for(std::chrono::seconds(2));
-        const auto before = service.server.figures();
+        const auto before = service.server.stats();
         first_of[delta] = static_cast<double>(before.bytes) / few;
         const double cpu = cpu_seconds();
         for (int i = 0; i < changes; ++i) {
@@ -286,17 +287,17 @@
             service.tell(list);
             const std::string drains = list[static_cast<std::size_t>(i)].id,
                               pool = pool_name(static_cast<std::uint32_t>(i % places));
-            proxies.until([&](const Held& h) { return !takes(h, pool, drains); });
+            proxies.until([&](const State& h) { return !takes(h, pool, drains); });
             list.erase(list.begin() + i);
             list.insert(list.begin() + i, fleet(i + 1).back());
             service.tell(list);
-            proxies.until([&](const Held& h) { return takes(h, pool, drains); });
+            proxies.until([&](const State& h) { return takes(h, pool, drains); });
         }
-        const auto after = service.server.figures();
+        const auto after = service.server.stats();
         bytes_of[delta] = static_cast<double>(after.bytes - before.bytes) / few / (2 * changes);
         cpu_of[delta] = 1000 * (cpu_seconds() - cpu) / (2 * changes);
-        mixes += proxies.sum(&Held::mixes);
-        older += proxies.sum(&Held::older);
+        mixes += proxies.sum(&State::unknown_references);
+        older += proxies.sum(&State::version_regressions);
         std::printf(
             "10,000 endpoints, %s: %.0f KB at first, %.1f KB a proxy and %.1f ms of CPU a change (100 "
             "proxies, recorders' work in it)\n",
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -1,6 +1,6 @@
 // The control service without its sockets: decisions turned into resources, streams of proxies, who is to be
-// told, and limits divided over the proxies that are here. Time is given; all calls come from one thread at a
-// time.
+// acknowledged_response, and limits divided over the proxies that are here. Time is given; all calls come
+// from one thread at a time.
 #pragma once
 
 #include <set>
@@ -9,9 +9,9 @@
 #include <utility>
 
 #include "control/decisions.hpp"
+#include "control/limit_allocator.hpp"
 #include "control/proxy_stream.hpp"
 #include "control/resources.hpp"
-#include "control/shares.hpp"
 
 namespace tealcart {
 
@@ -26,26 +26,26 @@
                const ControlConfig& control, const ResourceEncoder& encoder, std::uint64_t seed,
                std::uint64_t epoch);
 
-    void take_list(const EndpointList& list, Nanos now);
+    void apply_list(const EndpointList& list, Nanos now);
     // What time alone changes: ramps, graces, waits for acknowledgements.
     void tick(Nanos now);
 
     StreamId open(bool delta, Nanos now);
     // `node` is empty where the message names none, which only a stream's first must.
-    Refusal hear(StreamId id, const std::string& node, const FromProxy& said, Nanos now);
-    std::optional<ToProxy> next(StreamId id, Nanos now);
+    Refusal on_request(StreamId id, const std::string& node, const ProxyRequest& request, Nanos now);
+    std::optional<ProxyResponse> next(StreamId id, Nanos now);
     void close(StreamId id, Nanos now);
     // Streams that may have something to send since this was last called. One whose node has come anew on
     // another stream is among `ended`: it is to be closed.
     std::vector<StreamId> take_due();
     std::vector<StreamId> take_ended() { return std::exchange(ended_, {}); }
 
-    std::vector<std::string> take_lines();
+    std::vector<std::string> take_log_lines();
     std::size_t streams() const { return streams_.size(); }
     bool settled(StreamId id) const;
-    const Shares& shares() const { return shares_; }
+    const LimitAllocator& limits() const { return limits_; }
     const Decisions& decisions() const { return decisions_; }
-    Nanos list_age(Nanos now) const { return decider_.list_age(now); }
+    Nanos list_age(Nanos now) const { return engine_.list_age(now); }
     std::uint64_t encoded() const { return encoded_; }
 
   private:
@@ -58,44 +58,45 @@
         std::uint64_t proxy = 0;  // 0 until its node is known
         ResourceMap clusters;     // with its own limits
         std::uint64_t clusters_changed = 0;
-        bool yields = false;  // it knows of a newer list than we have
+        bool waits_for_list = false;  // it knows of a newer list than we have
     };
     struct Subscribers {
         std::unordered_map<std::string, std::unordered_set<StreamId>> by_name;
         std::unordered_set<StreamId> wildcard;
     };
 
-    void decide(Nanos now);
-    void share_anew();
+    void update_decisions(Nanos now);
+    void reallocate_limits();
     ResourcePtr cluster(std::uint32_t pool, std::uint32_t limit);
-    void view_clusters(Stream& stream);
+    void update_clusters(Stream& stream);
     XdsView view_of(const Stream& stream) const;
-    void mark(XdsType type, const std::string& name);
-    static void forget_name(Subscribers& subscribers, const std::string& name, StreamId id);
-    void index_stream(StreamId id, const Stream& stream, XdsType type, const ProxyStream::NameChange& names);
+    void mark_changed(XdsType type, const std::string& name);
+    static void remove_subscriber(Subscribers& subscribers, const std::string& name, StreamId id);
+    void index_stream(StreamId id, const Stream& stream, XdsType type,
+                      const ProxyStream::SubscriptionChange& names);
 
     const ControlConfig control_;
     const ResourceEncoder& encoder_;
     const std::uint64_t epoch_;
-    Decider decider_;
+    DecisionEngine engine_;
     Decisions decisions_;
-    Shares shares_;
+    LimitAllocator limits_;
     std::array<ResourceMap, xds_types> resources_;  // clusters: names alone, each proxy has its own
-    std::array<std::uint64_t, xds_types> changed_{};
+    std::array<std::uint64_t, xds_types> change_counts_{};
     std::vector<std::string> pool_names_;
     std::map<std::pair<std::uint32_t, std::uint32_t>, ResourcePtr> cluster_by_limit_;
     std::uint64_t number_ = 0, encoded_ = 0;
-    std::uint64_t shared_at_ = 0;  // the shares' changes when limits were last given
-    Nanos share_again_at_ = INT64_MAX, now_ = 0;
+    std::uint64_t allocated_at_change_ = 0;  // the shares' changes when limits were last given
+    Nanos reallocate_at_ = INT64_MAX, now_ = 0;
     std::unordered_map<StreamId, Stream> streams_;
-    std::unordered_map<std::string, StreamId> by_node_;
-    std::unordered_map<std::string, std::uint64_t> proxy_of_;  // kept while its grace lasts
-    std::map<std::uint64_t, std::pair<Nanos, std::string>> left_;
+    std::unordered_map<std::string, StreamId> stream_by_node_;
+    std::unordered_map<std::string, std::uint64_t> proxy_ids_;  // kept while its grace lasts
+    std::map<std::uint64_t, std::pair<Nanos, std::string>> departed_;
     std::array<Subscribers, xds_types> subscribers_;
     std::unordered_set<StreamId> due_;
     std::vector<StreamId> ended_;
-    std::set<std::pair<Nanos, StreamId>> wakes_;
-    std::vector<std::string> lines_;
+    std::set<std::pair<Nanos, StreamId>> wake_ups_;
+    std::vector<std::string> log_lines_;
     StreamId last_stream_ = 0;
     std::uint64_t last_proxy_ = 0;
 };
--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -23,7 +23,7 @@
 };
 
 // Drops all decisions: the module is given lists and asked for capacity shares, but has no queries here.
-class NoQueries final : public DecisionSink {
+class NullDecisionSink final : public DecisionSink {
   public:
     void send_attempt(std::uint32_t, std::uint32_t, Nanos) override {}
     void cancel(std::uint32_t, std::uint8_t) override {}
@@ -37,21 +37,21 @@
 
 }  // namespace
 
-Decider::Decider(const RouterConfig& config, const std::vector<std::string>& query_classes,
-                 const ControlConfig& control, std::uint64_t seed)
+DecisionEngine::DecisionEngine(const RouterConfig& config, const std::vector<std::string>& query_classes,
+                               const ControlConfig& control, std::uint64_t seed)
     : query_classes_(query_classes), config_(config.query_classes), control_(control),
       places_(static_cast<std::uint32_t>(config.places)),
       width_(static_cast<std::uint32_t>(config.replicas_per_shard)), drain_grace_(config.drain_grace),
-      module_(config, seed) {}
+      router_(config, seed) {}
 
-std::size_t Decider::ready() const {
+std::size_t DecisionEngine::ready() const {
     return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), [](const auto& entry) {
         const Node& node = entry.second;
         return node.missing_since == 0 && node.listed.lifecycle == Lifecycle::ready;
     }));
 }
 
-std::vector<std::string> Decider::removed_by(const EndpointList& list) const {
+std::vector<std::string> DecisionEngine::removed_by(const EndpointList& list) const {
     std::map<std::string, Lifecycle> listed;
     for (const ListedEndpoint& entry : list.nodes) listed[entry.id] = entry.lifecycle;
     std::vector<std::string> removed;
@@ -63,23 +63,23 @@
     return removed;
 }
 
-void Decider::update_node(const ListedEndpoint& entry) {
+void DecisionEngine::update_node(const ListedEndpoint& entry) {
     const auto [found, is_new] = nodes_.try_emplace(entry.id);
     Node& node = found->second;
     if (is_new) node.number = next_number_++;
     const bool restarted = is_new || node.listed.started_at != entry.started_at;
     node.listed = entry;
     node.missing_since = 0;
-    const bool drains = entry.lifecycle == Lifecycle::draining;
-    if (!drains || restarted) node.drains_since = 0;
-    if (drains && node.drains_since == 0) node.drains_since = now_;
+    const bool is_draining = entry.lifecycle == Lifecycle::draining;
+    if (!is_draining || restarted) node.draining_since = 0;
+    if (is_draining && node.draining_since == 0) node.draining_since = now_;
 }
 
 // Drains are applied whatever else a list says. Removals are not applied where too much of the fleet is
 // removed at once: guards against a discovery that has lost its own list.
-void Decider::take(const EndpointList& list, Nanos now) {
+void DecisionEngine::apply_list(const EndpointList& list, Nanos now) {
     now_ = std::max(now_, now);
-    heard_at_ = now_;
+    list_received_at_ = now_;
     generation_ = list.generation;
     const std::vector<std::string> removed = removed_by(list);
     // Of several entries with one id the last one holds; new ids are numbered in their order.
@@ -95,7 +95,7 @@
     update_module(now_);
 }
 
-void Decider::remove_or_panic(const std::vector<std::string>& removed) {
+void DecisionEngine::remove_or_panic(const std::vector<std::string>& removed) {
     std::size_t removed_ready = 0;
     for (const std::string& id : removed)
         if (nodes_[id].listed.lifecycle == Lifecycle::ready) ++removed_ready;
@@ -106,9 +106,9 @@
     if (removed_ready > 0 && too_few) {
         if (panic_until_ == 0) {
             panic_until_ = now_ + control_.panic_hold;
-            lines_.push_back("list " + std::to_string(generation_) + " leaves " + std::to_string(left) +
-                             " of " + std::to_string(max_in_window) +
-                             " data nodes: not believed for a while, what went stays");
+            log_lines_.push_back("list " + std::to_string(generation_) + " leaves " + std::to_string(left) +
+                                 " of " + std::to_string(max_in_window) +
+                                 " data nodes: not believed for a while, what went stays");
         }
         for (const std::string& id : removed) nodes_[id].missing_since = now_;
         return;
@@ -116,68 +116,68 @@
     for (const std::string& id : removed) nodes_.erase(id);
     if (panic_until_ == 0 || too_few) return;
     panic_until_ = 0;
-    lines_.push_back("list " + std::to_string(generation_) + " is believed again: " + std::to_string(left) +
-                     " data nodes");
+    log_lines_.push_back("list " + std::to_string(generation_) +
+                         " is believed again: " + std::to_string(left) + " data nodes");
     forget_missing();
 }
 
-void Decider::forget_missing() {
+void DecisionEngine::forget_missing() {
     std::erase_if(nodes_, [](const auto& entry) { return entry.second.missing_since > 0; });
 }
 
-void Decider::update_module(Nanos now) {
+void DecisionEngine::update_module(Nanos now) {
     std::vector<Endpoint> entries;
     for (const auto& [id, node] : nodes_)
         entries.push_back({node.number, node.listed.place, node.listed.lifecycle, node.listed.started_at, 0});
     ListEvent event(ListKind::full, std::move(entries));
-    NoQueries none;
-    module_.round(now, event, none);
+    NullDecisionSink none;
+    router_.round(now, event, none);
 }
 
-void Decider::end_expired_panic() {
+void DecisionEngine::end_expired_panic() {
     if (panic_until_ == 0 || now_ < panic_until_) return;
     panic_until_ = 0;
-    lines_.push_back("what went from the list stays away: " + std::to_string(ready()) +
-                     " data nodes are left");
+    log_lines_.push_back("what went from the list stays away: " + std::to_string(ready()) +
+                         " data nodes are left");
     forget_missing();
     max_ready_.clear();
     update_module(now_);
 }
 
-void Decider::update_shares() {
-    share_.clear();
-    bool any_ramps = false;
-    for (const NodeCapacityShare& capacity : module_.capacity_shares(now_)) {
-        share_[capacity.node] = capacity.share;
-        any_ramps |= capacity.share < 1;
+void DecisionEngine::update_shares() {
+    capacity_share_.clear();
+    bool any_ramping = false;
+    for (const NodeCapacityShare& capacity : router_.capacity_shares(now_)) {
+        capacity_share_[capacity.node] = capacity.share;
+        any_ramping |= capacity.share < 1;
     }
-    next_change_ = any_ramps ? now_ + control_.ramp_step : INT64_MAX;
+    next_change_ = any_ramping ? now_ + control_.ramp_step : INT64_MAX;
     if (panic_until_ > 0) next_change_ = std::min(next_change_, panic_until_);
 }
 
 // Rounded down, so that a node is never given more than it may get; 1 at least, since 0 is no weight in xDS.
-std::uint32_t Decider::weight_of(double share) {
+std::uint32_t DecisionEngine::weight_of(double share) {
     const double weight = warm_weight * share;
     return static_cast<std::uint32_t>(std::max(1.0, std::floor(weight / weight_step) * weight_step));
 }
 
-void Decider::add_to_pools(const std::string& id, const Node& node, std::vector<Pool>& pools) {
-    const bool drains = node.drains_since > 0;
-    const Nanos drained_at = node.drains_since + drain_grace_;
-    if (drains && now_ >= drained_at) return;
-    if (drains) next_change_ = std::min(next_change_, drained_at);
+void DecisionEngine::add_to_pools(const std::string& id, const Node& node, std::vector<Pool>& pools) {
+    const bool is_draining = node.draining_since > 0;
+    const Nanos drained_at = node.draining_since + drain_grace_;
+    if (is_draining && now_ >= drained_at) return;
+    if (is_draining) next_change_ = std::min(next_change_, drained_at);
     const auto address = parse_host_port(node.listed.address);
     if (!address) return;
-    const auto found = share_.find(node.number);
-    const double share = found == share_.end() ? 1 : found->second;
+    const auto found = capacity_share_.find(node.number);
+    const double share = found == capacity_share_.end() ? 1 : found->second;
     PoolEndpoint endpoint;
     endpoint.id = id;
     endpoint.host = address->host;
     endpoint.zone = node.listed.zone;
     endpoint.port = address->port;
-    endpoint.state = drains ? EndpointState::draining : EndpointState::healthy;
-    endpoint.weight = drains ? 1 : weight_of(share);
-    const double limit = drains ? 0 : std::max(1.0, control_.node_limit * share);
+    endpoint.state = is_draining ? EndpointState::draining : EndpointState::healthy;
+    endpoint.weight = is_draining ? 1 : weight_of(share);
+    const double limit = is_draining ? 0 : std::max(1.0, control_.node_limit * share);
     for (std::uint32_t replica = 0; replica < width_; ++replica) {
         Pool& pool = pools[(node.listed.place % places_ + places_ - replica) % places_];
         pool.endpoints.push_back(endpoint);
@@ -185,17 +185,17 @@
     }
 }
 
-std::vector<QueryClassRoute> Decider::routes() const {
+std::vector<QueryClassRoute> DecisionEngine::routes() const {
     std::vector<QueryClassRoute> routes;
     for (std::size_t i = 0; i < query_classes_.size(); ++i) {
-        const RetryLimits limits = module_.retry_limits(static_cast<std::uint16_t>(i));
+        const RetryLimits limits = router_.retry_limits(static_cast<std::uint16_t>(i));
         routes.push_back({query_classes_[i], config_[i].deadline, config_[i].latency_objective,
                           limits.max_attempts, limits.within});
     }
     return routes;
 }
 
-Decisions Decider::decide(Nanos now) {
+Decisions DecisionEngine::decide(Nanos now) {
     now_ = std::max(now_, now);
     end_expired_panic();
     update_shares();
--- a/src/control/decisions.hpp
+++ b/src/control/decisions.hpp
@@ -37,8 +37,8 @@
 struct QueryClassRoute {
     std::string name;
     Nanos timeout = 0, latency_objective = 0;
-    int tries = 1;      // attempts of one shard request
-    Nanos try_for = 0;  // a retry may begin within this; 0: no bound of its own
+    int max_attempts = 1;    // attempts of one shard request
+    Nanos retry_window = 0;  // a retry may begin within this; 0: no bound of its own
 
     friend bool operator==(const QueryClassRoute&, const QueryClassRoute&) = default;
 };
@@ -49,27 +49,27 @@
     std::vector<QueryClassRoute> query_classes;
 };
 
-class Decider {
+class DecisionEngine {
   public:
-    Decider(const RouterConfig& config, const std::vector<std::string>& query_classes,
-            const ControlConfig& control, std::uint64_t seed);
+    DecisionEngine(const RouterConfig& config, const std::vector<std::string>& query_classes,
+                   const ControlConfig& control, std::uint64_t seed);
 
-    // Applies a list from discovery. Lines for the log are kept until `take_lines`.
-    void take(const EndpointList& list, Nanos now);
+    // Applies a list from discovery. Lines for the log are kept until `take_log_lines`.
+    void apply_list(const EndpointList& list, Nanos now);
     // The decisions at this time. A `now` before an earlier one counts as that.
     Decisions decide(Nanos now);
     // When `decide` may come to something else without a new list.
     Nanos next_change() const { return next_change_; }
 
-    Nanos list_age(Nanos now) const { return heard_at_ == 0 ? 0 : now - heard_at_; }
-    bool panics() const { return panic_until_ > 0; }
-    std::vector<std::string> take_lines() { return std::exchange(lines_, {}); }
+    Nanos list_age(Nanos now) const { return list_received_at_ == 0 ? 0 : now - list_received_at_; }
+    bool in_panic() const { return panic_until_ > 0; }
+    std::vector<std::string> take_log_lines() { return std::exchange(log_lines_, {}); }
 
   private:
     struct Node {
         ListedEndpoint listed;
         std::uint32_t number = 0;  // the module's id
-        Nanos drains_since = 0;    // 0: it does not drain
+        Nanos draining_since = 0;  // 0: it does not drain
         Nanos missing_since = 0;   // removed by a list that is not applied; 0: it is listed
     };
 
@@ -96,14 +96,14 @@
     const ControlConfig control_;
     const std::uint32_t places_, width_;
     const Nanos drain_grace_;
-    QueryRouter module_;
+    QueryRouter router_;
     std::map<std::string, Node> nodes_;
-    std::map<std::uint32_t, double> share_;                // of a warm node's load, by the module's number
+    std::map<std::uint32_t, double> capacity_share_;       // of a warm node's load, by the module's number
     std::deque<std::pair<Nanos, std::size_t>> max_ready_;  // by time, in the window; counts fall
-    std::vector<std::string> lines_;
+    std::vector<std::string> log_lines_;
     std::uint64_t generation_ = 0;
     std::uint32_t next_number_ = 0;
-    Nanos now_ = 0, heard_at_ = 0, panic_until_ = 0, next_change_ = INT64_MAX;
+    Nanos now_ = 0, list_received_at_ = 0, panic_until_ = 0, next_change_ = INT64_MAX;
 };
 
 }  // namespace tealcart
--- a/src/control/proxy_stream.cpp
+++ b/src/control/proxy_stream.cpp
@@ -15,147 +15,158 @@
 
 }  // namespace
 
-ProxyStream::Heard ProxyStream::hear(const FromProxy& said, std::uint64_t& told, NameChange& names) {
-    told = 0;
-    const auto type = type_of(said.type_url);
-    if (!type) return Heard::unknown_type;
-    if (said.names.size() > max_names || said.subscribe.size() > max_names ||
-        said.initial_versions.size() > max_names)
-        return Heard::too_many;
-    Of& of = of_[index(*type)];
-    of_[index(XdsType::cluster)].looked = of_[index(XdsType::endpoint)].looked =
+ProxyStream::RequestResult ProxyStream::on_request(const ProxyRequest& request,
+                                                   std::uint64_t& acknowledged_response,
+                                                   SubscriptionChange& names) {
+    acknowledged_response = 0;
+    const auto type = type_of(request.type_url);
+    if (!type) return RequestResult::unknown_type;
+    if (request.names.size() > max_names || request.subscribe.size() > max_names ||
+        request.initial_versions.size() > max_names)
+        return RequestResult::too_many;
+    Subscription& subscription = subscriptions_[index(*type)];
+    subscriptions_[index(XdsType::cluster)].up_to_date = subscriptions_[index(XdsType::endpoint)].up_to_date =
         false;  // what waited for others
-    const bool first = !of.asked;
+    const bool first = !subscription.requested;
     // With a nonce it is about a response of this stream: the last of its type, or it is out of date.
-    const bool about = !said.nonce.empty() && !first;
-    if (about && number_of(said.nonce) != of.number) {
+    const bool is_reply = !request.nonce.empty() && !first;
+    if (is_reply && number_of(request.nonce) != subscription.last_response) {
         // A delta's subscriptions hold all the same: they are changes, not the whole.
-        if (delta_) hear_delta(of, *type, said, false, names), of.looked = false;
-        return Heard::stale;
+        if (delta_) apply_delta(subscription, *type, request, false, names), subscription.up_to_date = false;
+        return RequestResult::stale;
     }
-    Heard heard = Heard::first;
-    if (about) {
-        told = of.number;
-        heard = said.rejects ? Heard::rejected : Heard::acknowledged;
-        if (of.in_flight) said.rejects ? reject(of, said.error) : acknowledge(of);
+    RequestResult result = RequestResult::first;
+    if (is_reply) {
+        acknowledged_response = subscription.last_response;
+        result = request.is_nack ? RequestResult::rejected : RequestResult::acknowledged;
+        if (subscription.in_flight)
+            request.is_nack ? reject(subscription, request.error) : acknowledge(subscription);
     }
-    of.asked = true;
-    of.looked &= !first && !said.rejects;
-    delta_ ? hear_delta(of, *type, said, first, names) : hear_whole(of, *type, said, first, names);
-    of.looked &= said.subscribe.empty() && said.unsubscribe.empty();
-    return of.names.size() > max_names ? Heard::too_many : heard;
+    subscription.requested = true;
+    subscription.up_to_date &= !first && !request.is_nack;
+    delta_ ? apply_delta(subscription, *type, request, first, names)
+           : apply_state_of_world(subscription, *type, request, first, names);
+    subscription.up_to_date &= request.subscribe.empty() && request.unsubscribe.empty();
+    return subscription.names.size() > max_names ? RequestResult::too_many : result;
 }
 
-void ProxyStream::hear_whole(Of& of, XdsType type, const FromProxy& said, bool first, NameChange& change) {
+void ProxyStream::apply_state_of_world(Subscription& subscription, XdsType type, const ProxyRequest& request,
+                                       bool first, SubscriptionChange& change) {
     if (first) {
-        if (const auto known = read_version(said.version))
+        if (const auto known = parse_version(request.version))
             known_generation_ = std::max(known_generation_, known->generation);
-        of.owes = whole_only(type);
+        subscription.owes_response = is_sent_whole(type);
     }
-    if (!first && said.names == of.said) return;
-    of.said = said.names;
-    of.looked = false;
-    std::set<std::string> names(said.names.begin(), said.names.end());
-    const bool star = names.erase("*") > 0;
+    if (!first && request.names == subscription.last_names) return;
+    subscription.last_names = request.names;
+    subscription.up_to_date = false;
+    std::set<std::string> names(request.names.begin(), request.names.end());
+    const bool has_wildcard = names.erase("*") > 0;
     // No names at all mean everything, for as long as none was ever named.
-    const bool wildcard = star || (whole_only(type) && said.names.empty() && (first || of.wildcard));
-    if (names != of.names || wildcard != of.wildcard)
-        std::erase_if(of.held, [&](const auto& h) { return !wildcard && !names.contains(h.first); });
-    std::set_difference(names.begin(), names.end(), of.names.begin(), of.names.end(),
+    const bool wildcard =
+        has_wildcard || (is_sent_whole(type) && request.names.empty() && (first || subscription.wildcard));
+    if (names != subscription.names || wildcard != subscription.wildcard)
+        std::erase_if(subscription.sent,
+                      [&](const auto& h) { return !wildcard && !names.contains(h.first); });
+    std::set_difference(names.begin(), names.end(), subscription.names.begin(), subscription.names.end(),
                         std::back_inserter(change.added));
-    std::set_difference(of.names.begin(), of.names.end(), names.begin(), names.end(),
+    std::set_difference(subscription.names.begin(), subscription.names.end(), names.begin(), names.end(),
                         std::back_inserter(change.removed));
-    of.names = std::move(names);
-    of.wildcard = wildcard;
+    subscription.names = std::move(names);
+    subscription.wildcard = wildcard;
 }
 
-void ProxyStream::hear_delta(Of& of, XdsType type, const FromProxy& said, bool first, NameChange& change) {
+void ProxyStream::apply_delta(Subscription& subscription, XdsType type, const ProxyRequest& request,
+                              bool first, SubscriptionChange& change) {
     if (first) {
-        of.owes = true;
-        of.wildcard = whole_only(type) && said.subscribe.empty();
-        for (const auto& [name, version] : said.initial_versions) {
-            if (const auto known = read_version(version))
+        subscription.owes_response = true;
+        subscription.wildcard = is_sent_whole(type) && request.subscribe.empty();
+        for (const auto& [name, version] : request.initial_versions) {
+            if (const auto known = parse_version(version))
                 known_generation_ = std::max(known_generation_, known->generation);
-            of.held[name] = of.good[name] = {version, nullptr};
+            subscription.sent[name] = subscription.acknowledged[name] = {version, nullptr};
         }
     }
-    for (const std::string& name : said.subscribe) {
+    for (const std::string& name : request.subscribe) {
         if (name == "*") {
-            of.wildcard = true;
+            subscription.wildcard = true;
             continue;
         }
-        if (of.names.insert(name).second) change.added.push_back(name);
-        if (!first) of.held.erase(name);  // asked for anew: told anew
+        if (subscription.names.insert(name).second) change.added.push_back(name);
+        if (!first) subscription.sent.erase(name);  // asked for anew: acknowledged_response anew
     }
-    for (const std::string& name : said.unsubscribe) {
-        if (name == "*") of.wildcard = false;
-        if (of.names.erase(name) > 0) change.removed.push_back(name);
-        of.held.erase(name);
-        of.good.erase(name);
+    for (const std::string& name : request.unsubscribe) {
+        if (name == "*") subscription.wildcard = false;
+        if (subscription.names.erase(name) > 0) change.removed.push_back(name);
+        subscription.sent.erase(name);
+        subscription.acknowledged.erase(name);
     }
 }
 
-void ProxyStream::acknowledge(Of& of) {
-    of.in_flight = false;
-    for (const std::string& name : of.flight) {
-        const auto held = of.held.find(name);
-        if (held == of.held.end())
-            of.good.erase(name);
+void ProxyStream::acknowledge(Subscription& subscription) {
+    subscription.in_flight = false;
+    for (const std::string& name : subscription.in_flight_names) {
+        const auto held = subscription.sent.find(name);
+        if (held == subscription.sent.end())
+            subscription.acknowledged.erase(name);
         else
-            of.good[name] = held->second;
-        of.rejected.erase(name);
+            subscription.acknowledged[name] = held->second;
+        subscription.rejected.erase(name);
     }
-    of.flight.clear();
+    subscription.in_flight_names.clear();
 }
 
-// Which of several is at fault is not told: they go out one by one from then on, so that one that can't be
-// taken holds up no other. One that was alone stays as it was until it changes.
-void ProxyStream::reject(Of& of, const std::string& error) {
-    of.in_flight = false;
+// Which of several is at fault is not acknowledged_response: they go out one by one from then on, so that one
+// that can't be taken holds up no other. One that was alone stays as it was until it changes.
+void ProxyStream::reject(Subscription& subscription, const std::string& error) {
+    subscription.in_flight = false;
     last_error_ = error.substr(0, 300);
-    if (of.flight.size() == 1) {
-        const std::string& name = of.flight.front();
-        if (const auto held = of.held.find(name); held != of.held.end())
-            of.rejected[name] = held->second.version;
+    if (subscription.in_flight_names.size() == 1) {
+        const std::string& name = subscription.in_flight_names.front();
+        if (const auto held = subscription.sent.find(name); held != subscription.sent.end())
+            subscription.rejected[name] = held->second.version;
     } else {
-        of.one_by_one = true;
+        subscription.one_by_one = true;
     }
-    for (const std::string& name : of.flight) {
-        const auto good = of.good.find(name);
-        if (good == of.good.end())
-            of.held.erase(name);
+    for (const std::string& name : subscription.in_flight_names) {
+        const auto good = subscription.acknowledged.find(name);
+        if (good == subscription.acknowledged.end())
+            subscription.sent.erase(name);
         else
-            of.held[name] = good->second;
+            subscription.sent[name] = good->second;
     }
-    of.flight.clear();
+    subscription.in_flight_names.clear();
 }
 
 // What it is to hold of this name: the newest, but for one that it has rejected.
-ResourcePtr ProxyStream::target(const Of& of, const ResourceMap& view, const std::string& name) const {
+ResourcePtr ProxyStream::wanted_resource(const Subscription& subscription, const ResourceMap& view,
+                                         const std::string& name) const {
     const auto now = view.find(name);
     if (now == view.end()) return nullptr;
-    const auto rejected = of.rejected.find(name);
-    if (rejected == of.rejected.end() || rejected->second != now->second->version) return now->second;
-    const auto good = of.good.find(name);
-    return good == of.good.end() ? nullptr : good->second.what;
+    const auto rejected = subscription.rejected.find(name);
+    if (rejected == subscription.rejected.end() || rejected->second != now->second->version)
+        return now->second;
+    const auto good = subscription.acknowledged.find(name);
+    return good == subscription.acknowledged.end() ? nullptr : good->second.resource;
 }
 
 // Make before break: what routes or listeners may still refer to stays until they have moved on.
 bool ProxyStream::may_remove(XdsType type, const XdsView& view) const {
     if (type == XdsType::route || type == XdsType::listener) return true;
-    const Of& routes = of_[index(XdsType::route)];
-    if (!routes.asked) return true;
+    const Subscription& routes = subscriptions_[index(XdsType::route)];
+    if (!routes.requested) return true;
     if (routes.in_flight) return false;
     const Change to_come = change(XdsType::route, view);
-    return to_come.put.empty() && to_come.removed.empty();
+    return to_come.updated.empty() && to_come.removed.empty();
 }
 
 // Finds what differs between what a proxy holds of a type and what it is to hold. Names are given in their
 // order, so that the held ones are walked beside them.
 class ProxyStream::ChangeFinder {
   public:
-    ChangeFinder(const ProxyStream& stream, const Of& of, const ResourceMap& resources)
-        : stream_(stream), of_(of), resources_(resources), held_(of.held.begin()) {}
+    ChangeFinder(const ProxyStream& stream, const Subscription& subscription, const ResourceMap& resources)
+        : stream_(stream), subscription_(subscription), resources_(resources),
+          held_(subscription.sent.begin()) {}
 
     // All resources, for a wildcard subscription.
     void add_all() {
@@ -164,18 +175,18 @@
 
     // The names that the proxy subscribes to, without those that the wildcard has covered.
     void add_named() {
-        held_ = of_.held.begin();
+        held_ = subscription_.sent.begin();
         auto resource = resources_.begin();
-        for (const std::string& name : of_.names) {
+        for (const std::string& name : subscription_.names) {
             while (resource != resources_.end() && resource->first < name) ++resource;
             const bool exists = resource != resources_.end() && resource->first == name;
-            if (!of_.wildcard || !exists) add(name, exists ? &resource->second : nullptr);
+            if (!subscription_.wildcard || !exists) add(name, exists ? &resource->second : nullptr);
         }
     }
 
     void add_removed() {
         auto resource = resources_.begin();
-        for (const auto& [name, held] : of_.held) {
+        for (const auto& [name, held] : subscription_.sent) {
             while (resource != resources_.end() && resource->first < name) ++resource;
             const bool exists = resource != resources_.end() && resource->first == name;
             if (!held.version.empty() && !exists) change_.removed.push_back(name);
@@ -187,139 +198,150 @@
   private:
     // `resource` is null where there is none of this name.
     void add(const std::string& name, const ResourcePtr* resource) {
-        while (held_ != of_.held.end() && held_->first < name) ++held_;
-        const bool is_held = held_ != of_.held.end() && held_->first == name;
+        while (held_ != subscription_.sent.end() && held_->first < name) ++held_;
+        const bool is_held = held_ != subscription_.sent.end() && held_->first == name;
         ResourcePtr wanted;
         if (resource != nullptr)
-            wanted = of_.rejected.empty() ? *resource : stream_.target(of_, resources_, name);
+            wanted = subscription_.rejected.empty()
+                         ? *resource
+                         : stream_.wanted_resource(subscription_, resources_, name);
         if (wanted == nullptr) {
-            if (!is_held && stream_.delta_ && resource == nullptr) change_.put.emplace_back(name, nullptr);
+            if (!is_held && stream_.delta_ && resource == nullptr)
+                change_.updated.emplace_back(name, nullptr);
             return;
         }
         if (is_held && held_->second.version == wanted->version) return;
-        change_.adds |= !is_held || held_->second.version.empty();
-        change_.put.emplace_back(name, std::move(wanted));
+        change_.adds_new |= !is_held || held_->second.version.empty();
+        change_.updated.emplace_back(name, std::move(wanted));
     }
 
     const ProxyStream& stream_;
-    const Of& of_;
+    const Subscription& subscription_;
     const ResourceMap& resources_;
-    std::map<std::string, Held>::const_iterator held_;
+    std::map<std::string, SentResource>::const_iterator held_;
     Change change_;
 };
 
 ProxyStream::Change ProxyStream::change(XdsType type, const XdsView& view) const {
-    const Of& of = of_[index(type)];
-    ChangeFinder finder(*this, of, *view.of[index(type)]);
-    if (of.wildcard) finder.add_all();
+    const Subscription& subscription = subscriptions_[index(type)];
+    ChangeFinder finder(*this, subscription, *view.resources[index(type)]);
+    if (subscription.wildcard) finder.add_all();
     finder.add_named();
     finder.add_removed();
     Change change = finder.take();
-    if (of.one_by_one && change.put.size() > 1) change.put.resize(1);
+    if (subscription.one_by_one && change.updated.size() > 1) change.updated.resize(1);
     return change;
 }
 
-void ProxyStream::adopt_initial_versions(Of& of, const ResourceMap& resources) {
-    for (auto& [name, held] : of.held) {
-        if (held.what != nullptr || held.version.empty()) continue;
+void ProxyStream::adopt_initial_versions(Subscription& subscription, const ResourceMap& resources) {
+    for (auto& [name, held] : subscription.sent) {
+        if (held.resource != nullptr || held.version.empty()) continue;
         const auto found = resources.find(name);
         if (found == resources.end() || found->second->version != held.version) continue;
-        held.what = found->second;
-        of.good[name].what = found->second;
+        held.resource = found->second;
+        subscription.acknowledged[name].resource = found->second;
     }
 }
 
-std::optional<ToProxy> ProxyStream::next(const XdsView& view, Nanos now) {
+std::optional<ProxyResponse> ProxyStream::next(const XdsView& view, Nanos now) {
     wake_at_ = INT64_MAX;
     // Endpoints go before clusters where no cluster is new, so that a drain waits for no limits.
     constexpr std::array order = {XdsType::cluster, XdsType::endpoint, XdsType::listener, XdsType::route};
     std::optional<Change> limits;
     for (const XdsType type : order) {
-        Of& of = of_[index(type)];
-        const std::uint64_t changed = view.changed[index(type)];
-        if (!of.asked || (of.looked && of.looked_at == changed && !of.owes)) continue;
-        adopt_initial_versions(of, *view.of[index(type)]);
+        Subscription& subscription = subscriptions_[index(type)];
+        const std::uint64_t changed = view.change_counts[index(type)];
+        if (!subscription.requested ||
+            (subscription.up_to_date && subscription.checked_at_change == changed &&
+             !subscription.owes_response))
+            continue;
+        adopt_initial_versions(subscription, *view.resources[index(type)]);
         Change due = change(type, view);
         const bool held_back = !due.removed.empty() && !may_remove(type, view);
         if (held_back) due.removed.clear();
         // In the state of the world a removal of single resources is not sent, only forgotten.
-        if (!delta_ && !whole_only(type) && due.put.empty()) forget_removed(of, due);
-        if (due.empty() && !of.owes) {
-            of.looked = !held_back;
-            of.looked_at = changed;
+        if (!delta_ && !is_sent_whole(type) && due.updated.empty()) forget_removed(subscription, due);
+        if (due.empty() && !subscription.owes_response) {
+            subscription.up_to_date = !held_back;
+            subscription.checked_at_change = changed;
             continue;
         }
-        if (of.in_flight && now < of.sent_at + ack_wait_) {
-            wake_at_ = std::min(wake_at_, of.sent_at + ack_wait_);
-            if (due.adds) break;  // what refers to it waits
+        if (subscription.in_flight && now < subscription.sent_at + ack_wait_) {
+            wake_at_ = std::min(wake_at_, subscription.sent_at + ack_wait_);
+            if (due.adds_new) break;  // what refers to it waits
             continue;
         }
-        if (type == XdsType::cluster && !due.adds && due.removed.empty() && !of.owes) {
+        if (type == XdsType::cluster && !due.adds_new && due.removed.empty() && !subscription.owes_response) {
             limits = std::move(due);
             continue;
         }
-        of.looked = !held_back && !of.one_by_one;
-        of.looked_at = changed;
+        subscription.up_to_date = !held_back && !subscription.one_by_one;
+        subscription.checked_at_change = changed;
         return compose(type, due, view, now);
     }
     if (limits) return compose(XdsType::cluster, *limits, view, now);
     return std::nullopt;
 }
 
-void ProxyStream::forget_removed(Of& of, Change& due) {
+void ProxyStream::forget_removed(Subscription& subscription, Change& due) {
     for (const std::string& name : due.removed) {
-        of.held.erase(name);
-        of.good.erase(name);
+        subscription.sent.erase(name);
+        subscription.acknowledged.erase(name);
     }
     due.removed.clear();
 }
 
-ToProxy ProxyStream::compose(XdsType type, const Change& due, const XdsView& view, Nanos now) {
-    Of& of = of_[index(type)];
-    ToProxy out;
+ProxyResponse ProxyStream::compose(XdsType type, const Change& due, const XdsView& view, Nanos now) {
+    Subscription& subscription = subscriptions_[index(type)];
+    ProxyResponse out;
     out.type = type;
-    out.number = of.number = ++last_number_;
+    out.number = subscription.last_response = ++last_number_;
     out.nonce = std::to_string(out.number);
-    out.version = write_version(view.version);
-    of.owes = false;
-    of.sent_at = now;
+    out.version = format_version(view.version);
+    subscription.owes_response = false;
+    subscription.sent_at = now;
     // One that never came back may hold any of what was under way.
-    if (!of.in_flight) of.flight.clear();
-    of.in_flight = true;
-    for (const auto& [name, what] : due.put) {
-        of.held[name] = what == nullptr ? Held{} : Held{what->version, what};
-        of.flight.push_back(name);
-        if (what == nullptr)
+    if (!subscription.in_flight) subscription.in_flight_names.clear();
+    subscription.in_flight = true;
+    for (const auto& [name, resource] : due.updated) {
+        subscription.sent[name] =
+            resource == nullptr ? SentResource{} : SentResource{resource->version, resource};
+        subscription.in_flight_names.push_back(name);
+        if (resource == nullptr)
             out.removed.push_back(name);
-        else if (delta_ || !whole_only(type))
-            out.resources.push_back(what);
+        else if (delta_ || !is_sent_whole(type))
+            out.resources.push_back(resource);
     }
     for (const std::string& name : due.removed) {
-        of.held.erase(name);
-        of.flight.push_back(name);
+        subscription.sent.erase(name);
+        subscription.in_flight_names.push_back(name);
         out.removed.push_back(name);
     }
-    std::sort(of.flight.begin(), of.flight.end());
-    of.flight.erase(std::unique(of.flight.begin(), of.flight.end()), of.flight.end());
-    if (!delta_ && whole_only(type)) {
+    std::sort(subscription.in_flight_names.begin(), subscription.in_flight_names.end());
+    subscription.in_flight_names.erase(
+        std::unique(subscription.in_flight_names.begin(), subscription.in_flight_names.end()),
+        subscription.in_flight_names.end());
+    if (!delta_ && is_sent_whole(type)) {
         out.removed.clear();
-        for (const auto& [name, held] : of.held)
-            if (held.what != nullptr) out.resources.push_back(held.what);
+        for (const auto& [name, held] : subscription.sent)
+            if (held.resource != nullptr) out.resources.push_back(held.resource);
     }
     return out;
 }
 
 std::vector<ResourcePtr> ProxyStream::clusters() const {
     std::vector<ResourcePtr> all;
-    for (const auto& [_, held] : of_[index(XdsType::cluster)].held)
-        if (held.what != nullptr) all.push_back(held.what);
+    for (const auto& [_, held] : subscriptions_[index(XdsType::cluster)].sent)
+        if (held.resource != nullptr) all.push_back(held.resource);
     return all;
 }
 
 bool ProxyStream::settled(const XdsView& view) const {
     for (std::size_t t = 0; t < xds_types; ++t) {
         const Change due = change(static_cast<XdsType>(t), view);
-        if (of_[t].asked && (of_[t].in_flight || of_[t].owes || !due.empty())) return false;
+        if (subscriptions_[t].requested &&
+            (subscriptions_[t].in_flight || subscriptions_[t].owes_response || !due.empty()))
+            return false;
     }
     return true;
 }
--- a/src/control/resources.cpp
+++ b/src/control/resources.cpp
@@ -22,11 +22,11 @@
     return static_cast<XdsType>(at - urls.begin());
 }
 
-std::string write_version(const XdsVersion& v) {
+std::string format_version(const XdsVersion& v) {
     return std::to_string(v.generation) + "." + std::to_string(v.epoch) + "." + std::to_string(v.number);
 }
 
-std::optional<XdsVersion> read_version(std::string_view text) {
+std::optional<XdsVersion> parse_version(std::string_view text) {
     XdsVersion v;
     const char* at = text.data();
     const char* const end = at + text.size();
--- a/src/control/resources.hpp
+++ b/src/control/resources.hpp
@@ -26,13 +26,13 @@
 struct XdsVersion {
     std::uint64_t generation = 0, epoch = 0, number = 0;
 };
-std::string write_version(const XdsVersion& version);
-std::optional<XdsVersion> read_version(std::string_view text);
+std::string format_version(const XdsVersion& version);
+std::optional<XdsVersion> parse_version(std::string_view text);
 
 struct XdsResource {
     std::string name, version;
-    std::string whole;  // as one of a response with the state of the world: field, length and bytes
-    std::string delta;  // as one of a delta response, the same
+    std::string state_of_world;  // as one of a response with the state of the world: field, length and bytes
+    std::string delta;           // as one of a delta response, the same
     std::uint32_t pool = 0, limit = 0;  // of a cluster
 };
 using ResourcePtr = std::shared_ptr<const XdsResource>;
@@ -54,8 +54,8 @@
 // What one proxy is to hold now.
 struct XdsView {
     XdsVersion version;
-    std::array<const ResourceMap*, xds_types> of;
-    std::array<std::uint64_t, xds_types> changed{};  // moves whenever anything in the map does
+    std::array<const ResourceMap*, xds_types> resources;
+    std::array<std::uint64_t, xds_types> change_counts{};  // moves whenever anything in the map does
 };
 
 }  // namespace tealcart
--- a/src/testing/client.cpp
+++ b/src/testing/client.cpp
@@ -6,7 +6,7 @@
 
 using Json = nlohmann::json;
 
-std::string request_of(const Asking& asking) {
+std::string request_of(const ClientQuery& asking) {
     Json body;
     const std::size_t k = asking.shards.size();
     body["segments"] = Json::array();
@@ -28,15 +28,15 @@
     return head + "Content-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text;
 }
 
-std::vector<ReadRow> Answered::rows(int most) const {
-    std::vector<ReadRow> all;
+std::vector<RankedRow> ClientResponse::rows(int most) const {
+    std::vector<RankedRow> all;
     for (const auto& [_, value] : values)
-        for (const ReadRow& row : read_rows(value)) all.push_back(row);
-    return first_of(std::move(all), most);
+        for (const RankedRow& row : parse_rows(value)) all.push_back(row);
+    return top_rows(std::move(all), most);
 }
 
-Answered read_answer(int status, const std::string& body) {
-    Answered read;
+ClientResponse read_answer(int status, const std::string& body) {
+    ClientResponse read;
     read.status = status;
     read.bytes = body.size();
     const Json in = Json::parse(body, nullptr, false);
@@ -46,7 +46,7 @@
         read.values.emplace_back(match.value("segment", 0U), match.value("payload", ""));
     const auto of = [&in](const char* name) {
         const Json stated = in.value(name, Json::object());
-        return Answered::Of{stated.value("sections", 0U), stated.value("weight", 0.0)};
+        return ClientResponse::Of{stated.value("sections", 0U), stated.value("weight", 0.0)};
     };
     read.answered = of("answered"), read.pruned = of("pruned"), read.missing = of("missing");
     if (in.contains("missing"))
@@ -55,7 +55,7 @@
     return read;
 }
 
-Client::Client(boost::asio::io_context& io, std::uint16_t port, std::function<void(Answered)> done)
+Client::Client(boost::asio::io_context& io, std::uint16_t port, std::function<void(ClientResponse)> done)
     : reader_(std::make_shared<AnswerReader>(1 << 20)), done_(std::move(done)) {
     boost::asio::ip::tcp::socket socket(io);
     socket.connect({boost::asio::ip::address_v4::loopback(), port});
@@ -64,7 +64,7 @@
         while (!c.in.empty()) {
             const Reading reading = reader->feed(c.in);
             if (reading != Reading::done) return reading == Reading::more;
-            Answered read = read_answer(reader->status(), reader->body());
+            ClientResponse read = read_answer(reader->status(), reader->body());
             reader->next();
             ++answers_;
             done_(std::move(read));
@@ -76,7 +76,7 @@
     connection_->read();
 }
 
-void Client::ask(const Asking& asking) { connection_->send(request_of(asking)); }
+void Client::ask(const ClientQuery& asking) { connection_->send(request_of(asking)); }
 
 void Client::leave() {
     connection_->on_end = nullptr;
--- a/src/testing/client.hpp
+++ b/src/testing/client.hpp
@@ -7,7 +7,7 @@
 
 namespace tealcart::testing {
 
-struct Asking {
+struct ClientQuery {
     std::string query_class, id;
     int deadline_ms = 1000;
     std::vector<std::uint32_t> shards;
@@ -17,9 +17,9 @@
     std::string key;
 };
 // The request's bytes.
-std::string request_of(const Asking& asking);
+std::string request_of(const ClientQuery& asking);
 
-struct Answered {
+struct ClientResponse {
     int status = 0;
     bool whole = false;
     std::vector<std::pair<std::uint32_t, std::string>> values;  // by shard
@@ -32,24 +32,24 @@
     std::size_t bytes = 0;
 
     // The first rows over all values.
-    std::vector<ReadRow> rows(int most) const;
+    std::vector<RankedRow> rows(int most) const;
 };
-Answered read_answer(int status, const std::string& body);
+ClientResponse read_answer(int status, const std::string& body);
 
 class Client {
   public:
     // `done` is told of each answer, and with status 0 of an end without one.
-    Client(boost::asio::io_context& io, std::uint16_t port, std::function<void(Answered)> done);
+    Client(boost::asio::io_context& io, std::uint16_t port, std::function<void(ClientResponse)> done);
     ~Client() { leave(); }
 
-    void ask(const Asking& asking);
+    void ask(const ClientQuery& asking);
     void leave();
     int answers() const { return answers_; }
 
   private:
     std::shared_ptr<Connection> connection_;
     std::shared_ptr<AnswerReader> reader_;
-    std::function<void(Answered)> done_;
+    std::function<void(ClientResponse)> done_;
     int answers_ = 0;
 };
 
--- a/src/testing/contents.cpp
+++ b/src/testing/contents.cpp
@@ -36,7 +36,7 @@
               [](const Row& a, const Row& b) { return a.rank != b.rank ? a.rank > b.rank : a.doc < b.doc; });
 }
 
-std::vector<const Row*> best_of(const Section& section, const SearchCriteria& find) {
+std::vector<const Row*> best_rows(const Section& section, const SearchCriteria& find) {
     std::vector<const Row*> best;
     for (const Row& row : section.rows) {
         if (best.size() >= static_cast<std::size_t>(find.rows)) break;
@@ -45,11 +45,11 @@
     return best;
 }
 
-SectionSummary word_on(const Section& section, const SearchCriteria& find, Nanos lease, bool wants_filter) {
+SectionSummary summarize(const Section& section, const SearchCriteria& find, Nanos lease, bool wants_filter) {
     SectionSummary word;
     word.version = section.version;
     word.lease = lease;
-    for (const Row* row : best_of(section, find)) word.top_ranks.push_back(row->rank);
+    for (const Row* row : best_rows(section, find)) word.top_ranks.push_back(row->rank);
     word.no_matches = word.top_ranks.empty();
     if (!word.no_matches) word.max_rank = word.top_ranks.front();
     if (!wants_filter || lease <= 0) return word;
@@ -70,7 +70,7 @@
     return word;
 }
 
-std::string written(const std::vector<const Row*>& rows, std::size_t record) {
+std::string format_rows(const std::vector<const Row*>& rows, std::size_t record) {
     std::string out;
     for (const Row* row : rows) {
         if (!out.empty()) out += ' ';
@@ -80,15 +80,15 @@
     return out;
 }
 
-std::vector<ReadRow> read_rows(std::string_view value) {
-    std::vector<ReadRow> rows;
+std::vector<RankedRow> parse_rows(std::string_view value) {
+    std::vector<RankedRow> rows;
     while (!value.empty()) {
         const std::string_view item = value.substr(0, value.find(' '));
         value.remove_prefix(std::min(value.size(), item.size() + 1));
         const auto colon = item.find(':');
         const auto end = std::min(item.find(';'), item.size());
         if (colon == item.npos) continue;
-        ReadRow row;
+        RankedRow row;
         std::from_chars(item.data(), item.data() + colon, row.doc);
         std::from_chars(item.data() + colon + 1, item.data() + end, row.rank);
         rows.push_back(row);
@@ -96,23 +96,23 @@
     return rows;
 }
 
-std::vector<ReadRow> first_of(std::vector<ReadRow> rows, int most) {
-    std::sort(rows.begin(), rows.end(), [](const ReadRow& a, const ReadRow& b) {
+std::vector<RankedRow> top_rows(std::vector<RankedRow> rows, int most) {
+    std::sort(rows.begin(), rows.end(), [](const RankedRow& a, const RankedRow& b) {
         return a.rank != b.rank ? a.rank > b.rank : a.doc < b.doc;
     });
     if (rows.size() > static_cast<std::size_t>(most)) rows.resize(static_cast<std::size_t>(most));
     return rows;
 }
 
-std::vector<ReadRow> true_answer(const std::vector<Section>& sections,
-                                 const std::vector<std::uint32_t>& asked, const SearchCriteria& find) {
-    std::vector<ReadRow> all;
+std::vector<RankedRow> expected_rows(const std::vector<Section>& sections,
+                                     const std::vector<std::uint32_t>& asked, const SearchCriteria& find) {
+    std::vector<RankedRow> all;
     for (const std::uint32_t i : asked)
-        for (const Row* row : best_of(sections[i], find)) all.push_back({row->doc, row->rank});
-    return first_of(std::move(all), find.rows);
+        for (const Row* row : best_rows(sections[i], find)) all.push_back({row->doc, row->rank});
+    return top_rows(std::move(all), find.rows);
 }
 
-std::vector<Section> generate(const Generated& wanted) {
+std::vector<Section> generate(const GeneratedContents& wanted) {
     std::knuth_b chance(wanted.seed);
     const auto drawn = [&chance] {
         return static_cast<double>(chance() - chance.min()) /
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -59,12 +59,13 @@
     if (const auto told = std::exchange(on_end, nullptr)) told();
 }
 
-Door::Door(boost::asio::io_context& io, std::uint16_t port, std::function<Connection::Take()> make)
+LoopbackListener::LoopbackListener(boost::asio::io_context& io, std::uint16_t port,
+                                   std::function<Connection::Take()> make)
     : acceptor_(io, {boost::asio::ip::address_v4::loopback(), port}), make_(std::move(make)) {
     accept();
 }
 
-void Door::accept() {
+void LoopbackListener::accept() {
     acceptor_.async_accept([this](const error_code& ec, tcp::socket socket) {
         if (ec == boost::asio::error::operation_aborted) return;
         if (!ec) {
@@ -79,7 +80,7 @@
     });
 }
 
-void Door::close(bool reset) {
+void LoopbackListener::close(bool reset) {
     error_code ec;
     acceptor_.close(ec);
     for (const auto& held : taken_)
@@ -160,11 +161,11 @@
             continue;
         }
         const SearchCriteria find = find_in(text);
-        const auto rows = best_of(script_.sections[shard], find);
+        const auto rows = best_rows(script_.sections[shard], find);
         ++work.lookups;
         work.records += rows.size();
         const std::string value =
-            find.rows > 0 ? written(rows, script_.record) : self_.name + " on '" + text + "'";
+            find.rows > 0 ? format_rows(rows, script_.record) : self_.name + " on '" + text + "'";
         answer_in(b.call_delay, c, frame_of('Y', id + " OK 1 -\n" + value));
     }
     return true;
@@ -173,7 +174,7 @@
 bool DataNode::take_questions(Connection& c, char letter, std::string_view rest) {
     const Behaviour& b = self_.behaviour;
     if (b.refusal == Refusal::close) return false;
-    if (b.refusal == Refusal::words) {
+    if (b.refusal == Refusal::error_frame) {
         c.send(frame_of('N', "an unknown letter"));
         return true;  // the far side closes, and so does this one with its next bytes
     }
@@ -186,12 +187,12 @@
         if (!find || line->id.shard >= script_.shards) return false;
         find->rows = line->rows;
         const std::uint32_t shard = line->id.shard;
-        ++(letter == asks_word ? work.words : work.rows);
+        ++(letter == asks_word ? work.summaries : work.rows);
         if (on_question) on_question(letter, shard);
         if (b.resets) return c.close(true), false;
-        if (silent_on(b, shard) || (letter == asks_word && b.silent_words)) continue;
+        if (silent_on(b, shard) || (letter == asks_word && b.silent_summaries)) continue;
         const char answers = letter == asks_word ? brings_word : brings_rows;
-        const Nanos delay = letter == asks_word ? b.word_delay : b.rows_delay;
+        const Nanos delay = letter == asks_word ? b.summary_delay : b.rows_delay;
         std::string out;
         if (b.rejects || b.errs) {
             write_phase_end(out, answers, line->id, b.rejects ? "REJECTED" : "ERROR");
@@ -201,11 +202,11 @@
         const Section& section = script_.sections[shard];
         ++work.lookups;
         if (letter == asks_word) {
-            SectionSummary word = word_on(section, *find, b.lease, line->wants_filter);
+            SectionSummary word = summarize(section, *find, b.lease, line->wants_filter);
             if (b.hides_rows) word.no_matches = true, word.top_ranks.clear();
             word.max_rank += b.bound_error;
             for (double& rank : word.top_ranks) rank += b.bound_error;
-            if (b.garbles_words) {
+            if (b.garbles_summaries) {
                 std::string id;
                 write_phase_id(id, line->id);
                 out = frame_of(brings_word, id + " OK 1 u=1,s=99,l=0\n");
@@ -213,12 +214,12 @@
                 write_word(out, line->id, word);
             }
         } else {
-            const auto rows = best_of(section, *find);
+            const auto rows = best_rows(section, *find);
             work.records += rows.size();
             std::vector<double> ranks;
             for (const Row* row : rows) ranks.push_back(row->rank);
             const std::uint64_t version = section.version - std::min(section.version, b.behind);
-            write_rows(out, line->id, version, ranks, written(rows, script_.record));
+            write_rows(out, line->id, version, ranks, format_rows(rows, script_.record));
         }
         answer_in(delay, c, std::move(out));
     }
@@ -267,17 +268,17 @@
     std::string all;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
         if (script_.nodes[i].behaviour.lifecycle == "removed") continue;
-        all.append(all.empty() ? "" : ",").append(entry_of(script_.nodes[i], nodes[i].address()));
+        all.append(all.empty() ? "" : ",").append(endpoint_json(script_.nodes[i], nodes[i].address()));
     }
     return all;
 }
 
 void Fleet::tell() { discovery.tell(entries()); }
 
-Work Fleet::work() const {
-    Work sum;
+WorkCounts Fleet::work() const {
+    WorkCounts sum;
     for (const DataNode& n : nodes) {
-        sum.words += n.work.words, sum.rows += n.work.rows, sum.calls += n.work.calls;
+        sum.summaries += n.work.summaries, sum.rows += n.work.rows, sum.calls += n.work.calls;
         sum.lookups += n.work.lookups, sum.records += n.work.records, sum.given_up += n.work.given_up;
         sum.bytes_in += n.work.bytes_in, sum.bytes_out += n.work.bytes_out;
     }
--- a/src/testing/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -46,9 +46,9 @@
 };
 
 // Accepts on loopback; `make` says what each connection does with its bytes.
-class Door {
+class LoopbackListener {
   public:
-    Door(boost::asio::io_context& io, std::uint16_t port, std::function<Connection::Take()> make);
+    LoopbackListener(boost::asio::io_context& io, std::uint16_t port, std::function<Connection::Take()> make);
 
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
     std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
@@ -66,8 +66,8 @@
 
 // What a node has done. A look-up is what any question costs it, a record what each row that it hands out
 // does.
-struct Work {
-    std::uint64_t words = 0, rows = 0, calls = 0;  // questions P, F and R
+struct WorkCounts {
+    std::uint64_t summaries = 0, rows = 0, calls = 0;  // questions P, F and R
     std::uint64_t lookups = 0, records = 0, given_up = 0;
     std::uint64_t bytes_in = 0, bytes_out = 0;
 
@@ -81,7 +81,7 @@
     std::string address() const { return door_.address(); }
     void crash() { door_.close(true); }
 
-    Work work;
+    WorkCounts work;
     std::function<void(char letter, std::uint32_t shard)> on_question;  // before it is answered
 
   private:
@@ -94,7 +94,7 @@
     boost::asio::io_context& io_;
     Script& script_;
     NodeScript& self_;
-    Door door_;
+    LoopbackListener door_;
 };
 
 class Discovery {
@@ -113,7 +113,7 @@
     std::uint64_t generation_ = 1;
     std::set<std::shared_ptr<Connection>> watching_;
     std::set<const Connection*> told_;
-    Door door_;
+    LoopbackListener door_;
 };
 
 // All of it. The script's changes come at their times after `start`, or by hand.
@@ -126,7 +126,7 @@
     void tell();  // discovery, what holds now
     Behaviour& behaviour(std::size_t node) { return script_.nodes[node].behaviour; }
     std::string entries() const;
-    Work work() const;
+    WorkCounts work() const;
 
     Script& script() { return script_; }
     Discovery discovery;
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -165,7 +165,7 @@
             if (!ec) ask(i);
         });
     };
-    Asking asking;
+    ClientQuery asking;
     asking.query_class = a.asked % 3 == 2 ? "adjust" : "search";
     asking.id = "q" + std::to_string(i) + "-" + std::to_string(++a.asked);
     if (asking.query_class == "adjust") asking.key = "k" + asking.id;
@@ -173,7 +173,7 @@
         asking.shards.push_back(static_cast<std::uint32_t>(a.asked * 4 + s) % shards);
     try {
         // A client's connection that ends is told from within its own handler: the next is made after it.
-        a.client = std::make_unique<Client>(io, serve_[i], [this, next](Answered got) {
+        a.client = std::make_unique<Client>(io, serve_[i], [this, next](ClientResponse got) {
             boost::asio::post(io, [next, status = got.status] { next(status); });
         });
         a.client->ask(asking);
--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -97,7 +97,7 @@
     discovery = std::make_unique<HollowDiscovery>(io, ports[0], plan.nodes, addresses);
     lines_.resize(plan.processes);
     answers_.resize(plan.processes);
-    control_ = std::make_unique<Door>(io, ports[1], [this] {
+    control_ = std::make_unique<LoopbackListener>(io, ports[1], [this] {
         return [this, process = std::make_shared<std::size_t>(SIZE_MAX)](Connection& c) {
             return take(c, process);
         };
@@ -270,7 +270,7 @@
         });
     };
     Asker& a = askers_[i];
-    Asking asking;
+    ClientQuery asking;
     asking.query_class = "search";
     asking.id = "q" + std::to_string(i) + "-" + std::to_string(++a.asked);
     for (std::uint32_t s = 0; s < 4; ++s)
@@ -278,7 +278,7 @@
     try {
         // A client's connection that ends is told from within its own handler: the next is made after it.
         if (!a.client)
-            a.client = std::make_unique<Client>(io, a.port, [this, again](Answered got) {
+            a.client = std::make_unique<Client>(io, a.port, [this, again](ClientResponse got) {
                 boost::asio::post(io, [this, again, status = got.status] { again(status, Ms(plan.gap_ms)); });
             });
         a.client->ask(asking);
--- a/src/testing/hollow_rig.hpp
+++ b/src/testing/hollow_rig.hpp
@@ -109,7 +109,7 @@
     std::vector<std::string> answers_;
     std::uint64_t asked_ = 0;
     std::deque<Asker> askers_;
-    std::unique_ptr<Door> control_;
+    std::unique_ptr<LoopbackListener> control_;
 };
 
 }  // namespace tealcart::testing
--- a/src/testing/main.cpp
+++ b/src/testing/main.cpp
@@ -53,7 +53,7 @@
                 for (const NodeScript& node : read_script(text, path).nodes)
                     if (node.behaviour.lifecycle != "removed")
                         entries.append(entries.empty() ? "" : ",")
-                            .append(entry_of(node, "127.0.0.1:" + std::to_string(node.port)));
+                            .append(endpoint_json(node, "127.0.0.1:" + std::to_string(node.port)));
                 discovery.tell(entries);
             } catch (const HclErrors& e) {
                 std::fprintf(stderr, "%s\n", e.what());
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -28,7 +28,7 @@
         std::make_unique<HollowDiscovery>(io, ports[0], nodes, std::vector<std::string>(1, "127.0.0.1:1"));
     lines_.resize(options.zones);
     answers_.resize(options.zones);
-    control_ = std::make_unique<Door>(io, ports[1], [this] {
+    control_ = std::make_unique<LoopbackListener>(io, ports[1], [this] {
         return [this, process = std::make_shared<std::size_t>(SIZE_MAX)](Connection& c) {
             return take(c, process);
         };
--- a/src/testing/relay_rig.hpp
+++ b/src/testing/relay_rig.hpp
@@ -81,7 +81,7 @@
     std::vector<std::weak_ptr<Connection>> lines_;  // to the followers' processes
     std::vector<std::string> answers_;
     std::size_t asks_at_ = 0;  // the manager that took the last publishing
-    std::unique_ptr<Door> control_;
+    std::unique_ptr<LoopbackListener> control_;
 };
 
 }  // namespace tealcart::testing
--- a/src/testing/script.cpp
+++ b/src/testing/script.cpp
@@ -32,15 +32,15 @@
 void read_behaviour_into(BlockReader& in, const HclBlock& block, Behaviour& b) {
     b.refusal = static_cast<Refusal>(
         in.choice("refuses_phases", static_cast<std::size_t>(b.refusal), {"no", "words", "close"}));
-    b.word_delay = in.duration("word_delay", b.word_delay, 0, hour);
+    b.summary_delay = in.duration("word_delay", b.summary_delay, 0, hour);
     b.rows_delay = in.duration("rows_delay", b.rows_delay, 0, hour);
     b.call_delay = in.duration("call_delay", b.call_delay, 0, hour);
     b.silent = in.boolean("silent", b.silent);
-    b.silent_words = in.boolean("silent_words", b.silent_words);
+    b.silent_summaries = in.boolean("silent_words", b.silent_summaries);
     b.resets = in.boolean("resets", b.resets);
     b.rejects = in.boolean("rejects", b.rejects);
     b.errs = in.boolean("errs", b.errs);
-    b.garbles_words = in.boolean("garbles_words", b.garbles_words);
+    b.garbles_summaries = in.boolean("garbles_words", b.garbles_summaries);
     b.hides_rows = in.boolean("hides_rows", b.hides_rows);
     b.bound_error = in.number("bound_error", b.bound_error, -1e9, 1e9);
     b.behind =
@@ -129,7 +129,7 @@
     if (const HclBlock* fleet = in.single_block("fleet")) {
         BlockReader of(*fleet, mistakes);
         of.expect_no_label();
-        Generated g;
+        GeneratedContents g;
         g.shards = script.shards = static_cast<std::uint32_t>(of.integer("shards", 1, 1, 100'000));
         script.places = static_cast<std::uint32_t>(of.integer("places", 1, 1, 10'000));
         script.width = static_cast<std::uint32_t>(of.integer("width", 1, 1, 100));
@@ -170,7 +170,7 @@
     return read_script(text, path);
 }
 
-std::string entry_of(const NodeScript& node, const std::string& address) {
+std::string endpoint_json(const NodeScript& node, const std::string& address) {
     return nlohmann::json{{"instanceId", node.name},
                           {"hostPort", address},
                           {"zone", node.zone},
--- a/src/testing/script.hpp
+++ b/src/testing/script.hpp
@@ -12,16 +12,16 @@
 
 namespace tealcart::testing {
 
-enum class Refusal : std::uint8_t { none, words, close };  // of frames in two phases
+enum class Refusal : std::uint8_t { none, error_frame, close };  // of frames in two phases
 
 // How a data node behaves; each figure stays until a later block of the script changes it.
 struct Behaviour {
     Refusal refusal = Refusal::none;
-    Nanos word_delay = 0, rows_delay = 0, call_delay = 0;  // before answers to P, F and R
-    bool silent = false, silent_words = false;             // no answers at all; none to P
-    bool resets = false;                                   // connections end with a reset when asked
-    bool rejects = false, errs = false;                    // REJECTED, ERROR
-    bool garbles_words = false;                            // words that can't be read
+    Nanos summary_delay = 0, rows_delay = 0, call_delay = 0;  // before answers to P, F and R
+    bool silent = false, silent_summaries = false;            // no answers at all; none to P
+    bool resets = false;                                      // connections end with a reset when asked
+    bool rejects = false, errs = false;                       // REJECTED, ERROR
+    bool garbles_summaries = false;                           // words that can't be read
     double bound_error = 0;    // added to the bound of its words, and to the ranks that it tells
     bool hides_rows = false;   // says that nothing matches
     std::uint64_t behind = 0;  // versions: its rows are of so many earlier ones
@@ -64,6 +64,6 @@
 Behaviour read_behaviour(const HclBlock& block, const Behaviour& before, std::vector<HclError>& mistakes);
 
 // The node as discovery tells it.
-std::string entry_of(const NodeScript& node, const std::string& address);
+std::string endpoint_json(const NodeScript& node, const std::string& address);
 
 }  // namespace tealcart::testing
--- a/src/xds/encode.cpp
+++ b/src/xds/encode.cpp
@@ -35,7 +35,7 @@
     made->limit = limit;
     envoy::service::discovery::v3::DiscoveryResponse whole;
     whole.add_resources()->PackFrom(message);
-    made->whole = whole.SerializeAsString();
+    made->state_of_world = whole.SerializeAsString();
     envoy::service::discovery::v3::DeltaDiscoveryResponse delta;
     auto* resource = delta.add_resources();
     resource->set_name(name);
@@ -128,19 +128,20 @@
         action->set_cluster(pool_name(static_cast<std::uint32_t>(last ? 0 : p)));
         set_span(action->mutable_timeout(), of.timeout);
         set_span(action->mutable_max_stream_duration()->mutable_max_stream_duration(), of.timeout);
-        if (of.tries <= 1) continue;
+        if (of.max_attempts <= 1) continue;
         auto* retry = action->mutable_retry_policy();
-        retry->set_retry_on(of.try_for > 0 ? "connect-failure,refused-stream,unavailable"
-                                           : "connect-failure,refused-stream,unavailable,reset,5xx");
-        retry->mutable_num_retries()->set_value(static_cast<std::uint32_t>(of.tries - 1));
+        retry->set_retry_on(of.retry_window > 0 ? "connect-failure,refused-stream,unavailable"
+                                                : "connect-failure,refused-stream,unavailable,reset,5xx");
+        retry->mutable_num_retries()->set_value(static_cast<std::uint32_t>(of.max_attempts - 1));
         // A further try begins when one before has ended, so all but the last must be over within the window.
-        if (of.try_for > 0)
-            set_span(retry->mutable_per_try_timeout(), std::min(of.timeout, of.try_for) / of.tries);
+        if (of.retry_window > 0)
+            set_span(retry->mutable_per_try_timeout(),
+                     std::min(of.timeout, of.retry_window) / of.max_attempts);
     }
     return packed(r.name(), version, r);
 }
 
-std::string response_head(const ToProxy& response, bool delta) {
+std::string response_head(const ProxyResponse& response, bool delta) {
     const std::string url(type_url(response.type));
     if (delta) {
         envoy::service::discovery::v3::DeltaDiscoveryResponse head;
--- a/src/xds/encode.hpp
+++ b/src/xds/encode.hpp
@@ -21,6 +21,6 @@
 };
 
 // The bytes of a response that stand before and behind its resources', which follow each other as they are.
-std::string response_head(const ToProxy& response, bool delta);
+std::string response_head(const ProxyResponse& response, bool delta);
 
 }  // namespace tealcart
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -21,7 +21,7 @@
 class Lists final : public ListTaker {
   public:
     explicit Lists(XdsServer& server) : server_(server) {}
-    void on_list(const EndpointList& list) override { server_.take_list(list); }
+    void on_list(const EndpointList& list) override { server_.apply_list(list); }
 
   private:
     XdsServer& server_;
@@ -45,7 +45,7 @@
     XdsServer server(read.config, read.connection_config.query_classes, control,
                      read.connection_config.connect_timeout, read.seed, static_cast<std::uint64_t>(epoch));
     EndpointList known = read.known;
-    if (!known.nodes.empty()) server.take_list(known);
+    if (!known.nodes.empty()) server.apply_list(known);
     EventClock time;
     Lists lists(server);
     DiscoveryWatch watch(io, time, lists, read.discovery, read.config.discovery,
@@ -63,7 +63,7 @@
             if (ec) return;
             time.due.fire_due(time.now());
             server.tick();
-            const Nanos age = server.figures().list_age;
+            const Nanos age = server.stats().list_age;
             if (age > told_stale_after && !std::exchange(told_stale, true))
                 log_line("the list of data nodes is %lld s old; the decisions stand",
                          static_cast<long long>(age / 1'000'000'000));
@@ -76,8 +76,8 @@
         io.run_one();
         time.due.fire_due(time.now());
     }
-    const auto figures = server.figures();
-    log_line("stopping: %zu proxies", figures.streams);
+    const auto stats = server.stats();
+    log_line("stopping: %zu proxies", stats.streams);
     server.stop();
     watch.stop();
     log_line("stopped");
--- a/src/xds/record_main.cpp
+++ b/src/xds/record_main.cpp
@@ -20,17 +20,18 @@
     }
     tealcart::Recorder recorder(channel, {.node = node, .delta = delta});
     for (std::uint64_t seen = 0;;) {
-        recorder.until([&](const auto& h) { return h.responses > seen || h.ended; }, std::chrono::hours(1));
-        const auto held = recorder.held();
-        if (held.ended) {
-            std::printf("ended: status %d, %s\n", held.status, held.words.c_str());
+        recorder.wait_until([&](const auto& h) { return h.responses > seen || h.ended; },
+                            std::chrono::hours(1));
+        const auto state = recorder.state();
+        if (state.ended) {
+            std::printf("ended: status %d, %s\n", state.status, state.status_message.c_str());
             return 1;
         }
-        seen = held.responses;
-        std::printf("version %s\n", held.version.c_str());
-        for (const auto& [cluster, endpoints] : held.endpoints) {
-            const auto limit = held.limits.find(cluster);
-            std::printf("  %s limit %u:", cluster.c_str(), limit == held.limits.end() ? 0 : limit->second);
+        seen = state.responses;
+        std::printf("version %s\n", state.version.c_str());
+        for (const auto& [cluster, endpoints] : state.endpoints) {
+            const auto limit = state.limits.find(cluster);
+            std::printf("  %s limit %u:", cluster.c_str(), limit == state.limits.end() ? 0 : limit->second);
             for (const auto& [id, e] : endpoints)
                 std::printf(" %s %u%s", id.c_str(), e.weight, e.draining ? " draining" : "");
             std::printf("\n");
--- a/src/xds/recorder.cpp
+++ b/src/xds/recorder.cpp
@@ -51,18 +51,18 @@
     virtual ~Stream() = default;
 
     virtual void begin() = 0;
-    void cut() { context.TryCancel(); }
+    void cancel() { context.TryCancel(); }
     void wait_done() {
         std::unique_lock lock(mutex);
-        changed.wait(lock, [this] { return held.ended; });
+        changed.wait(lock, [this] { return state.ended; });
     }
 
     std::unique_ptr<Ads::Stub> stub;
     grpc::ClientContext context;
     mutable std::mutex mutex;
     std::condition_variable changed;
-    Held held;
-    std::map<std::string, Clock::time_point> drained;
+    State state;
+    std::map<std::string, Clock::time_point> draining_since;
     bool acknowledges = true;
 
   protected:
@@ -78,7 +78,7 @@
                 names.push_back(c.name());
                 changes.push_back([this, name = c.name(),
                                    limit = c.circuit_breakers().thresholds(0).max_requests().value()] {
-                    held.limits[name] = limit;
+                    state.limits[name] = limit;
                 });
             } else if (type == XdsType::endpoint) {
                 const auto read = read_endpoints(any.value());
@@ -89,8 +89,9 @@
                 any.UnpackTo(&l);
                 names.push_back(l.name());
                 changes.push_back([this, name = l.name()] {
-                    if (std::find(held.listeners.begin(), held.listeners.end(), name) == held.listeners.end())
-                        held.listeners.push_back(name);
+                    if (std::find(state.listeners.begin(), state.listeners.end(), name) ==
+                        state.listeners.end())
+                        state.listeners.push_back(name);
                 });
             } else {
                 auto r = std::make_shared<envoy::config::route::v3::RouteConfiguration>();
@@ -100,27 +101,27 @@
             }
         }
         if (options_.rejects && options_.rejects(type, names)) return false;
-        if (all && type == XdsType::cluster) held.limits.clear();
-        if (all && type == XdsType::listener) held.listeners.clear();
+        if (all && type == XdsType::cluster) state.limits.clear();
+        if (all && type == XdsType::listener) state.listeners.clear();
         for (const std::string& name : removed) {
-            if (type == XdsType::cluster) held.limits.erase(name);
-            if (type == XdsType::endpoint) held.endpoints.erase(name);
-            if (type == XdsType::route) held.routes.erase(name);
+            if (type == XdsType::cluster) state.limits.erase(name);
+            if (type == XdsType::endpoint) state.endpoints.erase(name);
+            if (type == XdsType::route) state.routes.erase(name);
         }
         for (const auto& change : changes) change();
-        const auto was = read_version(held.version), is = read_version(version);
-        held.older += was && is && is->epoch == was->epoch &&
-                      (is->number < was->number || is->generation < was->generation);
-        held.version = version;
-        held.updated = Clock::now();
-        ++held.responses;
-        for (auto left = left_.begin(); left != left_.end();) {
+        const auto was = parse_version(state.version), is = parse_version(version);
+        state.version_regressions += was && is && is->epoch == was->epoch &&
+                                     (is->number < was->number || is->generation < was->generation);
+        state.version = version;
+        state.updated_at = Clock::now();
+        ++state.responses;
+        for (auto left = partly_draining_.begin(); left != partly_draining_.end();) {
             if (!gone_everywhere(*left)) {
                 ++left;
                 continue;
             }
-            drained.try_emplace(*left, held.updated);
-            left = left_.erase(left);
+            draining_since.try_emplace(*left, state.updated_at);
+            left = partly_draining_.erase(left);
         }
         return true;
     }
@@ -128,7 +129,7 @@
     // Asks for what the clusters and listeners that are held refer to.
     std::vector<std::string> endpoint_names() const {
         std::vector<std::string> names;
-        for (const auto& [name, _] : held.limits) names.push_back(name);
+        for (const auto& [name, _] : state.limits) names.push_back(name);
         return names;
     }
 
@@ -136,32 +137,33 @@
 
   private:
     void take_endpoints(const std::string& cluster, const Endpoints& now) {
-        held.mixes += !held.limits.contains(cluster);  // endpoints of a cluster never told
-        const Endpoints before = std::exchange(held.endpoints[cluster], now);
+        state.unknown_references += !state.limits.contains(cluster);  // endpoints of a cluster never told
+        const Endpoints before = std::exchange(state.endpoints[cluster], now);
         auto at = now.begin();
         for (const auto& [node, was] : before) {
             while (at != now.end() && at->first < node) ++at;
             const bool here = at != now.end() && at->first == node;
-            if (!was.draining && (!here || at->second.draining)) left_.insert(node);
+            if (!was.draining && (!here || at->second.draining)) partly_draining_.insert(node);
         }
     }
     void take_route(const envoy::config::route::v3::RouteConfiguration& r) {
-        auto& of = held.routes[r.name()];
+        auto& of = state.routes[r.name()];
         of.clear();
         for (const auto& host : r.virtual_hosts())
             for (const auto& route : host.routes()) {
                 of.push_back(route.route().cluster());
-                held.retries[r.name()] = route.route().retry_policy().num_retries().value();
-                held.mixes += !held.limits.contains(of.back());  // a route to a cluster never told
+                state.max_retries[r.name()] = route.route().retry_policy().num_retries().value();
+                state.unknown_references +=
+                    !state.limits.contains(of.back());  // a route to a cluster never told
             }
     }
     bool gone_everywhere(const std::string& node) const {
-        return std::none_of(held.endpoints.begin(), held.endpoints.end(), [&node](const auto& of) {
+        return std::none_of(state.endpoints.begin(), state.endpoints.end(), [&node](const auto& of) {
             const auto at = of.second.find(node);
             return at != of.second.end() && !at->second.draining;
         });
     }
-    std::set<std::string> left_;  // some cluster's endpoints no longer have it
+    std::set<std::string> partly_draining_;  // some cluster's endpoints no longer have it
 };
 
 namespace {
@@ -191,7 +193,7 @@
         if (!ok) return;
         {
             const std::lock_guard lock(mutex);
-            held.bytes += in_.ByteSizeLong();
+            state.bytes += in_.ByteSizeLong();
             const auto type = type_of(in_.type_url());
             std::vector<std::string> removed;
             std::vector<google::protobuf::Any> resources;
@@ -207,7 +209,7 @@
             const bool taken = take(*type, version, resources, !delta, removed);
             if (acknowledges) answer(*type, taken);
             if (taken && *type == XdsType::cluster) subscribe(XdsType::endpoint, endpoint_names());
-            if (taken && *type == XdsType::listener) subscribe(XdsType::route, held.listeners);
+            if (taken && *type == XdsType::listener) subscribe(XdsType::route, state.listeners);
         }
         changed.notify_all();
         this->StartRead(&in_);
@@ -221,9 +223,9 @@
         std::shared_ptr<Stream> self;
         {
             const std::lock_guard lock(mutex);
-            held.ended = true;
-            held.status = status.error_code();
-            held.words = status.error_message();
+            state.ended = true;
+            state.status = status.error_code();
+            state.status_message = status.error_message();
             self = std::move(kept_);
             changed.notify_all();
         }
@@ -292,7 +294,7 @@
 
 }  // namespace
 
-const std::shared_ptr<const std::vector<Recorder::Endpoints::Entry>> Recorder::Endpoints::none =
+const std::shared_ptr<const std::vector<Recorder::Endpoints::Entry>> Recorder::Endpoints::empty_list =
     std::make_shared<const std::vector<Entry>>();
 
 Recorder::Endpoints::Endpoints(std::vector<Entry> all) {
@@ -326,26 +328,26 @@
 }
 
 Recorder::~Recorder() {
-    stream_->cut();
+    stream_->cancel();
     stream_->wait_done();
 }
 
-Recorder::Held Recorder::held() const {
+Recorder::State Recorder::state() const {
     const std::lock_guard lock(stream_->mutex);
-    return stream_->held;
+    return stream_->state;
 }
 
-bool Recorder::until(const std::function<bool(const Held&)>& holds, std::chrono::milliseconds most) {
+bool Recorder::wait_until(const std::function<bool(const State&)>& holds, std::chrono::milliseconds most) {
     std::unique_lock lock(stream_->mutex);
-    return stream_->changed.wait_for(lock, most, [&] { return holds(stream_->held); });
+    return stream_->changed.wait_for(lock, most, [&] { return holds(stream_->state); });
 }
 
 Recorder::Clock::time_point Recorder::first_seen_draining(const std::string& node) const {
     const std::lock_guard lock(stream_->mutex);
-    const auto at = stream_->drained.find(node);
-    return at == stream_->drained.end() ? Clock::time_point::max() : at->second;
+    const auto at = stream_->draining_since.find(node);
+    return at == stream_->draining_since.end() ? Clock::time_point::max() : at->second;
 }
 
-void Recorder::cut() { stream_->cut(); }
+void Recorder::cancel() { stream_->cancel(); }
 
 }  // namespace tealcart
--- a/src/xds/recorder.hpp
+++ b/src/xds/recorder.hpp
@@ -51,33 +51,33 @@
         std::size_t size() const { return all_->size(); }
 
       private:
-        static const std::shared_ptr<const std::vector<Entry>> none;
-        std::shared_ptr<const std::vector<Entry>> all_ = none;
+        static const std::shared_ptr<const std::vector<Entry>> empty_list;
+        std::shared_ptr<const std::vector<Entry>> all_ = empty_list;
     };
-    struct Held {
+    struct State {
         std::map<std::string, std::uint32_t> limits;             // by cluster
         std::map<std::string, Endpoints> endpoints;              // by cluster, then by node
         std::map<std::string, std::vector<std::string>> routes;  // clusters that each refers to
-        std::map<std::string, std::uint32_t> retries;            // most, by route
+        std::map<std::string, std::uint32_t> max_retries;        // most, by route
         std::vector<std::string> listeners;
         std::string version;  // of the last response
-        std::uint64_t responses = 0, mixes = 0, older = 0, bytes = 0;
-        Clock::time_point updated;
+        std::uint64_t responses = 0, unknown_references = 0, version_regressions = 0, bytes = 0;
+        Clock::time_point updated_at;
         bool ended = false;
         int status = 0;
-        std::string words;
+        std::string status_message;
     };
 
     Recorder(std::shared_ptr<grpc::Channel> channel, Options options);
     ~Recorder();
 
-    Held held() const;
+    State state() const;
     // Waits until it holds what is asked for; false after the time.
-    bool until(const std::function<bool(const Held&)>& holds,
-               std::chrono::milliseconds most = std::chrono::seconds(10));
+    bool wait_until(const std::function<bool(const State&)>& holds,
+                    std::chrono::milliseconds most = std::chrono::seconds(10));
     // When an endpoint was first told to drain, or gone, in every cluster that had it.
     Clock::time_point first_seen_draining(const std::string& node) const;
-    void cut();  // ends the stream as a lost connection does
+    void cancel();  // ends the stream as a lost connection does
 
     class Stream;
 
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -42,10 +42,10 @@
         [](void* held) { delete static_cast<ResourcePtr*>(held); }, kept);
 }
 
-ByteBuffer buffer_of(const ToProxy& response, bool delta) {
+ByteBuffer serialize(const ProxyResponse& response, bool delta) {
     std::vector<grpc::Slice> slices{grpc::Slice(response_head(response, delta))};
     for (const ResourcePtr& resource : response.resources)
-        slices.push_back(slice_of(resource, delta ? resource->delta : resource->whole));
+        slices.push_back(slice_of(resource, delta ? resource->delta : resource->state_of_world));
     return ByteBuffer(slices.data(), slices.size());
 }
 
@@ -55,33 +55,33 @@
     return grpc::SerializationTraits<Message>::Deserialize(&copy, &message).ok();
 }
 
-bool read_whole(const ByteBuffer& in, std::string& node, FromProxy& said) {
-    envoy::service::discovery::v3::DiscoveryRequest request;
-    if (!read_message(in, request)) return false;
-    node = request.node().id();
-    said.type_url = request.type_url();
-    said.nonce = request.response_nonce();
-    said.version = request.version_info();
-    said.names.assign(request.resource_names().begin(), request.resource_names().end());
-    said.rejects = request.has_error_detail();
-    said.error = request.error_detail().message();
+bool parse_state_of_world(const ByteBuffer& in, std::string& node, ProxyRequest& out) {
+    envoy::service::discovery::v3::DiscoveryRequest message;
+    if (!read_message(in, message)) return false;
+    node = message.node().id();
+    out.type_url = message.type_url();
+    out.nonce = message.response_nonce();
+    out.version = message.version_info();
+    out.names.assign(message.resource_names().begin(), message.resource_names().end());
+    out.is_nack = message.has_error_detail();
+    out.error = message.error_detail().message();
     return true;
 }
 
-bool read_delta(const ByteBuffer& in, std::string& node, FromProxy& said) {
-    envoy::service::discovery::v3::DeltaDiscoveryRequest request;
-    if (!read_message(in, request)) return false;
-    node = request.node().id();
-    said.type_url = request.type_url();
-    said.nonce = request.response_nonce();
-    said.subscribe.assign(request.resource_names_subscribe().begin(),
-                          request.resource_names_subscribe().end());
-    said.unsubscribe.assign(request.resource_names_unsubscribe().begin(),
-                            request.resource_names_unsubscribe().end());
-    said.initial_versions.insert(request.initial_resource_versions().begin(),
-                                 request.initial_resource_versions().end());
-    said.rejects = request.has_error_detail();
-    said.error = request.error_detail().message();
+bool parse_delta(const ByteBuffer& in, std::string& node, ProxyRequest& out) {
+    envoy::service::discovery::v3::DeltaDiscoveryRequest message;
+    if (!read_message(in, message)) return false;
+    node = message.node().id();
+    out.type_url = message.type_url();
+    out.nonce = message.response_nonce();
+    out.subscribe.assign(message.resource_names_subscribe().begin(),
+                         message.resource_names_subscribe().end());
+    out.unsubscribe.assign(message.resource_names_unsubscribe().begin(),
+                           message.resource_names_unsubscribe().end());
+    out.initial_versions.insert(message.initial_resource_versions().begin(),
+                                message.initial_resource_versions().end());
+    out.is_nack = message.has_error_detail();
+    out.error = message.error_detail().message();
     return true;
 }
 
@@ -119,11 +119,11 @@
 
         Stream* stream = nullptr;
         Kind kind = opened;
-        bool good = false;
+        bool parsed = false;
         std::string node;
-        FromProxy said;
+        ProxyRequest request;
     };
-    void happened(Event event) {
+    void enqueue(Event event) {
         {
             const std::lock_guard lock(events_mutex_);
             events_.push_back(std::move(event));
@@ -142,9 +142,9 @@
 
     // With the lock held: writes what is due to so many streams, closes what has ended, tells the log. True
     // where more are due.
-    bool pump(std::size_t most = 1);
+    bool write_due(std::size_t max_streams = 1);
     void log() {
-        for (const std::string& line : controller_.take_lines()) log_line("%s", line.c_str());
+        for (const std::string& line : controller_.take_log_lines()) log_line("%s", line.c_str());
     }
 
     class Service final : public AdsService {
@@ -164,8 +164,8 @@
     Controller controller_;
     Service service_;
     std::unordered_map<Controller::StreamId, Stream*> streams_;
-    std::deque<Controller::StreamId> line_;  // due, in the order in which they became so
-    std::unordered_set<Controller::StreamId> waiting_;
+    std::deque<Controller::StreamId> write_queue_;  // due, in the order in which they became so
+    std::unordered_set<Controller::StreamId> queued_;
     std::uint64_t responses_ = 0, bytes_ = 0;
     bool stopping_ = false;
     std::unique_ptr<grpc::Server> server_;
@@ -181,23 +181,23 @@
 class XdsServer::Impl::Stream final : public grpc::ServerBidiReactor<ByteBuffer, ByteBuffer> {
   public:
     Stream(Impl& impl, bool delta) : impl_(impl), delta_(delta) {
-        impl_.happened({this, Event::opened, false, {}, {}});
+        impl_.enqueue({this, Event::opened, false, {}, {}});
     }
 
     void OnReadDone(bool ok) override {
         Event event{this, ok ? Event::read : Event::ended, false, {}, {}};
         if (ok)
-            event.good =
-                delta_ ? read_delta(in_, event.node, event.said) : read_whole(in_, event.node, event.said);
-        impl_.happened(std::move(event));
+            event.parsed = delta_ ? parse_delta(in_, event.node, event.request)
+                                  : parse_state_of_world(in_, event.node, event.request);
+        impl_.enqueue(std::move(event));
     }
     void OnWriteDone(bool ok) override {
-        impl_.happened({this, ok ? Event::written : Event::ended, false, {}, {}});
+        impl_.enqueue({this, ok ? Event::written : Event::ended, false, {}, {}});
     }
-    void OnCancel() override { impl_.happened({this, Event::ended, false, {}, {}}); }
-    void OnDone() override { impl_.happened({this, Event::done, false, {}, {}}); }
+    void OnCancel() override { impl_.enqueue({this, Event::ended, false, {}, {}}); }
+    void OnDone() override { impl_.enqueue({this, Event::done, false, {}, {}}); }
 
-    void take(const Event& event) {
+    void handle_event(const Event& event) {
         switch (event.kind) {
             case Event::opened:
                 id_ = impl_.controller_.open(delta_, now());
@@ -205,7 +205,7 @@
                 if (impl_.stopping_) return finish({StatusCode::UNAVAILABLE, "the control service stops"});
                 return StartRead(&in_);
             case Event::read:
-                return hear(event);
+                return on_request(event);
             case Event::written:
                 writing_ = false;
                 return write();
@@ -222,7 +222,7 @@
         if (writing_ || finished_) return;
         const auto response = impl_.controller_.next(id_, now());
         if (!response) return;
-        out_ = buffer_of(*response, delta_);
+        out_ = serialize(*response, delta_);
         ++impl_.responses_;
         impl_.bytes_ += out_.Length();
         writing_ = true;
@@ -235,13 +235,13 @@
     }
 
   private:
-    void hear(const Event& event) {
+    void on_request(const Event& event) {
         if (finished_) return;
-        if (!event.good) {
+        if (!event.parsed) {
             log_line("a proxy sent what can't be read; its stream is ended");
             return finish({StatusCode::INVALID_ARGUMENT, "the request can't be read"});
         }
-        const auto refusal = impl_.controller_.hear(id_, event.node, event.said, now());
+        const auto refusal = impl_.controller_.on_request(id_, event.node, event.request, now());
         if (refusal == Controller::Refusal::none) {
             StartRead(&in_);
             return write();
@@ -268,25 +268,25 @@
     return new Stream(impl_, true);
 }
 
-bool XdsServer::Impl::pump(std::size_t most) {
+bool XdsServer::Impl::write_due(std::size_t max_streams) {
     for (const Controller::StreamId id : controller_.take_ended())
         if (const auto found = streams_.find(id); found != streams_.end())
             found->second->finish({StatusCode::ABORTED, "this node has connected on another stream"});
     for (const Controller::StreamId id : controller_.take_due())
-        if (waiting_.insert(id).second) line_.push_back(id);
-    for (; most > 0 && !line_.empty(); --most) {
-        const Controller::StreamId id = line_.front();
-        line_.pop_front();
-        waiting_.erase(id);
+        if (queued_.insert(id).second) write_queue_.push_back(id);
+    for (; max_streams > 0 && !write_queue_.empty(); --max_streams) {
+        const Controller::StreamId id = write_queue_.front();
+        write_queue_.pop_front();
+        queued_.erase(id);
         if (const auto found = streams_.find(id); found != streams_.end()) found->second->write();
     }
     log();
-    return !line_.empty();
+    return !write_queue_.empty();
 }
 
 // What happened first, then a few streams of those that are due; the lock is given up in between.
 void XdsServer::Impl::work() {
-    constexpr std::size_t at_a_time = 16;
+    constexpr std::size_t batch_size = 16;
     bool more = false;
     for (;;) {
         std::deque<Event> events;
@@ -295,14 +295,14 @@
             wake_.wait(lock, [&] { return more || due_ || !events_.empty() || !working_; });
             if (!working_ && events_.empty()) return;
             due_ = false;
-            for (std::size_t n = 0; n < at_a_time && !events_.empty(); ++n) {
+            for (std::size_t n = 0; n < batch_size && !events_.empty(); ++n) {
                 events.push_back(std::move(events_.front()));
                 events_.pop_front();
             }
         }
         const std::lock_guard lock(mutex_);
-        for (const Event& event : events) event.stream->take(event);
-        more = pump(at_a_time);
+        for (const Event& event : events) event.stream->handle_event(event);
+        more = write_due(batch_size);
     }
 }
 
@@ -336,10 +336,10 @@
     return port;
 }
 
-void XdsServer::take_list(const EndpointList& list) {
+void XdsServer::apply_list(const EndpointList& list) {
     {
         const std::lock_guard lock(mutex_);
-        impl_->controller_.take_list(list, now());
+        impl_->controller_.apply_list(list, now());
     }
     wake();
 }
@@ -375,7 +375,7 @@
     impl_->stop_work();
 }
 
-XdsServer::Figures XdsServer::figures() const {
+XdsServer::Stats XdsServer::stats() const {
     const std::lock_guard lock(mutex_);
     return {impl_->controller_.streams(), impl_->controller_.encoded(), impl_->responses_, impl_->bytes_,
             impl_->controller_.list_age(now())};
--- a/src/xds/server.hpp
+++ b/src/xds/server.hpp
@@ -18,22 +18,22 @@
 
     // Listens from here on; throws std::runtime_error where the address can't be had. Gives the port.
     int start(const std::string& address);
-    void take_list(const EndpointList& list);
+    void apply_list(const EndpointList& list);
     void tick();
     // What is due is written, streams end, and nothing further is taken.
     void stop();
 
-    struct Figures {
+    struct Stats {
         std::size_t streams = 0;
         std::uint64_t encoded = 0, responses = 0, bytes = 0;
         Nanos list_age = 0;
     };
-    Figures figures() const;
+    Stats stats() const;
     // Looks at the controller under its lock.
-    template <typename Look>
-    auto look(Look&& at) const {
+    template <typename Inspect>
+    auto inspect(Inspect&& inspector) const {
         const std::lock_guard lock(mutex_);
-        return at(controller());
+        return inspector(controller());
     }
 
   private:
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -201,7 +201,7 @@
     Fleet fleet;
     std::vector<std::unique_ptr<ScriptedRelay>> relays;
     std::unique_ptr<Service> service;
-    std::vector<Answered> answers;
+    std::vector<ClientResponse> answers;
     std::unique_ptr<Client> client;
     int asked = 0;
 
@@ -222,7 +222,7 @@
     void start() {
         service = std::make_unique<Service>(io, [this] { return launch(); });
         client = std::make_unique<Client>(io, service->port(),
-                                          [this](Answered a) { answers.push_back(std::move(a)); });
+                                          [this](ClientResponse a) { answers.push_back(std::move(a)); });
     }
     StartupConfig launch() {
         const std::string settings =
@@ -264,8 +264,8 @@
             if (!r->calls.empty()) return *r;
         return *relays[0];
     }
-    Asking asking(int rows = 5) {
-        Asking a;
+    ClientQuery asking(int rows = 5) {
+        ClientQuery a;
         a.query_class = "part";
         a.id = "q" + std::to_string(++asked);
         a.deadline_ms = 3000;
@@ -274,7 +274,7 @@
         for (std::uint32_t s = 0; s < 8; ++s) a.shards.push_back(s);
         return a;
     }
-    Answered ask(const Asking& a) {
+    ClientResponse ask(const ClientQuery& a) {
         const std::size_t before = answers.size();
         client->ask(a);
         until([&] { return answers.size() > before; });
@@ -312,11 +312,11 @@
     w.until([&] { return relay.heard(1); });
     CHECK(relay.calls.back().position.known_version == 1);
     CHECK(relay.calls.back().position.digest == changes::digest_of(relay.documents[1]));
-    Answered got = w.ask(w.asking());
+    ClientResponse got = w.ask(w.asking());
     CHECK(got.status == 200);
     CHECK(got.whole);
     CHECK(w.counts().queries == 1);
-    CHECK(w.fleet.work().words == 8);  // the data nodes were told of before two phases came on
+    CHECK(w.fleet.work().summaries == 8);  // the data nodes were told of before two phases came on
     relay.publish({{"two_phase.part", "audit = 1"}});
     w.until([&] { return relay.heard(2); });
     CHECK(w.ask(w.asking()).pruned.sections == 0);
@@ -333,7 +333,7 @@
     // Right after a round, so that the next one is a step away.
     w.client->ask(w.asking());
     w.until([&] { return w.service->dispatcher().attempts_in_flight() > 0; });
-    Client second(w.io, w.service->port(), [](Answered) {});
+    Client second(w.io, w.service->port(), [](ClientResponse) {});
     second.ask(w.asking());
     const std::size_t held = w.service->dispatcher().unfinished_count(),
                       out = w.service->dispatcher().attempts_in_flight();
@@ -354,7 +354,7 @@
     relay.publish({{"two_phase.part", ""}});
     w.until([&] { return relay.heard(1); });
     w.client->ask(w.asking());
-    w.until([&] { return w.fleet.work().words == 8; });
+    w.until([&] { return w.fleet.work().summaries == 8; });
     SECTION("sections are audited from now on") {
         relay.publish({{"two_phase.part", "audit = 1"}});
         w.until([&] { return w.follower().applied_version() == 2; });
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -50,41 +50,41 @@
 }  // namespace
 
 TEST_CASE("pools hold the holders of their shards; a drain is told at once and removed after its grace") {
-    Decider d(test::small_config(), names, control_config(), 1);
-    d.take(list_of(1, four()), start);
-    Decisions made = d.decide(start);
+    DecisionEngine engine(test::small_config(), names, control_config(), 1);
+    engine.apply_list(list_of(1, four()), start);
+    Decisions made = engine.decide(start);
     REQUIRE(made.pools.size() == 4);
     CHECK(made.pools[3].endpoints.size() == 3);  // places 3, 0 and 1
     CHECK(find(made.pools[3], "n2") == nullptr);
     CHECK(made.pools[0].limit == 30);
     auto nodes = four();
     nodes[1].lifecycle = Lifecycle::draining;
-    d.take(list_of(2, nodes), start + s);
-    made = d.decide(start + s);
+    engine.apply_list(list_of(2, nodes), start + s);
+    made = engine.decide(start + s);
     REQUIRE(find(made.pools[1], "n1") != nullptr);
     CHECK(find(made.pools[1], "n1")->state == EndpointState::draining);
     CHECK(made.pools[1].limit == 20);
-    CHECK(d.next_change() == start + s + 500 * ms);
-    made = d.decide(start + s + 500 * ms);
+    CHECK(engine.next_change() == start + s + 500 * ms);
+    made = engine.decide(start + s + 500 * ms);
     CHECK(find(made.pools[1], "n1") == nullptr);
     // Told again while it drains, it stays away.
-    d.take(list_of(3, nodes), start + 3 * s);
-    CHECK(find(d.decide(start + 3 * s).pools[1], "n1") == nullptr);
+    engine.apply_list(list_of(3, nodes), start + 3 * s);
+    CHECK(find(engine.decide(start + 3 * s).pools[1], "n1") == nullptr);
 }
 
 TEST_CASE("a node that drains, goes and returns within a second returns cold") {
-    Decider d(test::small_config(), names, control_config(), 1);
-    d.take(list_of(1, four()), start);
+    DecisionEngine engine(test::small_config(), names, control_config(), 1);
+    engine.apply_list(list_of(1, four()), start);
     auto nodes = four();
     nodes[1].lifecycle = Lifecycle::draining;
-    d.take(list_of(2, nodes), start + 100 * ms);
+    engine.apply_list(list_of(2, nodes), start + 100 * ms);
     nodes.erase(nodes.begin() + 1);
-    d.take(list_of(3, nodes), start + 300 * ms);
-    CHECK(find(d.decide(start + 300 * ms).pools[1], "n1") == nullptr);
+    engine.apply_list(list_of(3, nodes), start + 300 * ms);
+    CHECK(find(engine.decide(start + 300 * ms).pools[1], "n1") == nullptr);
     nodes = four();
     nodes[1].started_at = start + 500 * ms;
-    d.take(list_of(4, nodes), start + 600 * ms);
-    const Decisions made = d.decide(start + 600 * ms);
+    engine.apply_list(list_of(4, nodes), start + 600 * ms);
+    const Decisions made = engine.decide(start + 600 * ms);
     REQUIRE(find(made.pools[1], "n1") != nullptr);
     CHECK(find(made.pools[1], "n1")->state == EndpointState::healthy);
     CHECK(find(made.pools[1], "n1")->weight < 20);
@@ -92,13 +92,13 @@
 
 TEST_CASE("a cold node's weight and its part of the limit climb with its warmth, and never pass them") {
     const RouterConfig config = test::small_config();
-    Decider d(config, names, control_config(), 1);
+    DecisionEngine engine(config, names, control_config(), 1);
     auto nodes = four();
     nodes[2].started_at = start;
-    d.take(list_of(1, nodes), start);
+    engine.apply_list(list_of(1, nodes), start);
     std::uint32_t last = 0;
     for (Nanos age = 0; age <= 12 * s; age += 100 * ms) {
-        const Decisions made = d.decide(start + age);
+        const Decisions made = engine.decide(start + age);
         const PoolEndpoint* e = find(made.pools[2], "n2");
         REQUIRE(e != nullptr);
         const double warm =
@@ -110,69 +110,72 @@
         CHECK(made.pools[2].limit <= 20 + 10 * warm);
         last = e->weight;
         if (age > config.slow_start_duration) CHECK(e->weight == 100);
-        if (age > config.slow_start_duration) CHECK(d.next_change() == INT64_MAX);
+        if (age > config.slow_start_duration) CHECK(engine.next_change() == INT64_MAX);
     }
 }
 
 TEST_CASE("a list that loses most of the fleet at once is not believed for a while; drains in it are") {
-    Decider d(test::small_config(), names, control_config(), 1);
-    d.take(list_of(1, four()), start);
+    DecisionEngine engine(test::small_config(), names, control_config(), 1);
+    engine.apply_list(list_of(1, four()), start);
     auto nodes = four();
     nodes[0].lifecycle = Lifecycle::draining;
     nodes.resize(1);
-    d.take(list_of(2, nodes), start + s);
-    Decisions made = d.decide(start + s);
-    CHECK(d.panics());
-    CHECK(d.take_lines().size() == 1);
+    engine.apply_list(list_of(2, nodes), start + s);
+    Decisions made = engine.decide(start + s);
+    CHECK(engine.in_panic());
+    CHECK(engine.take_log_lines().size() == 1);
     CHECK(find(made.pools[0], "n0")->state == EndpointState::draining);
     CHECK(find(made.pools[0], "n1")->state == EndpointState::healthy);
     SECTION("until most are back") {
-        d.take(list_of(3, {node(1, 1), node(2, 2)}), start + 2 * s);
-        made = d.decide(start + 2 * s);
-        CHECK_FALSE(d.panics());
+        engine.apply_list(list_of(3, {node(1, 1), node(2, 2)}), start + 2 * s);
+        made = engine.decide(start + 2 * s);
+        CHECK_FALSE(engine.in_panic());
         CHECK(find(made.pools[3], "n3") == nullptr);
         CHECK(find(made.pools[1], "n1") != nullptr);
     }
     SECTION("until it has stood for long") {
-        CHECK(find(d.decide(start + s + 59 * s).pools[3], "n3") != nullptr);
-        made = d.decide(start + s + 61 * s);
+        CHECK(find(engine.decide(start + s + 59 * s).pools[3], "n3") != nullptr);
+        made = engine.decide(start + s + 61 * s);
         CHECK(find(made.pools[3], "n3") == nullptr);
-        CHECK(d.take_lines().size() == 1);
+        CHECK(engine.take_log_lines().size() == 1);
     }
 }
 
 TEST_CASE("on silence decisions stand and their age is told; a clock that goes back changes nothing") {
-    Decider d(test::small_config(), names, control_config(), 1);
+    DecisionEngine engine(test::small_config(), names, control_config(), 1);
     auto nodes = four();
     nodes[2].started_at = start;
-    d.take(list_of(1, nodes), start + s);
-    const Decisions before = d.decide(start + 5 * s);
-    CHECK(d.decide(start - 100 * s).pools == before.pools);
-    CHECK(d.list_age(start + 50 * s) == 49 * s);
-    CHECK(d.decide(start + 3600 * s).pools[0].endpoints.size() == 3);
+    engine.apply_list(list_of(1, nodes), start + s);
+    const Decisions before = engine.decide(start + 5 * s);
+    CHECK(engine.decide(start - 100 * s).pools == before.pools);
+    CHECK(engine.list_age(start + 50 * s) == 49 * s);
+    CHECK(engine.decide(start + 3600 * s).pools[0].endpoints.size() == 3);
 }
 
 TEST_CASE("what may run twice, and how long, is the module's word") {
     RouterConfig config = test::small_config(Effect::idempotent_with_key);
     config.query_classes[1].effect = Effect::not_idempotent;
-    Decider d(config, names, control_config(), 1);
-    const auto routes = d.decide(start).query_classes;
-    CHECK(routes[0].tries == 3);
-    CHECK((routes[0].try_for > 0 && routes[0].try_for < config.query_classes[0].idempotency_window));
-    CHECK(routes[1].tries == 1);
-    CHECK(Decider(test::small_config(), names, control_config(), 1).decide(start).query_classes[0].try_for ==
-          0);
+    DecisionEngine engine(config, names, control_config(), 1);
+    const auto routes = engine.decide(start).query_classes;
+    CHECK(routes[0].max_attempts == 3);
+    CHECK(
+        (routes[0].retry_window > 0 && routes[0].retry_window < config.query_classes[0].idempotency_window));
+    CHECK(routes[1].max_attempts == 1);
+    CHECK(DecisionEngine(test::small_config(), names, control_config(), 1)
+              .decide(start)
+              .query_classes[0]
+              .retry_window == 0);
 }
 
 TEST_CASE("limits are divided so that what may be in use never passes a total that stands") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         std::mt19937_64 drawn(seed);
         const auto below = [&drawn](std::uint64_t n) { return drawn() % n; };
-        Shares shares(2);
+        LimitAllocator limits(2);
         const std::uint32_t totals[2] = {static_cast<std::uint32_t>(below(40)),
                                          static_cast<std::uint32_t>(1 + below(1000))};
-        shares.set_total(0, totals[0]);
-        shares.set_total(1, totals[1]);
+        limits.set_total(0, totals[0]);
+        limits.set_total(1, totals[1]);
         // Plainly: each proxy goes by any one of what it was told since it last acknowledged, that one
         // included.
         struct Plain {
@@ -187,7 +190,7 @@
             now += static_cast<Nanos>(below(20)) * ms;
             const auto what = below(10);
             if (what == 0 || plain.empty()) {
-                shares.join(++last);
+                limits.join(++last);
                 plain[last];
             } else {
                 auto at = plain.begin();
@@ -196,43 +199,43 @@
                 if (what == 1 && p.here) {
                     p.here = false;
                     p.until = now + 100 * ms;
-                    shares.leave(at->first, p.until);
+                    limits.leave(at->first, p.until);
                 } else if (what < 7 && p.here) {
-                    const std::vector<std::uint32_t> due = shares.due(at->first);
-                    shares.told(at->first, ++number, due);
+                    const std::vector<std::uint32_t> due = limits.allowed_limits(at->first);
+                    limits.on_sent(at->first, ++number, due);
                     p.told.emplace_back(number, due);
                 } else if (p.here && !p.told.empty()) {
                     const std::size_t which = below(p.told.size());
-                    shares.acknowledged(at->first, p.told[which].first);
+                    limits.on_acknowledged(at->first, p.told[which].first);
                     p.told.erase(p.told.begin(), p.told.begin() + static_cast<long>(which));
                 }
             }
-            shares.pass(now);
+            limits.expire(now);
             std::erase_if(plain, [now](const auto& p) { return !p.second.here && p.second.until <= now; });
             for (std::size_t pool = 0; pool < 2; ++pool) {
                 std::uint64_t sum = 0;
                 for (const auto& [id, p] : plain) {
                     std::uint32_t most = 0;
-                    for (const auto& [_, limits] : p.told) most = std::max(most, limits[pool]);
+                    for (const auto& [_, proxy_limits] : p.told) most = std::max(most, proxy_limits[pool]);
                     sum += most;
-                    REQUIRE(shares.in_use(id, pool) >= most);
+                    REQUIRE(limits.in_use(id, pool) >= most);
                 }
                 REQUIRE(sum <= totals[pool]);
-                REQUIRE(shares.in_use(pool) <= totals[pool]);
+                REQUIRE(limits.in_use(pool) <= totals[pool]);
             }
         }
         // Quiet: after each has been told and has acknowledged twice, all have their even shard requests.
         for (int round = 0; round < 2; ++round) {
             now += s;
-            shares.pass(now);
+            limits.expire(now);
             for (auto& [id, p] : plain)
                 if (p.here) {
-                    shares.told(id, ++number, shares.due(id));
-                    shares.acknowledged(id, number);
+                    limits.on_sent(id, ++number, limits.allowed_limits(id));
+                    limits.on_acknowledged(id, number);
                 }
         }
-        shares.pass(now + s);
-        if (shares.proxies() > 0) CHECK(shares.in_use(1) == totals[1]);
+        limits.expire(now + s);
+        if (limits.proxies() > 0) CHECK(limits.in_use(1) == totals[1]);
     }
 }
 
@@ -242,7 +245,7 @@
   public:
     ResourcePtr cluster(std::uint32_t pool, std::uint32_t limit, const std::string& version) const override {
         auto made = std::make_shared<XdsResource>(XdsResource{pool_name(pool), version, "", "", pool, limit});
-        made->whole = std::to_string(limit);
+        made->state_of_world = std::to_string(limit);
         return made;
     }
     ResourcePtr endpoints(std::uint32_t pool, const Pool& what, const std::string& version) const override {
@@ -268,7 +271,7 @@
     std::array<std::set<std::string>, xds_types> wanted;
     std::array<std::string, xds_types> nonce, version;
     std::array<bool, xds_types> asked{};
-    std::deque<FromProxy> to_send;
+    std::deque<ProxyRequest> to_send;
     std::set<std::string> cannot_take;  // resources, by their bytes
     Nanos left_at = 0;
 };
@@ -294,23 +297,23 @@
 
     void ask(Proxy& p, XdsType type, std::set<std::string> want) {
         const auto t = static_cast<std::size_t>(type);
-        FromProxy said;
-        said.type_url = type_url(type);
+        ProxyRequest request;
+        request.type_url = type_url(type);
         if (p.delta) {
             for (const std::string& name : want)
-                if (!p.wanted[t].contains(name)) said.subscribe.push_back(name);
+                if (!p.wanted[t].contains(name)) request.subscribe.push_back(name);
             for (const std::string& name : p.wanted[t])
-                if (!want.contains(name)) said.unsubscribe.push_back(name), p.held[t].erase(name);
+                if (!want.contains(name)) request.unsubscribe.push_back(name), p.held[t].erase(name);
             if (!p.asked[t])
-                for (const auto& [name, what] : p.held[t]) said.initial_versions[name] = what->version;
+                for (const auto& [name, what] : p.held[t]) request.initial_versions[name] = what->version;
         } else {
-            said.names.assign(want.begin(), want.end());
-            said.version = p.version[t];
-            if (p.asked[t]) said.nonce = p.nonce[t];
+            request.names.assign(want.begin(), want.end());
+            request.version = p.version[t];
+            if (p.asked[t]) request.nonce = p.nonce[t];
         }
         p.asked[t] = true;
         p.wanted[t] = std::move(want);
-        p.to_send.push_back(std::move(said));
+        p.to_send.push_back(std::move(request));
     }
     // A proxy that left goes by what it was told for its grace, and is none after.
     bool gone(const Proxy& p) const { return !p.open && now >= p.left_at + control.leave_grace; }
@@ -329,10 +332,10 @@
     }
     void send(Proxy& p) {
         if (p.to_send.empty() || !p.open) return;
-        const FromProxy said = std::move(p.to_send.front());
+        const ProxyRequest request = std::move(p.to_send.front());
         p.to_send.pop_front();
         ++messages;
-        REQUIRE(controller.hear(p.stream, p.node, said, now) == Controller::Refusal::none);
+        REQUIRE(controller.on_request(p.stream, p.node, request, now) == Controller::Refusal::none);
     }
     void receive(Proxy& p) {
         if (!p.open) return;
@@ -344,7 +347,7 @@
         std::set<std::string> clusters;
         for (const auto& [name, _] : p.held[0]) clusters.insert(name);
         for (const ResourcePtr& r : out->resources) {
-            rejects |= p.cannot_take.contains(r->whole);
+            rejects |= p.cannot_take.contains(r->state_of_world);
             // Never something that refers to what the proxy was not told of.
             if (out->type == XdsType::endpoint) REQUIRE(clusters.contains(r->name));
             if (out->type == XdsType::route) REQUIRE(clusters.size() == 4);
@@ -359,13 +362,14 @@
         }
         p.nonce[t] = out->nonce;
         if (p.mute) return;
-        FromProxy said;
-        said.type_url = type_url(out->type);
-        said.nonce = out->nonce;
-        said.rejects = rejects;
-        said.error = "no";
-        if (!p.delta) said.names.assign(p.wanted[t].begin(), p.wanted[t].end()), said.version = p.version[t];
-        p.to_send.push_back(std::move(said));
+        ProxyRequest request;
+        request.type_url = type_url(out->type);
+        request.nonce = out->nonce;
+        request.is_nack = rejects;
+        request.error = "no";
+        if (!p.delta)
+            request.names.assign(p.wanted[t].begin(), p.wanted[t].end()), request.version = p.version[t];
+        p.to_send.push_back(std::move(request));
         if (rejects) return;
         std::set<std::string> refer;
         for (const auto& [name, _] : p.held[t]) refer.insert(name);
@@ -388,7 +392,7 @@
                 if (nodes.size() > 4)
                     nodes.erase(nodes.begin() + static_cast<long>(4 + below(nodes.size() - 4)));
         }
-        controller.take_list(list_of(++generation, nodes), now);
+        controller.apply_list(list_of(++generation, nodes), now);
     }
     // The rule on limits, of what proxies really hold, where totals stand.
     void check_limits() {
@@ -398,7 +402,7 @@
                 const auto at = p.held[0].find(pool_name(pool));
                 if (at != p.held[0].end() && !gone(p)) sum += at->second->limit;
             }
-            REQUIRE(sum <= controller.shares().in_use(pool));
+            REQUIRE(sum <= controller.limits().in_use(pool));
         }
     }
     void quiet() {
@@ -421,7 +425,7 @@
     std::uint64_t messages = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         Fleet f(seed);
-        f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+        f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
         for (int i = 0; i < 6; ++i) {
             Proxy p;
             p.node = "p" + std::to_string(i);
@@ -465,8 +469,9 @@
             CHECK(p.held[2].size() == 2);
             CHECK(p.held[3].size() == 2);
             for (std::uint32_t pool = 0; pool < 4; ++pool) {
-                const std::string wanted = f.encoder.endpoints(pool, decisions.pools[pool], "")->whole;
-                CHECK(p.held[1].at(pool_name(pool))->whole == wanted);
+                const std::string wanted =
+                    f.encoder.endpoints(pool, decisions.pools[pool], "")->state_of_world;
+                CHECK(p.held[1].at(pool_name(pool))->state_of_world == wanted);
                 limits[pool] += p.held[0].at(pool_name(pool))->limit;
             }
         }
@@ -479,11 +484,11 @@
 TEST_CASE("a resource that a proxy can't take leaves the others moving, until it changes") {
     const bool delta = GENERATE(false, true);
     Fleet f(5);
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
     Proxy p;
     p.node = "p";
     p.delta = delta;
-    const std::string bad = f.encoder.endpoints(2, f.controller.decisions().pools[2], "")->whole;
+    const std::string bad = f.encoder.endpoints(2, f.controller.decisions().pools[2], "")->state_of_world;
     p.cannot_take = {bad};
     f.proxies = {p};
     f.connect(f.proxies[0]);
@@ -492,12 +497,12 @@
     CHECK(held.held[1].size() == 3);
     CHECK_FALSE(held.held[1].contains(pool_name(2)));
     CHECK(held.held[3].size() == 2);
-    CHECK_FALSE(f.controller.take_lines().empty());
+    CHECK_FALSE(f.controller.take_log_lines().empty());
     const std::uint64_t messages = f.messages;
     f.quiet();
     CHECK(f.messages == messages);  // what was rejected is not sent over and over
     f.nodes[2].lifecycle = Lifecycle::draining;
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
     f.quiet();
     CHECK(held.held[1].size() == 4);
 }
@@ -505,7 +510,7 @@
 TEST_CASE(
     "a proxy that never acknowledges is told the newest all the same, and keeps its limits from others") {
     Fleet f(6);
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
     f.proxies.resize(2);
     f.proxies[0].node = "mute";
     f.proxies[1].node = "other";
@@ -518,9 +523,9 @@
     CHECK(f.proxies[0].held[0].at(pool_name(0))->limit == 15);
     CHECK(f.proxies[1].held[0].at(pool_name(0))->limit == 0);  // nothing says that the other goes by less
     f.nodes[0].lifecycle = Lifecycle::draining;
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
     f.quiet();
-    CHECK(f.proxies[0].held[1].at(pool_name(0))->whole.find("n0") == std::string::npos);
+    CHECK(f.proxies[0].held[1].at(pool_name(0))->state_of_world.find("n0") == std::string::npos);
     f.proxies[0].mute = false;
     f.controller.close(f.proxies[0].stream, f.now);
     f.connect(f.proxies[0]);
@@ -532,18 +537,18 @@
     const bool delta = GENERATE(false, true);
     Fleet f(7);
     f.generation = 40;
-    f.controller.take_list(list_of(f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(f.generation, f.nodes), f.now);
     const auto stream = f.controller.open(delta, f.now);
-    FromProxy said;
-    said.type_url = type_url(XdsType::cluster);
+    ProxyRequest request;
+    request.type_url = type_url(XdsType::cluster);
     if (delta)
-        said.initial_versions[pool_name(0)] = "41.9.9";
+        request.initial_versions[pool_name(0)] = "41.9.9";
     else
-        said.version = "41.9.9";
-    f.controller.hear(stream, "p", said, f.now);
+        request.version = "41.9.9";
+    f.controller.on_request(stream, "p", request, f.now);
     CHECK_FALSE(f.controller.next(stream, f.now));
     SECTION("until the list has come here too") {
-        f.controller.take_list(list_of(41, f.nodes), f.now + 50 * ms);
+        f.controller.apply_list(list_of(41, f.nodes), f.now + 50 * ms);
         const auto due = f.controller.take_due();
         CHECK(std::find(due.begin(), due.end(), stream) != due.end());
         CHECK(f.controller.next(stream, f.now + 50 * ms));
@@ -557,20 +562,22 @@
 TEST_CASE(
     "a drain that is told while a response is under way goes out with the next, whatever the clock does") {
     Fleet f(9);
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
     f.proxies.resize(1);
     Proxy& p = f.proxies[0];
     p.node = "p";
     f.connect(p);
     f.quiet();
     f.nodes[1].started_at = f.now;
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
     f.receive(p);  // the cold node; not yet acknowledged
     f.nodes[0].lifecycle = Lifecycle::draining;
     f.now -= 3600 * s;  // the clock is set back
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
     f.receive(p);
-    const auto drains = [&p] { return p.held[1].at(pool_name(0))->whole.find("n0=1d") != std::string::npos; };
+    const auto drains = [&p] {
+        return p.held[1].at(pool_name(0))->state_of_world.find("n0=1d") != std::string::npos;
+    };
     CHECK_FALSE(drains());
     f.send(p);
     f.receive(p);
@@ -578,35 +585,35 @@
     // Told with the acknowledgement lost: after the wait, by the clock as it goes on from where it was.
     f.nodes[3].lifecycle = Lifecycle::draining;
     p.mute = true;
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
     f.now += 3600 * s + 300 * ms;
     f.controller.tick(f.now);
     f.receive(p);
-    CHECK(p.held[1].at(pool_name(3))->whole.find("n3=1d") != std::string::npos);
+    CHECK(p.held[1].at(pool_name(3))->state_of_world.find("n3=1d") != std::string::npos);
 }
 
 TEST_CASE("messages that make no sense end their stream, or are passed over, and touch no other") {
     Fleet f(8);
-    f.controller.take_list(list_of(++f.generation, f.nodes), f.now);
-    const auto hears = [&f](Controller::StreamId id, const std::string& from, FromProxy said) {
-        return f.controller.hear(id, from, said, f.now);
+    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
+    const auto hears = [&f](Controller::StreamId id, const std::string& from, ProxyRequest request) {
+        return f.controller.on_request(id, from, request, f.now);
     };
-    FromProxy said;
-    said.type_url = type_url(XdsType::cluster);
+    ProxyRequest request;
+    request.type_url = type_url(XdsType::cluster);
     const auto id = f.controller.open(false, f.now);
-    CHECK(hears(id, "", said) == Controller::Refusal::no_node);
-    CHECK(hears(id, "p", said) == Controller::Refusal::none);
-    CHECK(hears(id, "q", said) == Controller::Refusal::other_node);
+    CHECK(hears(id, "", request) == Controller::Refusal::no_node);
+    CHECK(hears(id, "p", request) == Controller::Refusal::none);
+    CHECK(hears(id, "q", request) == Controller::Refusal::other_node);
     const auto first = f.controller.next(id, f.now);
     REQUIRE(first);
-    said.nonce = "999";  // stale: nothing is taken from it
-    said.rejects = true;
-    CHECK(hears(id, "", said) == Controller::Refusal::none);
-    CHECK(f.controller.take_lines().empty());
-    FromProxy unknown;
+    request.nonce = "999";  // stale: nothing is taken from it
+    request.is_nack = true;
+    CHECK(hears(id, "", request) == Controller::Refusal::none);
+    CHECK(f.controller.take_log_lines().empty());
+    ProxyRequest unknown;
     unknown.type_url = "type.googleapis.com/something.Else";
     CHECK(hears(id, "", unknown) == Controller::Refusal::unknown_type);
-    FromProxy many;
+    ProxyRequest many;
     many.type_url = type_url(XdsType::endpoint);
     many.names.resize(ProxyStream::max_names + 1, "x");
     CHECK(hears(id, "", many) == Controller::Refusal::too_many);
@@ -630,16 +637,16 @@
     XdsView view{{1, 1, 1}, {&clusters, &none, &none, &routes}, {}};
     ProxyStream stream(delta, 200 * ms);
     const auto hear = [&](XdsType type, std::vector<std::string> names, const std::string& nonce = "") {
-        FromProxy said;
-        said.type_url = type_url(type);
-        said.nonce = nonce;
+        ProxyRequest request;
+        request.type_url = type_url(type);
+        request.nonce = nonce;
         if (!delta)
-            said.names = names;
+            request.names = names;
         else if (nonce.empty())
-            said.subscribe = names;
+            request.subscribe = names;
         std::uint64_t told = 0;
-        ProxyStream::NameChange change;
-        stream.hear(said, told, change);
+        ProxyStream::SubscriptionChange change;
+        stream.on_request(request, told, change);
     };
     hear(XdsType::cluster, {});
     hear(XdsType::route, {"r"});
@@ -655,7 +662,7 @@
     clusters = {{"b", made("b", "2")}};
     routes = {{"r", made("r", "2")}};
     view.version.number = 2;
-    view.changed = {2, 2, 2, 2};
+    view.change_counts = {2, 2, 2, 2};
     const auto make = stream.next(view, now);
     REQUIRE((make && make->type == XdsType::cluster));
     CHECK(make->resources.size() == (delta ? 1 : 2));  // with the old one, where all are told
@@ -674,9 +681,9 @@
 }
 
 TEST_CASE("versions are read back as written, and nothing else is one") {
-    const auto read = read_version(write_version({7, 1700000000000, 3}));
+    const auto read = parse_version(format_version({7, 1700000000000, 3}));
     REQUIRE(read);
     CHECK((read->generation == 7 && read->epoch == 1700000000000 && read->number == 3));
     for (const char* text : {"", "1", "1.2", "1.2.", "1.2.3.4", "a.b.c", "1.2.x", "-1.2.3"})
-        CHECK_FALSE(read_version(text));
+        CHECK_FALSE(parse_version(text));
 }
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -15,7 +15,7 @@
 
 using namespace tealcart;
 using test::ms;
-using testing::ReadRow;
+using testing::RankedRow;
 
 namespace {
 
@@ -235,7 +235,7 @@
     }
 
     TwoPhaseStateMachine play(std::uint32_t shards) {
-        testing::Generated g;
+        testing::GeneratedContents g;
         g.shards = shards;
         g.rows = drawn.below(12);
         g.matching = drawn.below(11) / 10.0;
@@ -282,7 +282,7 @@
         REQUIRE(machine.state() != TwoPhaseStateMachine::State::ended);
     }
     void give_word(TwoPhaseStateMachine& machine, std::uint32_t i) {
-        SectionSummary word = testing::word_on(sections[i], find, 0, false);
+        SectionSummary word = testing::summarize(sections[i], find, 0, false);
         at_word[i] = sections[i];
         if (liars.contains(i)) {
             word.max_rank += 5000;
@@ -293,7 +293,7 @@
     void give_rows(TwoPhaseStateMachine& machine, std::uint32_t i) {
         if (machine.is_stale(i, sections[i].version)) return;
         std::vector<double> ranks;
-        for (const testing::Row* row : testing::best_of(sections[i], find)) ranks.push_back(row->rank);
+        for (const testing::Row* row : testing::best_rows(sections[i], find)) ranks.push_back(row->rank);
         at_rows[i] = sections[i];
         const auto found = machine.on_rows(i, sections[i].version, ranks);
         const bool told_wrong = liars.contains(i) && at_word.contains(i) &&
@@ -307,18 +307,19 @@
         REQUIRE(std::abs(c.answered_weight + c.pruned_weight + c.missing_weight - 1) < 1e-9);
         REQUIRE(machine.is_complete() == (c.missing == 0));
         const auto missing = machine.missing();
-        std::vector<ReadRow> given, truth;
+        std::vector<RankedRow> given, truth;
         for (std::uint32_t i = 0; i < shards; ++i) {
             if (std::find(missing.begin(), missing.end(), i) != missing.end()) continue;
-            const auto rows_of = [&](const testing::Section& s, std::vector<ReadRow>& to) {
-                for (const testing::Row* row : testing::best_of(s, find)) to.push_back({row->doc, row->rank});
+            const auto rows_of = [&](const testing::Section& s, std::vector<RankedRow>& to) {
+                for (const testing::Row* row : testing::best_rows(s, find))
+                    to.push_back({row->doc, row->rank});
             };
             if (at_rows.contains(i))
                 rows_of(at_rows[i], given), rows_of(at_rows[i], truth);
             else
                 rows_of(at_word.at(i), truth);
         }
-        REQUIRE(testing::first_of(given, find.rows) == testing::first_of(truth, find.rows));
+        REQUIRE(testing::top_rows(given, find.rows) == testing::top_rows(truth, find.rows));
     }
 };
 
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -30,7 +30,7 @@
     boost::asio::io_context io{1};
     Fleet fleet;
     std::unique_ptr<Service> service;
-    std::vector<Answered> answers;
+    std::vector<ClientResponse> answers;
     std::unique_ptr<Client> client;
     int asked = 0;
 
@@ -64,7 +64,7 @@
     }
     void connect() {
         client = std::make_unique<Client>(io, service->port(),
-                                          [this](Answered a) { answers.push_back(std::move(a)); });
+                                          [this](ClientResponse a) { answers.push_back(std::move(a)); });
     }
     template <typename Happened>
     void until(Happened happened) {
@@ -74,8 +74,8 @@
             service->turn();
         }
     }
-    Asking asking(const std::string& term = "wanted", int rows = 5) {
-        Asking a;
+    ClientQuery asking(const std::string& term = "wanted", int rows = 5) {
+        ClientQuery a;
         a.query_class = "part";
         a.id = "q" + std::to_string(++asked);
         a.deadline_ms = 3000;
@@ -84,20 +84,20 @@
         for (std::uint32_t s = 0; s < fleet.script().shards; ++s) a.shards.push_back(s);
         return a;
     }
-    Answered ask(const Asking& a) {
+    ClientResponse ask(const ClientQuery& a) {
         const std::size_t before = answers.size();
         client->ask(a);
         until([&] { return answers.size() > before; });
         return answers.back();
     }
     // The true answer over all sections but these.
-    std::vector<ReadRow> truth(const SearchCriteria& find, const std::vector<std::uint32_t>& without = {}) {
+    std::vector<RankedRow> truth(const SearchCriteria& find, const std::vector<std::uint32_t>& without = {}) {
         std::vector<std::uint32_t> asked_for;
         for (std::uint32_t s = 0; s < fleet.script().shards; ++s)
             if (std::find(without.begin(), without.end(), s) == without.end()) asked_for.push_back(s);
-        return true_answer(fleet.script().sections, asked_for, find);
+        return expected_rows(fleet.script().sections, asked_for, find);
     }
-    void check_true(const Asking& a, const Answered& got) {
+    void check_true(const ClientQuery& a, const ClientResponse& got) {
         REQUIRE(got.status == 200);
         CHECK(got.rows(a.find.rows) == truth(a.find, got.missing_shards));
         CHECK(got.whole == got.missing_shards.empty());
@@ -112,12 +112,12 @@
 TEST_CASE("a query in two phases fetches from the sections worth asking alone, and loses no row") {
     const double matching = GENERATE(0.1, 0.5, 1.0);
     World w(fleet_text(40, "rows = 20\nmatching = " + std::to_string(matching) + "\ntop = 0.1\nseed = 3\n"));
-    const Asking a = w.asking();
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking();
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.whole);
     CHECK(got.pruned.sections >= 36);
-    CHECK(w.fleet.work().words == 40);
+    CHECK(w.fleet.work().summaries == 40);
     CHECK(w.fleet.work().rows == got.answered.sections);
     CHECK(w.fleet.work().calls == 0);
     CHECK(w.counts().kept_budget == 1);
@@ -125,20 +125,20 @@
 
 TEST_CASE("a query without a find, with too many rows or in another vertical has one phase, as ever") {
     World w(fleet_text(4, "rows = 5\n"), "two_phase \"part\" { most_rows = 8 }");
-    Asking plain = w.asking();
+    ClientQuery plain = w.asking();
     plain.two_phase = false;
     CHECK(w.ask(plain).whole);
     CHECK(w.ask(w.asking("wanted", 9)).whole);
-    Asking keyed = w.asking();
+    ClientQuery keyed = w.asking();
     keyed.query_class = "keyed", keyed.key = "k";
     CHECK(w.ask(keyed).whole);
-    CHECK(w.fleet.work().words + w.fleet.work().rows == 0);
+    CHECK(w.fleet.work().summaries + w.fleet.work().rows == 0);
     CHECK(w.fleet.work().calls == 12);
 }
 
 TEST_CASE("a malformed find is refused once, before any leaf call") {
     World w(fleet_text(4, "rows = 5\n"));
-    Asking a = w.asking();
+    ClientQuery a = w.asking();
     a.find.rows = 0;
     CHECK(w.ask(a).status == 400);
     a = w.asking(std::string(300, 't'));
@@ -154,8 +154,8 @@
 
 TEST_CASE("with every section pruned the answer is whole and holds no rows") {
     World w(fleet_text(12, "rows = 5\n"));
-    const Asking a = w.asking("nowhere");
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking("nowhere");
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.values.empty());
     CHECK(got.whole);
@@ -165,9 +165,9 @@
 
 TEST_CASE("all but one prune and that one is silent: the answer is not whole, and is not held back") {
     World w(fleet_text(12, "rows = 5\n", 4, "silent_on = [\"7\"]\n"));
-    const Asking a = w.asking("nowhere");
+    const ClientQuery a = w.asking("nowhere");
     const auto began = std::chrono::steady_clock::now();
-    const Answered got = w.ask(a);
+    const ClientResponse got = w.ask(a);
     // Nothing of what is left is in by the time it is due: a rejection, since coming again is harmless.
     CHECK(got.status == 503);
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(3000));
@@ -178,8 +178,8 @@
     World w(fleet_text(
         200, "rows = 6\nmatching = 0.3\ntop = 0.1\n", 4,
         "silent_on = [\"0\",\"9\",\"18\",\"27\",\"36\",\"45\",\"54\",\"63\",\"72\",\"81\",\"90\"]\n"));
-    const Asking a = w.asking("wanted", 100);
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking("wanted", 100);
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK_FALSE(got.whole);
     CHECK(got.missing_shards == std::vector<std::uint32_t>{0, 9, 18, 27, 36, 45, 54, 63, 72, 81, 90});
@@ -189,8 +189,8 @@
 TEST_CASE("a first phase that nobody answers ends by its budget, and the second asks all") {
     World w(fleet_text(8, "rows = 6\n", 4, "silent_words = true\n"),
             "two_phase \"part\" {\n share = 0.2\n least = \"10ms\"\n}");
-    const Asking a = w.asking();
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking();
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.whole);
     CHECK(got.answered.sections == 8);
@@ -201,9 +201,9 @@
 
 TEST_CASE("a budget shorter than one round has no first phase") {
     World w(fleet_text(8, "rows = 6\n"), "two_phase \"part\" { least = \"250ms\" }");
-    const Asking a = w.asking();
+    const ClientQuery a = w.asking();
     w.check_true(a, w.ask(a));
-    CHECK(w.fleet.work().words == 0);
+    CHECK(w.fleet.work().summaries == 0);
     CHECK(w.counts().first_phases == 0);
 }
 
@@ -211,8 +211,8 @@
     const std::string how = GENERATE("words", "close");
     World w(fleet_text(16, "rows = 8\nmatching = 0.5\ntop = 0.2\n"));
     w.fleet.behaviour(0).refusal = w.fleet.behaviour(1).refusal =
-        how == "words" ? Refusal::words : Refusal::close;
-    Asking a = w.asking();
+        how == "words" ? Refusal::error_frame : Refusal::close;
+    ClientQuery a = w.asking();
     w.check_true(a, w.ask(a));
     const auto& speakers = w.service->dispatcher().speakers();
     const auto one_phase = [&] {
@@ -222,7 +222,7 @@
     };
     for (int i = 0; i < 6; ++i) {
         a = w.asking();
-        const Answered got = w.ask(a);
+        const ClientResponse got = w.ask(a);
         w.check_true(a, got);
         CHECK(got.whole);
     }
@@ -230,10 +230,10 @@
     // Shards whose holders are both of one phase go straight to the second.
     const auto calls = w.fleet.nodes[0].work.calls + w.fleet.nodes[1].work.calls;
     CHECK(calls > 0);
-    const std::uint64_t words = w.fleet.work().words;
+    const std::uint64_t words = w.fleet.work().summaries;
     a = w.asking();
     w.check_true(a, w.ask(a));
-    CHECK(w.fleet.work().words - words == 12);
+    CHECK(w.fleet.work().summaries - words == 12);
     // A new start of the node is a new entry.
     w.fleet.behaviour(0).refusal = w.fleet.behaviour(1).refusal = Refusal::none;
     w.fleet.behaviour(0).starts = w.fleet.behaviour(1).starts = 1000;
@@ -243,13 +243,13 @@
 
 TEST_CASE("a refusal of two phases costs no other call on that node") {
     World w(fleet_text(8, "rows = 4\n", 4, "call_delay = \"40ms\"\nrefuses_phases = \"close\"\n"));
-    Asking keyed = w.asking();
+    ClientQuery keyed = w.asking();
     keyed.query_class = "keyed", keyed.key = "k";
     w.client->ask(keyed);
     w.until([&] { return w.fleet.work().calls == 8; });
-    std::vector<Answered> other;
-    Client second(w.io, w.service->port(), [&](Answered got) { other.push_back(std::move(got)); });
-    const Asking a = w.asking();
+    std::vector<ClientResponse> other;
+    Client second(w.io, w.service->port(), [&](ClientResponse got) { other.push_back(std::move(got)); });
+    const ClientQuery a = w.asking();
     second.ask(a);
     w.until([&] { return w.answers.size() == 1 && other.size() == 1; });
     CHECK(w.answers[0].whole);
@@ -263,13 +263,13 @@
     World w(fleet_text(16, "rows = 8\ntop = 0.5\n", 4),
             "two_phase \"part\" {}\nsection_memory { distrust = \"60s\" }");
     w.fleet.behaviour(2).bound_error = 9000;
-    const Asking a = w.asking("wanted", 3);
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking("wanted", 3);
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.whole);
     CHECK(w.counts().wrong_words >= 1);
     CHECK(w.counts().rechecked == 1);
-    const Asking next = w.asking("wanted", 3);
+    const ClientQuery next = w.asking("wanted", 3);
     w.check_true(next, w.ask(next));
     CHECK(w.counts().rechecked == 1);  // its words were not used
 }
@@ -277,8 +277,8 @@
 TEST_CASE("audits find a node that hides its rows") {
     World w(fleet_text(16, "rows = 8\n"), "two_phase \"part\" { audit = 1 }");
     w.fleet.behaviour(1).hides_rows = true;
-    const Asking a = w.asking();
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking();
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.whole);
     CHECK(w.counts().wrong_words >= 1);
@@ -287,8 +287,8 @@
 TEST_CASE("rows of an older version than the word's are not used; another holder is asked") {
     World w(fleet_text(8, "rows = 8\n"));
     w.fleet.behaviour(0).behind = 1;
-    const Asking a = w.asking();
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking();
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.whole);
     CHECK(w.counts().stale_rows >= 1);
@@ -306,8 +306,8 @@
                     w.fleet.script().sections[s].rows[0].rank >= 1000)
                     w.fleet.play({0, "", {}, {s}, -5000});
         };
-    const Asking a = w.asking();
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking();
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.whole);
     CHECK(w.counts().rechecked == 1);
@@ -316,11 +316,11 @@
 TEST_CASE("a client that leaves between the phases leaves nothing to be asked") {
     World w(fleet_text(8, "rows = 8\n", 4, "word_delay = \"20ms\"\n"));
     w.client->ask(w.asking());
-    w.until([&] { return w.fleet.work().words == 8; });
+    w.until([&] { return w.fleet.work().summaries == 8; });
     w.client->leave();
     w.until([&] { return w.service->dispatcher().unfinished_count() == 0; });
     w.connect();
-    Asking keyed = w.asking();
+    ClientQuery keyed = w.asking();
     keyed.query_class = "keyed", keyed.key = "k";
     CHECK(w.ask(keyed).whole);
     CHECK(w.fleet.work().rows == 0);
@@ -337,7 +337,7 @@
             if (letter == asks_rows && n == 1 && done && !crashes) after.insert(letter);
         };
     w.client->ask(w.asking());
-    w.until([&] { return w.fleet.work().words == 12; });
+    w.until([&] { return w.fleet.work().summaries == 12; });
     if (crashes) {
         w.fleet.nodes[1].crash();
         w.fleet.behaviour(1).lifecycle = "removed";
@@ -347,19 +347,19 @@
     w.fleet.tell();
     done = true;
     w.until([&] { return !w.answers.empty(); });
-    Asking a = w.asking();
+    ClientQuery a = w.asking();
     w.check_true(a, w.answers[0]);
     CHECK(w.answers[0].whole);
     a = w.asking();
-    const std::uint64_t before = w.fleet.nodes[1].work.words + w.fleet.nodes[1].work.rows;
+    const std::uint64_t before = w.fleet.nodes[1].work.summaries + w.fleet.nodes[1].work.rows;
     w.check_true(a, w.ask(a));
-    CHECK(w.fleet.nodes[1].work.words + w.fleet.nodes[1].work.rows == before);
+    CHECK(w.fleet.nodes[1].work.summaries + w.fleet.nodes[1].work.rows == before);
 }
 
 TEST_CASE("SIGTERM between the phases: the query is answered, then the service ends") {
     World w(fleet_text(8, "rows = 8\n"));
     w.client->ask(w.asking());
-    w.until([&] { return w.fleet.work().words == 8; });
+    w.until([&] { return w.fleet.work().summaries == 8; });
     std::raise(SIGTERM);
     w.until([&] { return !w.answers.empty(); });
     CHECK(w.answers[0].whole);
@@ -372,31 +372,31 @@
     // All four nodes may be ejected at once, for 250 ms. The second phase is admitted where that fits into
     // 0.65 of what is left: of 400 ms it does not always.
     World w(fleet_text(8, "rows = 8\n", 4, "garbles_words = true\n"), "two_phase \"part\" {}", true, 800);
-    const Asking a = w.asking();
-    const Answered got = w.ask(a);
+    const ClientQuery a = w.asking();
+    const ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.pruned.sections == 0);
 }
 
 TEST_CASE("what sections said is remembered while their lease runs, and forgotten with a new version") {
     World w(fleet_text(16, "rows = 8\n", 4, "lease = \"10s\"\n"));
-    Asking a = w.asking("nowhere-1");
+    ClientQuery a = w.asking("nowhere-1");
     w.check_true(a, w.ask(a));
-    CHECK(w.fleet.work().words == 16);
+    CHECK(w.fleet.work().summaries == 16);
     a = w.asking("nowhere-2");
-    Answered got = w.ask(a);
+    ClientResponse got = w.ask(a);
     w.check_true(a, got);
     CHECK(got.whole);
-    CHECK(w.fleet.work().words < 18);  // but for what the filters take for a chance to match
+    CHECK(w.fleet.work().summaries < 18);  // but for what the filters take for a chance to match
     CHECK(w.counts().remembered >= 14);
     // A newer version of a section is met in a query that asks it.
-    const std::uint64_t words = w.fleet.work().words;
+    const std::uint64_t words = w.fleet.work().summaries;
     w.fleet.play({0, "", {}, {3}, 0});
     a = w.asking("common");
     w.check_true(a, w.ask(a));
     a = w.asking("nowhere-3");
     w.check_true(a, w.ask(a));
-    CHECK(w.fleet.work().words - words >= 16);
+    CHECK(w.fleet.work().summaries - words >= 16);
     CHECK(w.service->dispatcher().section_filter_cache().bytes() <= SectionFilterCacheConfig().max_bytes);
 }
 
@@ -405,7 +405,7 @@
     std::map<std::uint32_t, int> asked;
     for (DataNode& node : w.fleet.nodes)
         node.on_question = [&](char, std::uint32_t shard) { ++asked[shard]; };
-    const Asking a = w.asking();
+    const ClientQuery a = w.asking();
     CHECK(w.ask(a).status == 503);
     for (const auto& [shard, calls] : asked) CHECK(calls <= 3);
     CHECK(asked.size() == 4);
@@ -420,8 +420,8 @@
     w.fleet.tell();
     w.until([&] { return w.service->dispatcher().nodes().ready() == 4; });
     for (int i = 0; i < 5; ++i) {
-        const Asking a = w.asking();
-        const Answered got = w.ask(a);
+        const ClientQuery a = w.asking();
+        const ClientResponse got = w.ask(a);
         CHECK((got.status == 200 || got.status == 503));
         if (got.status == 200) w.check_true(a, got);
     }
@@ -431,8 +431,8 @@
     World w(fleet_text(8, "rows = 8\n", 4, "word_delay = \"150ms\"\n"), "two_phase \"part\" { share = 0.2 }",
             false);
     for (int i = 0; i < 3; ++i) {
-        const Asking a = w.asking();
-        const Answered got = w.ask(a);
+        const ClientQuery a = w.asking();
+        const ClientResponse got = w.ask(a);
         w.check_true(a, got);
         CHECK(got.whole);
     }
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-using Held = Recorder::Held;
+using State = Recorder::State;
 
 std::vector<ListedEndpoint> fleet(int nodes, Nanos started = 0) {
     std::vector<ListedEndpoint> list;
@@ -55,7 +55,7 @@
         server->stop();
     }
     void tell(std::vector<ListedEndpoint> nodes) {
-        server->take_list({++generation, true, std::move(nodes), 0});
+        server->apply_list({++generation, true, std::move(nodes), 0});
     }
     std::shared_ptr<grpc::Channel> channel() const {
         grpc::ChannelArguments args;
@@ -65,7 +65,7 @@
     }
 };
 
-bool complete(const Held& h, std::size_t pool_size) {
+bool complete(const State& h, std::size_t pool_size) {
     if (h.limits.size() != 4 || h.endpoints.size() != 4 || h.routes.size() != 2 || h.listeners.size() != 2)
         return false;
     return std::all_of(h.endpoints.begin(), h.endpoints.end(),
@@ -108,21 +108,21 @@
     Recorder whole(control.channel(), {.node = "whole"}),
         delta(control.channel(), {.node = "delta", .delta = true});
     for (Recorder* r : {&whole, &delta}) {
-        REQUIRE(r->until([](const Held& h) { return complete(h, 3); }));
-        REQUIRE(r->until([](const Held& h) { return h.limits.at("holders-0") == 30; }));
-        CHECK(r->held().retries.at("part") == 2);
+        REQUIRE(r->wait_until([](const State& h) { return complete(h, 3); }));
+        REQUIRE(r->wait_until([](const State& h) { return h.limits.at("holders-0") == 30; }));
+        CHECK(r->state().max_retries.at("part") == 2);
     }
     auto nodes = fleet(4);
     nodes[1].lifecycle = Lifecycle::draining;
     control.tell(nodes);
     for (Recorder* r : {&whole, &delta}) {
-        CHECK(r->until([](const Held& h) { return h.endpoints.at("holders-1").at("n1").draining; }));
+        CHECK(r->wait_until([](const State& h) { return h.endpoints.at("holders-1").at("n1").draining; }));
     }
     for (Recorder* r : {&whole, &delta}) {
-        CHECK(r->until([](const Held& h) { return !h.endpoints.at("holders-1").contains("n1"); }));
-        CHECK(r->until([](const Held& h) { return h.limits.at("holders-1") == 20; }));
-        CHECK(r->held().mixes == 0);
-        CHECK(r->held().older == 0);
+        CHECK(r->wait_until([](const State& h) { return !h.endpoints.at("holders-1").contains("n1"); }));
+        CHECK(r->wait_until([](const State& h) { return h.limits.at("holders-1") == 20; }));
+        CHECK(r->state().unknown_references == 0);
+        CHECK(r->state().version_regressions == 0);
     }
 }
 
@@ -132,10 +132,11 @@
     Recorder stays(control.channel(), {.node = "a"});
     {
         Recorder leaves(control.channel(), {.node = "b"});
-        REQUIRE(leaves.until([](const Held& h) { return complete(h, 3) && h.limits.at("holders-0") == 30; }));
-        REQUIRE(stays.until([](const Held& h) { return h.limits.at("holders-0") == 30; }));
+        REQUIRE(leaves.wait_until(
+            [](const State& h) { return complete(h, 3) && h.limits.at("holders-0") == 30; }));
+        REQUIRE(stays.wait_until([](const State& h) { return h.limits.at("holders-0") == 30; }));
     }
-    CHECK(stays.until([](const Held& h) { return h.limits.at("holders-0") == 60; }));
+    CHECK(stays.wait_until([](const State& h) { return h.limits.at("holders-0") == 60; }));
 }
 
 TEST_CASE("a connection that is cut in mid-rollout comes back to the current decisions") {
@@ -144,21 +145,21 @@
     const bool delta = GENERATE(false, true);
     for (int i = 0; i < 10; ++i) {
         Recorder r(control.channel(), {.node = "p", .delta = delta});
-        r.until([i](const Held& h) { return h.responses > static_cast<std::uint64_t>(i % 5); });
+        r.wait_until([i](const State& h) { return h.responses > static_cast<std::uint64_t>(i % 5); });
         auto nodes = fleet(8);
         nodes[static_cast<std::size_t>(i) % 8].lifecycle = Lifecycle::draining;
         control.tell(nodes);
-        r.cut();
+        r.cancel();
         Recorder again(control.channel(), {.node = "p", .delta = delta});
         const std::string drains = "n" + std::to_string(i % 8);
-        REQUIRE(again.until([&](const Held& h) {
+        REQUIRE(again.wait_until([&](const State& h) {
             if (h.endpoints.size() != 4 || h.routes.size() != 2) return false;
             for (const auto& [_, endpoints] : h.endpoints)
                 for (const auto& [node, e] : endpoints)
                     if (node == drains && !e.draining) return false;
             return true;
         }));
-        CHECK(again.held().mixes == 0);
+        CHECK(again.state().unknown_references == 0);
     }
 }
 
@@ -172,16 +173,16 @@
                       }});
     Recorder mute(control.channel(), {.node = "m", .acknowledges = false});
     Recorder sound(control.channel(), {.node = "s", .delta = true});
-    CHECK(rejects.until([](const Held& h) { return h.endpoints.size() == 3 && h.routes.size() == 2; }));
-    CHECK(sound.until([](const Held& h) { return complete(h, 3); }));
-    CHECK(mute.until([](const Held& h) { return complete(h, 3); }));
+    CHECK(rejects.wait_until([](const State& h) { return h.endpoints.size() == 3 && h.routes.size() == 2; }));
+    CHECK(sound.wait_until([](const State& h) { return complete(h, 3); }));
+    CHECK(mute.wait_until([](const State& h) { return complete(h, 3); }));
     auto nodes = fleet(4);
     nodes[0].lifecycle = Lifecycle::draining;
     control.tell(nodes);
-    const auto drained = [](const Held& h) { return h.endpoints.at("holders-0").at("n0").draining || true; };
-    for (Recorder* r : {&mute, &sound, &rejects}) CHECK(r->until(drained));
-    CHECK(mute.until([](const Held& h) { return !h.endpoints.at("holders-0").contains("n0"); }));
-    CHECK(rejects.until([](const Held& h) { return !h.endpoints.at("holders-0").contains("n0"); }));
+    const auto drained = [](const State& h) { return h.endpoints.at("holders-0").at("n0").draining || true; };
+    for (Recorder* r : {&mute, &sound, &rejects}) CHECK(r->wait_until(drained));
+    CHECK(mute.wait_until([](const State& h) { return !h.endpoints.at("holders-0").contains("n0"); }));
+    CHECK(rejects.wait_until([](const State& h) { return !h.endpoints.at("holders-0").contains("n0"); }));
 }
 
 TEST_CASE("a second control service with an older list tells a proxy nothing older until it has caught up") {
@@ -195,31 +196,31 @@
     std::string version;
     {
         Recorder r(first.channel(), {.node = "p"});
-        REQUIRE(r.until([](const Held& h) { return complete(h, 3); }));
-        version = r.held().version;
+        REQUIRE(r.wait_until([](const State& h) { return complete(h, 3); }));
+        version = r.state().version;
     }
     Recorder r(second.channel(), {.node = "p", .known_version = version});
-    CHECK_FALSE(r.until([](const Held& h) { return h.responses > 0; }, std::chrono::milliseconds(200)));
+    CHECK_FALSE(r.wait_until([](const State& h) { return h.responses > 0; }, std::chrono::milliseconds(200)));
     second.generation = 10;
     second.tell(fleet(4));
-    CHECK(r.until([](const Held& h) { return complete(h, 3); }));
+    CHECK(r.wait_until([](const State& h) { return complete(h, 3); }));
 }
 
 TEST_CASE("what can't be read, or makes no sense, ends its own stream with a status") {
     Control control;
     control.tell(fleet(4));
     Recorder sound(control.channel(), {.node = "s"});
-    REQUIRE(sound.until([](const Held& h) { return complete(h, 3); }));
+    REQUIRE(sound.wait_until([](const State& h) { return complete(h, 3); }));
     Recorder nameless(control.channel(), {.node = ""});
-    REQUIRE(nameless.until([](const Held& h) { return h.ended; }));
-    CHECK(nameless.held().status == grpc::StatusCode::INVALID_ARGUMENT);
+    REQUIRE(nameless.wait_until([](const State& h) { return h.ended; }));
+    CHECK(nameless.state().status == grpc::StatusCode::INVALID_ARGUMENT);
     Recorder doubled(control.channel(), {.node = "s"});
-    REQUIRE(sound.until([](const Held& h) { return h.ended; }));
-    CHECK(sound.held().status == grpc::StatusCode::ABORTED);
-    CHECK(doubled.until([](const Held& h) { return complete(h, 3); }));
+    REQUIRE(sound.wait_until([](const State& h) { return h.ended; }));
+    CHECK(sound.state().status == grpc::StatusCode::ABORTED);
+    CHECK(doubled.wait_until([](const State& h) { return complete(h, 3); }));
     Recorder huge(control.channel(), {.node = std::string(3 << 20, 'x')});
-    REQUIRE(huge.until([](const Held& h) { return h.ended; }));
-    CHECK(huge.held().status == grpc::StatusCode::RESOURCE_EXHAUSTED);
+    REQUIRE(huge.wait_until([](const State& h) { return h.ended; }));
+    CHECK(huge.state().status == grpc::StatusCode::RESOURCE_EXHAUSTED);
     for (const char* method : {"StreamAggregatedResources", "DeltaAggregatedResources"}) {
         CHECK(RawStream(control.channel(), method, "\xff\xff\xff garbage").wait() ==
               grpc::StatusCode::INVALID_ARGUMENT);
@@ -231,7 +232,7 @@
     auto nodes = fleet(4);
     nodes[0].lifecycle = Lifecycle::draining;
     control.tell(nodes);
-    CHECK(doubled.until([](const Held& h) { return h.endpoints.at("holders-0").at("n0").draining; }));
+    CHECK(doubled.wait_until([](const State& h) { return h.endpoints.at("holders-0").at("n0").draining; }));
 }
 
 TEST_CASE("a cold fleet's weights and limits climb; a list that shrinks to nothing is not believed") {
@@ -243,14 +244,15 @@
     nodes[2].started_at = now;
     control.tell(nodes);
     Recorder r(control.channel(), {.node = "p", .delta = true});
-    REQUIRE(r.until([](const Held& h) { return complete(h, 3); }));
-    const std::uint32_t cold = r.held().endpoints.at("holders-2").at("n2").weight;
+    REQUIRE(r.wait_until([](const State& h) { return complete(h, 3); }));
+    const std::uint32_t cold = r.state().endpoints.at("holders-2").at("n2").weight;
     CHECK(cold <= 20);
-    CHECK(r.until([cold](const Held& h) { return h.endpoints.at("holders-2").at("n2").weight > cold; }));
+    CHECK(
+        r.wait_until([cold](const State& h) { return h.endpoints.at("holders-2").at("n2").weight > cold; }));
     control.tell({});
     control.tell({});
     Recorder later(control.channel(), {.node = "q"});
-    CHECK(later.until([](const Held& h) { return complete(h, 3); }));
+    CHECK(later.wait_until([](const State& h) { return complete(h, 3); }));
 }
 
 TEST_CASE("a stop ends every stream; the next start's versions are others") {
@@ -260,16 +262,16 @@
     for (int i = 0; i < 50; ++i)
         all.push_back(std::make_unique<Recorder>(
             control->channel(), Recorder::Options{.node = "p" + std::to_string(i), .delta = i % 2 == 0}));
-    for (auto& r : all) REQUIRE(r->until([](const Held& h) { return complete(h, 3); }));
-    const std::string before = all[0]->held().version;
+    for (auto& r : all) REQUIRE(r->wait_until([](const State& h) { return complete(h, 3); }));
+    const std::string before = all[0]->state().version;
     control.reset();
     for (auto& r : all) {
-        REQUIRE(r->until([](const Held& h) { return h.ended; }));
-        CHECK(r->held().mixes == 0);
+        REQUIRE(r->wait_until([](const State& h) { return h.ended; }));
+        CHECK(r->state().unknown_references == 0);
     }
     Control next(1001);
     next.tell(fleet(4));
     Recorder r(next.channel(), {.node = "p0"});
-    REQUIRE(r.until([](const Held& h) { return complete(h, 3); }));
-    CHECK(r.held().version != before);
+    REQUIRE(r.wait_until([](const State& h) { return complete(h, 3); }));
+    CHECK(r.state().version != before);
 }
