--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -5,12 +5,13 @@
 namespace tealcart {
 namespace {
 
-// Many that come at once are reckoned with together: limits are given anew at most so often.
+// Limits are reallocated at most once in this interval, so that proxies that connect at the same time are
+// counted together.
 constexpr Nanos reallocation_interval = 50'000'000;
 
 std::size_t at(XdsType type) { return static_cast<std::size_t>(type); }
 
-// Grows over a proxy's streams, one after the other.
+// Returns a number that grows over successive streams of a proxy.
 std::uint64_t response_order(Controller::StreamId stream, std::uint64_t response) {
     return stream << 32 | response;
 }
@@ -31,7 +32,8 @@
     update_decisions(now_);
 }
 
-// Only what changed is encoded, once for all streams, and only those that subscribed to it are due.
+// Only resources that changed are encoded, once for all streams, and only streams that subscribe to them
+// become due.
 void Controller::update_decisions(Nanos now) {
     Decisions decisions = engine_.decide(now);
     const bool newer = decisions.generation != decisions_.generation;
@@ -51,7 +53,7 @@
         if (first || decisions_.pools[p].limit != decisions.pools[p].limit) {
             limits_.set_total(p, decisions.pools[p].limit);
             reallocate_at_ =
-                std::min(reallocate_at_, first ? now : now + reallocation_interval);  // drains go out first
+                std::min(reallocate_at_, first ? now : now + reallocation_interval);  // drains are sent first
         }
         if (first) resources_[at(XdsType::cluster)][name] = nullptr;
     }
@@ -65,7 +67,7 @@
             mark_changed(XdsType::route, route.name);
         }
     decisions_ = std::move(decisions);
-    if (newer)  // streams that waited for this list, or a later one
+    if (newer)  // streams may have waited for this list
         for (auto& [id, stream] : streams_)
             if (stream.waits_for_list) due_.insert(id);
     if (reallocate_at_ <= now) reallocate_limits();
@@ -96,7 +98,8 @@
     }
 }
 
-// All proxies' limits anew. Less goes out at once; more is given as acknowledgements of less come in.
+// Reallocates the limits of all proxies. Decreases are sent at once; increases follow as decreases are
+// acknowledged.
 void Controller::reallocate_limits() {
     allocated_at_change_ = limits_.change_count();
     reallocate_at_ = INT64_MAX;
@@ -107,8 +110,8 @@
             update_clusters(stream);
             if (stream.clusters_changed != before) due_.insert(id);
         }
-    // Bytes for limits that nobody has any more are dropped.
-    std::erase_if(cluster_by_limit_, [](const auto& c) { return c.second.use_count() == 1; });
+    // Drops encoded clusters that no stream uses any more.
+    std::erase_if(cluster_by_limit_, [](const auto& entry) { return entry.second.use_count() == 1; });
 }
 
 ResourcePtr Controller::cluster(std::uint32_t pool, std::uint32_t limit) {
@@ -157,7 +160,7 @@
                                            Nanos now) {
     now_ = std::max(now_, now);
     const auto found = streams_.find(id);
-    if (found == streams_.end()) return Refusal::none;  // it is being closed
+    if (found == streams_.end()) return Refusal::none;  // the stream is being closed
     Stream& stream = found->second;
     if (stream.node.empty()) {
         if (node.empty()) return Refusal::no_node;
@@ -165,9 +168,9 @@
             stream_by_node_.size() >= static_cast<std::size_t>(control_.max_proxies))
             return Refusal::full;
         stream.node = node;
-        // The same node on another stream has connected anew; the old one has not noticed yet.
-        const auto [other, fresh] = stream_by_node_.try_emplace(node, id);
-        if (!fresh) {
+        // If the node is known on another stream, it has reconnected before the old stream's end was noticed.
+        const auto [other, is_new] = stream_by_node_.try_emplace(node, id);
+        if (!is_new) {
             ended_.push_back(other->second);
             if (const auto old = streams_.find(other->second); old != streams_.end()) old->second.proxy = 0;
             other->second = id;
@@ -237,14 +240,15 @@
         stream.wake_at = when;
         wake_ups_.insert({when, id});
     };
-    // It has been acknowledged_response of a newer list by another control service: nothing older is
-    // acknowledged_response it, but for so long alone, since discovery may count from the beginning again.
+    // Another control service has sent the proxy a newer list: nothing older is sent to it, but only for a
+    // limited time, since discovery may have restarted its numbering.
     if (stream.state.known_generation() > decisions_.generation &&
         now_ < stream.opened_at + control_.yield_after) {
         if (!stream.waits_for_list)
-            log_lines_.push_back("proxy " + stream.node + " knows list " +
-                                 std::to_string(stream.state.known_generation()) + ", this is " +
-                                 std::to_string(decisions_.generation) + ": it waits");
+            log_lines_.push_back("proxy " + stream.node + " has endpoint list " +
+                                 std::to_string(stream.state.known_generation()) +
+                                 " and this service has list " + std::to_string(decisions_.generation) +
+                                 ": it gets no older decisions for now");
         stream.waits_for_list = true;
         wake(stream.opened_at + control_.yield_after);
         return std::nullopt;
@@ -253,7 +257,7 @@
     auto out = stream.state.next(view_of(stream), now_);
     if (out && out->type == XdsType::cluster) {
         std::vector<std::uint32_t> limits(decisions_.pools.size());
-        for (const ResourcePtr& c : stream.state.clusters()) limits[c->pool] = c->limit;
+        for (const ResourcePtr& cluster : stream.state.clusters()) limits[cluster->pool] = cluster->limit;
         limits_.on_sent(stream.proxy, response_order(id, out->number), limits);
     }
     if (stream.state.wake_at() != INT64_MAX) wake(stream.state.wake_at());
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -1,6 +1,6 @@
-// The control service without its sockets: decisions turned into resources, streams of proxies, who is to be
-// acknowledged_response, and limits divided over the proxies that are here. Time is given; all calls come
-// from one thread at a time.
+// The control service without its sockets: encodes decisions as resources, keeps the streams of proxies,
+// determines which streams have something to send, and divides limits over the connected proxies. The caller
+// passes the time in and makes all calls from one thread at a time.
 #pragma once
 
 #include <set>
@@ -15,28 +15,29 @@
 
 namespace tealcart {
 
+// Ties the decision engine, the limit allocator and the proxies' streams together.
 class Controller {
   public:
     using StreamId = std::uint64_t;
-    // How a message is answered where the stream can't go on; none: it goes on.
+    // Why a stream must end after a request; `none` if it goes on.
     enum class Refusal : std::uint8_t { none, no_node, other_node, unknown_type, too_many, full };
 
-    // `epoch`: another at each start, growing (ms since the Unix epoch).
+    // `epoch` must grow from one start to the next (milliseconds since the Unix epoch).
     Controller(const RouterConfig& config, const std::vector<std::string>& query_classes,
                const ControlConfig& control, const ResourceEncoder& encoder, std::uint64_t seed,
                std::uint64_t epoch);
 
     void apply_list(const EndpointList& list, Nanos now);
-    // What time alone changes: ramps, graces, waits for acknowledgements.
+    // Applies changes that are due to time alone: ramps, grace periods, acknowledgement timeouts.
     void tick(Nanos now);
 
     StreamId open(bool delta, Nanos now);
-    // `node` is empty where the message names none, which only a stream's first must.
+    // `node` is empty if the request names none; only the first request of a stream has to.
     Refusal on_request(StreamId id, const std::string& node, const ProxyRequest& request, Nanos now);
     std::optional<ProxyResponse> next(StreamId id, Nanos now);
     void close(StreamId id, Nanos now);
-    // Streams that may have something to send since this was last called. One whose node has come anew on
-    // another stream is among `ended`: it is to be closed.
+    // Returns the streams that may have something to send since the last call. A stream whose node has
+    // connected again on another stream is returned by `take_ended` and must be closed.
     std::vector<StreamId> take_due();
     std::vector<StreamId> take_ended() { return std::exchange(ended_, {}); }
 
@@ -56,9 +57,9 @@
         Nanos opened_at = 0, wake_at = INT64_MAX;
         std::string node;
         std::uint64_t proxy = 0;  // 0 until its node is known
-        ResourceMap clusters;     // with its own limits
+        ResourceMap clusters;     // with the proxy's own limits
         std::uint64_t clusters_changed = 0;
-        bool waits_for_list = false;  // it knows of a newer list than we have
+        bool waits_for_list = false;  // the proxy knows of a newer list than this service has
     };
     struct Subscribers {
         std::unordered_map<std::string, std::unordered_set<StreamId>> by_name;
@@ -81,16 +82,18 @@
     DecisionEngine engine_;
     Decisions decisions_;
     LimitAllocator limits_;
-    std::array<ResourceMap, xds_types> resources_;  // clusters: names alone, each proxy has its own
+    // For clusters it has only the names, since each proxy has its own resources.
+    std::array<ResourceMap, xds_types> resources_;
     std::array<std::uint64_t, xds_types> change_counts_{};
     std::vector<std::string> pool_names_;
     std::map<std::pair<std::uint32_t, std::uint32_t>, ResourcePtr> cluster_by_limit_;
     std::uint64_t number_ = 0, encoded_ = 0;
-    std::uint64_t allocated_at_change_ = 0;  // the shares' changes when limits were last given
+    std::uint64_t allocated_at_change_ = 0;  // the allocator's change count when limits were last allocated
     Nanos reallocate_at_ = INT64_MAX, now_ = 0;
     std::unordered_map<StreamId, Stream> streams_;
     std::unordered_map<std::string, StreamId> stream_by_node_;
-    std::unordered_map<std::string, std::uint64_t> proxy_ids_;  // kept while its grace lasts
+    // Kept during the grace period after a proxy has left.
+    std::unordered_map<std::string, std::uint64_t> proxy_ids_;
     std::map<std::uint64_t, std::pair<Nanos, std::string>> departed_;
     std::array<Subscribers, xds_types> subscribers_;
     std::unordered_set<StreamId> due_;
--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -9,9 +9,11 @@
 namespace {
 
 constexpr double warm_weight = 100;
-constexpr double weight_step = 5;  // a ramp moves in such steps, so that proxies aren't sent every change
+// The weight of a node that warms up moves in steps of this size, so that proxies aren't sent every small
+// change.
+constexpr double weight_step = 5;
 
-// One endpoint list, as the only event of a round.
+// An endpoint list as the only event of a round.
 class ListEvent final : public RoundEvents {
   public:
     ListEvent(ListKind kind, std::vector<Endpoint> entries) : kind_(kind), entries_(std::move(entries)) {}
@@ -22,7 +24,8 @@
     std::vector<Endpoint> entries_;
 };
 
-// Drops all decisions: the module is given lists and asked for capacity shares, but has no queries here.
+// Discards all decisions: the module gets endpoint lists and is asked for capacity shares, but it has no
+// queries here.
 class NullDecisionSink final : public DecisionSink {
   public:
     void send_attempt(std::uint32_t, std::uint32_t, Nanos) override {}
@@ -75,14 +78,14 @@
     if (is_draining && node.draining_since == 0) node.draining_since = now_;
 }
 
-// Drains are applied whatever else a list says. Removals are not applied where too much of the fleet is
-// removed at once: guards against a discovery that has lost its own list.
+// Drains are applied whatever else a list contains. Removals are not applied if they take away too much of
+// the fleet at once. This guards against a discovery service that has lost its own list.
 void DecisionEngine::apply_list(const EndpointList& list, Nanos now) {
     now_ = std::max(now_, now);
     list_received_at_ = now_;
     generation_ = list.generation;
     const std::vector<std::string> removed = removed_by(list);
-    // Of several entries with one id the last one holds; new ids are numbered in their order.
+    // The last of several entries with one id is used. New nodes are numbered in the order of their ids.
     std::map<std::string, const ListedEndpoint*> listed;
     for (const ListedEndpoint& entry : list.nodes) listed[entry.id] = &entry;
     for (const auto& [id, entry] : listed)
@@ -108,7 +111,7 @@
             panic_until_ = now_ + control_.panic_hold;
             log_lines_.push_back("list " + std::to_string(generation_) + " leaves " + std::to_string(left) +
                                  " of " + std::to_string(max_in_window) +
-                                 " data nodes: not believed for a while, what went stays");
+                                 " ready data nodes; its removals are not applied for now");
         }
         for (const std::string& id : removed) nodes_[id].missing_since = now_;
         return;
@@ -116,8 +119,9 @@
     for (const std::string& id : removed) nodes_.erase(id);
     if (panic_until_ == 0 || too_few) return;
     panic_until_ = 0;
-    log_lines_.push_back("list " + std::to_string(generation_) +
-                         " is believed again: " + std::to_string(left) + " data nodes");
+    log_lines_.push_back(
+        "list " + std::to_string(generation_) +
+        " has enough ready data nodes again, its removals are applied: " + std::to_string(left) + " ready");
     forget_missing();
 }
 
@@ -137,8 +141,8 @@
 void DecisionEngine::end_expired_panic() {
     if (panic_until_ == 0 || now_ < panic_until_) return;
     panic_until_ = 0;
-    log_lines_.push_back("what went from the list stays away: " + std::to_string(ready()) +
-                         " data nodes are left");
+    log_lines_.push_back("the removed data nodes did not return, their removal is applied: " +
+                         std::to_string(ready()) + " data nodes are ready");
     forget_missing();
     max_ready_.clear();
     update_module(now_);
@@ -155,7 +159,8 @@
     if (panic_until_ > 0) next_change_ = std::min(next_change_, panic_until_);
 }
 
-// Rounded down, so that a node is never given more than it may get; 1 at least, since 0 is no weight in xDS.
+// Rounds down so that a node never gets more than its share. The result is at least 1, since xDS does not
+// allow a weight of 0.
 std::uint32_t DecisionEngine::weight_of(double share) {
     const double weight = warm_weight * share;
     return static_cast<std::uint32_t>(std::max(1.0, std::floor(weight / weight_step) * weight_step));
--- a/src/control/limit_allocator.cpp
+++ b/src/control/limit_allocator.cpp
@@ -16,7 +16,7 @@
     found->second.connected = true;
     ++connected_;
     ++change_count_;
-    // Those that came before keep their places.
+    // Proxies that joined earlier keep their ranks.
     if (std::next(found) == proxies_.end())
         found->second.rank = static_cast<std::uint32_t>(connected_ - 1);
     else
@@ -69,8 +69,8 @@
         const std::uint32_t even = totals_[pool] / count + (state.rank < totals_[pool] % count ? 1 : 0);
         const std::uint32_t current = state.sent.empty() ? 0 : state.sent.back().limits[pool];
         allowed[pool] = even;
-        if (even <= current) continue;  // less takes nobody anything
-        // More only of what nobody can have in use any more, this proxy's own aside.
+        if (even <= current) continue;  // a decrease takes nothing from other proxies
+        // An increase may only use what no other proxy can have in use.
         const std::uint64_t others = in_use_[pool] - in_use(state, pool);
         const std::uint64_t room = totals_[pool] > others ? totals_[pool] - others : 0;
         allowed[pool] = std::max(current, static_cast<std::uint32_t>(std::min<std::uint64_t>(even, room)));
@@ -85,8 +85,8 @@
         const std::uint32_t before = in_use(state, pool);
         if (limits[pool] > before) in_use_[pool] += limits[pool] - before;
     }
-    // What is told on and on without a word back stays bounded: all between the first and the last count as
-    // one.
+    // The list stays bounded if a proxy never acknowledges: all limits between the first and the last are
+    // merged into one entry.
     if (state.sent.size() >= 3) {
         for (std::size_t pool = 0; pool < limits.size(); ++pool)
             state.sent[1].limits[pool] = std::max(state.sent[1].limits[pool], state.sent[2].limits[pool]);
@@ -102,7 +102,8 @@
     auto& sent = found->second.sent;
     const auto from = std::find_if(sent.begin(), sent.end(),
                                    [number](const SentLimits& limits) { return limits.number >= number; });
-    // One that was folded into others says nothing for sure, unless it is theirs.
+    // The acknowledgement of limits that were merged into others is not conclusive, unless the merged entry
+    // has their number.
     if (from == sent.end() || from->number != number || from == sent.begin()) return;
     std::vector<std::uint32_t> before(totals_.size());
     for (std::size_t pool = 0; pool < before.size(); ++pool) before[pool] = in_use(found->second, pool);
--- a/src/control/limit_allocator.hpp
+++ b/src/control/limit_allocator.hpp
@@ -1,6 +1,7 @@
-// Limits that hold for all proxies together, divided among them. What was told to a proxy counts as in use
-// until it acknowledged less, or left and its grace is over; so the sum in use never passes a total that
-// stood still. A total that shrinks is passed for as long as the proxies take to acknowledge. No I/O.
+// Divides limits that hold for all proxies together. What was sent to a proxy counts as in use until the
+// proxy acknowledges less, or until it has left and its grace period is over; so the sum in use never exceeds
+// a total that doesn't change. After a total shrinks, the sum exceeds it until the proxies acknowledge. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +12,7 @@
 
 namespace tealcart {
 
+// Limits are kept for each pool; proxies are identified by numbers that grow in the order in which they join.
 class LimitAllocator {
   public:
     explicit LimitAllocator(std::size_t pools) : totals_(pools), in_use_(pools) {}
@@ -18,24 +20,26 @@
     void set_total(std::size_t pool, std::uint32_t total) { totals_[pool] = total; }
 
     void join(std::uint64_t proxy);
-    // It may go by what it was told until `until`.
+    // The proxy may use the limits that it was sent until `expires_at`.
     void leave(std::uint64_t proxy, Nanos expires_at);
-    void expire(Nanos now);  // forgets those whose grace is over
+    // Forgets proxies that have left and whose grace period is over.
+    void expire(Nanos now);
 
-    // What this proxy may be told now: its even share or, where others hold more than theirs, what is
-    // left of the total, but never less than it could have in use without passing anything.
-    std::vector<std::uint32_t> allowed_limits(std::uint64_t proxy) const;  // by pool
-    // It is being told these limits under this number; larger numbers are later.
+    // Returns the limits, by pool, that the proxy may be sent now: its even share or, if other proxies hold
+    // more than theirs, what is left of the total, but never less than the proxy already has within that
+    // bound.
+    std::vector<std::uint32_t> allowed_limits(std::uint64_t proxy) const;
+    // These limits are being sent to the proxy under this number; later limits have larger numbers.
     void on_sent(std::uint64_t proxy, std::uint64_t number, const std::vector<std::uint32_t>& limits);
-    // It goes by what it was told under this number, and by nothing earlier.
+    // The proxy now uses the limits that were sent under this number, and no earlier ones.
     void on_acknowledged(std::uint64_t proxy, std::uint64_t number);
 
-    // The most that one proxy, and all together, may have in use.
+    // Return the highest limit that one proxy, or all proxies together, may be using.
     std::uint32_t in_use(std::uint64_t proxy, std::size_t pool) const;
     std::uint64_t in_use(std::size_t pool) const;
     std::uint32_t total(std::size_t pool) const { return totals_[pool]; }
     std::size_t proxies() const { return connected_; }
-    // Moves with each change after which some proxy's allowed may be another.
+    // Grows with each change after which the allowed limits of some proxy may differ.
     std::uint64_t change_count() const { return change_count_; }
 
   private:
@@ -44,10 +48,10 @@
         std::vector<std::uint32_t> limits;
     };
     struct Proxy {
-        std::vector<SentLimits> sent;  // the acknowledged one first, then what was told since
+        std::vector<SentLimits> sent;  // the acknowledged limits first, then those sent since
         bool connected = true;
         Nanos expires_at = 0;
-        std::uint32_t rank = 0;  // of those that are here, in the order in which they came
+        std::uint32_t rank = 0;  // among the connected proxies, in the order in which they joined
     };
 
     static std::uint32_t in_use(const Proxy& proxy, std::size_t pool);
@@ -55,7 +59,7 @@
 
     std::vector<std::uint32_t> totals_;
     std::map<std::uint64_t, Proxy> proxies_;
-    std::vector<std::uint64_t> in_use_;  // in use, by pool
+    std::vector<std::uint64_t> in_use_;  // by pool
     std::size_t connected_ = 0;
     std::uint64_t change_count_ = 0;
 };
--- a/src/control/proxy_stream.cpp
+++ b/src/control/proxy_stream.cpp
@@ -25,13 +25,15 @@
         request.initial_versions.size() > max_names)
         return RequestResult::too_many;
     Subscription& subscription = subscriptions_[index(*type)];
+    // Removals of these types may have waited for other types.
     subscriptions_[index(XdsType::cluster)].up_to_date = subscriptions_[index(XdsType::endpoint)].up_to_date =
-        false;  // what waited for others
+        false;
     const bool first = !subscription.requested;
-    // With a nonce it is about a response of this stream: the last of its type, or it is out of date.
+    // A request with a nonce answers a response on this stream; it is stale if that is not the latest of its
+    // type.
     const bool is_reply = !request.nonce.empty() && !first;
     if (is_reply && number_of(request.nonce) != subscription.last_response) {
-        // A delta's subscriptions hold all the same: they are changes, not the whole.
+        // A stale delta request still changes subscriptions, because it states differences.
         if (delta_) apply_delta(subscription, *type, request, false, names), subscription.up_to_date = false;
         return RequestResult::stale;
     }
@@ -62,12 +64,12 @@
     subscription.up_to_date = false;
     std::set<std::string> names(request.names.begin(), request.names.end());
     const bool has_wildcard = names.erase("*") > 0;
-    // No names at all mean everything, for as long as none was ever named.
+    // An empty list of names subscribes to everything, as long as no name was ever listed.
     const bool wildcard =
         has_wildcard || (is_sent_whole(type) && request.names.empty() && (first || subscription.wildcard));
     if (names != subscription.names || wildcard != subscription.wildcard)
         std::erase_if(subscription.sent,
-                      [&](const auto& h) { return !wildcard && !names.contains(h.first); });
+                      [&](const auto& entry) { return !wildcard && !names.contains(entry.first); });
     std::set_difference(names.begin(), names.end(), subscription.names.begin(), subscription.names.end(),
                         std::back_inserter(change.added));
     std::set_difference(subscription.names.begin(), subscription.names.end(), names.begin(), names.end(),
@@ -93,7 +95,7 @@
             continue;
         }
         if (subscription.names.insert(name).second) change.added.push_back(name);
-        if (!first) subscription.sent.erase(name);  // asked for anew: acknowledged_response anew
+        if (!first) subscription.sent.erase(name);  // a repeated subscription is sent again
     }
     for (const std::string& name : request.unsubscribe) {
         if (name == "*") subscription.wildcard = false;
@@ -106,39 +108,40 @@
 void ProxyStream::acknowledge(Subscription& subscription) {
     subscription.in_flight = false;
     for (const std::string& name : subscription.in_flight_names) {
-        const auto held = subscription.sent.find(name);
-        if (held == subscription.sent.end())
+        const auto sent = subscription.sent.find(name);
+        if (sent == subscription.sent.end())
             subscription.acknowledged.erase(name);
         else
-            subscription.acknowledged[name] = held->second;
+            subscription.acknowledged[name] = sent->second;
         subscription.rejected.erase(name);
     }
     subscription.in_flight_names.clear();
 }
 
-// Which of several is at fault is not acknowledged_response: they go out one by one from then on, so that one
-// that can't be taken holds up no other. One that was alone stays as it was until it changes.
+// A rejection doesn't state which resource is at fault. From then on they are sent one by one, so that a
+// resource that the proxy can't accept doesn't hold up others. A resource that was rejected alone is not sent
+// again until it changes.
 void ProxyStream::reject(Subscription& subscription, const std::string& error) {
     subscription.in_flight = false;
     last_error_ = error.substr(0, 300);
     if (subscription.in_flight_names.size() == 1) {
         const std::string& name = subscription.in_flight_names.front();
-        if (const auto held = subscription.sent.find(name); held != subscription.sent.end())
-            subscription.rejected[name] = held->second.version;
+        if (const auto sent = subscription.sent.find(name); sent != subscription.sent.end())
+            subscription.rejected[name] = sent->second.version;
     } else {
         subscription.one_by_one = true;
     }
     for (const std::string& name : subscription.in_flight_names) {
-        const auto good = subscription.acknowledged.find(name);
-        if (good == subscription.acknowledged.end())
+        const auto acknowledged = subscription.acknowledged.find(name);
+        if (acknowledged == subscription.acknowledged.end())
             subscription.sent.erase(name);
         else
-            subscription.sent[name] = good->second;
+            subscription.sent[name] = acknowledged->second;
     }
     subscription.in_flight_names.clear();
 }
 
-// What it is to hold of this name: the newest, but for one that it has rejected.
+// Returns the newest version of a resource, or the acknowledged one if the proxy has rejected the newest.
 ResourcePtr ProxyStream::wanted_resource(const Subscription& subscription, const ResourceMap& view,
                                          const std::string& name) const {
     const auto now = view.find(name);
@@ -146,11 +149,11 @@
     const auto rejected = subscription.rejected.find(name);
     if (rejected == subscription.rejected.end() || rejected->second != now->second->version)
         return now->second;
-    const auto good = subscription.acknowledged.find(name);
-    return good == subscription.acknowledged.end() ? nullptr : good->second.resource;
+    const auto acknowledged = subscription.acknowledged.find(name);
+    return acknowledged == subscription.acknowledged.end() ? nullptr : acknowledged->second.resource;
 }
 
-// Make before break: what routes or listeners may still refer to stays until they have moved on.
+// Make before break: resources that routes or listeners may refer to stay until those have been updated.
 bool ProxyStream::may_remove(XdsType type, const XdsView& view) const {
     if (type == XdsType::route || type == XdsType::listener) return true;
     const Subscription& routes = subscriptions_[index(XdsType::route)];
@@ -160,22 +163,22 @@
     return to_come.updated.empty() && to_come.removed.empty();
 }
 
-// Finds what differs between what a proxy holds of a type and what it is to hold. Names are given in their
-// order, so that the held ones are walked beside them.
+// Finds the differences between the resources of a type that a proxy has and those it should have. Names are
+// added in order, so that the sent resources can be walked in parallel.
 class ProxyStream::ChangeFinder {
   public:
     ChangeFinder(const ProxyStream& stream, const Subscription& subscription, const ResourceMap& resources)
         : stream_(stream), subscription_(subscription), resources_(resources),
-          held_(subscription.sent.begin()) {}
+          sent_(subscription.sent.begin()) {}
 
-    // All resources, for a wildcard subscription.
+    // Adds all resources, for a wildcard subscription.
     void add_all() {
         for (const auto& [name, resource] : resources_) add(name, &resource);
     }
 
-    // The names that the proxy subscribes to, without those that the wildcard has covered.
+    // Adds the names that the proxy subscribes to, without those that the wildcard covers.
     void add_named() {
-        held_ = subscription_.sent.begin();
+        sent_ = subscription_.sent.begin();
         auto resource = resources_.begin();
         for (const std::string& name : subscription_.names) {
             while (resource != resources_.end() && resource->first < name) ++resource;
@@ -186,39 +189,39 @@
 
     void add_removed() {
         auto resource = resources_.begin();
-        for (const auto& [name, held] : subscription_.sent) {
+        for (const auto& [name, sent] : subscription_.sent) {
             while (resource != resources_.end() && resource->first < name) ++resource;
             const bool exists = resource != resources_.end() && resource->first == name;
-            if (!held.version.empty() && !exists) change_.removed.push_back(name);
+            if (!sent.version.empty() && !exists) change_.removed.push_back(name);
         }
     }
 
     Change take() { return std::move(change_); }
 
   private:
-    // `resource` is null where there is none of this name.
+    // `resource` is null if no resource has this name.
     void add(const std::string& name, const ResourcePtr* resource) {
-        while (held_ != subscription_.sent.end() && held_->first < name) ++held_;
-        const bool is_held = held_ != subscription_.sent.end() && held_->first == name;
+        while (sent_ != subscription_.sent.end() && sent_->first < name) ++sent_;
+        const bool is_sent = sent_ != subscription_.sent.end() && sent_->first == name;
         ResourcePtr wanted;
         if (resource != nullptr)
             wanted = subscription_.rejected.empty()
                          ? *resource
                          : stream_.wanted_resource(subscription_, resources_, name);
         if (wanted == nullptr) {
-            if (!is_held && stream_.delta_ && resource == nullptr)
+            if (!is_sent && stream_.delta_ && resource == nullptr)
                 change_.updated.emplace_back(name, nullptr);
             return;
         }
-        if (is_held && held_->second.version == wanted->version) return;
-        change_.adds_new |= !is_held || held_->second.version.empty();
+        if (is_sent && sent_->second.version == wanted->version) return;
+        change_.adds_new |= !is_sent || sent_->second.version.empty();
         change_.updated.emplace_back(name, std::move(wanted));
     }
 
     const ProxyStream& stream_;
     const Subscription& subscription_;
     const ResourceMap& resources_;
-    std::map<std::string, SentResource>::const_iterator held_;
+    std::map<std::string, SentResource>::const_iterator sent_;
     Change change_;
 };
 
@@ -234,18 +237,18 @@
 }
 
 void ProxyStream::adopt_initial_versions(Subscription& subscription, const ResourceMap& resources) {
-    for (auto& [name, held] : subscription.sent) {
-        if (held.resource != nullptr || held.version.empty()) continue;
+    for (auto& [name, sent] : subscription.sent) {
+        if (sent.resource != nullptr || sent.version.empty()) continue;
         const auto found = resources.find(name);
-        if (found == resources.end() || found->second->version != held.version) continue;
-        held.resource = found->second;
+        if (found == resources.end() || found->second->version != sent.version) continue;
+        sent.resource = found->second;
         subscription.acknowledged[name].resource = found->second;
     }
 }
 
 std::optional<ProxyResponse> ProxyStream::next(const XdsView& view, Nanos now) {
     wake_at_ = INT64_MAX;
-    // Endpoints go before clusters where no cluster is new, so that a drain waits for no limits.
+    // Endpoints are sent before clusters if no cluster is new, so that a drain doesn't wait for limits.
     constexpr std::array order = {XdsType::cluster, XdsType::endpoint, XdsType::listener, XdsType::route};
     std::optional<Change> limits;
     for (const XdsType type : order) {
@@ -259,7 +262,8 @@
         Change due = change(type, view);
         const bool held_back = !due.removed.empty() && !may_remove(type, view);
         if (held_back) due.removed.clear();
-        // In the state of the world a removal of single resources is not sent, only forgotten.
+        // A state-of-the-world stream can't remove single resources of these types, so they are only
+        // forgotten.
         if (!delta_ && !is_sent_whole(type) && due.updated.empty()) forget_removed(subscription, due);
         if (due.empty() && !subscription.owes_response) {
             subscription.up_to_date = !held_back;
@@ -268,7 +272,7 @@
         }
         if (subscription.in_flight && now < subscription.sent_at + ack_wait_) {
             wake_at_ = std::min(wake_at_, subscription.sent_at + ack_wait_);
-            if (due.adds_new) break;  // what refers to it waits
+            if (due.adds_new) break;  // resources that refer to it must wait
             continue;
         }
         if (type == XdsType::cluster && !due.adds_new && due.removed.empty() && !subscription.owes_response) {
@@ -300,7 +304,7 @@
     out.version = format_version(view.version);
     subscription.owes_response = false;
     subscription.sent_at = now;
-    // One that never came back may hold any of what was under way.
+    // If the previous response was never acknowledged, the proxy may have any of its resources.
     if (!subscription.in_flight) subscription.in_flight_names.clear();
     subscription.in_flight = true;
     for (const auto& [name, resource] : due.updated) {
@@ -323,16 +327,16 @@
         subscription.in_flight_names.end());
     if (!delta_ && is_sent_whole(type)) {
         out.removed.clear();
-        for (const auto& [name, held] : subscription.sent)
-            if (held.resource != nullptr) out.resources.push_back(held.resource);
+        for (const auto& [name, sent] : subscription.sent)
+            if (sent.resource != nullptr) out.resources.push_back(sent.resource);
     }
     return out;
 }
 
 std::vector<ResourcePtr> ProxyStream::clusters() const {
     std::vector<ResourcePtr> all;
-    for (const auto& [_, held] : subscriptions_[index(XdsType::cluster)].sent)
-        if (held.resource != nullptr) all.push_back(held.resource);
+    for (const auto& [_, sent] : subscriptions_[index(XdsType::cluster)].sent)
+        if (sent.resource != nullptr) all.push_back(sent.resource);
     return all;
 }
 
--- a/src/control/proxy_stream.hpp
+++ b/src/control/proxy_stream.hpp
@@ -1,6 +1,6 @@
-// One proxy's side of aggregated discovery, state of the world or delta, as a state machine without I/O: what
-// it has subscribed to, what it was acknowledged_response, acknowledged and rejected, and what it is to be
-// acknowledged_response next. Of all that changes while a proxy is slow only the newest is kept.
+// The server side of one proxy's aggregated discovery stream, state-of-the-world or delta, as a state machine
+// without I/O. It tracks what the proxy has subscribed to, was sent, has acknowledged and has rejected, and
+// decides what to send next. If several changes happen while a proxy is slow, only the newest state is sent.
 #pragma once
 
 #include <array>
@@ -14,16 +14,18 @@
 
 namespace tealcart {
 
+// A discovery request of either form.
 struct ProxyRequest {
     std::string type_url, nonce;
-    std::string version;                                  // state of the world: the last that it accepted
-    std::vector<std::string> names;                       // state of the world: all that it wants
+    std::string version;             // state of the world: the last version that the proxy accepted
+    std::vector<std::string> names;  // state of the world: all names that it subscribes to
     std::vector<std::string> subscribe, unsubscribe;      // delta
     std::map<std::string, std::string> initial_versions;  // delta
     bool is_nack = false;
     std::string error;
 };
 
+// A discovery response of either form.
 struct ProxyResponse {
     XdsType type = XdsType::cluster;
     std::string version, nonce;
@@ -32,69 +34,75 @@
     std::uint64_t number = 0;          // of this response on its stream
 };
 
+// The caller passes in requests with `on_request` and takes responses from `next`.
 class ProxyStream {
   public:
+    // What a request was about, or why it can't be accepted.
     enum class RequestResult : std::uint8_t { first, acknowledged, rejected, stale, unknown_type, too_many };
 
     ProxyStream(bool delta, Nanos ack_wait) : delta_(delta), ack_wait_(ack_wait) {}
 
+    // Names of one type that a request subscribes to or unsubscribes from.
     struct SubscriptionChange {
         std::vector<std::string> added, removed;
     };
-    // `acknowledged_response` is the number of the response that it is about, where it is about one; `names`
-    // what it subscribes to from now on, or no more.
+    // Applies a request. `acknowledged_response` is set to the number of the response that the request
+    // acknowledges or rejects, or to 0; `names` receives the changes of the subscription.
     RequestResult on_request(const ProxyRequest& request, std::uint64_t& acknowledged_response,
                              SubscriptionChange& names);
 
-    // What goes out next, if anything may; taken for sent from then on.
+    // Returns the next response, which counts as sent from then on, or nothing if none may be sent now.
     std::optional<ProxyResponse> next(const XdsView& view, Nanos now);
 
-    // When something may go out that may not now; INT64_MAX for never.
+    // Returns when `next` may have a response that it may not return now; INT64_MAX for never.
     Nanos wake_at() const { return wake_at_; }
-    // The newest list that this proxy has heard of from any control service; 0 for none.
+    // Returns the newest list generation that the proxy has got from any control service; 0 for none.
     std::uint64_t known_generation() const { return known_generation_; }
-    // The clusters that it was acknowledged_response and has not rejected.
+    // Returns the clusters that the proxy was sent and has not rejected.
     std::vector<ResourcePtr> clusters() const;
     bool is_wildcard(XdsType type) const { return subscriptions_[index(type)].wildcard; }
     const std::set<std::string>& names(XdsType type) const { return subscriptions_[index(type)].names; }
-    // What it rejected last, for operators: empty for nothing.
+    // Returns the error of the latest rejection, or an empty string.
     const std::string& last_error() const { return last_error_; }
-    // Nothing is under way, and all that it subscribed to was acknowledged_response as `view` has it.
+    // Returns whether no response is in flight and the proxy was sent all that it subscribed to as in `view`.
     bool settled(const XdsView& view) const;
 
-    static constexpr std::size_t max_names = 20'000;  // that one proxy may name for a type
+    static constexpr std::size_t max_names = 20'000;  // names of one type that a proxy may subscribe to
 
   private:
     struct SentResource {
-        std::string version;   // empty: it was acknowledged_response that there is none
-        ResourcePtr resource;  // null where only its version is known
+        std::string version;   // empty if the proxy was told that the resource doesn't exist
+        ResourcePtr resource;  // null if only its version is known
     };
+    // A proxy's subscription to the resources of one type.
     struct Subscription {
-        bool requested = false, wildcard = false,
-             owes_response = false;  // owes: an answer, even an empty one
+        bool requested = false, wildcard = false;
+        bool owes_response = false;  // a response is due, even an empty one
         bool in_flight = false, one_by_one = false;
         std::set<std::string> names;
-        std::vector<std::string> last_names;  // the names as they came last: most messages only repeat them
-        std::map<std::string, SentResource> sent,
-            acknowledged;                             // acknowledged_response; of that, acknowledged
-        std::map<std::string, std::string> rejected;  // versions, by name
-        std::vector<std::string> in_flight_names;     // names that the response under way changes
+        std::vector<std::string> last_names;  // as the proxy listed them last: most requests only repeat them
+        std::map<std::string, SentResource> sent, acknowledged;
+        std::map<std::string, std::string> rejected;  // rejected versions, by name
+        std::vector<std::string> in_flight_names;     // names that the response in flight changes
         std::uint64_t last_response = 0;
         Nanos sent_at = 0;
-        // Nothing was due as of this change of the view, and nothing was heard since that could make it so.
+        // Nothing was due at this change count of the view, and no request has arrived since that could
+        // change this.
         bool up_to_date = false;
         std::uint64_t checked_at_change = 0;
     };
+    // The difference between what a proxy has and what it should have.
     struct Change {
-        std::vector<std::pair<std::string, ResourcePtr>> updated;  // null: there is none
+        std::vector<std::pair<std::string, ResourcePtr>> updated;  // null if the resource doesn't exist
         std::vector<std::string> removed;
-        bool adds_new = false;  // something that it has never held
+        bool adds_new = false;  // includes a resource that the proxy has never had
 
         bool empty() const { return updated.empty() && removed.empty(); }
     };
     class ChangeFinder;
 
     static std::size_t index(XdsType type) { return static_cast<std::size_t>(type); }
+    // Returns whether a state-of-the-world response must contain all resources of the type.
     static bool is_sent_whole(XdsType type) { return type == XdsType::cluster || type == XdsType::listener; }
     void apply_state_of_world(Subscription& subscription, XdsType type, const ProxyRequest& request,
                               bool first, SubscriptionChange& names);
@@ -106,12 +114,12 @@
     ResourcePtr wanted_resource(const Subscription& subscription, const ResourceMap& view,
                                 const std::string& name) const;
     bool may_remove(XdsType type, const XdsView& view) const;
-    // Completes resources of which only the version is known, from another stream, where `resources` has that
+    // Fills in resources of which only the version is known, from an earlier stream, if `resources` has that
     // version.
     static void adopt_initial_versions(Subscription& subscription, const ResourceMap& resources);
-    // Takes the removals out of `due` and out of what the proxy holds.
+    // Drops the removals from `due` and from what counts as sent.
     static void forget_removed(Subscription& subscription, Change& due);
-    // The response for `due`, which counts as sent from here on.
+    // Returns the response for `due`, which counts as sent from here on.
     ProxyResponse compose(XdsType type, const Change& due, const XdsView& view, Nanos now);
 
     const bool delta_;
--- a/src/phases/budget.cpp
+++ b/src/phases/budget.cpp
@@ -7,10 +7,10 @@
 
 Nanos first_phase_end(const TwoPhaseConfig& config, Nanos now, Nanos useful_by) {
     const Nanos left = useful_by - config.response_reserve - now;
-    const auto stated = static_cast<Nanos>(
+    const auto configured = static_cast<Nanos>(
         std::llround(config.first_phase_share * static_cast<double>(std::max<Nanos>(left, 0))));
-    const Nanos first = std::clamp(stated, config.min_first_phase, config.max_first_phase);
-    // The second phase gets no less than the first at its least.
+    const Nanos first = std::clamp(configured, config.min_first_phase, config.max_first_phase);
+    // The second phase gets at least as much time as the shortest first phase.
     return first + config.min_first_phase > left ? now : now + first;
 }
 
--- a/src/phases/budget.hpp
+++ b/src/phases/budget.hpp
@@ -1,13 +1,14 @@
-// How the time of a query in two phases is divided. Pure.
+// Divides the remaining time of a two-phase query between its phases. Pure functions.
 #pragma once
 
 #include "phases/two_phase_config.hpp"
 
 namespace tealcart {
 
-// When a first phase that begins now has to end: `now` where there is no time for one. What it doesn't use is
-// left to the second, which counts by the same clock. `useful_by` is when the answer is due: the SLO time or,
-// once that is over, the end of the client's patience.
+// Returns the deadline of a first phase that starts now, or `now` if there is not enough time for one. Time
+// that the first phase leaves unused is available to the second, because both measure time on the same clock.
+// `useful_by` is when the response is due: the time of the latency objective or, after that has passed, the
+// client's deadline.
 Nanos first_phase_end(const TwoPhaseConfig& config, Nanos now, Nanos useful_by);
 
 }  // namespace tealcart
--- a/src/phases/section_filter_cache.cpp
+++ b/src/phases/section_filter_cache.cpp
@@ -7,13 +7,14 @@
 namespace tealcart {
 namespace {
 
-constexpr Nanos drift_divisor = 50;  // of a lease, that two clocks may drift apart meanwhile: a fiftieth
+// Two clocks may drift apart by a fiftieth of a lease while it lasts.
+constexpr Nanos drift_divisor = 50;
 
 }  // namespace
 
 std::size_t SectionFilter::bytes() const {
     std::size_t sum = terms.capacity() + extents.capacity() * sizeof(Extent);
-    for (const Extent& e : extents) sum += e.field.capacity();
+    for (const Extent& extent : extents) sum += extent.field.capacity();
     return sum;
 }
 
@@ -43,7 +44,7 @@
     if (by_shard_[shard]) {
         Entry& entry = **by_shard_[shard];
         if (entry.version > summary.version) return;
-        if (entry.version == summary.version && entry.node == node) {  // the same summary, for longer
+        if (entry.version == summary.version && entry.node == node) {  // the lease is renewed
             entry.valid_until = std::max(entry.valid_until, valid_until);
             return;
         }
@@ -74,8 +75,9 @@
     const auto is_absent = [&](std::uint64_t hash) { return !may_contain(entry->filter.terms, hash); };
     if (std::any_of(keys.hashes.begin(), keys.hashes.end(), is_absent)) return entry->node;
     for (const FieldRange& range : keys.criteria->ranges)
-        for (const SectionFilter::Extent& e : entry->filter.extents)
-            if (e.field == range.field && (e.max < range.from || e.min > range.to)) return entry->node;
+        for (const SectionFilter::Extent& extent : entry->filter.extents)
+            if (extent.field == range.field && (extent.max < range.from || extent.min > range.to))
+                return entry->node;
     return std::nullopt;
 }
 
--- a/src/phases/section_filter_cache.hpp
+++ b/src/phases/section_filter_cache.hpp
@@ -1,5 +1,5 @@
-// A cache of sections' filters, each valid for its lease. Bounded in bytes: the least recently used one is
-// evicted first. No I/O; the clock is passed in.
+// A cache of sections' filters, each valid for its lease. Its size in bytes is bounded: the least recently
+// used filter is evicted first. It does no I/O, and the caller passes the time in.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace tealcart {
 
-// A query's terms as hashes, computed once for all sections.
+// The search criteria of a query with the hashes of its terms, computed once for all sections.
 struct SearchKeys {
     explicit SearchKeys(const SearchCriteria& search_criteria);
 
@@ -20,22 +20,25 @@
     std::vector<std::uint64_t> hashes;
 };
 
+// Holds at most one filter for each shard. Not thread-safe.
 class SectionFilterCache {
   public:
     SectionFilterCache(const SectionFilterCacheConfig& config, std::uint32_t shards);
 
-    // A summary that came from `node` to a question asked at `requested_at`. Kept where it has a filter and
-    // a lease that still runs; the lease counts from the asking, which is before the node gave it, less what
-    // clocks may differ.
+    // Stores the filter of a summary from `node` to a request sent at `requested_at`, if it has a filter and
+    // a lease that has not expired. The lease counts from the request, which was sent before the node granted
+    // it, and is shortened by what the two clocks may drift apart.
     void store(std::uint32_t shard, std::uint32_t node, const SectionSummary& summary, Nanos requested_at,
                Nanos now);
 
-    // Any answer that names a version: a newer one voids what is kept of an older.
+    // Takes note of the version in any answer: the filter of an older version is dropped.
     void observe_version(std::uint32_t shard, std::uint64_t version);
 
-    // The node whose summary it is that the section can't hold what is looked for; none if it may.
+    // Returns the node whose filter shows that the section has no matching row, or nothing if it may have
+    // one.
     std::optional<std::uint32_t> excluded_by(std::uint32_t shard, const SearchKeys& keys, Nanos now);
 
+    // Drops all filters that came from this node.
     void evict_node(std::uint32_t node);
     void clear();
 
@@ -56,7 +59,7 @@
 
     const std::size_t max_bytes_;
     const Nanos max_lease_;
-    std::list<Entry> by_use_;  // latest first
+    std::list<Entry> by_use_;  // most recently used first
     std::vector<std::optional<EntryIterator>> by_shard_;
     std::size_t bytes_ = 0;
 };
--- a/src/phases/section_summary.hpp
+++ b/src/phases/section_summary.hpp
@@ -1,4 +1,4 @@
-// What a query in two phases asks for, and what a section says of itself in the first. Plain data.
+// What a two-phase query searches for, and the summary that a section returns in the first phase. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -9,38 +9,41 @@
 
 namespace tealcart {
 
+// A closed interval of the values of a field.
 struct FieldRange {
     std::string field;
-    double from = 0, to = 0;  // both ends belong to it
+    double from = 0, to = 0;  // both inclusive
 };
 
-// The rows with all of these terms, in all of these ranges, that rank highest.
+// Selects the highest-ranked rows that have all of these terms and lie in all of these ranges.
 struct SearchCriteria {
     std::vector<std::string> terms;
     std::vector<FieldRange> ranges;
-    int rows = 0;  // so many of them; 0: the query is not one to be put in two phases
+    int rows = 0;  // how many rows to return; 0 if the query can't be executed in two phases
 };
 
-// What a section can hold at one version of it: terms by a split-block Bloom filter, values by their extent.
-// A field without an extent may hold anything.
+// Bounds what one version of a section can contain: terms by a split-block Bloom filter, field values by
+// their extents. A field without an extent may have any value.
 struct SectionFilter {
+    // The least and the greatest value of a field in the section.
     struct Extent {
         std::string field;
         double min = 0, max = 0;
     };
-    std::vector<std::uint8_t> terms;  // blocks of 32 bytes; none: any term
+    std::vector<std::uint8_t> terms;  // blocks of 32 bytes; if empty, the section may contain any term
     std::vector<Extent> extents;
 
+    // Returns the memory that the filter's buffers take, without the struct itself.
     std::size_t bytes() const;
 };
 
-// A section's word on one query.
+// A section's answer to the first phase of a query.
 struct SectionSummary {
     std::uint64_t version = 0;
-    bool no_matches = false;        // no row matches
-    double max_rank = 0;            // no matching row ranks higher
-    std::vector<double> top_ranks;  // ranks of rows that match, highest first
-    Nanos lease = 0;                // how long after the asking this version is the section's only one
+    bool no_matches = false;        // no row of the section matches
+    double max_rank = 0;            // no matching row has a higher rank
+    std::vector<double> top_ranks;  // ranks of matching rows, highest first
+    Nanos lease = 0;  // for how long after the request this version stays the only one of the section
     bool has_filter = false;
     SectionFilter filter;
 };
--- a/src/phases/term_filter.cpp
+++ b/src/phases/term_filter.cpp
@@ -10,7 +10,7 @@
 namespace tealcart {
 namespace {
 
-// The format's own salts.
+// The salts that the Parquet format prescribes.
 constexpr std::uint32_t salts[8] = {0x47b6137bU, 0x44974d91U, 0x8824ad5bU, 0xa2b7289dU,
                                     0x705495c7U, 0x2df1424bU, 0x9efc4947U, 0x5c6bfb31U};
 
@@ -32,7 +32,7 @@
     return std::vector<std::uint8_t>(std::max<std::size_t>(blocks, 1) * filter_block_bytes);
 }
 
-// Bit b of a little-endian word is bit b % 8 of its byte b / 8.
+// Words are little-endian: bit b of a word is bit b % 8 of its byte b / 8.
 void add_term(std::span<std::uint8_t> filter, std::uint64_t hash) {
     if (filter.size() < filter_block_bytes) return;
     std::uint8_t* block = filter.data() + block_offset(filter.size(), hash);
--- a/src/phases/threshold.hpp
+++ b/src/phases/threshold.hpp
@@ -1,4 +1,4 @@
-// The rank that a row must reach to be among the first N, as far as rows are known: a heap of the N highest.
+// The rank that a row must reach to be among the N highest-ranked rows known so far.
 #pragma once
 
 #include <algorithm>
@@ -8,6 +8,7 @@
 
 namespace tealcart {
 
+// Keeps the N highest ranks in a min-heap.
 class TopRankThreshold {
   public:
     explicit TopRankThreshold(int rows) : rows_(static_cast<std::size_t>(std::max(rows, 1))) {}
@@ -23,10 +24,11 @@
         }
     }
 
-    // The rank of the Nth; while fewer are known, any row may still enter.
+    // Returns the Nth highest rank, or minus infinity while fewer than N are known, since any row can enter.
     double value() const { return heap_.size() < rows_ ? -HUGE_VAL : heap_.front(); }
 
-    // A row of rank N itself may stand before others of its rank, so a tie enters.
+    // A tie with the Nth rank can enter, because rows of equal rank have a further order that is not known
+    // here.
     bool can_enter(double max_rank) const { return max_rank >= value(); }
 
   private:
--- a/src/phases/two_phase.cpp
+++ b/src/phases/two_phase.cpp
@@ -34,7 +34,7 @@
     return leg;
 }
 
-// Of two words, the one of the newer version stands; what is heard too late is passed over.
+// Of two summaries the one of the newer version is kept. A summary that arrives after the leg is ignored.
 void TwoPhaseStateMachine::on_summary(std::uint32_t index, std::uint32_t node,
                                       const SectionSummary& summary) {
     Section& section = sections_[index];
@@ -48,10 +48,10 @@
     section.top_ranks = summary.no_matches ? std::vector<double>() : summary.top_ranks;
 }
 
-// A section is left out on its own word alone: that nothing matches, or that no row of it can be among the
-// first N of those which sections have said they hold. Its own rows count too, so that one with a row among
-// them stays.
-void TwoPhaseStateMachine::prune(const std::function<bool()>& audited) {
+// A section is pruned only by its own summary: if no row matches, or if none of its rows can be among the N
+// highest ranks that the summaries state. Its own ranks count too, so that a section with a row among the N
+// highest is not pruned.
+void TwoPhaseStateMachine::prune(const std::function<bool()>& is_audited) {
     TopRankThreshold threshold(rows_);
     for (const Section& section : sections_)
         if (section.result == Result::open)
@@ -61,7 +61,7 @@
         const bool can_prune =
             section.knowledge == Knowledge::no_matches ||
             (section.knowledge == Knowledge::bounded && !threshold.can_enter(section.max_rank));
-        if (!can_prune || audited()) continue;
+        if (!can_prune || is_audited()) continue;
         section.result = Result::pruned;
         ++pruned_by_summary_;
     }
@@ -74,7 +74,7 @@
     for (std::uint32_t i = 0; i < sections_.size(); ++i) {
         const Section& section = sections_[i];
         if (section.result == Result::pruned) continue;
-        // What is missing by now is not asked again, but stands below the line.
+        // A missing section is not queried again, but its weight still counts.
         const int attempts_used = section.result == Result::missing ? max_attempts_ : section.attempts_used;
         leg.shard_requests.push_back({i, section.weight, attempts_used, section.result == Result::answered});
         sum += section.weight;
@@ -94,14 +94,14 @@
     return {};
 }
 
-Leg TwoPhaseStateMachine::end_leg(LegDecision decision, Nanos now, const std::function<bool()>& audited) {
+Leg TwoPhaseStateMachine::end_leg(LegDecision decision, Nanos now, const std::function<bool()>& is_audited) {
     if (state_ == State::ended) return {};
     if (decision != LegDecision::answer) return finish(decision);
     if (state_ == State::summarizing) {
-        prune(audited);
+        prune(is_audited);
         return fetch(State::fetching);
     }
-    // Sections that are not in by now are missing, but those to be rechecked come in anew.
+    // Sections without rows by now are missing; those to be rechecked are opened again below.
     for (Section& section : sections_)
         if (section.result == Result::open) section.result = Result::missing;
     const auto doubtful = doubtful_sections();
@@ -113,7 +113,8 @@
     return fetch(again ? State::rechecking : State::completing);
 }
 
-// What was left out against rows that did not come, or on the word of a node that was wrong since.
+// Returns pruned sections whose pruning is no longer justified: the rows that outranked theirs did not
+// arrive, or the node that gave their summary has been contradicted since.
 std::vector<std::uint32_t> TwoPhaseStateMachine::doubtful_sections() const {
     TopRankThreshold threshold(rows_);
     for (const Section& section : sections_)
@@ -139,8 +140,8 @@
     return has_summary(sections_[section]) && version < sections_[section].version;
 }
 
-// Rows of the version that a word was about must keep to it: none above the bound, none of those it
-// summarized fewer. Rows of a newer version may be any.
+// Rows of the version that was summarized must agree with the summary: no rank above its bound, no rank lower
+// than stated, and not fewer rows than stated. Rows of a newer version are not checked.
 TwoPhaseStateMachine::RowCheck TwoPhaseStateMachine::on_rows(std::uint32_t index, std::uint64_t version,
                                                              const std::vector<double>& ranks) {
     Section& section = sections_[index];
--- a/src/phases/two_phase.hpp
+++ b/src/phases/two_phase.hpp
@@ -1,12 +1,12 @@
-// One query in two phases, as a state machine without I/O.
+// The state machine of one two-phase query, without I/O.
 //
 //     initial -> summarizing -> fetching -> rechecking -> completing -> ended
 //
-// Each state but the first and last is a leg: a question put to the decision module, with shard requests and
-// weights, which it answers as it does any query's (an answer, a rejection, an abort). Any state may be
-// passed over. What the module decides (nodes, retries, giving up) is not decided here; what is:
-// which sections are asked in which leg, how long the first may take, which weight counts, and whether an
-// answer may be called whole.
+// Each state but the first and the last is a leg: a set of weighted shard requests that is passed to the
+// decision module as a query of its own and ends like any query, with an answer, a rejection or a failure.
+// Any state may be skipped. The decision module chooses nodes, retries and when to give up. The state machine
+// chooses the sections of each leg, the time limit of the first leg and the weights, and decides whether the
+// response is complete.
 #pragma once
 
 #include <cstdint>
@@ -22,67 +22,74 @@
 
 namespace tealcart {
 
-// One section of a leg. The weights of a leg's shard requests sum to 1: pruned sections stand on neither
-// side.
+// The request for one section in a leg. The weights of a leg's shard requests add up to 1; pruned sections
+// have no request and no weight in it.
 struct LegShardRequest {
-    std::uint32_t section = 0;  // by its place in the query
+    std::uint32_t section = 0;  // index in the query
     double weight = 0;
-    int attempts_used = 0;  // attempts of the section's cap that are used up, or reserved
-    bool answered = false;  // its rows are in already; it is there for its weight
+    int attempts_used = 0;  // attempts of the section's limit that are used up or reserved
+    bool answered = false;  // its rows have arrived; only its weight counts
 };
 
+// A set of shard requests that the decision module handles as one query; `end` means that none is left.
 struct Leg {
     enum Kind : std::uint8_t { summaries, rows, end } kind = end;
-    Nanos until = 0;  // find: when it has to end
+    Nanos until = 0;  // for summaries: the deadline of the leg
     std::vector<LegShardRequest> shard_requests;
 };
 
+// How the decision module ended a leg.
 enum class LegDecision : std::uint8_t { answer, reject, fail_query };
 
-// What the answer states of its sections.
+// The sections of a query by their results, as the response reports them.
 struct Coverage {
     std::uint32_t answered = 0, pruned = 0, missing = 0;
-    double answered_weight = 0, pruned_weight = 0, missing_weight = 0;  // of the whole query
+    double answered_weight = 0, pruned_weight = 0, missing_weight = 0;  // of the query's total weight
 };
 
+// Executes one query; sections are addressed by their index in the query.
 class TwoPhaseStateMachine {
   public:
     enum class State : std::uint8_t { initial, summarizing, fetching, rechecking, completing, ended };
     enum class RowCheck : std::uint8_t { consistent, contradictory };
 
-    // What is looked up at the begin, for a section by its place.
+    // Lookups that `begin` makes for each section.
     struct SectionLookup {
-        std::function<std::optional<std::uint32_t>(std::uint32_t)> excluded_by;  // by whose remembered word
+        // Returns the node whose cached filter excludes the section, if there is one.
+        std::function<std::optional<std::uint32_t>(std::uint32_t)> excluded_by;
+        // Returns whether a node may give a summary of the section.
         std::function<bool(std::uint32_t)> may_give_summary;
     };
 
-    // `max_attempts`: attempts of a section over all legs; one is reserved for the second phase.
+    // `max_attempts` limits the attempts of a section over all legs; one is reserved for the second phase.
     TwoPhaseStateMachine(const TwoPhaseConfig& config, int rows, int max_attempts,
                          const std::vector<double>& weights);
 
+    // Returns the first leg.
     Leg begin(Nanos now, Nanos useful_by, const SectionLookup& lookup);
 
-    // First phase: a section's summary, and attempts for it that were sent, in any leg.
+    // Takes a section's summary in the first phase. Attempts are counted in any leg.
     void on_summary(std::uint32_t index, std::uint32_t node, const SectionSummary& summary);
     void count_attempt(std::uint32_t section) { ++sections_[section].attempts_used; }
 
-    // The leg in hand has ended as the module decided. Gives the next leg; with Leg::end, `decision` and
-    // `whole` hold. `audited` says, by chance, whether a section that could be pruned is asked all the same.
-    Leg end_leg(LegDecision decision, Nanos now, const std::function<bool()>& audited);
+    // Ends the current leg as the decision module decided and returns the next one. After `Leg::end`,
+    // `decision` and `is_complete` are final. `is_audited` draws whether a section that could be pruned is
+    // queried anyway.
+    Leg end_leg(LegDecision decision, Nanos now, const std::function<bool()>& is_audited);
 
-    // Second phase: rows of a section, by their ranks, highest first; or a value whose rows are not
-    // stated. Rows of a version older than the section's word is of are not to be taken.
+    // Second phase: takes the ranks of a section's rows, highest first, or a value that states no ranks. Rows
+    // of a version older than that of the section's summary are stale and must not be passed in.
     bool is_stale(std::uint32_t section, std::uint64_t version) const;
     RowCheck on_rows(std::uint32_t index, std::uint64_t version, const std::vector<double>& ranks);
     void on_rows_without_ranks(std::uint32_t section);
 
-    const TwoPhaseConfig& config() const { return config_; }  // those it began with
+    const TwoPhaseConfig& config() const { return config_; }  // as of the start of the query
     State state() const { return state_; }
     LegDecision decision() const { return decision_; }
     bool is_complete() const;
     Coverage coverage() const;
     std::vector<std::uint32_t> missing() const;
-    // Nodes whose word was found wrong since last asked.
+    // Returns the nodes whose summaries were contradicted by rows since the last call.
     std::vector<std::uint32_t> take_contradicted_nodes() { return std::exchange(contradicted_nodes_, {}); }
     std::uint32_t pruned_by_summary() const { return pruned_by_summary_; }
     bool rechecked() const { return rechecked_; }
@@ -95,7 +102,7 @@
         Knowledge knowledge = Knowledge::none;
         Result result = Result::open;
         int attempts_used = 0;
-        std::uint32_t node = 0;  // whose word it is
+        std::uint32_t node = 0;  // that gave the summary or the filter
         std::uint64_t version = 0;
         double max_rank = 0;
         std::vector<double> top_ranks, ranks;
@@ -106,7 +113,7 @@
     }
     Leg fetch(State state);
     Leg finish(LegDecision decision);
-    void prune(const std::function<bool()>& audited);
+    void prune(const std::function<bool()>& is_audited);
     std::vector<std::uint32_t> doubtful_sections() const;
     void record_contradiction(std::uint32_t node);
 
--- a/src/phases/two_phase_capability.cpp
+++ b/src/phases/two_phase_capability.cpp
@@ -34,28 +34,28 @@
 }
 
 TwoPhaseCapability::Support TwoPhaseCapability::support(std::uint32_t node) const {
-    const auto at = nodes_.find(node);
-    return at == nodes_.end() ? Support::unknown : at->second.support;
+    const auto found = nodes_.find(node);
+    return found == nodes_.end() ? Support::unknown : found->second.support;
 }
 
 void TwoPhaseCapability::set(std::uint32_t node, Support support) {
-    if (const auto at = nodes_.find(node); at != nodes_.end()) at->second.support = support;
+    if (const auto found = nodes_.find(node); found != nodes_.end()) found->second.support = support;
 }
 
 void TwoPhaseCapability::distrust(std::uint32_t node, Nanos now) {
-    if (const auto at = nodes_.find(node); at != nodes_.end())
-        at->second.distrusted_until = now + distrust_duration_;
+    if (const auto found = nodes_.find(node); found != nodes_.end())
+        found->second.distrusted_until = now + distrust_duration_;
 }
 
 bool TwoPhaseCapability::trusted(std::uint32_t node, Nanos now) const {
-    const auto at = nodes_.find(node);
-    return at == nodes_.end() || at->second.distrusted_until <= now;
+    const auto found = nodes_.find(node);
+    return found == nodes_.end() || found->second.distrusted_until <= now;
 }
 
 bool TwoPhaseCapability::may_give_summary(std::uint32_t shard, Nanos now) const {
-    for (std::uint32_t j = 0; j < width_; ++j)
-        for (const std::uint32_t n : nodes_by_place_[(shard + j) % places_]) {
-            const Node& node = nodes_.at(n);
+    for (std::uint32_t replica = 0; replica < width_; ++replica)
+        for (const std::uint32_t id : nodes_by_place_[(shard + replica) % places_]) {
+            const Node& node = nodes_.at(id);
             if (node.ready && node.support != Support::one_phase && node.distrusted_until <= now) return true;
         }
     return false;
--- a/src/phases/two_phase_capability.hpp
+++ b/src/phases/two_phase_capability.hpp
@@ -1,5 +1,5 @@
-// Which data nodes support queries in two phases, as far as is known, and whose summaries are not used for a
-// while because one was wrong. No I/O.
+// Tracks which data nodes are known to support two-phase queries, and whose summaries are temporarily ignored
+// because one of them was wrong. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 namespace tealcart {
 
-// Which data nodes speak the two-phase frames, and whose summaries are distrusted for now.
+// What is known of each listed data node: its support for the two-phase frames and whether it is trusted.
 class TwoPhaseCapability {
   public:
-    // Shard s lies at places (s + j) mod `places` for j below `width`.
+    // Replicas of shard s are at places (s + j) mod `places` for j below `width`.
     TwoPhaseCapability(int places, int width, Nanos distrust_duration);
 
-    // What the list says of a node now. `restarted`: its entry moved or started again, so what was known is
-    // void.
+    // Applies a node's entry in the endpoint list. If the node `restarted` or its entry moved, what was
+    // known of it is discarded.
     void update_entry(const Endpoint& entry, bool restarted);
 
-    // A whole list: what it does not name is gone.
+    // Forgets all nodes that a full endpoint list does not contain.
     void keep_only(std::span<const Endpoint> entries);
 
     void mark_two_phase(std::uint32_t node) { set(node, Support::two_phase); }
@@ -29,10 +29,11 @@
     bool is_two_phase(std::uint32_t node) const { return support(node) == Support::two_phase; }
     bool is_one_phase(std::uint32_t node) const { return support(node) == Support::one_phase; }
 
+    // Ignores the node's summaries for the configured duration.
     void distrust(std::uint32_t node, Nanos now);
     bool trusted(std::uint32_t node, Nanos now) const;
 
-    // Whether some holder that is ready may give a word on this shard that would be used.
+    // Returns whether a ready node with a replica of this shard may give a summary that would be used.
     bool may_give_summary(std::uint32_t shard, Nanos now) const;
 
     std::size_t size() const { return nodes_.size(); }
--- a/src/xds/encode.cpp
+++ b/src/xds/encode.cpp
@@ -24,7 +24,8 @@
     out->set_resource_api_version(core::V3);
 }
 
-// Both forms, each with its field's tag and length in front, so that they can be strung together.
+// Encodes a resource in both forms. Each form includes its field's tag and length, so that encoded resources
+// can be concatenated.
 ResourcePtr packed(const std::string& name, const std::string& version,
                    const google::protobuf::Message& message, std::uint32_t pool = 0,
                    std::uint32_t limit = 0) {
@@ -48,97 +49,102 @@
 }  // namespace
 
 ResourcePtr XdsEncoder::cluster(std::uint32_t pool, std::uint32_t limit, const std::string& version) const {
-    envoy::config::cluster::v3::Cluster c;
-    c.set_name(pool_name(pool));
-    c.set_type(envoy::config::cluster::v3::Cluster::EDS);
-    set_ads(c.mutable_eds_cluster_config()->mutable_eds_config());
-    set_span(c.mutable_connect_timeout(), connect_timeout_);
-    c.set_lb_policy(envoy::config::cluster::v3::Cluster::ROUND_ROBIN);
-    auto* thresholds = c.mutable_circuit_breakers()->add_thresholds();
+    envoy::config::cluster::v3::Cluster cluster;
+    cluster.set_name(pool_name(pool));
+    cluster.set_type(envoy::config::cluster::v3::Cluster::EDS);
+    set_ads(cluster.mutable_eds_cluster_config()->mutable_eds_config());
+    set_span(cluster.mutable_connect_timeout(), connect_timeout_);
+    cluster.set_lb_policy(envoy::config::cluster::v3::Cluster::ROUND_ROBIN);
+    auto* thresholds = cluster.mutable_circuit_breakers()->add_thresholds();
     thresholds->mutable_max_requests()->set_value(limit);
     thresholds->mutable_max_pending_requests()->set_value(limit);
     thresholds->mutable_max_retries()->set_value(std::max<std::uint32_t>(limit / 10, 1));
-    return packed(c.name(), version, c, pool, limit);
+    return packed(cluster.name(), version, cluster, pool, limit);
 }
 
-ResourcePtr XdsEncoder::endpoints(std::uint32_t pool, const Pool& what, const std::string& version) const {
-    envoy::config::endpoint::v3::ClusterLoadAssignment a;
-    a.set_cluster_name(pool_name(pool));
+ResourcePtr XdsEncoder::endpoints(std::uint32_t pool, const Pool& contents,
+                                  const std::string& version) const {
+    envoy::config::endpoint::v3::ClusterLoadAssignment assignment;
+    assignment.set_cluster_name(pool_name(pool));
     std::map<std::string, envoy::config::endpoint::v3::LocalityLbEndpoints*> by_zone;
-    for (const PoolEndpoint& e : what.endpoints) {
-        auto*& locality = by_zone[e.zone];
+    for (const PoolEndpoint& pool_endpoint : contents.endpoints) {
+        auto*& locality = by_zone[pool_endpoint.zone];
         if (locality == nullptr) {
-            locality = a.add_endpoints();
-            locality->mutable_locality()->set_zone(e.zone);
+            locality = assignment.add_endpoints();
+            locality->mutable_locality()->set_zone(pool_endpoint.zone);
         }
         auto* endpoint = locality->add_lb_endpoints();
         auto* address = endpoint->mutable_endpoint()->mutable_address()->mutable_socket_address();
-        address->set_address(e.host);
-        address->set_port_value(e.port);
-        endpoint->mutable_endpoint()->set_hostname(e.id);
-        endpoint->set_health_status(e.state == EndpointState::draining ? core::DRAINING : core::HEALTHY);
-        endpoint->mutable_load_balancing_weight()->set_value(std::max<std::uint32_t>(e.weight, 1));
-        if (e.state == EndpointState::draining) continue;
-        // A locality weighs as much as its endpoints do, so that a cold one is spared there too.
+        address->set_address(pool_endpoint.host);
+        address->set_port_value(pool_endpoint.port);
+        endpoint->mutable_endpoint()->set_hostname(pool_endpoint.id);
+        endpoint->set_health_status(pool_endpoint.state == EndpointState::draining ? core::DRAINING
+                                                                                   : core::HEALTHY);
+        endpoint->mutable_load_balancing_weight()->set_value(
+            std::max<std::uint32_t>(pool_endpoint.weight, 1));
+        if (pool_endpoint.state == EndpointState::draining) continue;
+        // A locality weighs as much as its endpoints together, so that a locality with cold endpoints also
+        // gets less traffic.
         auto* weight = locality->mutable_load_balancing_weight();
-        weight->set_value(weight->value() + e.weight);
+        weight->set_value(weight->value() + pool_endpoint.weight);
     }
     for (auto& [_, locality] : by_zone)
         if (!locality->has_load_balancing_weight()) locality->mutable_load_balancing_weight()->set_value(1);
-    // Shares hold as sent, however much of the pool is healthy.
-    a.mutable_policy()->mutable_overprovisioning_factor()->set_value(100);
-    return packed(a.cluster_name(), version, a, pool);
+    // Proxies keep the weights as sent, however many endpoints of the pool are healthy.
+    assignment.mutable_policy()->mutable_overprovisioning_factor()->set_value(100);
+    return packed(assignment.cluster_name(), version, assignment, pool);
 }
 
-ResourcePtr XdsEncoder::listener(const QueryClassRoute& of, const std::string& version) const {
+ResourcePtr XdsEncoder::listener(const QueryClassRoute& query_class, const std::string& version) const {
     http::HttpConnectionManager manager;
-    manager.set_stat_prefix(of.name);
+    manager.set_stat_prefix(query_class.name);
     set_ads(manager.mutable_rds()->mutable_config_source());
-    manager.mutable_rds()->set_route_config_name(of.name);
+    manager.mutable_rds()->set_route_config_name(query_class.name);
     auto* filter = manager.add_http_filters();
     filter->set_name("router");
     filter->mutable_typed_config()->PackFrom(envoy::extensions::filters::http::router::v3::Router());
-    envoy::config::listener::v3::Listener l;
-    l.set_name(of.name);
-    l.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
-    return packed(l.name(), version, l);
+    envoy::config::listener::v3::Listener listener;
+    listener.set_name(query_class.name);
+    listener.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
+    return packed(listener.name(), version, listener);
 }
 
-// A shard request goes to the pool of its shard's place, which the proxy's client names in a header; a call
-// without one to the first pool. What may run once alone is never tried again, by a policy that retries on
-// nothing.
-ResourcePtr XdsEncoder::route(const QueryClassRoute& of, std::size_t pools,
+// Routes a shard request to the pool of its shard's place, which the proxy's client names in a header, and a
+// request without the header to the first pool. A request that may run only once has no retry policy and is
+// never retried.
+ResourcePtr XdsEncoder::route(const QueryClassRoute& query_class, std::size_t pools,
                               const std::string& version) const {
-    envoy::config::route::v3::RouteConfiguration r;
-    r.set_name(of.name);
-    auto* host = r.add_virtual_hosts();
-    host->set_name(of.name);
+    envoy::config::route::v3::RouteConfiguration config;
+    config.set_name(query_class.name);
+    auto* host = config.add_virtual_hosts();
+    host->set_name(query_class.name);
     host->add_domains("*");
-    for (std::size_t p = 0; p <= pools; ++p) {
+    for (std::size_t pool = 0; pool <= pools; ++pool) {
         auto* route = host->add_routes();
-        const bool last = p == pools;
-        route->set_name(last ? "else" : pool_name(static_cast<std::uint32_t>(p)));
+        const bool last = pool == pools;
+        route->set_name(last ? "else" : pool_name(static_cast<std::uint32_t>(pool)));
         route->mutable_match()->set_prefix("");
         if (!last) {
             auto* header = route->mutable_match()->add_headers();
             header->set_name("tealcart-place");
-            header->set_exact_match(std::to_string(p));
+            header->set_exact_match(std::to_string(pool));
         }
         auto* action = route->mutable_route();
-        action->set_cluster(pool_name(static_cast<std::uint32_t>(last ? 0 : p)));
-        set_span(action->mutable_timeout(), of.timeout);
-        set_span(action->mutable_max_stream_duration()->mutable_max_stream_duration(), of.timeout);
-        if (of.max_attempts <= 1) continue;
+        action->set_cluster(pool_name(static_cast<std::uint32_t>(last ? 0 : pool)));
+        set_span(action->mutable_timeout(), query_class.timeout);
+        set_span(action->mutable_max_stream_duration()->mutable_max_stream_duration(), query_class.timeout);
+        if (query_class.max_attempts <= 1) continue;
         auto* retry = action->mutable_retry_policy();
-        retry->set_retry_on(of.retry_window > 0 ? "connect-failure,refused-stream,unavailable"
-                                                : "connect-failure,refused-stream,unavailable,reset,5xx");
-        retry->mutable_num_retries()->set_value(static_cast<std::uint32_t>(of.max_attempts - 1));
-        // A further try begins when one before has ended, so all but the last must be over within the window.
-        if (of.retry_window > 0)
+        retry->set_retry_on(query_class.retry_window > 0
+                                ? "connect-failure,refused-stream,unavailable"
+                                : "connect-failure,refused-stream,unavailable,reset,5xx");
+        retry->mutable_num_retries()->set_value(static_cast<std::uint32_t>(query_class.max_attempts - 1));
+        // An attempt starts when the previous one has ended, so all but the last must end within the window.
+        if (query_class.retry_window > 0)
             set_span(retry->mutable_per_try_timeout(),
-                     std::min(of.timeout, of.retry_window) / of.max_attempts);
+                     std::min(query_class.timeout, query_class.retry_window) / query_class.max_attempts);
     }
-    return packed(r.name(), version, r);
+    return packed(config.name(), version, config);
 }
 
 std::string response_head(const ProxyResponse& response, bool delta) {
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -1,4 +1,5 @@
-// The control service: follows discovery as a router does, and hands decisions to proxies over xDS.
+// The control service: follows discovery like a query router and sends its decisions to other proxies over
+// xDS.
 
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -15,12 +16,13 @@
 
 using namespace tealcart;
 
-constexpr auto tick_every = std::chrono::milliseconds(20);
-constexpr Nanos told_stale_after = 60'000'000'000;
+constexpr auto tick_interval = std::chrono::milliseconds(20);
+constexpr Nanos stale_list_age = 60'000'000'000;
 
-class Lists final : public ListTaker {
+// Passes endpoint lists from discovery to the server.
+class ListForwarder final : public ListTaker {
   public:
-    explicit Lists(XdsServer& server) : server_(server) {}
+    explicit ListForwarder(XdsServer& server) : server_(server) {}
     void on_list(const EndpointList& list) override { server_.apply_list(list); }
 
   private:
@@ -35,7 +37,9 @@
         return launch;
     }();
     const ControlConfig& control = read.operators.control;
-    if (!control.on) throw ConfigError("the operators' file " + file + " has no 'control' block");
+    if (!control.on)
+        throw ConfigError("the operators' file " + file +
+                          " has no 'control' block, which the control service needs");
     start_log(read.operators.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
@@ -47,37 +51,37 @@
     EndpointList known = read.known;
     if (!known.nodes.empty()) server.apply_list(known);
     EventClock time;
-    Lists lists(server);
+    ListForwarder lists(server);
     DiscoveryWatch watch(io, time, lists, read.discovery, read.config.discovery,
                          static_cast<std::uint32_t>(read.config.places), read.seed, read.list_bound);
     const int port = server.start(control.listen);
     watch.start(known.generation);
-    log_line("%s hands out decisions at port %d, discovery at %s:%u", read.name.c_str(), port,
+    log_line("%s serves xDS on port %d, discovery is at %s:%u", read.name.c_str(), port,
              read.discovery.host.c_str(), read.discovery.port);
-    bool stopping = false, told_stale = false;
+    bool stopping = false, stale_list_logged = false;
     signals.async_wait([&](const boost::system::error_code& ec, int) { stopping = !ec; });
     boost::asio::steady_timer timer(io);
-    std::function<void()> next = [&] {
-        timer.expires_after(tick_every);
+    std::function<void()> schedule_tick = [&] {
+        timer.expires_after(tick_interval);
         timer.async_wait([&](const boost::system::error_code& ec) {
             if (ec) return;
             time.due.fire_due(time.now());
             server.tick();
             const Nanos age = server.stats().list_age;
-            if (age > told_stale_after && !std::exchange(told_stale, true))
-                log_line("the list of data nodes is %lld s old; the decisions stand",
+            if (age > stale_list_age && !std::exchange(stale_list_logged, true))
+                log_line("discovery has sent no list of data nodes for %lld s; the decisions stay in force",
                          static_cast<long long>(age / 1'000'000'000));
-            if (age < told_stale_after) told_stale = false;
-            next();
+            if (age < stale_list_age) stale_list_logged = false;
+            schedule_tick();
         });
     };
-    next();
+    schedule_tick();
     while (!stopping) {
         io.run_one();
         time.due.fire_due(time.now());
     }
     const auto stats = server.stats();
-    log_line("stopping: %zu proxies", stats.streams);
+    log_line("stopping with %zu proxies connected", stats.streams);
     server.stop();
     watch.stop();
     log_line("stopped");
@@ -87,7 +91,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("tealcart-control: hands tealcart's decisions to other proxies over xDS");
+    CLI::App app("tealcart-control: sends tealcart's decisions to other proxies over xDS");
     app.name("tealcart control");
     std::string config, file;
     app.add_option("--config", config, "the platform's configuration (JSON)")
--- a/src/xds/recorder.cpp
+++ b/src/xds/recorder.cpp
@@ -43,7 +43,8 @@
 
 }  // namespace
 
-// What both forms share. The transport's threads and the test's meet under its lock.
+// The part that both protocol forms share. Its lock guards the state between the transport's threads and the
+// test's.
 class Recorder::Stream : public std::enable_shared_from_this<Stream> {
   public:
     Stream(std::shared_ptr<grpc::Channel> channel, Options options)
@@ -66,10 +67,10 @@
     bool acknowledges = true;
 
   protected:
-    // With the lock held: takes resources over, or says that they are rejected.
+    // Applies the resources of a response, or returns false if they are rejected. The lock must be held.
     bool take(XdsType type, const std::string& version, const std::vector<google::protobuf::Any>& resources,
               bool all, const std::vector<std::string>& removed) {
-        std::vector<std::function<void()>> changes;  // done once nothing is rejected
+        std::vector<std::function<void()>> changes;  // applied only if nothing is rejected
         std::vector<std::string> names;
         for (const auto& any : resources) {
             if (type == XdsType::cluster) {
@@ -115,18 +116,18 @@
         state.version = version;
         state.updated_at = Clock::now();
         ++state.responses;
-        for (auto left = partly_draining_.begin(); left != partly_draining_.end();) {
-            if (!gone_everywhere(*left)) {
-                ++left;
+        for (auto node = partly_draining_.begin(); node != partly_draining_.end();) {
+            if (!gone_everywhere(*node)) {
+                ++node;
                 continue;
             }
-            draining_since.try_emplace(*left, state.updated_at);
-            left = partly_draining_.erase(left);
+            draining_since.try_emplace(*node, state.updated_at);
+            node = partly_draining_.erase(node);
         }
         return true;
     }
 
-    // Asks for what the clusters and listeners that are held refer to.
+    // Returns the clusters that the proxy holds, whose endpoints it subscribes to.
     std::vector<std::string> endpoint_names() const {
         std::vector<std::string> names;
         for (const auto& [name, _] : state.limits) names.push_back(name);
@@ -137,7 +138,7 @@
 
   private:
     void take_endpoints(const std::string& cluster, const Endpoints& now) {
-        state.unknown_references += !state.limits.contains(cluster);  // endpoints of a cluster never told
+        state.unknown_references += !state.limits.contains(cluster);
         const Endpoints before = std::exchange(state.endpoints[cluster], now);
         auto at = now.begin();
         for (const auto& [node, was] : before) {
@@ -153,8 +154,7 @@
             for (const auto& route : host.routes()) {
                 of.push_back(route.route().cluster());
                 state.max_retries[r.name()] = route.route().retry_policy().num_retries().value();
-                state.unknown_references +=
-                    !state.limits.contains(of.back());  // a route to a cluster never told
+                state.unknown_references += !state.limits.contains(of.back());
             }
     }
     bool gone_everywhere(const std::string& node) const {
@@ -163,7 +163,7 @@
             return at != of.second.end() && !at->second.draining;
         });
     }
-    std::set<std::string> partly_draining_;  // some cluster's endpoints no longer have it
+    std::set<std::string> partly_draining_;  // no longer served by some cluster, but still by another
 };
 
 namespace {
@@ -289,7 +289,7 @@
     std::deque<Request> queue_;
     Response in_;
     bool first_ = true;
-    std::shared_ptr<Stream> kept_;  // for as long as the transport may call it
+    std::shared_ptr<Stream> kept_;  // keeps the stream alive while the transport may call it
 };
 
 }  // namespace
--- a/src/xds/recorder.hpp
+++ b/src/xds/recorder.hpp
@@ -1,5 +1,5 @@
-// A stand-in for a proxy: a client of aggregated discovery that subscribes as proxies do, acknowledges or
-// rejects as it is told to, and records what came when. For tests and measurements.
+// A test proxy: a client of aggregated discovery that subscribes as proxies do, acknowledges or rejects
+// responses as configured, and records what it received and when. For tests and measurements.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -17,6 +17,7 @@
 
 namespace tealcart {
 
+// One connection of a test proxy. Its methods may be called from any thread.
 class Recorder {
   public:
     using Clock = std::chrono::steady_clock;
@@ -25,9 +26,9 @@
         std::string node;
         bool delta = false;
         bool acknowledges = true;
-        // Whether a response with these resources of this type is rejected.
+        // Returns whether a response with these resources of this type is rejected.
         std::function<bool(XdsType, const std::vector<std::string>&)> rejects = {};
-        std::string known_version = {};  // that it accepted last, from any control service
+        std::string known_version = {};  // the last version that it accepted from any control service
     };
     struct Endpoint {
         bool draining = false;
@@ -35,8 +36,9 @@
 
         friend bool operator==(const Endpoint&, const Endpoint&) = default;
     };
-    // By node, in their order. Recorders of one process read the same bytes once and share what they read, so
-    // that a measurement with a thousand of them is of the service and not of them.
+    // The endpoints of a cluster, ordered by node. All recorders of a process parse the same bytes only once
+    // and share the result, so that a measurement with a thousand of them measures the service and not the
+    // recorders.
     class Endpoints {
       public:
         using Entry = std::pair<std::string, Endpoint>;
@@ -54,13 +56,17 @@
         static const std::shared_ptr<const std::vector<Entry>> empty_list;
         std::shared_ptr<const std::vector<Entry>> all_ = empty_list;
     };
+    // What the proxy holds, and counts of what it has received.
     struct State {
-        std::map<std::string, std::uint32_t> limits;             // by cluster
-        std::map<std::string, Endpoints> endpoints;              // by cluster, then by node
-        std::map<std::string, std::vector<std::string>> routes;  // clusters that each refers to
-        std::map<std::string, std::uint32_t> max_retries;        // most, by route
+        std::map<std::string, std::uint32_t> limits;  // by cluster
+        std::map<std::string, Endpoints> endpoints;   // by cluster, then by node
+        // Clusters that each route configuration refers to.
+        std::map<std::string, std::vector<std::string>> routes;
+        std::map<std::string, std::uint32_t> max_retries;  // by route configuration
         std::vector<std::string> listeners;
-        std::string version;  // of the last response
+        std::string version;  // of the latest response
+        // Unknown references are endpoints and routes that refer to a cluster that the proxy was never sent;
+        // version regressions are versions older than the one before.
         std::uint64_t responses = 0, unknown_references = 0, version_regressions = 0, bytes = 0;
         Clock::time_point updated_at;
         bool ended = false;
@@ -72,12 +78,13 @@
     ~Recorder();
 
     State state() const;
-    // Waits until it holds what is asked for; false after the time.
+    // Waits until the condition holds; returns false if it doesn't within the time.
     bool wait_until(const std::function<bool(const State&)>& holds,
                     std::chrono::milliseconds most = std::chrono::seconds(10));
-    // When an endpoint was first told to drain, or gone, in every cluster that had it.
+    // Returns when the endpoint was first draining or gone in all clusters that had it, or time_point::max().
     Clock::time_point first_seen_draining(const std::string& node) const;
-    void cancel();  // ends the stream as a lost connection does
+    // Ends the stream like a lost connection.
+    void cancel();
 
     class Stream;
 
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -25,8 +25,7 @@
 
 constexpr int max_message = 1 << 20;
 
-// The system's clock as it stood at the first look, and the steady one since: it takes no part in clock
-// steps.
+// Returns the system time at the first call, advanced by the steady clock since, so that it never steps.
 Nanos now() {
     using namespace std::chrono;
     static const auto base = duration_cast<nanoseconds>(system_clock::now().time_since_epoch());
@@ -34,7 +33,7 @@
     return (base + duration_cast<nanoseconds>(steady_clock::now() - began)).count();
 }
 
-// A slice over bytes that a resource holds, which it keeps for as long as the transport needs them.
+// Returns a slice over bytes of a resource, which it keeps alive as long as the transport needs it.
 grpc::Slice slice_of(const ResourcePtr& resource, const std::string& bytes) {
     auto* kept = new ResourcePtr(resource);
     return grpc::Slice(
@@ -113,7 +112,8 @@
 
     class Stream;
 
-    // Of a stream at most one message, one write's end and its own end wait here.
+    // What happened on a stream. At most one message, one finished write and the end of each stream are
+    // queued.
     struct Event {
         enum Kind : std::uint8_t { opened, read, written, ended, done };
 
@@ -140,8 +140,8 @@
         worker_.join();
     }
 
-    // With the lock held: writes what is due to so many streams, closes what has ended, tells the log. True
-    // where more are due.
+    // Writes due responses to up to this many streams, closes ended streams and writes log lines; returns
+    // whether more are due. The lock must be held.
     bool write_due(std::size_t max_streams = 1);
     void log() {
         for (const std::string& line : controller_.take_log_lines()) log_line("%s", line.c_str());
@@ -164,7 +164,7 @@
     Controller controller_;
     Service service_;
     std::unordered_map<Controller::StreamId, Stream*> streams_;
-    std::deque<Controller::StreamId> write_queue_;  // due, in the order in which they became so
+    std::deque<Controller::StreamId> write_queue_;  // in the order in which the streams became due
     std::unordered_set<Controller::StreamId> queued_;
     std::uint64_t responses_ = 0, bytes_ = 0;
     bool stopping_ = false;
@@ -173,11 +173,11 @@
     std::condition_variable wake_;
     std::deque<Event> events_;
     bool working_ = true, due_ = false;
-    std::thread worker_{[this] { work(); }};  // last, since it uses all of the above
+    std::thread worker_{[this] { work(); }};  // last, since it uses all other members
 };
 
-// The transport's threads only hand over what happened; all else is done by the worker, under the lock. Lives
-// until the worker has seen OnDone, after which the transport calls it no more.
+// The transport's threads only queue events; the worker handles them under the lock. A stream deletes itself
+// once the worker has handled OnDone, after which the transport doesn't call it any more.
 class XdsServer::Impl::Stream final : public grpc::ServerBidiReactor<ByteBuffer, ByteBuffer> {
   public:
     Stream(Impl& impl, bool delta) : impl_(impl), delta_(delta) {
@@ -217,7 +217,7 @@
                 delete this;
         }
     }
-    // The newest of what is due, if the last is written.
+    // Writes the newest due response unless a write is in progress.
     void write() {
         if (writing_ || finished_) return;
         const auto response = impl_.controller_.next(id_, now());
@@ -238,7 +238,7 @@
     void on_request(const Event& event) {
         if (finished_) return;
         if (!event.parsed) {
-            log_line("a proxy sent what can't be read; its stream is ended");
+            log_line("a proxy sent a malformed discovery request; its stream is closed");
             return finish({StatusCode::INVALID_ARGUMENT, "the request can't be read"});
         }
         const auto refusal = impl_.controller_.on_request(id_, event.node, event.request, now());
@@ -247,7 +247,7 @@
             return write();
         }
         const Status status = status_of(refusal);
-        log_line("a proxy is refused: %s", status.error_message().c_str());
+        log_line("a proxy's stream is refused: %s", status.error_message().c_str());
         finish(status);
     }
 
@@ -284,7 +284,7 @@
     return !write_queue_.empty();
 }
 
-// What happened first, then a few streams of those that are due; the lock is given up in between.
+// Handles queued events, then writes to a few of the due streams, and releases the lock in between.
 void XdsServer::Impl::work() {
     constexpr std::size_t batch_size = 16;
     bool more = false;
@@ -295,7 +295,7 @@
             wake_.wait(lock, [&] { return more || due_ || !events_.empty() || !working_; });
             if (!working_ && events_.empty()) return;
             due_ = false;
-            for (std::size_t n = 0; n < batch_size && !events_.empty(); ++n) {
+            for (std::size_t count = 0; count < batch_size && !events_.empty(); ++count) {
                 events.push_back(std::move(events_.front()));
                 events_.pop_front();
             }
@@ -332,7 +332,7 @@
     builder.RegisterService(&impl_->service_);
     impl_->server_ = builder.BuildAndStart();
     if (impl_->server_ == nullptr || port == 0)
-        throw std::runtime_error("the address " + address + " can't be had");
+        throw std::runtime_error("can't listen on address " + address + " for xDS");
     return port;
 }
 
@@ -366,7 +366,7 @@
     impl_->server_->Shutdown(std::chrono::system_clock::now() + std::chrono::seconds(2));
     impl_->server_->Wait();
     impl_->server_.reset();
-    // Each stream's end is waited for: the transport may still be handing some over.
+    // Waits for the end of each stream, since the transport may still be queuing events.
     const auto ended = [this] {
         const std::scoped_lock lock(mutex_, impl_->events_mutex_);
         return impl_->streams_.empty() && impl_->events_.empty();
--- a/src/xds/server.hpp
+++ b/src/xds/server.hpp
@@ -1,5 +1,5 @@
-// The aggregated discovery service on gRPC: streams of proxies in, the controller's responses out. One lock
-// guards the controller; each stream has at most one response being written.
+// The aggregated discovery service over gRPC: receives proxies' requests and sends the controller's
+// responses. One lock guards the controller; each stream has at most one response being written.
 #pragma once
 
 #include <memory>
@@ -10,17 +10,18 @@
 
 namespace tealcart {
 
+// Serves proxies from `start` until `stop`. Its methods may be called from any thread.
 class XdsServer {
   public:
     XdsServer(const RouterConfig& config, const std::vector<std::string>& query_classes,
               const ControlConfig& control, Nanos connect_timeout, std::uint64_t seed, std::uint64_t epoch);
     ~XdsServer();
 
-    // Listens from here on; throws std::runtime_error where the address can't be had. Gives the port.
+    // Starts listening and returns the port. Throws std::runtime_error if the address can't be bound.
     int start(const std::string& address);
     void apply_list(const EndpointList& list);
     void tick();
-    // What is due is written, streams end, and nothing further is taken.
+    // Ends all streams and accepts no further ones.
     void stop();
 
     struct Stats {
@@ -29,7 +30,7 @@
         Nanos list_age = 0;
     };
     Stats stats() const;
-    // Looks at the controller under its lock.
+    // Calls the function with the controller, under its lock.
     template <typename Inspect>
     auto inspect(Inspect&& inspector) const {
         const std::lock_guard lock(mutex_);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -1,5 +1,5 @@
-// Decisions for other proxies without I/O: what is decided, how limits are divided, and the protocol's state
-// machine under generated sequences of proxies' messages beside a slow plain model.
+// The control service without I/O: its decisions, the division of limits, and the protocol state machine
+// under generated sequences of proxies' requests, compared with a slow, simple model.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <random>
@@ -13,16 +13,17 @@
 
 namespace {
 
-constexpr Nanos s = 1000 * ms;
-constexpr Nanos start = 1'000'000 * s;
+constexpr Nanos second = 1000 * ms;
+constexpr Nanos start = 1'000'000 * second;
 
-ListedEndpoint node(int n, std::uint32_t place, Lifecycle a = Lifecycle::ready, Nanos started = 0) {
-    return {"n" + std::to_string(n),
-            "127.0.0.1:" + std::to_string(1000 + n),
-            "z" + std::to_string(n % 2),
+ListedEndpoint node(int number, std::uint32_t place, Lifecycle lifecycle = Lifecycle::ready,
+                    Nanos started = 0) {
+    return {"n" + std::to_string(number),
+            "127.0.0.1:" + std::to_string(1000 + number),
+            "z" + std::to_string(number % 2),
             "m",
             place,
-            a,
+            lifecycle,
             started};
 }
 
@@ -33,126 +34,130 @@
 const std::vector<std::string> names = {"part", "whole"};
 
 ControlConfig control_config() {
-    ControlConfig c;
-    c.on = true;
-    c.node_limit = 10;
-    return c;
+    ControlConfig config;
+    config.on = true;
+    config.node_limit = 10;
+    return config;
 }
 
 const PoolEndpoint* find(const Pool& pool, const std::string& id) {
-    for (const PoolEndpoint& e : pool.endpoints)
-        if (e.id == id) return &e;
+    for (const PoolEndpoint& endpoint : pool.endpoints)
+        if (endpoint.id == id) return &endpoint;
     return nullptr;
 }
 
-std::vector<ListedEndpoint> four() { return {node(0, 0), node(1, 1), node(2, 2), node(3, 3)}; }
+std::vector<ListedEndpoint> four_nodes() { return {node(0, 0), node(1, 1), node(2, 2), node(3, 3)}; }
 
 }  // namespace
 
-TEST_CASE("pools hold the holders of their shards; a drain is told at once and removed after its grace") {
+TEST_CASE(
+    "a pool has the nodes with replicas of its shards; a draining node is marked at once and removed after "
+    "the grace period") {
     DecisionEngine engine(test::small_config(), names, control_config(), 1);
-    engine.apply_list(list_of(1, four()), start);
-    Decisions made = engine.decide(start);
-    REQUIRE(made.pools.size() == 4);
-    CHECK(made.pools[3].endpoints.size() == 3);  // places 3, 0 and 1
-    CHECK(find(made.pools[3], "n2") == nullptr);
-    CHECK(made.pools[0].limit == 30);
-    auto nodes = four();
+    engine.apply_list(list_of(1, four_nodes()), start);
+    Decisions decisions = engine.decide(start);
+    REQUIRE(decisions.pools.size() == 4);
+    CHECK(decisions.pools[3].endpoints.size() == 3);  // places 3, 0 and 1
+    CHECK(find(decisions.pools[3], "n2") == nullptr);
+    CHECK(decisions.pools[0].limit == 30);
+    auto nodes = four_nodes();
     nodes[1].lifecycle = Lifecycle::draining;
-    engine.apply_list(list_of(2, nodes), start + s);
-    made = engine.decide(start + s);
-    REQUIRE(find(made.pools[1], "n1") != nullptr);
-    CHECK(find(made.pools[1], "n1")->state == EndpointState::draining);
-    CHECK(made.pools[1].limit == 20);
-    CHECK(engine.next_change() == start + s + 500 * ms);
-    made = engine.decide(start + s + 500 * ms);
-    CHECK(find(made.pools[1], "n1") == nullptr);
-    // Told again while it drains, it stays away.
-    engine.apply_list(list_of(3, nodes), start + 3 * s);
-    CHECK(find(engine.decide(start + 3 * s).pools[1], "n1") == nullptr);
+    engine.apply_list(list_of(2, nodes), start + second);
+    decisions = engine.decide(start + second);
+    REQUIRE(find(decisions.pools[1], "n1") != nullptr);
+    CHECK(find(decisions.pools[1], "n1")->state == EndpointState::draining);
+    CHECK(decisions.pools[1].limit == 20);
+    CHECK(engine.next_change() == start + second + 500 * ms);
+    decisions = engine.decide(start + second + 500 * ms);
+    CHECK(find(decisions.pools[1], "n1") == nullptr);
+    // The node stays removed if a later list still has it as draining.
+    engine.apply_list(list_of(3, nodes), start + 3 * second);
+    CHECK(find(engine.decide(start + 3 * second).pools[1], "n1") == nullptr);
 }
 
-TEST_CASE("a node that drains, goes and returns within a second returns cold") {
+TEST_CASE("a node that drains, is removed and restarts within a second comes back cold") {
     DecisionEngine engine(test::small_config(), names, control_config(), 1);
-    engine.apply_list(list_of(1, four()), start);
-    auto nodes = four();
+    engine.apply_list(list_of(1, four_nodes()), start);
+    auto nodes = four_nodes();
     nodes[1].lifecycle = Lifecycle::draining;
     engine.apply_list(list_of(2, nodes), start + 100 * ms);
     nodes.erase(nodes.begin() + 1);
     engine.apply_list(list_of(3, nodes), start + 300 * ms);
     CHECK(find(engine.decide(start + 300 * ms).pools[1], "n1") == nullptr);
-    nodes = four();
+    nodes = four_nodes();
     nodes[1].started_at = start + 500 * ms;
     engine.apply_list(list_of(4, nodes), start + 600 * ms);
-    const Decisions made = engine.decide(start + 600 * ms);
-    REQUIRE(find(made.pools[1], "n1") != nullptr);
-    CHECK(find(made.pools[1], "n1")->state == EndpointState::healthy);
-    CHECK(find(made.pools[1], "n1")->weight < 20);
+    const Decisions decisions = engine.decide(start + 600 * ms);
+    REQUIRE(find(decisions.pools[1], "n1") != nullptr);
+    CHECK(find(decisions.pools[1], "n1")->state == EndpointState::healthy);
+    CHECK(find(decisions.pools[1], "n1")->weight < 20);
 }
 
-TEST_CASE("a cold node's weight and its part of the limit climb with its warmth, and never pass them") {
+TEST_CASE("a cold node's weight and limit grow with its warm-up and never exceed it") {
     const RouterConfig config = test::small_config();
     DecisionEngine engine(config, names, control_config(), 1);
-    auto nodes = four();
+    auto nodes = four_nodes();
     nodes[2].started_at = start;
     engine.apply_list(list_of(1, nodes), start);
     std::uint32_t last = 0;
-    for (Nanos age = 0; age <= 12 * s; age += 100 * ms) {
-        const Decisions made = engine.decide(start + age);
-        const PoolEndpoint* e = find(made.pools[2], "n2");
-        REQUIRE(e != nullptr);
+    for (Nanos age = 0; age <= 12 * second; age += 100 * ms) {
+        const Decisions decisions = engine.decide(start + age);
+        const PoolEndpoint* endpoint = find(decisions.pools[2], "n2");
+        REQUIRE(endpoint != nullptr);
         const double warm =
             std::min(1.0, config.slow_start_min_fraction +
                               (1 - config.slow_start_min_fraction) * static_cast<double>(age) /
                                   static_cast<double>(config.slow_start_duration));
-        CHECK(e->weight <= 100 * warm);
-        CHECK(e->weight >= last);
-        CHECK(made.pools[2].limit <= 20 + 10 * warm);
-        last = e->weight;
-        if (age > config.slow_start_duration) CHECK(e->weight == 100);
+        CHECK(endpoint->weight <= 100 * warm);
+        CHECK(endpoint->weight >= last);
+        CHECK(decisions.pools[2].limit <= 20 + 10 * warm);
+        last = endpoint->weight;
+        if (age > config.slow_start_duration) CHECK(endpoint->weight == 100);
         if (age > config.slow_start_duration) CHECK(engine.next_change() == INT64_MAX);
     }
 }
 
-TEST_CASE("a list that loses most of the fleet at once is not believed for a while; drains in it are") {
+TEST_CASE("a list that removes most of the fleet at once: drains apply, removals are held back for a while") {
     DecisionEngine engine(test::small_config(), names, control_config(), 1);
-    engine.apply_list(list_of(1, four()), start);
-    auto nodes = four();
+    engine.apply_list(list_of(1, four_nodes()), start);
+    auto nodes = four_nodes();
     nodes[0].lifecycle = Lifecycle::draining;
     nodes.resize(1);
-    engine.apply_list(list_of(2, nodes), start + s);
-    Decisions made = engine.decide(start + s);
+    engine.apply_list(list_of(2, nodes), start + second);
+    Decisions decisions = engine.decide(start + second);
     CHECK(engine.in_panic());
     CHECK(engine.take_log_lines().size() == 1);
-    CHECK(find(made.pools[0], "n0")->state == EndpointState::draining);
-    CHECK(find(made.pools[0], "n1")->state == EndpointState::healthy);
-    SECTION("until most are back") {
-        engine.apply_list(list_of(3, {node(1, 1), node(2, 2)}), start + 2 * s);
-        made = engine.decide(start + 2 * s);
+    CHECK(find(decisions.pools[0], "n0")->state == EndpointState::draining);
+    CHECK(find(decisions.pools[0], "n1")->state == EndpointState::healthy);
+    SECTION("until most nodes are listed again") {
+        engine.apply_list(list_of(3, {node(1, 1), node(2, 2)}), start + 2 * second);
+        decisions = engine.decide(start + 2 * second);
         CHECK_FALSE(engine.in_panic());
-        CHECK(find(made.pools[3], "n3") == nullptr);
-        CHECK(find(made.pools[1], "n1") != nullptr);
+        CHECK(find(decisions.pools[3], "n3") == nullptr);
+        CHECK(find(decisions.pools[1], "n1") != nullptr);
     }
-    SECTION("until it has stood for long") {
-        CHECK(find(engine.decide(start + s + 59 * s).pools[3], "n3") != nullptr);
-        made = engine.decide(start + s + 61 * s);
-        CHECK(find(made.pools[3], "n3") == nullptr);
+    SECTION("until the hold time is over") {
+        CHECK(find(engine.decide(start + second + 59 * second).pools[3], "n3") != nullptr);
+        decisions = engine.decide(start + second + 61 * second);
+        CHECK(find(decisions.pools[3], "n3") == nullptr);
         CHECK(engine.take_log_lines().size() == 1);
     }
 }
 
-TEST_CASE("on silence decisions stand and their age is told; a clock that goes back changes nothing") {
+TEST_CASE(
+    "without new lists decisions stay in force and report their age, and a clock that goes back changes "
+    "nothing") {
     DecisionEngine engine(test::small_config(), names, control_config(), 1);
-    auto nodes = four();
+    auto nodes = four_nodes();
     nodes[2].started_at = start;
-    engine.apply_list(list_of(1, nodes), start + s);
-    const Decisions before = engine.decide(start + 5 * s);
-    CHECK(engine.decide(start - 100 * s).pools == before.pools);
-    CHECK(engine.list_age(start + 50 * s) == 49 * s);
-    CHECK(engine.decide(start + 3600 * s).pools[0].endpoints.size() == 3);
+    engine.apply_list(list_of(1, nodes), start + second);
+    const Decisions before = engine.decide(start + 5 * second);
+    CHECK(engine.decide(start - 100 * second).pools == before.pools);
+    CHECK(engine.list_age(start + 50 * second) == 49 * second);
+    CHECK(engine.decide(start + 3600 * second).pools[0].endpoints.size() == 3);
 }
 
-TEST_CASE("what may run twice, and how long, is the module's word") {
+TEST_CASE("attempts and the retry window of a route follow the decision module's retry limits") {
     RouterConfig config = test::small_config(Effect::idempotent_with_key);
     config.query_classes[1].effect = Effect::not_idempotent;
     DecisionEngine engine(config, names, control_config(), 1);
@@ -167,74 +172,77 @@
               .retry_window == 0);
 }
 
-TEST_CASE("limits are divided so that what may be in use never passes a total that stands") {
+TEST_CASE("limits in use never exceed a total that doesn't change") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        std::mt19937_64 drawn(seed);
-        const auto below = [&drawn](std::uint64_t n) { return drawn() % n; };
+        std::mt19937_64 random(seed);
+        const auto below = [&random](std::uint64_t n) { return random() % n; };
         LimitAllocator limits(2);
         const std::uint32_t totals[2] = {static_cast<std::uint32_t>(below(40)),
                                          static_cast<std::uint32_t>(1 + below(1000))};
         limits.set_total(0, totals[0]);
         limits.set_total(1, totals[1]);
-        // Plainly: each proxy goes by any one of what it was told since it last acknowledged, that one
-        // included.
-        struct Plain {
-            std::deque<std::pair<std::uint64_t, std::vector<std::uint32_t>>> told;
-            bool here = true;
-            Nanos until = 0;
+        // The model: each proxy uses any of the limits that it was sent since its latest acknowledgement,
+        // including the acknowledged ones.
+        struct ModelProxy {
+            std::deque<std::pair<std::uint64_t, std::vector<std::uint32_t>>> sent;
+            bool connected = true;
+            Nanos expires_at = 0;
         };
-        std::map<std::uint64_t, Plain> plain;
+        std::map<std::uint64_t, ModelProxy> model;
         Nanos now = 0;
         std::uint64_t number = 0, last = 0;
         for (int step = 0; step < 400; ++step) {
             now += static_cast<Nanos>(below(20)) * ms;
-            const auto what = below(10);
-            if (what == 0 || plain.empty()) {
+            const auto action = below(10);
+            if (action == 0 || model.empty()) {
                 limits.join(++last);
-                plain[last];
+                model[last];
             } else {
-                auto at = plain.begin();
-                std::advance(at, static_cast<long>(below(plain.size())));
-                Plain& p = at->second;
-                if (what == 1 && p.here) {
-                    p.here = false;
-                    p.until = now + 100 * ms;
-                    limits.leave(at->first, p.until);
-                } else if (what < 7 && p.here) {
+                auto at = model.begin();
+                std::advance(at, static_cast<long>(below(model.size())));
+                ModelProxy& proxy = at->second;
+                if (action == 1 && proxy.connected) {
+                    proxy.connected = false;
+                    proxy.expires_at = now + 100 * ms;
+                    limits.leave(at->first, proxy.expires_at);
+                } else if (action < 7 && proxy.connected) {
                     const std::vector<std::uint32_t> due = limits.allowed_limits(at->first);
                     limits.on_sent(at->first, ++number, due);
-                    p.told.emplace_back(number, due);
-                } else if (p.here && !p.told.empty()) {
-                    const std::size_t which = below(p.told.size());
-                    limits.on_acknowledged(at->first, p.told[which].first);
-                    p.told.erase(p.told.begin(), p.told.begin() + static_cast<long>(which));
+                    proxy.sent.emplace_back(number, due);
+                } else if (proxy.connected && !proxy.sent.empty()) {
+                    const std::size_t which = below(proxy.sent.size());
+                    limits.on_acknowledged(at->first, proxy.sent[which].first);
+                    proxy.sent.erase(proxy.sent.begin(), proxy.sent.begin() + static_cast<long>(which));
                 }
             }
             limits.expire(now);
-            std::erase_if(plain, [now](const auto& p) { return !p.second.here && p.second.until <= now; });
+            std::erase_if(model, [now](const auto& entry) {
+                return !entry.second.connected && entry.second.expires_at <= now;
+            });
             for (std::size_t pool = 0; pool < 2; ++pool) {
                 std::uint64_t sum = 0;
-                for (const auto& [id, p] : plain) {
-                    std::uint32_t most = 0;
-                    for (const auto& [_, proxy_limits] : p.told) most = std::max(most, proxy_limits[pool]);
-                    sum += most;
-                    REQUIRE(limits.in_use(id, pool) >= most);
+                for (const auto& [id, proxy] : model) {
+                    std::uint32_t max_limit = 0;
+                    for (const auto& [_, proxy_limits] : proxy.sent)
+                        max_limit = std::max(max_limit, proxy_limits[pool]);
+                    sum += max_limit;
+                    REQUIRE(limits.in_use(id, pool) >= max_limit);
                 }
                 REQUIRE(sum <= totals[pool]);
                 REQUIRE(limits.in_use(pool) <= totals[pool]);
             }
         }
-        // Quiet: after each has been told and has acknowledged twice, all have their even shard requests.
+        // After each proxy has been sent limits and has acknowledged twice, all have their even share.
         for (int round = 0; round < 2; ++round) {
-            now += s;
+            now += second;
             limits.expire(now);
-            for (auto& [id, p] : plain)
-                if (p.here) {
+            for (auto& [id, proxy] : model)
+                if (proxy.connected) {
                     limits.on_sent(id, ++number, limits.allowed_limits(id));
                     limits.on_acknowledged(id, number);
                 }
         }
-        limits.expire(now + s);
+        limits.expire(now + second);
         if (limits.proxies() > 0) CHECK(limits.in_use(1) == totals[1]);
     }
 }
@@ -262,78 +270,79 @@
     }
 };
 
-// A proxy as the protocol's pages have one, with answers that wait on the way.
+// A proxy as the protocol's documentation describes it; its requests wait in a queue.
 struct Proxy {
     std::string node;
-    bool delta = false, open = false, mute = false;
+    bool delta = false, open = false, never_acknowledges = false;
     Controller::StreamId stream = 0;
     std::array<std::map<std::string, ResourcePtr>, xds_types> held;
     std::array<std::set<std::string>, xds_types> wanted;
     std::array<std::string, xds_types> nonce, version;
     std::array<bool, xds_types> asked{};
-    std::deque<ProxyRequest> to_send;
-    std::set<std::string> cannot_take;  // resources, by their bytes
+    std::deque<ProxyRequest> queued_requests;
+    std::set<std::string> rejected_resources;  // by their bytes
     Nanos left_at = 0;
 };
 
-struct Fleet {
-    explicit Fleet(std::uint64_t seed) : drawn(seed), controller(config, names, control, encoder, seed, 77) {}
+struct ControlFixture {
+    explicit ControlFixture(std::uint64_t seed)
+        : random(seed), controller(config, names, control, encoder, seed, 77) {}
 
-    std::mt19937_64 drawn;
+    std::mt19937_64 random;
     const RouterConfig config = test::small_config();
     const ControlConfig control = [] {
-        ControlConfig c = control_config();
-        c.leave_grace = 200 * ms;
-        return c;
+        ControlConfig made = control_config();
+        made.leave_grace = 200 * ms;
+        return made;
     }();
     PlainEncoder encoder;
     Controller controller;
-    std::vector<ListedEndpoint> nodes = four();
+    std::vector<ListedEndpoint> nodes = four_nodes();
     std::vector<Proxy> proxies;
     Nanos now = start;
     std::uint64_t generation = 0, messages = 0;
 
-    std::uint64_t below(std::uint64_t n) { return drawn() % n; }
+    std::uint64_t below(std::uint64_t n) { return random() % n; }
 
-    void ask(Proxy& p, XdsType type, std::set<std::string> want) {
+    void subscribe(Proxy& p, XdsType type, std::set<std::string> names_wanted) {
         const auto t = static_cast<std::size_t>(type);
         ProxyRequest request;
         request.type_url = type_url(type);
         if (p.delta) {
-            for (const std::string& name : want)
+            for (const std::string& name : names_wanted)
                 if (!p.wanted[t].contains(name)) request.subscribe.push_back(name);
             for (const std::string& name : p.wanted[t])
-                if (!want.contains(name)) request.unsubscribe.push_back(name), p.held[t].erase(name);
+                if (!names_wanted.contains(name)) request.unsubscribe.push_back(name), p.held[t].erase(name);
             if (!p.asked[t])
                 for (const auto& [name, what] : p.held[t]) request.initial_versions[name] = what->version;
         } else {
-            request.names.assign(want.begin(), want.end());
+            request.names.assign(names_wanted.begin(), names_wanted.end());
             request.version = p.version[t];
             if (p.asked[t]) request.nonce = p.nonce[t];
         }
         p.asked[t] = true;
-        p.wanted[t] = std::move(want);
-        p.to_send.push_back(std::move(request));
+        p.wanted[t] = std::move(names_wanted);
+        p.queued_requests.push_back(std::move(request));
     }
-    // A proxy that left goes by what it was told for its grace, and is none after.
+    // After a proxy has left, it uses its limits until the end of the grace period.
     bool gone(const Proxy& p) const { return !p.open && now >= p.left_at + control.leave_grace; }
     void connect(Proxy& p) {
         if (gone(p)) p.held[0].clear();
         p.stream = controller.open(p.delta, now);
         p.open = true;
-        p.to_send.clear();
+        p.queued_requests.clear();
         p.asked = {};
         p.wanted = {};
         p.nonce = {};
-        // A new connection keeps what was held, as proxies do.
-        ask(p, XdsType::cluster, {});
-        ask(p, XdsType::listener, {});
-        send(p);  // by which it is known
+        // Proxies keep their resources over a new connection.
+        subscribe(p, XdsType::cluster, {});
+        subscribe(p, XdsType::listener, {});
+        send(p);  // the first request identifies the proxy
     }
     void send(Proxy& p) {
-        if (p.to_send.empty() || !p.open) return;
-        const ProxyRequest request = std::move(p.to_send.front());
-        p.to_send.pop_front();
+        if (p.queued_requests.empty() || !p.open) return;
+        const ProxyRequest request = std::move(p.queued_requests.front());
+        p.queued_requests.pop_front();
         ++messages;
         REQUIRE(controller.on_request(p.stream, p.node, request, now) == Controller::Refusal::none);
     }
@@ -347,11 +356,11 @@
         std::set<std::string> clusters;
         for (const auto& [name, _] : p.held[0]) clusters.insert(name);
         for (const ResourcePtr& r : out->resources) {
-            rejects |= p.cannot_take.contains(r->state_of_world);
-            // Never something that refers to what the proxy was not told of.
+            rejects |= p.rejected_resources.contains(r->state_of_world);
+            // A resource must not referenced to one that the proxy was not sent.
             if (out->type == XdsType::endpoint) REQUIRE(clusters.contains(r->name));
             if (out->type == XdsType::route) REQUIRE(clusters.size() == 4);
-            // Never what it did not ask for.
+            // Only resources that the proxy subscribed to may be sent.
             REQUIRE((p.wanted[t].empty() ? t % 2 == 0 : p.wanted[t].contains(r->name)));
         }
         if (!rejects) {
@@ -361,7 +370,7 @@
             p.version[t] = out->version;
         }
         p.nonce[t] = out->nonce;
-        if (p.mute) return;
+        if (p.never_acknowledges) return;
         ProxyRequest request;
         request.type_url = type_url(out->type);
         request.nonce = out->nonce;
@@ -369,21 +378,24 @@
         request.error = "no";
         if (!p.delta)
             request.names.assign(p.wanted[t].begin(), p.wanted[t].end()), request.version = p.version[t];
-        p.to_send.push_back(std::move(request));
+        p.queued_requests.push_back(std::move(request));
         if (rejects) return;
-        std::set<std::string> refer;
-        for (const auto& [name, _] : p.held[t]) refer.insert(name);
-        if (out->type == XdsType::cluster && p.wanted[1] != refer) ask(p, XdsType::endpoint, refer);
-        if (out->type == XdsType::listener && p.wanted[3] != refer) ask(p, XdsType::route, refer);
+        std::set<std::string> referenced;
+        for (const auto& [name, _] : p.held[t]) referenced.insert(name);
+        if (out->type == XdsType::cluster && p.wanted[1] != referenced)
+            subscribe(p, XdsType::endpoint, referenced);
+        if (out->type == XdsType::listener && p.wanted[3] != referenced)
+            subscribe(p, XdsType::route, referenced);
     }
     void change_fleet() {
-        ListedEndpoint& n = nodes[below(nodes.size())];
+        ListedEndpoint& changed = nodes[below(nodes.size())];
         switch (below(4)) {
             case 0:
-                n.lifecycle = n.lifecycle == Lifecycle::ready ? Lifecycle::draining : Lifecycle::ready;
+                changed.lifecycle =
+                    changed.lifecycle == Lifecycle::ready ? Lifecycle::draining : Lifecycle::ready;
                 break;
             case 1:
-                n.started_at = now;
+                changed.started_at = now;
                 break;
             case 2:
                 nodes.push_back(node(static_cast<int>(below(30)) + 10, static_cast<std::uint32_t>(below(4))));
@@ -394,7 +406,7 @@
         }
         controller.apply_list(list_of(++generation, nodes), now);
     }
-    // The rule on limits, of what proxies really hold, where totals stand.
+    // The limits that proxies really hold don't exceed what counts as in use.
     void check_limits() {
         for (std::uint32_t pool = 0; pool < 4; ++pool) {
             std::uint64_t sum = 0;
@@ -405,12 +417,12 @@
             REQUIRE(sum <= controller.limits().in_use(pool));
         }
     }
-    void quiet() {
+    void settle() {
         for (int i = 0; i < 400; ++i) {
             now += 60 * ms;
             controller.tick(now);
             for (Proxy& p : proxies) {
-                while (!p.to_send.empty() && p.open) send(p);
+                while (!p.queued_requests.empty() && p.open) send(p);
                 receive(p);
             }
         }
@@ -420,196 +432,197 @@
 }  // namespace
 
 TEST_CASE(
-    "whatever proxies say and whatever changes, once it is quiet each holds the newest of what it asked "
-    "for") {
+    "after any sequence of requests and changes, each proxy ends up with the newest resources it subscribed "
+    "to") {
     std::uint64_t messages = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-        Fleet f(seed);
-        f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
+        ControlFixture fixture(seed);
+        fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
         for (int i = 0; i < 6; ++i) {
             Proxy p;
             p.node = "p" + std::to_string(i);
             p.delta = i % 2 == 1;
-            f.proxies.push_back(p);
+            fixture.proxies.push_back(p);
         }
         for (int step = 0; step < 500; ++step) {
-            f.now += static_cast<Nanos>(f.below(40)) * ms;
-            f.controller.tick(f.now);
-            Proxy& p = f.proxies[f.below(f.proxies.size())];
-            const auto what = f.below(40);
+            fixture.now += static_cast<Nanos>(fixture.below(40)) * ms;
+            fixture.controller.tick(fixture.now);
+            Proxy& p = fixture.proxies[fixture.below(fixture.proxies.size())];
+            const auto what = fixture.below(40);
             if (!p.open)
-                f.connect(p);
+                fixture.connect(p);
             else if (what == 0)
-                f.change_fleet();
+                fixture.change_fleet();
             else if (what == 1)
-                f.controller.close(p.stream, f.now), p.open = false, p.left_at = f.now;
+                fixture.controller.close(p.stream, fixture.now), p.open = false, p.left_at = fixture.now;
             else if (what == 2)
-                f.connect(p);  // its old stream is not yet noticed to be gone
+                fixture.connect(p);  // the end of its old stream has not been noticed yet
             else if (what == 3)
-                p.mute = !p.mute;
+                p.never_acknowledges = !p.never_acknowledges;
             else if (what < 20)
-                f.send(p);
+                fixture.send(p);
             else
-                f.receive(p);
-            f.check_limits();
+                fixture.receive(p);
+            fixture.check_limits();
         }
-        for (Proxy& p : f.proxies) {
-            p.mute = false;
-            f.controller.close(p.stream, f.now);
-            f.connect(p);
+        for (Proxy& p : fixture.proxies) {
+            p.never_acknowledges = false;
+            fixture.controller.close(p.stream, fixture.now);
+            fixture.connect(p);
         }
-        f.quiet();
-        f.check_limits();
-        const Decisions& decisions = f.controller.decisions();
+        fixture.settle();
+        fixture.check_limits();
+        const Decisions& decisions = fixture.controller.decisions();
         std::vector<std::uint64_t> limits(4);
-        for (const Proxy& p : f.proxies) {
-            CHECK(f.controller.settled(p.stream));
+        for (const Proxy& p : fixture.proxies) {
+            CHECK(fixture.controller.settled(p.stream));
             REQUIRE(p.held[0].size() == 4);
             REQUIRE(p.held[1].size() == 4);
             CHECK(p.held[2].size() == 2);
             CHECK(p.held[3].size() == 2);
             for (std::uint32_t pool = 0; pool < 4; ++pool) {
                 const std::string wanted =
-                    f.encoder.endpoints(pool, decisions.pools[pool], "")->state_of_world;
+                    fixture.encoder.endpoints(pool, decisions.pools[pool], "")->state_of_world;
                 CHECK(p.held[1].at(pool_name(pool))->state_of_world == wanted);
                 limits[pool] += p.held[0].at(pool_name(pool))->limit;
             }
         }
         for (std::uint32_t pool = 0; pool < 4; ++pool) CHECK(limits[pool] == decisions.pools[pool].limit);
-        messages += f.messages;
+        messages += fixture.messages;
     }
     CHECK(messages > 20'000);
 }
 
-TEST_CASE("a resource that a proxy can't take leaves the others moving, until it changes") {
+TEST_CASE("a rejected resource doesn't hold up others, and is sent again once it changes") {
     const bool delta = GENERATE(false, true);
-    Fleet f(5);
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
+    ControlFixture fixture(5);
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
     Proxy p;
     p.node = "p";
     p.delta = delta;
-    const std::string bad = f.encoder.endpoints(2, f.controller.decisions().pools[2], "")->state_of_world;
-    p.cannot_take = {bad};
-    f.proxies = {p};
-    f.connect(f.proxies[0]);
-    f.quiet();
-    Proxy& held = f.proxies[0];
+    const std::string bad =
+        fixture.encoder.endpoints(2, fixture.controller.decisions().pools[2], "")->state_of_world;
+    p.rejected_resources = {bad};
+    fixture.proxies = {p};
+    fixture.connect(fixture.proxies[0]);
+    fixture.settle();
+    Proxy& held = fixture.proxies[0];
     CHECK(held.held[1].size() == 3);
     CHECK_FALSE(held.held[1].contains(pool_name(2)));
     CHECK(held.held[3].size() == 2);
-    CHECK_FALSE(f.controller.take_log_lines().empty());
-    const std::uint64_t messages = f.messages;
-    f.quiet();
-    CHECK(f.messages == messages);  // what was rejected is not sent over and over
-    f.nodes[2].lifecycle = Lifecycle::draining;
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
-    f.quiet();
+    CHECK_FALSE(fixture.controller.take_log_lines().empty());
+    const std::uint64_t messages = fixture.messages;
+    fixture.settle();
+    CHECK(fixture.messages == messages);  // a rejected resource is not sent again and again
+    fixture.nodes[2].lifecycle = Lifecycle::draining;
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
+    fixture.settle();
     CHECK(held.held[1].size() == 4);
 }
 
-TEST_CASE(
-    "a proxy that never acknowledges is told the newest all the same, and keeps its limits from others") {
-    Fleet f(6);
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
-    f.proxies.resize(2);
-    f.proxies[0].node = "mute";
-    f.proxies[1].node = "other";
-    f.connect(f.proxies[0]);
-    f.quiet();
-    f.proxies[0].mute = true;
-    f.connect(f.proxies[1]);
-    f.quiet();
-    f.check_limits();
-    CHECK(f.proxies[0].held[0].at(pool_name(0))->limit == 15);
-    CHECK(f.proxies[1].held[0].at(pool_name(0))->limit == 0);  // nothing says that the other goes by less
-    f.nodes[0].lifecycle = Lifecycle::draining;
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
-    f.quiet();
-    CHECK(f.proxies[0].held[1].at(pool_name(0))->state_of_world.find("n0") == std::string::npos);
-    f.proxies[0].mute = false;
-    f.controller.close(f.proxies[0].stream, f.now);
-    f.connect(f.proxies[0]);
-    f.quiet();
-    CHECK(f.proxies[1].held[0].at(pool_name(0))->limit == 10);
+TEST_CASE("a proxy that never acknowledges still gets the newest resources, and its limits stay in use") {
+    ControlFixture fixture(6);
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
+    fixture.proxies.resize(2);
+    fixture.proxies[0].node = "mute";
+    fixture.proxies[1].node = "other";
+    fixture.connect(fixture.proxies[0]);
+    fixture.settle();
+    fixture.proxies[0].never_acknowledges = true;
+    fixture.connect(fixture.proxies[1]);
+    fixture.settle();
+    fixture.check_limits();
+    CHECK(fixture.proxies[0].held[0].at(pool_name(0))->limit == 15);
+    CHECK(fixture.proxies[1].held[0].at(pool_name(0))->limit ==
+          0);  // the other proxy has not acknowledged a decrease
+    fixture.nodes[0].lifecycle = Lifecycle::draining;
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
+    fixture.settle();
+    CHECK(fixture.proxies[0].held[1].at(pool_name(0))->state_of_world.find("n0") == std::string::npos);
+    fixture.proxies[0].never_acknowledges = false;
+    fixture.controller.close(fixture.proxies[0].stream, fixture.now);
+    fixture.connect(fixture.proxies[0]);
+    fixture.settle();
+    CHECK(fixture.proxies[1].held[0].at(pool_name(0))->limit == 10);
 }
 
-TEST_CASE("a proxy that has heard of a newer list is told nothing older, but not for ever") {
+TEST_CASE("a proxy that knows a newer list gets no older one for a limited time") {
     const bool delta = GENERATE(false, true);
-    Fleet f(7);
-    f.generation = 40;
-    f.controller.apply_list(list_of(f.generation, f.nodes), f.now);
-    const auto stream = f.controller.open(delta, f.now);
+    ControlFixture fixture(7);
+    fixture.generation = 40;
+    fixture.controller.apply_list(list_of(fixture.generation, fixture.nodes), fixture.now);
+    const auto stream = fixture.controller.open(delta, fixture.now);
     ProxyRequest request;
     request.type_url = type_url(XdsType::cluster);
     if (delta)
         request.initial_versions[pool_name(0)] = "41.9.9";
     else
         request.version = "41.9.9";
-    f.controller.on_request(stream, "p", request, f.now);
-    CHECK_FALSE(f.controller.next(stream, f.now));
-    SECTION("until the list has come here too") {
-        f.controller.apply_list(list_of(41, f.nodes), f.now + 50 * ms);
-        const auto due = f.controller.take_due();
+    fixture.controller.on_request(stream, "p", request, fixture.now);
+    CHECK_FALSE(fixture.controller.next(stream, fixture.now));
+    SECTION("until this service has the list too") {
+        fixture.controller.apply_list(list_of(41, fixture.nodes), fixture.now + 50 * ms);
+        const auto due = fixture.controller.take_due();
         CHECK(std::find(due.begin(), due.end(), stream) != due.end());
-        CHECK(f.controller.next(stream, f.now + 50 * ms));
+        CHECK(fixture.controller.next(stream, fixture.now + 50 * ms));
     }
-    SECTION("until it has waited for long") {
-        f.controller.tick(f.now + 5 * s);
-        CHECK(f.controller.next(stream, f.now + 5 * s));
+    SECTION("until the wait is over") {
+        fixture.controller.tick(fixture.now + 5 * second);
+        CHECK(fixture.controller.next(stream, fixture.now + 5 * second));
     }
 }
 
-TEST_CASE(
-    "a drain that is told while a response is under way goes out with the next, whatever the clock does") {
-    Fleet f(9);
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
-    f.proxies.resize(1);
-    Proxy& p = f.proxies[0];
+TEST_CASE("a drain during a response in flight is sent with the next response, even if the clock steps") {
+    ControlFixture fixture(9);
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
+    fixture.proxies.resize(1);
+    Proxy& p = fixture.proxies[0];
     p.node = "p";
-    f.connect(p);
-    f.quiet();
-    f.nodes[1].started_at = f.now;
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
-    f.receive(p);  // the cold node; not yet acknowledged
-    f.nodes[0].lifecycle = Lifecycle::draining;
-    f.now -= 3600 * s;  // the clock is set back
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
-    f.receive(p);
+    fixture.connect(p);
+    fixture.settle();
+    fixture.nodes[1].started_at = fixture.now;
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
+    fixture.receive(p);  // the restarted node, not acknowledged yet
+    fixture.nodes[0].lifecycle = Lifecycle::draining;
+    fixture.now -= 3600 * second;  // the clock is set back
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
+    fixture.receive(p);
     const auto drains = [&p] {
         return p.held[1].at(pool_name(0))->state_of_world.find("n0=1d") != std::string::npos;
     };
     CHECK_FALSE(drains());
-    f.send(p);
-    f.receive(p);
+    fixture.send(p);
+    fixture.receive(p);
     CHECK(drains());
-    // Told with the acknowledgement lost: after the wait, by the clock as it goes on from where it was.
-    f.nodes[3].lifecycle = Lifecycle::draining;
-    p.mute = true;
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
-    f.now += 3600 * s + 300 * ms;
-    f.controller.tick(f.now);
-    f.receive(p);
+    // If an acknowledgement is lost, the next response is sent after the timeout, on the clock that goes on
+    // from its latest time.
+    fixture.nodes[3].lifecycle = Lifecycle::draining;
+    p.never_acknowledges = true;
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
+    fixture.now += 3600 * second + 300 * ms;
+    fixture.controller.tick(fixture.now);
+    fixture.receive(p);
     CHECK(p.held[1].at(pool_name(3))->state_of_world.find("n3=1d") != std::string::npos);
 }
 
-TEST_CASE("messages that make no sense end their stream, or are passed over, and touch no other") {
-    Fleet f(8);
-    f.controller.apply_list(list_of(++f.generation, f.nodes), f.now);
-    const auto hears = [&f](Controller::StreamId id, const std::string& from, ProxyRequest request) {
-        return f.controller.on_request(id, from, request, f.now);
+TEST_CASE("invalid requests end their stream or are ignored, and affect no other stream") {
+    ControlFixture fixture(8);
+    fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
+    const auto hears = [&fixture](Controller::StreamId id, const std::string& from, ProxyRequest request) {
+        return fixture.controller.on_request(id, from, request, fixture.now);
     };
     ProxyRequest request;
     request.type_url = type_url(XdsType::cluster);
-    const auto id = f.controller.open(false, f.now);
+    const auto id = fixture.controller.open(false, fixture.now);
     CHECK(hears(id, "", request) == Controller::Refusal::no_node);
     CHECK(hears(id, "p", request) == Controller::Refusal::none);
     CHECK(hears(id, "q", request) == Controller::Refusal::other_node);
-    const auto first = f.controller.next(id, f.now);
+    const auto first = fixture.controller.next(id, fixture.now);
     REQUIRE(first);
     request.nonce = "999";  // stale: nothing is taken from it
     request.is_nack = true;
     CHECK(hears(id, "", request) == Controller::Refusal::none);
-    CHECK(f.controller.take_log_lines().empty());
+    CHECK(fixture.controller.take_log_lines().empty());
     ProxyRequest unknown;
     unknown.type_url = "type.googleapis.com/something.Else";
     CHECK(hears(id, "", unknown) == Controller::Refusal::unknown_type);
@@ -618,17 +631,17 @@
     many.names.resize(ProxyStream::max_names + 1, "x");
     CHECK(hears(id, "", many) == Controller::Refusal::too_many);
     // The same node on a new stream ends the old one.
-    const auto again = f.controller.open(false, f.now);
+    const auto again = fixture.controller.open(false, fixture.now);
     CHECK(hears(again, "p", {std::string(type_url(XdsType::cluster)), "", "", {}, {}, {}, {}, false, ""}) ==
           Controller::Refusal::none);
-    CHECK(f.controller.take_ended() == std::vector<Controller::StreamId>{id});
-    f.controller.close(id, f.now);
-    CHECK(f.controller.next(again, f.now));
+    CHECK(fixture.controller.take_ended() == std::vector<Controller::StreamId>{id});
+    fixture.controller.close(id, fixture.now);
+    CHECK(fixture.controller.next(again, fixture.now));
 }
 
 TEST_CASE(
-    "a cluster goes only once the proxy's routes have moved on, and new ones come before what refers to "
-    "them") {
+    "a cluster is removed only after the routes have moved off it, and sent before routes that referenced to "
+    "it") {
     const bool delta = GENERATE(false, true);
     const auto made = [](const std::string& name, const std::string& version) {
         return std::make_shared<const XdsResource>(XdsResource{name, version, name + version, "", 0, 0});
@@ -636,7 +649,8 @@
     ResourceMap clusters{{"a", made("a", "1")}}, none, routes{{"r", made("r", "1")}};
     XdsView view{{1, 1, 1}, {&clusters, &none, &none, &routes}, {}};
     ProxyStream stream(delta, 200 * ms);
-    const auto hear = [&](XdsType type, std::vector<std::string> names, const std::string& nonce = "") {
+    const auto request_from_proxy = [&](XdsType type, std::vector<std::string> names,
+                                        const std::string& nonce = "") {
         ProxyRequest request;
         request.type_url = type_url(type);
         request.nonce = nonce;
@@ -648,14 +662,15 @@
         ProxyStream::SubscriptionChange change;
         stream.on_request(request, told, change);
     };
-    hear(XdsType::cluster, {});
-    hear(XdsType::route, {"r"});
+    request_from_proxy(XdsType::cluster, {});
+    request_from_proxy(XdsType::route, {"r"});
     Nanos now = 0;
     for (int i = 0; i < 2; ++i) {
         const auto out = stream.next(view, now);
         REQUIRE(out);
         CHECK(out->type == (i == 0 ? XdsType::cluster : XdsType::route));
-        hear(out->type, i == 0 ? std::vector<std::string>() : std::vector<std::string>{"r"}, out->nonce);
+        request_from_proxy(out->type, i == 0 ? std::vector<std::string>() : std::vector<std::string>{"r"},
+                           out->nonce);
     }
     REQUIRE_FALSE(stream.next(view, now));
     // The routes move from cluster a to cluster b.
@@ -665,13 +680,13 @@
     view.change_counts = {2, 2, 2, 2};
     const auto make = stream.next(view, now);
     REQUIRE((make && make->type == XdsType::cluster));
-    CHECK(make->resources.size() == (delta ? 1 : 2));  // with the old one, where all are told
+    CHECK(make->resources.size() == (delta ? 1 : 2));  // state of the world includes the old cluster
     CHECK(make->removed.empty());
-    hear(XdsType::cluster, {}, make->nonce);
+    request_from_proxy(XdsType::cluster, {}, make->nonce);
     const auto moved = stream.next(view, now + 2 * ms);
     REQUIRE((moved && moved->type == XdsType::route));
     CHECK_FALSE(stream.next(view, now + 3 * ms));  // not yet acknowledged
-    hear(XdsType::route, {"r"}, moved->nonce);
+    request_from_proxy(XdsType::route, {"r"}, moved->nonce);
     const auto broken = stream.next(view, now + 4 * ms);
     REQUIRE((broken && broken->type == XdsType::cluster));
     if (delta)
@@ -680,7 +695,7 @@
         CHECK((broken->resources.size() == 1 && broken->resources[0]->name == "b"));
 }
 
-TEST_CASE("versions are read back as written, and nothing else is one") {
+TEST_CASE("versions are parsed as formatted, and other texts are rejected") {
     const auto read = parse_version(format_version({7, 1700000000000, 3}));
     REQUIRE(read);
     CHECK((read->generation == 7 && read->epoch == 1700000000000 && read->number == 3));
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -1,4 +1,4 @@
-// The control service over gRPC on loopback, with recorders in the place of proxies.
+// The control service over gRPC on loopback, with recorders as proxies.
 #include <grpcpp/generic/generic_stub.h>
 
 #include <catch2/catch.hpp>
@@ -24,13 +24,13 @@
     return list;
 }
 
-struct Control {
+struct RunningServer {
     ControlConfig config = [] {
-        ControlConfig c;
-        c.on = true;
-        c.node_limit = 20;
-        c.leave_grace = 100 * ms;
-        return c;
+        ControlConfig made;
+        made.on = true;
+        made.node_limit = 20;
+        made.leave_grace = 100 * ms;
+        return made;
     }();
     std::unique_ptr<XdsServer> server;
     int port = 0;
@@ -38,7 +38,7 @@
     std::atomic<bool> ticking{true};
     std::thread ticker;
 
-    explicit Control(std::uint64_t epoch = 1000) {
+    explicit RunningServer(std::uint64_t epoch = 1000) {
         server = std::make_unique<XdsServer>(test::small_config(), std::vector<std::string>{"part", "whole"},
                                              config, 250 * ms, 1, epoch);
         port = server->start("127.0.0.1:0");
@@ -49,30 +49,31 @@
             }
         });
     }
-    ~Control() {
+    ~RunningServer() {
         ticking = false;
         ticker.join();
         server->stop();
     }
-    void tell(std::vector<ListedEndpoint> nodes) {
+    void publish(std::vector<ListedEndpoint> nodes) {
         server->apply_list({++generation, true, std::move(nodes), 0});
     }
     std::shared_ptr<grpc::Channel> channel() const {
         grpc::ChannelArguments args;
-        args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // a connection of its own
+        args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // each recorder has its own connection
         return grpc::CreateCustomChannel("127.0.0.1:" + std::to_string(port),
                                          grpc::InsecureChannelCredentials(), args);
     }
 };
 
-bool complete(const State& h, std::size_t pool_size) {
-    if (h.limits.size() != 4 || h.endpoints.size() != 4 || h.routes.size() != 2 || h.listeners.size() != 2)
+bool complete(const State& state, std::size_t pool_size) {
+    if (state.limits.size() != 4 || state.endpoints.size() != 4 || state.routes.size() != 2 ||
+        state.listeners.size() != 2)
         return false;
-    return std::all_of(h.endpoints.begin(), h.endpoints.end(),
+    return std::all_of(state.endpoints.begin(), state.endpoints.end(),
                        [pool_size](const auto& e) { return e.second.size() == pool_size; });
 }
 
-// Sends these bytes as a message of a stream and waits for its end.
+// Sends these bytes as the first message of a stream and waits for the stream's end.
 class RawStream final : public grpc::ClientBidiReactor<grpc::ByteBuffer, grpc::ByteBuffer> {
   public:
     RawStream(const std::shared_ptr<grpc::Channel>& channel, const std::string& method,
@@ -102,59 +103,63 @@
 
 }  // namespace
 
-TEST_CASE("proxies of both forms get all there is, follow a drain and its end, and divide the limits") {
-    Control control;
-    control.tell(fleet(4));
+TEST_CASE(
+    "proxies of both protocol forms get all resources, see a drain and the removal, and share the limits") {
+    RunningServer control;
+    control.publish(fleet(4));
     Recorder whole(control.channel(), {.node = "whole"}),
         delta(control.channel(), {.node = "delta", .delta = true});
-    for (Recorder* r : {&whole, &delta}) {
-        REQUIRE(r->wait_until([](const State& h) { return complete(h, 3); }));
-        REQUIRE(r->wait_until([](const State& h) { return h.limits.at("holders-0") == 30; }));
-        CHECK(r->state().max_retries.at("part") == 2);
+    for (Recorder* recorder : {&whole, &delta}) {
+        REQUIRE(recorder->wait_until([](const State& state) { return complete(state, 3); }));
+        REQUIRE(recorder->wait_until([](const State& state) { return state.limits.at("holders-0") == 30; }));
+        CHECK(recorder->state().max_retries.at("part") == 2);
     }
     auto nodes = fleet(4);
     nodes[1].lifecycle = Lifecycle::draining;
-    control.tell(nodes);
-    for (Recorder* r : {&whole, &delta}) {
-        CHECK(r->wait_until([](const State& h) { return h.endpoints.at("holders-1").at("n1").draining; }));
+    control.publish(nodes);
+    for (Recorder* recorder : {&whole, &delta}) {
+        CHECK(recorder->wait_until(
+            [](const State& state) { return state.endpoints.at("holders-1").at("n1").draining; }));
     }
-    for (Recorder* r : {&whole, &delta}) {
-        CHECK(r->wait_until([](const State& h) { return !h.endpoints.at("holders-1").contains("n1"); }));
-        CHECK(r->wait_until([](const State& h) { return h.limits.at("holders-1") == 20; }));
-        CHECK(r->state().unknown_references == 0);
-        CHECK(r->state().version_regressions == 0);
+    for (Recorder* recorder : {&whole, &delta}) {
+        CHECK(recorder->wait_until(
+            [](const State& state) { return !state.endpoints.at("holders-1").contains("n1"); }));
+        CHECK(recorder->wait_until([](const State& state) { return state.limits.at("holders-1") == 20; }));
+        CHECK(recorder->state().unknown_references == 0);
+        CHECK(recorder->state().version_regressions == 0);
     }
 }
 
-TEST_CASE("a proxy that leaves gives its part of the limits to the others, after its grace") {
-    Control control;
-    control.tell(fleet(4));
+TEST_CASE("after a proxy has left, its limits go to the others at the end of the grace period") {
+    RunningServer control;
+    control.publish(fleet(4));
     Recorder stays(control.channel(), {.node = "a"});
     {
         Recorder leaves(control.channel(), {.node = "b"});
         REQUIRE(leaves.wait_until(
-            [](const State& h) { return complete(h, 3) && h.limits.at("holders-0") == 30; }));
-        REQUIRE(stays.wait_until([](const State& h) { return h.limits.at("holders-0") == 30; }));
+            [](const State& state) { return complete(state, 3) && state.limits.at("holders-0") == 30; }));
+        REQUIRE(stays.wait_until([](const State& state) { return state.limits.at("holders-0") == 30; }));
     }
-    CHECK(stays.wait_until([](const State& h) { return h.limits.at("holders-0") == 60; }));
+    CHECK(stays.wait_until([](const State& state) { return state.limits.at("holders-0") == 60; }));
 }
 
-TEST_CASE("a connection that is cut in mid-rollout comes back to the current decisions") {
-    Control control;
-    control.tell(fleet(8));
+TEST_CASE("a connection that is lost during a rollout gets the current decisions when it is back") {
+    RunningServer control;
+    control.publish(fleet(8));
     const bool delta = GENERATE(false, true);
     for (int i = 0; i < 10; ++i) {
-        Recorder r(control.channel(), {.node = "p", .delta = delta});
-        r.wait_until([i](const State& h) { return h.responses > static_cast<std::uint64_t>(i % 5); });
+        Recorder recorder(control.channel(), {.node = "p", .delta = delta});
+        recorder.wait_until(
+            [i](const State& state) { return state.responses > static_cast<std::uint64_t>(i % 5); });
         auto nodes = fleet(8);
         nodes[static_cast<std::size_t>(i) % 8].lifecycle = Lifecycle::draining;
-        control.tell(nodes);
-        r.cancel();
+        control.publish(nodes);
+        recorder.cancel();
         Recorder again(control.channel(), {.node = "p", .delta = delta});
         const std::string drains = "n" + std::to_string(i % 8);
-        REQUIRE(again.wait_until([&](const State& h) {
-            if (h.endpoints.size() != 4 || h.routes.size() != 2) return false;
-            for (const auto& [_, endpoints] : h.endpoints)
+        REQUIRE(again.wait_until([&](const State& state) {
+            if (state.endpoints.size() != 4 || state.routes.size() != 2) return false;
+            for (const auto& [_, endpoints] : state.endpoints)
                 for (const auto& [node, e] : endpoints)
                     if (node == drains && !e.draining) return false;
             return true;
@@ -163,115 +168,124 @@
     }
 }
 
-TEST_CASE("one that rejects is told apart, one that never acknowledges still follows; others don't notice") {
-    Control control;
-    control.tell(fleet(4));
+TEST_CASE("a proxy that rejects or never acknowledges still gets updates and doesn't affect others") {
+    RunningServer control;
+    control.publish(fleet(4));
     Recorder rejects(control.channel(),
                      {.node = "r", .rejects = [](XdsType type, const std::vector<std::string>& names) {
                           return type == XdsType::endpoint &&
                                  std::find(names.begin(), names.end(), "holders-2") != names.end();
                       }});
-    Recorder mute(control.channel(), {.node = "m", .acknowledges = false});
-    Recorder sound(control.channel(), {.node = "s", .delta = true});
-    CHECK(rejects.wait_until([](const State& h) { return h.endpoints.size() == 3 && h.routes.size() == 2; }));
-    CHECK(sound.wait_until([](const State& h) { return complete(h, 3); }));
-    CHECK(mute.wait_until([](const State& h) { return complete(h, 3); }));
+    Recorder never_acknowledges(control.channel(), {.node = "m", .acknowledges = false});
+    Recorder unaffected(control.channel(), {.node = "s", .delta = true});
+    CHECK(rejects.wait_until(
+        [](const State& state) { return state.endpoints.size() == 3 && state.routes.size() == 2; }));
+    CHECK(unaffected.wait_until([](const State& state) { return complete(state, 3); }));
+    CHECK(never_acknowledges.wait_until([](const State& state) { return complete(state, 3); }));
     auto nodes = fleet(4);
     nodes[0].lifecycle = Lifecycle::draining;
-    control.tell(nodes);
-    const auto drained = [](const State& h) { return h.endpoints.at("holders-0").at("n0").draining || true; };
-    for (Recorder* r : {&mute, &sound, &rejects}) CHECK(r->wait_until(drained));
-    CHECK(mute.wait_until([](const State& h) { return !h.endpoints.at("holders-0").contains("n0"); }));
-    CHECK(rejects.wait_until([](const State& h) { return !h.endpoints.at("holders-0").contains("n0"); }));
+    control.publish(nodes);
+    const auto drained = [](const State& state) {
+        return state.endpoints.at("holders-0").at("n0").draining || true;
+    };
+    for (Recorder* recorder : {&never_acknowledges, &unaffected, &rejects})
+        CHECK(recorder->wait_until(drained));
+    CHECK(never_acknowledges.wait_until(
+        [](const State& state) { return !state.endpoints.at("holders-0").contains("n0"); }));
+    CHECK(rejects.wait_until(
+        [](const State& state) { return !state.endpoints.at("holders-0").contains("n0"); }));
 }
 
-TEST_CASE("a second control service with an older list tells a proxy nothing older until it has caught up") {
-    Control first(1000), second(2000);
+TEST_CASE("a control service with an older list sends a proxy nothing until it has caught up") {
+    RunningServer first(1000), second(2000);
     first.generation = 10;
-    first.tell(fleet(4));
+    first.publish(fleet(4));
     second.generation = 8;
     auto nodes = fleet(4);
     nodes.pop_back();
-    second.tell(nodes);
+    second.publish(nodes);
     std::string version;
     {
-        Recorder r(first.channel(), {.node = "p"});
-        REQUIRE(r.wait_until([](const State& h) { return complete(h, 3); }));
-        version = r.state().version;
+        Recorder recorder(first.channel(), {.node = "p"});
+        REQUIRE(recorder.wait_until([](const State& state) { return complete(state, 3); }));
+        version = recorder.state().version;
     }
-    Recorder r(second.channel(), {.node = "p", .known_version = version});
-    CHECK_FALSE(r.wait_until([](const State& h) { return h.responses > 0; }, std::chrono::milliseconds(200)));
+    Recorder recorder(second.channel(), {.node = "p", .known_version = version});
+    CHECK_FALSE(recorder.wait_until([](const State& state) { return state.responses > 0; },
+                                    std::chrono::milliseconds(200)));
     second.generation = 10;
-    second.tell(fleet(4));
-    CHECK(r.wait_until([](const State& h) { return complete(h, 3); }));
+    second.publish(fleet(4));
+    CHECK(recorder.wait_until([](const State& state) { return complete(state, 3); }));
 }
 
-TEST_CASE("what can't be read, or makes no sense, ends its own stream with a status") {
-    Control control;
-    control.tell(fleet(4));
-    Recorder sound(control.channel(), {.node = "s"});
-    REQUIRE(sound.wait_until([](const State& h) { return complete(h, 3); }));
-    Recorder nameless(control.channel(), {.node = ""});
-    REQUIRE(nameless.wait_until([](const State& h) { return h.ended; }));
-    CHECK(nameless.state().status == grpc::StatusCode::INVALID_ARGUMENT);
-    Recorder doubled(control.channel(), {.node = "s"});
-    REQUIRE(sound.wait_until([](const State& h) { return h.ended; }));
-    CHECK(sound.state().status == grpc::StatusCode::ABORTED);
-    CHECK(doubled.wait_until([](const State& h) { return complete(h, 3); }));
-    Recorder huge(control.channel(), {.node = std::string(3 << 20, 'x')});
-    REQUIRE(huge.wait_until([](const State& h) { return h.ended; }));
-    CHECK(huge.state().status == grpc::StatusCode::RESOURCE_EXHAUSTED);
+TEST_CASE("malformed and invalid requests end only their own stream, with a status") {
+    RunningServer control;
+    control.publish(fleet(4));
+    Recorder unaffected(control.channel(), {.node = "s"});
+    REQUIRE(unaffected.wait_until([](const State& state) { return complete(state, 3); }));
+    Recorder unnamed(control.channel(), {.node = ""});
+    REQUIRE(unnamed.wait_until([](const State& state) { return state.ended; }));
+    CHECK(unnamed.state().status == grpc::StatusCode::INVALID_ARGUMENT);
+    Recorder second_of_node(control.channel(), {.node = "s"});
+    REQUIRE(unaffected.wait_until([](const State& state) { return state.ended; }));
+    CHECK(unaffected.state().status == grpc::StatusCode::ABORTED);
+    CHECK(second_of_node.wait_until([](const State& state) { return complete(state, 3); }));
+    Recorder oversized(control.channel(), {.node = std::string(3 << 20, 'x')});
+    REQUIRE(oversized.wait_until([](const State& state) { return state.ended; }));
+    CHECK(oversized.state().status == grpc::StatusCode::RESOURCE_EXHAUSTED);
     for (const char* method : {"StreamAggregatedResources", "DeltaAggregatedResources"}) {
         CHECK(RawStream(control.channel(), method, "\xff\xff\xff garbage").wait() ==
               grpc::StatusCode::INVALID_ARGUMENT);
         CHECK(RawStream(control.channel(), method, std::string(60 << 20, 'x')).wait() ==
               grpc::StatusCode::RESOURCE_EXHAUSTED);
         CHECK(RawStream(control.channel(), method, "").wait() ==
-              grpc::StatusCode::INVALID_ARGUMENT);  // no node, no type
+              grpc::StatusCode::INVALID_ARGUMENT);  // names neither a node nor a type
     }
     auto nodes = fleet(4);
     nodes[0].lifecycle = Lifecycle::draining;
-    control.tell(nodes);
-    CHECK(doubled.wait_until([](const State& h) { return h.endpoints.at("holders-0").at("n0").draining; }));
+    control.publish(nodes);
+    CHECK(second_of_node.wait_until(
+        [](const State& state) { return state.endpoints.at("holders-0").at("n0").draining; }));
 }
 
-TEST_CASE("a cold fleet's weights and limits climb; a list that shrinks to nothing is not believed") {
-    Control control;
+TEST_CASE("a cold node's weight grows; an empty list does not remove the fleet") {
+    RunningServer control;
     const Nanos now = std::chrono::duration_cast<std::chrono::nanoseconds>(
                           std::chrono::system_clock::now().time_since_epoch())
                           .count();
     auto nodes = fleet(4);
     nodes[2].started_at = now;
-    control.tell(nodes);
-    Recorder r(control.channel(), {.node = "p", .delta = true});
-    REQUIRE(r.wait_until([](const State& h) { return complete(h, 3); }));
-    const std::uint32_t cold = r.state().endpoints.at("holders-2").at("n2").weight;
+    control.publish(nodes);
+    Recorder recorder(control.channel(), {.node = "p", .delta = true});
+    REQUIRE(recorder.wait_until([](const State& state) { return complete(state, 3); }));
+    const std::uint32_t cold = recorder.state().endpoints.at("holders-2").at("n2").weight;
     CHECK(cold <= 20);
-    CHECK(
-        r.wait_until([cold](const State& h) { return h.endpoints.at("holders-2").at("n2").weight > cold; }));
-    control.tell({});
-    control.tell({});
+    CHECK(recorder.wait_until(
+        [cold](const State& state) { return state.endpoints.at("holders-2").at("n2").weight > cold; }));
+    control.publish({});
+    control.publish({});
     Recorder later(control.channel(), {.node = "q"});
-    CHECK(later.wait_until([](const State& h) { return complete(h, 3); }));
+    CHECK(later.wait_until([](const State& state) { return complete(state, 3); }));
 }
 
-TEST_CASE("a stop ends every stream; the next start's versions are others") {
-    auto control = std::make_unique<Control>(1000);
-    control->tell(fleet(4));
+TEST_CASE("a stop ends every stream, and versions after a restart differ") {
+    auto control = std::make_unique<RunningServer>(1000);
+    control->publish(fleet(4));
     std::vector<std::unique_ptr<Recorder>> all;
     for (int i = 0; i < 50; ++i)
         all.push_back(std::make_unique<Recorder>(
             control->channel(), Recorder::Options{.node = "p" + std::to_string(i), .delta = i % 2 == 0}));
-    for (auto& r : all) REQUIRE(r->wait_until([](const State& h) { return complete(h, 3); }));
+    for (auto& recorder : all)
+        REQUIRE(recorder->wait_until([](const State& state) { return complete(state, 3); }));
     const std::string before = all[0]->state().version;
     control.reset();
-    for (auto& r : all) {
-        REQUIRE(r->wait_until([](const State& h) { return h.ended; }));
-        CHECK(r->state().unknown_references == 0);
+    for (auto& recorder : all) {
+        REQUIRE(recorder->wait_until([](const State& state) { return state.ended; }));
+        CHECK(recorder->state().unknown_references == 0);
     }
-    Control next(1001);
-    next.tell(fleet(4));
-    Recorder r(next.channel(), {.node = "p0"});
-    REQUIRE(r.wait_until([](const State& h) { return complete(h, 3); }));
-    CHECK(r.state().version != before);
+    RunningServer next(1001);
+    next.publish(fleet(4));
+    Recorder recorder(next.channel(), {.node = "p0"});
+    REQUIRE(recorder.wait_until([](const State& state) { return complete(state, 3); }));
+    CHECK(recorder.state().version != before);
 }
