--- a/measure/leaf_times.cpp
+++ b/measure/leaf_times.cpp
@@ -46,7 +46,7 @@
             ::prctl(PR_SET_PDEATHSIG, SIGKILL);
             boost::asio::io_context io{1};
             Fleet fleet(io, read_script(script_of(), "script"));
-            fleet.tell();
+            fleet.publish();
             const std::string said = fleet.discovery.address() + '\n' + fleet.entries();
             if (::write(ends[1], said.data(), said.size()) != static_cast<ssize_t>(said.size())) ::_exit(1);
             ::close(ends[1]);
--- a/src/testing/client.cpp
+++ b/src/testing/client.cpp
@@ -6,33 +6,33 @@
 
 using Json = nlohmann::json;
 
-std::string request_of(const ClientQuery& asking) {
+std::string request_of(const ClientQuery& query) {
     Json body;
-    const std::size_t k = asking.shards.size();
+    const std::size_t count = query.shards.size();
     body["segments"] = Json::array();
-    for (std::size_t i = 0; i < k; ++i)
+    for (std::size_t i = 0; i < count; ++i)
         body["segments"].push_back(
-            {{"segment", asking.shards[i]},
-             {"boost", asking.weights.empty() ? 1.0 / static_cast<double>(k) : asking.weights[i]}});
-    body["text"] = std::to_string(asking.find.rows) + "\n" + write_find(asking.find);
-    if (asking.two_phase) {
-        Json& find = body["find"] = {{"rows", asking.find.rows}, {"terms", asking.find.terms}};
+            {{"segment", query.shards[i]},
+             {"boost", query.weights.empty() ? 1.0 / static_cast<double>(count) : query.weights[i]}});
+    body["text"] = std::to_string(query.find.rows) + "\n" + write_find(query.find);
+    if (query.two_phase) {
+        Json& find = body["find"] = {{"rows", query.find.rows}, {"terms", query.find.terms}};
         find["ranges"] = Json::array();
-        for (const FieldRange& r : asking.find.ranges)
-            find["ranges"].push_back({{"field", r.field}, {"from", r.from}, {"to", r.to}});
+        for (const FieldRange& range : query.find.ranges)
+            find["ranges"].push_back({{"field", range.field}, {"from", range.from}, {"to", range.to}});
     }
     const std::string text = body.dump();
-    std::string head = "POST /" + asking.query_class + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + asking.id +
-                       "\r\nX-Deadline-Ms: " + std::to_string(asking.deadline_ms) + "\r\n";
-    if (!asking.key.empty()) head += "Idempotency-Key: " + asking.key + "\r\n";
+    std::string head = "POST /" + query.query_class + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + query.id +
+                       "\r\nX-Deadline-Ms: " + std::to_string(query.deadline_ms) + "\r\n";
+    if (!query.key.empty()) head += "Idempotency-Key: " + query.key + "\r\n";
     return head + "Content-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text;
 }
 
-std::vector<RankedRow> ClientResponse::rows(int most) const {
+std::vector<RankedRow> ClientResponse::rows(int count) const {
     std::vector<RankedRow> all;
     for (const auto& [_, value] : values)
         for (const RankedRow& row : parse_rows(value)) all.push_back(row);
-    return top_rows(std::move(all), most);
+    return top_rows(std::move(all), count);
 }
 
 ClientResponse read_answer(int status, const std::string& body) {
@@ -44,11 +44,12 @@
     read.whole = in.value("all_in", false);
     for (const Json& match : in.value("matches", Json::array()))
         read.values.emplace_back(match.value("segment", 0U), match.value("payload", ""));
-    const auto of = [&in](const char* name) {
+    const auto section_count = [&in](const char* name) {
         const Json stated = in.value(name, Json::object());
-        return ClientResponse::Of{stated.value("sections", 0U), stated.value("weight", 0.0)};
+        return ClientResponse::SectionCount{stated.value("sections", 0U), stated.value("weight", 0.0)};
     };
-    read.answered = of("answered"), read.pruned = of("pruned"), read.missing = of("missing");
+    read.answered = section_count("answered"), read.pruned = section_count("pruned"),
+    read.missing = section_count("missing");
     if (in.contains("missing"))
         for (const Json& shard : in["missing"].value("segments", Json::array()))
             read.missing_shards.push_back(shard.get<std::uint32_t>());
@@ -76,9 +77,9 @@
     connection_->read();
 }
 
-void Client::ask(const ClientQuery& asking) { connection_->send(request_of(asking)); }
+void Client::ask(const ClientQuery& query) { connection_->send(request_of(query)); }
 
-void Client::leave() {
+void Client::disconnect() {
     connection_->on_end = nullptr;
     connection_->close(false);
 }
--- a/src/testing/client.hpp
+++ b/src/testing/client.hpp
@@ -1,4 +1,5 @@
-// A client on loopback: one connection, queries one after the other, answers as they come.
+// A test client on loopback with one connection, which sends queries one after the other and reports the
+// responses.
 #pragma once
 
 #include <functional>
@@ -7,43 +8,45 @@
 
 namespace tealcart::testing {
 
+// A query as a client sends it.
 struct ClientQuery {
     std::string query_class, id;
     int deadline_ms = 1000;
     std::vector<std::uint32_t> shards;
-    std::vector<double> weights;  // empty: even
+    std::vector<double> weights;  // empty for equal weights
     SearchCriteria find;
-    bool two_phase = true;  // the find stands in the body, else in the text alone
+    bool two_phase = true;  // whether the body states the search criteria; else only the text does
     std::string key;
 };
-// The request's bytes.
-std::string request_of(const ClientQuery& asking);
+// Returns the bytes of the HTTP request.
+std::string request_of(const ClientQuery& query);
 
+// The parts of a response that tests check.
 struct ClientResponse {
     int status = 0;
     bool whole = false;
     std::vector<std::pair<std::uint32_t, std::string>> values;  // by shard
-    struct Of {
+    struct SectionCount {
         std::uint32_t sections = 0;
         double weight = 0;
     };
-    Of answered, pruned, missing;
+    SectionCount answered, pruned, missing;
     std::vector<std::uint32_t> missing_shards;
     std::size_t bytes = 0;
 
-    // The first rows over all values.
-    std::vector<RankedRow> rows(int most) const;
+    // Returns the highest-ranked rows of all values.
+    std::vector<RankedRow> rows(int count) const;
 };
 ClientResponse read_answer(int status, const std::string& body);
 
 class Client {
   public:
-    // `done` is told of each answer, and with status 0 of an end without one.
+    // `done` is called with each response, and with status 0 when the connection ends without one.
     Client(boost::asio::io_context& io, std::uint16_t port, std::function<void(ClientResponse)> done);
-    ~Client() { leave(); }
+    ~Client() { disconnect(); }
 
-    void ask(const ClientQuery& asking);
-    void leave();
+    void ask(const ClientQuery& query);
+    void disconnect();
     int answers() const { return answers_; }
 
   private:
--- a/src/testing/contents.cpp
+++ b/src/testing/contents.cpp
@@ -11,7 +11,7 @@
 namespace tealcart::testing {
 namespace {
 
-constexpr double bits_a_term = 12;
+constexpr double bits_per_term = 12;
 constexpr double top_rank = 1000;
 
 std::string text_of(double number) {
@@ -21,10 +21,10 @@
 
 }  // namespace
 
-bool matches(const Row& row, const SearchCriteria& find) {
-    for (const std::string& term : find.terms)
+bool matches(const Row& row, const SearchCriteria& criteria) {
+    for (const std::string& term : criteria.terms)
         if (std::find(row.terms.begin(), row.terms.end(), term) == row.terms.end()) return false;
-    for (const FieldRange& range : find.ranges) {
+    for (const FieldRange& range : criteria.ranges) {
         const auto field = row.fields.find(range.field);
         if (field == row.fields.end() || field->second < range.from || field->second > range.to) return false;
     }
@@ -36,46 +36,48 @@
               [](const Row& a, const Row& b) { return a.rank != b.rank ? a.rank > b.rank : a.doc < b.doc; });
 }
 
-std::vector<const Row*> best_rows(const Section& section, const SearchCriteria& find) {
+std::vector<const Row*> best_rows(const Section& section, const SearchCriteria& criteria) {
     std::vector<const Row*> best;
     for (const Row& row : section.rows) {
-        if (best.size() >= static_cast<std::size_t>(find.rows)) break;
-        if (matches(row, find)) best.push_back(&row);
+        if (best.size() >= static_cast<std::size_t>(criteria.rows)) break;
+        if (matches(row, criteria)) best.push_back(&row);
     }
     return best;
 }
 
-SectionSummary summarize(const Section& section, const SearchCriteria& find, Nanos lease, bool wants_filter) {
-    SectionSummary word;
-    word.version = section.version;
-    word.lease = lease;
-    for (const Row* row : best_rows(section, find)) word.top_ranks.push_back(row->rank);
-    word.no_matches = word.top_ranks.empty();
-    if (!word.no_matches) word.max_rank = word.top_ranks.front();
-    if (!wants_filter || lease <= 0) return word;
-    word.has_filter = true;
+SectionSummary summarize(const Section& section, const SearchCriteria& criteria, Nanos lease,
+                         bool wants_filter) {
+    SectionSummary summary;
+    summary.version = section.version;
+    summary.lease = lease;
+    for (const Row* row : best_rows(section, criteria)) summary.top_ranks.push_back(row->rank);
+    summary.no_matches = summary.top_ranks.empty();
+    if (!summary.no_matches) summary.max_rank = summary.top_ranks.front();
+    if (!wants_filter || lease <= 0) return summary;
+    summary.has_filter = true;
     std::set<std::string> terms;
     std::map<std::string, SectionFilter::Extent> extents;
     for (const Row& row : section.rows) {
         terms.insert(row.terms.begin(), row.terms.end());
         for (const auto& [field, value] : row.fields) {
-            auto& e = extents.try_emplace(field, SectionFilter::Extent{field, value, value}).first->second;
-            e.min = std::min(e.min, value);
-            e.max = std::max(e.max, value);
+            auto& extent =
+                extents.try_emplace(field, SectionFilter::Extent{field, value, value}).first->second;
+            extent.min = std::min(extent.min, value);
+            extent.max = std::max(extent.max, value);
         }
     }
-    word.filter.terms = make_filter(terms.size(), bits_a_term);
-    for (const std::string& term : terms) add_term(word.filter.terms, term_hash(term));
-    for (const auto& [_, extent] : extents) word.filter.extents.push_back(extent);
-    return word;
+    summary.filter.terms = make_filter(terms.size(), bits_per_term);
+    for (const std::string& term : terms) add_term(summary.filter.terms, term_hash(term));
+    for (const auto& [_, extent] : extents) summary.filter.extents.push_back(extent);
+    return summary;
 }
 
-std::string format_rows(const std::vector<const Row*>& rows, std::size_t record) {
+std::string format_rows(const std::vector<const Row*>& rows, std::size_t record_bytes) {
     std::string out;
     for (const Row* row : rows) {
         if (!out.empty()) out += ' ';
         out += std::to_string(row->doc) + ":" + text_of(row->rank);
-        if (record > 0) out.append(1, ';').append(record, 'x');
+        if (record_bytes > 0) out.append(1, ';').append(record_bytes, 'x');
     }
     return out;
 }
@@ -96,45 +98,48 @@
     return rows;
 }
 
-std::vector<RankedRow> top_rows(std::vector<RankedRow> rows, int most) {
+std::vector<RankedRow> top_rows(std::vector<RankedRow> rows, int count) {
     std::sort(rows.begin(), rows.end(), [](const RankedRow& a, const RankedRow& b) {
         return a.rank != b.rank ? a.rank > b.rank : a.doc < b.doc;
     });
-    if (rows.size() > static_cast<std::size_t>(most)) rows.resize(static_cast<std::size_t>(most));
+    if (rows.size() > static_cast<std::size_t>(count)) rows.resize(static_cast<std::size_t>(count));
     return rows;
 }
 
 std::vector<RankedRow> expected_rows(const std::vector<Section>& sections,
-                                     const std::vector<std::uint32_t>& asked, const SearchCriteria& find) {
+                                     const std::vector<std::uint32_t>& shards,
+                                     const SearchCriteria& criteria) {
     std::vector<RankedRow> all;
-    for (const std::uint32_t i : asked)
-        for (const Row* row : best_rows(sections[i], find)) all.push_back({row->doc, row->rank});
-    return top_rows(std::move(all), find.rows);
+    for (const std::uint32_t shard : shards)
+        for (const Row* row : best_rows(sections[shard], criteria)) all.push_back({row->doc, row->rank});
+    return top_rows(std::move(all), criteria.rows);
 }
 
-std::vector<Section> generate(const GeneratedContents& wanted) {
-    std::knuth_b chance(wanted.seed);
-    const auto drawn = [&chance] {
-        return static_cast<double>(chance() - chance.min()) /
-               static_cast<double>(chance.max() - chance.min() + 1);
+std::vector<Section> generate(const GeneratedContents& parameters) {
+    std::knuth_b random(parameters.seed);
+    const auto draw = [&random] {
+        return static_cast<double>(random() - random.min()) /
+               static_cast<double>(random.max() - random.min() + 1);
     };
-    std::vector<std::uint32_t> order(wanted.shards);
-    for (std::uint32_t i = 0; i < wanted.shards; ++i) order[i] = i;
+    std::vector<std::uint32_t> order(parameters.shards);
+    for (std::uint32_t i = 0; i < parameters.shards; ++i) order[i] = i;
     for (std::size_t i = order.size(); i > 1; --i)
-        std::swap(order[i - 1], order[static_cast<std::size_t>(drawn() * static_cast<double>(i))]);
-    const auto share = [&](double of) { return static_cast<std::uint32_t>(std::ceil(of * wanted.shards)); };
-    std::vector<Section> sections(wanted.shards);
+        std::swap(order[i - 1], order[static_cast<std::size_t>(draw() * static_cast<double>(i))]);
+    const auto section_count = [&](double share) {
+        return static_cast<std::uint32_t>(std::ceil(share * parameters.shards));
+    };
+    std::vector<Section> sections(parameters.shards);
     std::uint64_t doc = 0;
-    for (std::uint32_t place = 0; place < wanted.shards; ++place) {
+    for (std::uint32_t place = 0; place < parameters.shards; ++place) {
         Section& section = sections[order[place]];
-        for (int r = 0; r < wanted.rows; ++r) {
+        for (int row_index = 0; row_index < parameters.rows; ++row_index) {
             Row row;
             row.doc = ++doc;
-            row.rank = std::floor(drawn() * top_rank) / 2;
-            if (place < share(wanted.top)) row.rank += top_rank;
-            row.terms = {"common", "term-" + std::to_string(static_cast<int>(drawn() * 5000))};
-            if (place < share(wanted.matching)) row.terms.emplace_back("wanted");
-            row.fields = {{"expiry", std::floor(drawn() * 365)}};
+            row.rank = std::floor(draw() * top_rank) / 2;
+            if (place < section_count(parameters.top)) row.rank += top_rank;
+            row.terms = {"common", "term-" + std::to_string(static_cast<int>(draw() * 5000))};
+            if (place < section_count(parameters.matching)) row.terms.emplace_back("wanted");
+            row.fields = {{"expiry", std::floor(draw() * 365)}};
             section.rows.push_back(std::move(row));
         }
         sort_rows(section.rows);
--- a/src/testing/contents.hpp
+++ b/src/testing/contents.hpp
@@ -1,4 +1,4 @@
-// What stand-in data nodes hold, and the true answer to any find over it. No I/O.
+// The contents of test data nodes and the expected result of any search over them. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +10,7 @@
 
 namespace tealcart::testing {
 
+// A document of a section; its rank doesn't depend on the query.
 struct Row {
     std::uint64_t doc = 0;
     double rank = 0;
@@ -19,19 +20,21 @@
 
 struct Section {
     std::uint64_t version = 1;
-    std::vector<Row> rows;  // highest rank first, then lowest doc
+    std::vector<Row> rows;  // highest rank first, then lowest document number
 };
 
-bool matches(const Row& row, const SearchCriteria& find);
+bool matches(const Row& row, const SearchCriteria& criteria);
 void sort_rows(std::vector<Row>& rows);
-// The first rows of a section that match.
-std::vector<const Row*> best_rows(const Section& section, const SearchCriteria& find);
+// Returns the highest-ranked rows of a section that match.
+std::vector<const Row*> best_rows(const Section& section, const SearchCriteria& criteria);
 
-// A section's true word, with its filter if that is wanted.
-SectionSummary summarize(const Section& section, const SearchCriteria& find, Nanos lease, bool wants_filter);
+// Returns the correct summary of a section, with its filter if it is wanted.
+SectionSummary summarize(const Section& section, const SearchCriteria& criteria, Nanos lease,
+                         bool wants_filter);
 
-// A row as it stands in a value, "DOC:RANK", with so many bytes of record behind it; and back.
-std::string format_rows(const std::vector<const Row*>& rows, std::size_t record = 0);
+// Formats rows as in a shard's value, "DOC:RANK" separated by blanks, each with a record of this many bytes.
+// `parse_rows` reads them back.
+std::string format_rows(const std::vector<const Row*>& rows, std::size_t record_bytes = 0);
 struct RankedRow {
     std::uint64_t doc = 0;
     double rank = 0;
@@ -40,21 +43,22 @@
 };
 std::vector<RankedRow> parse_rows(std::string_view value);
 
-// The first N over these sections: what any way of asking must come to.
+// Returns the highest-ranked matching rows of these sections, which every way of querying must return.
 std::vector<RankedRow> expected_rows(const std::vector<Section>& sections,
-                                     const std::vector<std::uint32_t>& asked, const SearchCriteria& find);
-// The first N of values that came from sections.
-std::vector<RankedRow> top_rows(std::vector<RankedRow> rows, int most);
+                                     const std::vector<std::uint32_t>& shards,
+                                     const SearchCriteria& criteria);
+// Returns the highest-ranked of rows that came from several sections.
+std::vector<RankedRow> top_rows(std::vector<RankedRow> rows, int count);
 
-// GeneratedContents contents: every section holds rows of common terms; a share of them rows of the term
-// "wanted", of which a share ranks above all others.
+// Parameters of generated contents. Every section holds rows with common terms; a share of the sections has
+// rows with the term "wanted", and a share of those ranks above all others.
 struct GeneratedContents {
     std::uint32_t shards = 1;
-    int rows = 20;        // of each section
-    double matching = 1;  // share of sections with rows of "wanted"
-    double top = 1;       // share of sections whose rows of it rank above the others'
+    int rows = 20;        // in each section
+    double matching = 1;  // share of sections with rows that have the term "wanted"
+    double top = 1;       // share of sections whose rows rank above the others'
     std::uint64_t seed = 1;
 };
-std::vector<Section> generate(const GeneratedContents& wanted);
+std::vector<Section> generate(const GeneratedContents& parameters);
 
 }  // namespace tealcart::testing
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -16,8 +16,9 @@
     return out.append(rest);
 }
 
-bool silent_on(const Behaviour& b, std::uint32_t shard) {
-    return b.silent || std::find(b.silent_on.begin(), b.silent_on.end(), shard) != b.silent_on.end();
+bool silent_on(const Behaviour& behaviour, std::uint32_t shard) {
+    return behaviour.silent || std::find(behaviour.silent_on.begin(), behaviour.silent_on.end(), shard) !=
+                                   behaviour.silent_on.end();
 }
 
 }  // namespace
@@ -56,7 +57,7 @@
     error_code ec;
     if (reset) socket.set_option(boost::asio::socket_base::linger(true, 0), ec);
     socket.close(ec);
-    if (const auto told = std::exchange(on_end, nullptr)) told();
+    if (const auto callback = std::exchange(on_end, nullptr)) callback();
 }
 
 LoopbackListener::LoopbackListener(boost::asio::io_context& io, std::uint16_t port,
@@ -72,8 +73,8 @@
             error_code ignored;
             socket.set_option(tcp::no_delay(true), ignored);
             auto made = std::make_shared<Connection>(std::move(socket), make_());
-            std::erase_if(taken_, [](const auto& c) { return c.expired(); });
-            taken_.push_back(made);
+            std::erase_if(connections_, [](const auto& c) { return c.expired(); });
+            connections_.push_back(made);
             made->read();
         }
         accept();
@@ -83,13 +84,13 @@
 void LoopbackListener::close(bool reset) {
     error_code ec;
     acceptor_.close(ec);
-    for (const auto& held : taken_)
+    for (const auto& held : connections_)
         if (const auto c = held.lock()) c->close(reset);
 }
 
 DataNode::DataNode(boost::asio::io_context& io, Script& script, NodeScript& self)
     : io_(io), script_(script), self_(self),
-      door_(io, self.port, [this] { return [this](Connection& c) { return take(c); }; }) {}
+      listener_(io, self.port, [this] { return [this](Connection& c) { return take(c); }; }) {}
 
 bool DataNode::take(Connection& c) {
     std::string_view in = c.in;
@@ -99,9 +100,9 @@
         work.bytes_in += frame.rest.size() + 5;
         bool good = true;
         if (frame.letter == 'R')
-            good = take_calls(c, frame.rest);
+            good = take_shard_requests(c, frame.rest);
         else if (frame.letter == asks_word || frame.letter == asks_rows)
-            good = take_questions(c, frame.letter, frame.rest);
+            good = take_phase_requests(c, frame.letter, frame.rest);
         else if (frame.letter == 'A' || frame.letter == gives_up_phase)
             ++work.given_up;
         else if (frame.letter == 'G')
@@ -114,7 +115,7 @@
     return framing == Framing::more;
 }
 
-void DataNode::answer_in(Nanos delay, Connection& c, std::string bytes) {
+void DataNode::answer_after(Nanos delay, Connection& c, std::string bytes) {
     work.bytes_out += bytes.size();
     if (delay <= 0) return c.send(std::move(bytes));
     auto timer = std::make_shared<boost::asio::steady_timer>(io_, std::chrono::nanoseconds(delay));
@@ -122,21 +123,21 @@
                           const error_code&) mutable { self->send(std::move(bytes)); });
 }
 
-// A query in one phase says what it looks for in its text, as a find's own lines do, so that both ways of
-// asking can be held against each other: `N` rows on the first line.
-SearchCriteria DataNode::find_in(std::string_view text) const {
-    SearchCriteria find;
+// The text of a one-phase query states the criteria as in a two-phase frame, with the number of rows on the
+// first line, so that both ways of querying can be compared.
+SearchCriteria DataNode::criteria_in(std::string_view text) const {
+    SearchCriteria criteria;
     const auto end = text.find('\n');
     int rows = 0;
     const auto [at, ec] = std::from_chars(text.data(), text.data() + std::min(end, text.size()), rows);
     if (ec == std::errc() && end != text.npos && at == text.data() + end)
-        if (auto read = read_find(text.substr(end + 1))) find = std::move(*read), find.rows = rows;
-    return find;
+        if (auto read = read_find(text.substr(end + 1))) criteria = std::move(*read), criteria.rows = rows;
+    return criteria;
 }
 
-// Each shard request is a line `ID SHARD LIST LENGTH` and so many bytes of text.
-bool DataNode::take_calls(Connection& c, std::string_view rest) {
-    const Behaviour& b = self_.behaviour;
+// Each shard request is a line `ID SHARD LIST LENGTH`, followed by LENGTH bytes of text.
+bool DataNode::take_shard_requests(Connection& c, std::string_view rest) {
+    const Behaviour& behaviour = self_.behaviour;
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;) {
         const std::string_view line = rest.substr(0, end);
         rest.remove_prefix(end + 1);
@@ -153,90 +154,92 @@
         std::from_chars(id.data() + dot + 1, id.data() + id.size(), shard);
         if (shard >= script_.shards) return false;
         ++work.calls;
-        if (on_question) on_question('R', shard);
-        if (b.resets) return c.close(true), false;
-        if (silent_on(b, shard)) continue;
-        if (b.rejects || b.errs) {
-            answer_in(b.call_delay, c, frame_of('Y', id + (b.rejects ? " REJECTED 0 -\n" : " ERROR 0 -\n")));
+        if (on_request) on_request('R', shard);
+        if (behaviour.resets) return c.close(true), false;
+        if (silent_on(behaviour, shard)) continue;
+        if (behaviour.rejects || behaviour.errs) {
+            answer_after(behaviour.call_delay, c,
+                         frame_of('Y', id + (behaviour.rejects ? " REJECTED 0 -\n" : " ERROR 0 -\n")));
             continue;
         }
-        const SearchCriteria find = find_in(text);
-        const auto rows = best_rows(script_.sections[shard], find);
+        const SearchCriteria criteria = criteria_in(text);
+        const auto rows = best_rows(script_.sections[shard], criteria);
         ++work.lookups;
         work.records += rows.size();
         const std::string value =
-            find.rows > 0 ? format_rows(rows, script_.record) : self_.name + " on '" + text + "'";
-        answer_in(b.call_delay, c, frame_of('Y', id + " OK 1 -\n" + value));
+            criteria.rows > 0 ? format_rows(rows, script_.record) : self_.name + " on '" + text + "'";
+        answer_after(behaviour.call_delay, c, frame_of('Y', id + " OK 1 -\n" + value));
     }
     return true;
 }
 
-bool DataNode::take_questions(Connection& c, char letter, std::string_view rest) {
-    const Behaviour& b = self_.behaviour;
-    if (b.refusal == Refusal::close) return false;
-    if (b.refusal == Refusal::error_frame) {
+bool DataNode::take_phase_requests(Connection& c, char letter, std::string_view rest) {
+    const Behaviour& behaviour = self_.behaviour;
+    if (behaviour.refusal == Refusal::close) return false;
+    if (behaviour.refusal == Refusal::error_frame) {
         c.send(frame_of('N', "an unknown letter"));
-        return true;  // the far side closes, and so does this one with its next bytes
+        return true;  // the router closes the connection, and this side does on its next bytes
     }
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;) {
         const auto line = read_phase_line(rest.substr(0, end));
         rest.remove_prefix(end + 1);
         if (!line || line->text > rest.size() || line->find > rest.size() - line->text) return false;
-        auto find = read_find(rest.substr(line->text, line->find));
+        auto criteria = read_find(rest.substr(line->text, line->find));
         rest.remove_prefix(line->text + line->find);
-        if (!find || line->id.shard >= script_.shards) return false;
-        find->rows = line->rows;
+        if (!criteria || line->id.shard >= script_.shards) return false;
+        criteria->rows = line->rows;
         const std::uint32_t shard = line->id.shard;
         ++(letter == asks_word ? work.summaries : work.rows);
-        if (on_question) on_question(letter, shard);
-        if (b.resets) return c.close(true), false;
-        if (silent_on(b, shard) || (letter == asks_word && b.silent_summaries)) continue;
-        const char answers = letter == asks_word ? brings_word : brings_rows;
-        const Nanos delay = letter == asks_word ? b.summary_delay : b.rows_delay;
+        if (on_request) on_request(letter, shard);
+        if (behaviour.resets) return c.close(true), false;
+        if (silent_on(behaviour, shard) || (letter == asks_word && behaviour.silent_summaries)) continue;
+        const char answer_letter = letter == asks_word ? brings_word : brings_rows;
+        const Nanos delay = letter == asks_word ? behaviour.summary_delay : behaviour.rows_delay;
         std::string out;
-        if (b.rejects || b.errs) {
-            write_phase_end(out, answers, line->id, b.rejects ? "REJECTED" : "ERROR");
-            answer_in(delay, c, std::move(out));
+        if (behaviour.rejects || behaviour.errs) {
+            write_phase_end(out, answer_letter, line->id, behaviour.rejects ? "REJECTED" : "ERROR");
+            answer_after(delay, c, std::move(out));
             continue;
         }
         const Section& section = script_.sections[shard];
         ++work.lookups;
         if (letter == asks_word) {
-            SectionSummary word = summarize(section, *find, b.lease, line->wants_filter);
-            if (b.hides_rows) word.no_matches = true, word.top_ranks.clear();
-            word.max_rank += b.bound_error;
-            for (double& rank : word.top_ranks) rank += b.bound_error;
-            if (b.garbles_summaries) {
+            SectionSummary summary = summarize(section, *criteria, behaviour.lease, line->wants_filter);
+            if (behaviour.hides_rows) summary.no_matches = true, summary.top_ranks.clear();
+            summary.max_rank += behaviour.bound_error;
+            for (double& rank : summary.top_ranks) rank += behaviour.bound_error;
+            if (behaviour.garbles_summaries) {
                 std::string id;
                 write_phase_id(id, line->id);
                 out = frame_of(brings_word, id + " OK 1 u=1,s=99,l=0\n");
             } else {
-                write_word(out, line->id, word);
+                write_word(out, line->id, summary);
             }
         } else {
-            const auto rows = best_rows(section, *find);
+            const auto rows = best_rows(section, *criteria);
             work.records += rows.size();
             std::vector<double> ranks;
             for (const Row* row : rows) ranks.push_back(row->rank);
-            const std::uint64_t version = section.version - std::min(section.version, b.behind);
+            const std::uint64_t version = section.version - std::min(section.version, behaviour.behind);
             write_rows(out, line->id, version, ranks, format_rows(rows, script_.record));
         }
-        answer_in(delay, c, std::move(out));
+        answer_after(delay, c, std::move(out));
     }
     return true;
 }
 
 Discovery::Discovery(boost::asio::io_context& io, std::uint16_t port)
-    : door_(io, port, [this] {
+    : listener_(io, port, [this] {
           return
               [this, reader = std::make_shared<RequestReader>()](Connection& c) { return take(c, *reader); };
       }) {}
 
-// Whole lists only: a call for all is answered at once, a watch when there is news for it.
+// Sends full lists only. The first request of a connection is answered at once, a later one when the list
+// changes.
 bool Discovery::take(Connection& c, RequestReader& reader) {
     Reading reading = Reading::more;
     while ((reading = reader.feed(c.in)) == Reading::done) {
-        const bool first = told_.insert(&c).second;
+        const bool first = answered_.insert(&c).second;
         reader.next();
         if (first)
             answer(c);
@@ -252,7 +255,7 @@
     c.send(write_answer_head({200, body.size(), 0, false}) + body);
 }
 
-void Discovery::tell(std::string entries) {
+void Discovery::publish(std::string entries) {
     entries_ = std::move(entries);
     ++generation_;
     for (const auto& c : std::exchange(watching_, {})) answer(*c);
@@ -261,7 +264,7 @@
 Fleet::Fleet(boost::asio::io_context& io, Script script)
     : discovery(io, script.discovery_port), script_(std::move(script)), timer_(io) {
     for (NodeScript& node : script_.nodes) nodes.emplace_back(io, script_, node);
-    tell();
+    publish();
 }
 
 std::string Fleet::entries() const {
@@ -273,30 +276,31 @@
     return all;
 }
 
-void Fleet::tell() { discovery.tell(entries()); }
+void Fleet::publish() { discovery.publish(entries()); }
 
 WorkCounts Fleet::work() const {
     WorkCounts sum;
-    for (const DataNode& n : nodes) {
-        sum.summaries += n.work.summaries, sum.rows += n.work.rows, sum.calls += n.work.calls;
-        sum.lookups += n.work.lookups, sum.records += n.work.records, sum.given_up += n.work.given_up;
-        sum.bytes_in += n.work.bytes_in, sum.bytes_out += n.work.bytes_out;
+    for (const DataNode& node : nodes) {
+        sum.summaries += node.work.summaries, sum.rows += node.work.rows, sum.calls += node.work.calls;
+        sum.lookups += node.work.lookups, sum.records += node.work.records,
+            sum.given_up += node.work.given_up;
+        sum.bytes_in += node.work.bytes_in, sum.bytes_out += node.work.bytes_out;
     }
     return sum;
 }
 
 void Fleet::start() {
     began_ = std::chrono::steady_clock::now();
-    next();
+    schedule_next_change();
 }
 
-void Fleet::next() {
-    if (played_ >= script_.changes.size()) return;
-    timer_.expires_at(began_ + std::chrono::nanoseconds(script_.changes[played_].at));
+void Fleet::schedule_next_change() {
+    if (next_change_ >= script_.changes.size()) return;
+    timer_.expires_at(began_ + std::chrono::nanoseconds(script_.changes[next_change_].at));
     timer_.async_wait([this](const error_code& ec) {
         if (ec) return;
-        play(script_.changes[played_++]);
-        next();
+        play(script_.changes[next_change_++]);
+        schedule_next_change();
     });
 }
 
@@ -307,10 +311,10 @@
         for (Row& row : section.rows) row.rank += change.rank_by;
         sort_rows(section.rows);
     }
-    std::vector<HclError> none;  // the script was checked as a whole
+    std::vector<HclError> ignored;  // the whole script has been validated already
     for (NodeScript& node : script_.nodes)
-        if (node.name == change.node) node.behaviour = read_behaviour(change.block, node.behaviour, none);
-    if (!change.node.empty()) tell();
+        if (node.name == change.node) node.behaviour = read_behaviour(change.block, node.behaviour, ignored);
+    if (!change.node.empty()) publish();
 }
 
 }  // namespace tealcart::testing
--- a/src/testing/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -1,5 +1,5 @@
-// A scripted fleet on loopback: data nodes and discovery, in the caller's io_context. For tests, measurements
-// and trying things out by hand.
+// A scripted fleet on loopback: data nodes and discovery, run in the caller's io_context. For tests,
+// measurements and manual trials.
 #pragma once
 
 #include <array>
@@ -19,7 +19,7 @@
 
 namespace tealcart::testing {
 
-// One connection. Reads on for as long as `take` can use what came in; what is sent is queued.
+// An accepted or outgoing connection. It reads as long as `take` returns true; bytes to send are queued.
 class Connection : public std::enable_shared_from_this<Connection> {
   public:
     using Take = std::function<bool(Connection&)>;
@@ -34,7 +34,7 @@
     Socket socket;
     std::string in;
     bool open = true;
-    std::function<void()> on_end;  // once it is closed, by whichever side
+    std::function<void()> on_end;  // called once either side has closed it
 
   private:
     void write();
@@ -45,14 +45,14 @@
     bool writing_ = false;
 };
 
-// Accepts on loopback; `make` says what each connection does with its bytes.
+// Accepts connections on loopback; `make` returns the function that handles the bytes of a new connection.
 class LoopbackListener {
   public:
     LoopbackListener(boost::asio::io_context& io, std::uint16_t port, std::function<Connection::Take()> make);
 
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
     std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
-    // Closes it, and the connections it has taken with it.
+    // Stops listening and closes all accepted connections.
     void close(bool reset);
     bool is_open() const { return acceptor_.is_open(); }
 
@@ -61,49 +61,51 @@
 
     boost::asio::ip::tcp::acceptor acceptor_;
     std::function<Connection::Take()> make_;
-    std::vector<std::weak_ptr<Connection>> taken_;
+    std::vector<std::weak_ptr<Connection>> connections_;
 };
 
-// What a node has done. A look-up is what any question costs it, a record what each row that it hands out
-// does.
+// What a data node has done. Each answered request costs one look-up, and each row that is returned one
+// record.
 struct WorkCounts {
-    std::uint64_t summaries = 0, rows = 0, calls = 0;  // questions P, F and R
+    std::uint64_t summaries = 0, rows = 0, calls = 0;  // requests P, F and R
     std::uint64_t lookups = 0, records = 0, given_up = 0;
     std::uint64_t bytes_in = 0, bytes_out = 0;
 
     std::uint64_t units() const { return lookups + records; }
 };
 
+// A data node that answers from the script's contents and behaves as the script says.
 class DataNode {
   public:
     DataNode(boost::asio::io_context& io, Script& script, NodeScript& self);
 
-    std::string address() const { return door_.address(); }
-    void crash() { door_.close(true); }
+    std::string address() const { return listener_.address(); }
+    void crash() { listener_.close(true); }
 
     WorkCounts work;
-    std::function<void(char letter, std::uint32_t shard)> on_question;  // before it is answered
+    std::function<void(char letter, std::uint32_t shard)> on_request;  // called before the answer
 
   private:
     bool take(Connection& c);
-    bool take_calls(Connection& c, std::string_view rest);
-    bool take_questions(Connection& c, char letter, std::string_view rest);
-    void answer_in(Nanos delay, Connection& c, std::string bytes);
-    SearchCriteria find_in(std::string_view text) const;
+    bool take_shard_requests(Connection& c, std::string_view rest);
+    bool take_phase_requests(Connection& c, char letter, std::string_view rest);
+    void answer_after(Nanos delay, Connection& c, std::string bytes);
+    SearchCriteria criteria_in(std::string_view text) const;
 
     boost::asio::io_context& io_;
     Script& script_;
     NodeScript& self_;
-    LoopbackListener door_;
+    LoopbackListener listener_;
 };
 
+// Discovery's endpoint list, which it sends to all watches when it changes.
 class Discovery {
   public:
     Discovery(boost::asio::io_context& io, std::uint16_t port);
 
-    std::string address() const { return door_.address(); }
-    // Tells this list, entries separated by commas, to all that watch.
-    void tell(std::string entries);
+    std::string address() const { return listener_.address(); }
+    // Publishes a new list; the entries are separated by commas.
+    void publish(std::string entries);
 
   private:
     bool take(Connection& c, RequestReader& reader);
@@ -112,18 +114,19 @@
     std::string entries_;
     std::uint64_t generation_ = 1;
     std::set<std::shared_ptr<Connection>> watching_;
-    std::set<const Connection*> told_;
-    LoopbackListener door_;
+    std::set<const Connection*> answered_;
+    LoopbackListener listener_;
 };
 
-// All of it. The script's changes come at their times after `start`, or by hand.
+// All data nodes and discovery. The script's changes are applied at their times after `start`, or by `play`.
 class Fleet {
   public:
     Fleet(boost::asio::io_context& io, Script script);
 
     void start();
     void play(const Change& change);
-    void tell();  // discovery, what holds now
+    // Publishes the current endpoint list.
+    void publish();
     Behaviour& behaviour(std::size_t node) { return script_.nodes[node].behaviour; }
     std::string entries() const;
     WorkCounts work() const;
@@ -133,12 +136,12 @@
     std::deque<DataNode> nodes;
 
   private:
-    void next();
+    void schedule_next_change();
 
     Script script_;
     boost::asio::steady_timer timer_;
     std::chrono::steady_clock::time_point began_;
-    std::size_t played_ = 0;
+    std::size_t next_change_ = 0;
 };
 
 }  // namespace tealcart::testing
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -72,10 +72,10 @@
 FleetRig::FleetRig(boost::asio::io_context& in, FleetRigOptions p) : io(in), options(std::move(p)) {
     fleet = std::make_unique<Fleet>(io, read_script(script_of(options), "rig"));
     for (std::size_t n = 0; n < options.nodes; ++n)
-        fleet->nodes[n].on_question = [this, n](char, std::uint32_t) {
+        fleet->nodes[n].on_request = [this, n](char, std::uint32_t) {
             calls.push_back({std::chrono::steady_clock::now(), n});
         };
-    fleet->tell();
+    fleet->publish();
     const auto ports = free_ports(3 * options.managers + options.routers);
     std::string text = "fleet \"rig\" {\n lease = \"" + options.lease + "\"\n drift = \"" + options.drift +
                        "\"\n election = \"" + options.election + "\"\n" + options.budgets + "\n";
--- a/src/testing/main.cpp
+++ b/src/testing/main.cpp
@@ -1,5 +1,4 @@
-// Stand-ins by hand: one data node, or discovery, of a script; or a whole fleet in one process. Loopback
-// only.
+// Runs scripted test services by hand on loopback: one data node, discovery, or a whole fleet in one process.
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
@@ -13,12 +12,12 @@
 using namespace tealcart;
 using namespace tealcart::testing;
 
-std::string read(const std::string& path) {
+std::string read_file(const std::string& path) {
     std::ifstream file(path);
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-NodeScript* named(Script& script, const std::string& name) {
+NodeScript* find_node(Script& script, const std::string& name) {
     for (NodeScript& node : script.nodes)
         if (node.name == name) return &node;
     return nullptr;
@@ -26,11 +25,11 @@
 
 int run_node(const std::string& path, const std::string& name) {
     Script script = read_script_file(path);
-    NodeScript* self = named(script, name);
-    if (self == nullptr) throw std::runtime_error("the script names no node '" + name + "'");
+    NodeScript* self = find_node(script, name);
+    if (self == nullptr) throw std::runtime_error("the script has no node '" + name + "'");
     boost::asio::io_context io(1);
     DataNode node(io, script, *self);
-    node.on_question = [](char letter, std::uint32_t shard) {
+    node.on_request = [](char letter, std::uint32_t shard) {
         std::printf("%c %u\n", letter, shard);
         std::fflush(stdout);
     };
@@ -38,15 +37,15 @@
     return 0;
 }
 
-// Tells what the script says of the nodes, and tells it anew when the file changes.
+// Publishes the endpoint list of the script, again whenever the file changes.
 int run_discovery(const std::string& path) {
     boost::asio::io_context io(1);
     const Script first = read_script_file(path);
     testing::Discovery discovery(io, first.discovery_port);
     boost::asio::steady_timer timer(io);
     std::string last;
-    std::function<void()> look = [&] {
-        if (const std::string text = read(path); text != last) {
+    std::function<void()> reload = [&] {
+        if (const std::string text = read_file(path); text != last) {
             last = text;
             try {
                 std::string entries;
@@ -54,15 +53,15 @@
                     if (node.behaviour.lifecycle != "removed")
                         entries.append(entries.empty() ? "" : ",")
                             .append(endpoint_json(node, "127.0.0.1:" + std::to_string(node.port)));
-                discovery.tell(entries);
+                discovery.publish(entries);
             } catch (const HclErrors& e) {
                 std::fprintf(stderr, "%s\n", e.what());
             }
         }
         timer.expires_after(std::chrono::milliseconds(200));
-        timer.async_wait([&](const boost::system::error_code&) { look(); });
+        timer.async_wait([&](const boost::system::error_code&) { reload(); });
     };
-    look();
+    reload();
     io.run();
     return 0;
 }
@@ -81,17 +80,17 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("stand-in data nodes and discovery, played from a script");
+    CLI::App app("runs test data nodes and discovery from a script");
     std::string script, name;
-    const auto of = [&](const char* command, const char* what) {
+    const auto add_command = [&](const char* command, const char* what) {
         CLI::App* sub = app.add_subcommand(command, what);
         sub->add_option("SCRIPT", script, "the script (HCL)")->required();
         return sub;
     };
-    CLI::App* node = of("node", "one data node");
-    node->add_option("NAME", name, "its name in the script")->required();
-    CLI::App* discovery = of("discovery", "discovery, which follows the file");
-    of("fleet", "all of it in one process, with the script's changes");
+    CLI::App* node = add_command("node", "one data node of the script");
+    node->add_option("NAME", name, "the data node's name in the script")->required();
+    CLI::App* discovery = add_command("discovery", "discovery, which reloads the script when it changes");
+    add_command("fleet", "all data nodes and discovery in one process, with the script's timed changes");
     app.require_subcommand(1);
     CLI11_PARSE(app, argc, argv);
     try {
--- a/src/testing/script.cpp
+++ b/src/testing/script.cpp
@@ -15,52 +15,54 @@
 
 constexpr Nanos hour = 3600'000'000'000;
 
-std::vector<std::uint32_t> numbers(const std::vector<std::string>& texts, std::uint32_t below,
-                                   BlockReader& in, const HclBlock& block) {
+std::vector<std::uint32_t> read_shards(const std::vector<std::string>& texts, std::uint32_t below,
+                                       BlockReader& in, const HclBlock& block) {
     std::vector<std::uint32_t> read;
     for (const std::string& text : texts) {
         std::uint32_t number = 0;
         const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
         if (ec != std::errc() || end != text.data() + text.size() || number >= below)
-            in.add_error(block.position, "'" + text + "' is no shard of the fleet");
+            in.add_error(block.position, "'" + text + "' is no shard number below " + std::to_string(below));
         else
             read.push_back(number);
     }
     return read;
 }
 
-void read_behaviour_into(BlockReader& in, const HclBlock& block, Behaviour& b) {
-    b.refusal = static_cast<Refusal>(
-        in.choice("refuses_phases", static_cast<std::size_t>(b.refusal), {"no", "words", "close"}));
-    b.summary_delay = in.duration("word_delay", b.summary_delay, 0, hour);
-    b.rows_delay = in.duration("rows_delay", b.rows_delay, 0, hour);
-    b.call_delay = in.duration("call_delay", b.call_delay, 0, hour);
-    b.silent = in.boolean("silent", b.silent);
-    b.silent_summaries = in.boolean("silent_words", b.silent_summaries);
-    b.resets = in.boolean("resets", b.resets);
-    b.rejects = in.boolean("rejects", b.rejects);
-    b.errs = in.boolean("errs", b.errs);
-    b.garbles_summaries = in.boolean("garbles_words", b.garbles_summaries);
-    b.hides_rows = in.boolean("hides_rows", b.hides_rows);
-    b.bound_error = in.number("bound_error", b.bound_error, -1e9, 1e9);
-    b.behind =
-        static_cast<std::uint64_t>(in.integer("behind", static_cast<std::int64_t>(b.behind), 0, 1'000'000));
-    b.lease = in.duration("lease", b.lease, 0, hour);
-    b.starts = static_cast<std::uint64_t>(
-        in.integer("starts", static_cast<std::int64_t>(b.starts), 0, 9'000'000'000'000));
-    static const std::initializer_list<const char*> cycles = {"up", "draining", "removed"};
-    const auto now = std::find(cycles.begin(), cycles.end(), b.lifecycle) - cycles.begin();
-    b.lifecycle = *(cycles.begin() + in.choice("lifecycle", static_cast<std::size_t>(now), cycles));
-    if (const auto named = in.strings("silent_on"); !named.empty())
-        b.silent_on = numbers(named, UINT32_MAX, in, block);
+void read_behaviour_into(BlockReader& in, const HclBlock& block, Behaviour& behaviour) {
+    behaviour.refusal = static_cast<Refusal>(
+        in.choice("refuses_phases", static_cast<std::size_t>(behaviour.refusal), {"no", "words", "close"}));
+    behaviour.summary_delay = in.duration("word_delay", behaviour.summary_delay, 0, hour);
+    behaviour.rows_delay = in.duration("rows_delay", behaviour.rows_delay, 0, hour);
+    behaviour.call_delay = in.duration("call_delay", behaviour.call_delay, 0, hour);
+    behaviour.silent = in.boolean("silent", behaviour.silent);
+    behaviour.silent_summaries = in.boolean("silent_words", behaviour.silent_summaries);
+    behaviour.resets = in.boolean("resets", behaviour.resets);
+    behaviour.rejects = in.boolean("rejects", behaviour.rejects);
+    behaviour.errs = in.boolean("errs", behaviour.errs);
+    behaviour.garbles_summaries = in.boolean("garbles_words", behaviour.garbles_summaries);
+    behaviour.hides_rows = in.boolean("hides_rows", behaviour.hides_rows);
+    behaviour.bound_error = in.number("bound_error", behaviour.bound_error, -1e9, 1e9);
+    behaviour.behind = static_cast<std::uint64_t>(
+        in.integer("behind", static_cast<std::int64_t>(behaviour.behind), 0, 1'000'000));
+    behaviour.lease = in.duration("lease", behaviour.lease, 0, hour);
+    behaviour.starts = static_cast<std::uint64_t>(
+        in.integer("starts", static_cast<std::int64_t>(behaviour.starts), 0, 9'000'000'000'000));
+    static const std::initializer_list<const char*> lifecycles = {"up", "draining", "removed"};
+    const auto current =
+        std::find(lifecycles.begin(), lifecycles.end(), behaviour.lifecycle) - lifecycles.begin();
+    behaviour.lifecycle =
+        *(lifecycles.begin() + in.choice("lifecycle", static_cast<std::size_t>(current), lifecycles));
+    if (const auto shards = in.strings("silent_on"); !shards.empty())
+        behaviour.silent_on = read_shards(shards, UINT32_MAX, in, block);
 }
 
-Row read_row(const HclBlock& block, std::vector<HclError>& mistakes) {
-    BlockReader in(block, mistakes);
+Row read_row(const HclBlock& block, std::vector<HclError>& errors) {
+    BlockReader in(block, errors);
     Row row;
     const std::string doc = in.label("the document's number");
     if (std::from_chars(doc.data(), doc.data() + doc.size(), row.doc).ec != std::errc())
-        in.add_error(block.position, "a row's label is a number");
+        in.add_error(block.position, "the label of a row must be the document's number, not '" + doc + "'");
     row.rank = in.number("rank", 0, -1e12, 1e12);
     row.terms = in.strings("terms");
     for (const auto& [field, value] : in.numbers_by_key("fields")) row.fields[field] = value;
@@ -68,44 +70,45 @@
     return row;
 }
 
-void read_sections(BlockReader& in, Script& script, std::vector<HclError>& mistakes) {
+void read_sections(BlockReader& in, Script& script, std::vector<HclError>& errors) {
     for (const HclBlock* block : in.blocks("section")) {
-        BlockReader of(*block, mistakes);
-        const auto named = numbers({of.label("the shard")}, script.shards, of, *block);
+        BlockReader block_reader(*block, errors);
+        const auto shards =
+            read_shards({block_reader.label("the shard")}, script.shards, block_reader, *block);
         Section section;
-        section.version = static_cast<std::uint64_t>(of.integer("version", 1, 1, 1'000'000'000));
-        for (const HclBlock* row : of.blocks("row")) section.rows.push_back(read_row(*row, mistakes));
+        section.version = static_cast<std::uint64_t>(block_reader.integer("version", 1, 1, 1'000'000'000));
+        for (const HclBlock* row : block_reader.blocks("row")) section.rows.push_back(read_row(*row, errors));
         sort_rows(section.rows);
-        of.reject_unknown();
-        if (!named.empty()) script.sections[named[0]] = std::move(section);
+        block_reader.reject_unknown();
+        if (!shards.empty()) script.sections[shards[0]] = std::move(section);
     }
 }
 
-void read_changes(BlockReader& in, Script& script, std::vector<HclError>& mistakes) {
+void read_changes(BlockReader& in, Script& script, std::vector<HclError>& errors) {
     for (const HclBlock* block : in.blocks("at")) {
-        BlockReader of(*block, mistakes);
+        BlockReader block_reader(*block, errors);
         Change change;
         const auto at = block->labels.size() == 2 ? parse_duration(block->labels[0]) : std::nullopt;
         if (!at) {
-            of.add_error(block->position,
-                         "an 'at' block has two labels, a time and a node's name or \"contents\"");
+            block_reader.add_error(
+                block->position, "an 'at' block needs two labels: a time, and a node's name or \"contents\"");
             continue;
         }
         change.at = *at;
-        const std::string& who = block->labels[1];
-        if (who == "contents") {
-            change.shards = numbers(of.strings("shards"), script.shards, of, *block);
-            change.rank_by = of.number("rank_by", 0, -1e9, 1e9);
+        const std::string& target = block->labels[1];
+        if (target == "contents") {
+            change.shards = read_shards(block_reader.strings("shards"), script.shards, block_reader, *block);
+            change.rank_by = block_reader.number("rank_by", 0, -1e9, 1e9);
         } else {
-            change.node = who;
+            change.node = target;
             change.block = *block;
-            const auto known = [&who](const NodeScript& n) { return n.name == who; };
-            if (std::none_of(script.nodes.begin(), script.nodes.end(), known))
-                of.add_error(block->position, "no node is named '" + who + "'");
+            const auto is_target = [&target](const NodeScript& node) { return node.name == target; };
+            if (std::none_of(script.nodes.begin(), script.nodes.end(), is_target))
+                block_reader.add_error(block->position, "the script has no node named '" + target + "'");
             Behaviour read;
-            read_behaviour_into(of, *block, read);
+            read_behaviour_into(block_reader, *block, read);
         }
-        of.reject_unknown();
+        block_reader.reject_unknown();
         script.changes.push_back(std::move(change));
     }
     std::stable_sort(script.changes.begin(), script.changes.end(),
@@ -114,8 +117,8 @@
 
 }  // namespace
 
-Behaviour read_behaviour(const HclBlock& block, const Behaviour& before, std::vector<HclError>& mistakes) {
-    BlockReader in(block, mistakes);
+Behaviour read_behaviour(const HclBlock& block, const Behaviour& before, std::vector<HclError>& errors) {
+    BlockReader in(block, errors);
     Behaviour read = before;
     read_behaviour_into(in, block, read);
     return read;
@@ -123,50 +126,52 @@
 
 Script read_script(std::string_view text, std::string_view source) {
     const HclBlock root = parse_hcl(text, source);
-    std::vector<HclError> mistakes;
-    BlockReader in(root, mistakes);
+    std::vector<HclError> errors;
+    BlockReader in(root, errors);
     Script script;
     if (const HclBlock* fleet = in.single_block("fleet")) {
-        BlockReader of(*fleet, mistakes);
-        of.expect_no_label();
-        GeneratedContents g;
-        g.shards = script.shards = static_cast<std::uint32_t>(of.integer("shards", 1, 1, 100'000));
-        script.places = static_cast<std::uint32_t>(of.integer("places", 1, 1, 10'000));
-        script.width = static_cast<std::uint32_t>(of.integer("width", 1, 1, 100));
-        script.record = static_cast<std::size_t>(of.byte_size("record", 0, 0, 32 << 10));
-        script.discovery_port = static_cast<std::uint16_t>(of.integer("discovery_port", 0, 0, 65535));
-        g.rows = static_cast<int>(of.integer("rows", 0, 0, 100'000));
-        g.matching = of.number("matching", 1, 0, 1);
-        g.top = of.number("top", 1, 0, 1);
-        g.seed = static_cast<std::uint64_t>(of.integer("seed", 1, 0, 1'000'000'000));
-        of.reject_unknown();
-        if (mistakes.empty()) script.sections = generate(g);
+        BlockReader block_reader(*fleet, errors);
+        block_reader.expect_no_label();
+        GeneratedContents generated;
+        generated.shards = script.shards =
+            static_cast<std::uint32_t>(block_reader.integer("shards", 1, 1, 100'000));
+        script.places = static_cast<std::uint32_t>(block_reader.integer("places", 1, 1, 10'000));
+        script.width = static_cast<std::uint32_t>(block_reader.integer("width", 1, 1, 100));
+        script.record = static_cast<std::size_t>(block_reader.byte_size("record", 0, 0, 32 << 10));
+        script.discovery_port =
+            static_cast<std::uint16_t>(block_reader.integer("discovery_port", 0, 0, 65535));
+        generated.rows = static_cast<int>(block_reader.integer("rows", 0, 0, 100'000));
+        generated.matching = block_reader.number("matching", 1, 0, 1);
+        generated.top = block_reader.number("top", 1, 0, 1);
+        generated.seed = static_cast<std::uint64_t>(block_reader.integer("seed", 1, 0, 1'000'000'000));
+        block_reader.reject_unknown();
+        if (errors.empty()) script.sections = generate(generated);
     } else {
-        in.add_error(root.position, "there is no 'fleet' block");
+        in.add_error(root.position, "the script needs a 'fleet' block");
     }
     script.sections.resize(script.shards);
     for (const HclBlock* block : in.blocks("node")) {
-        BlockReader of(*block, mistakes);
+        BlockReader block_reader(*block, errors);
         NodeScript node;
-        node.name = of.label("the node's name");
-        node.zone = of.string("zone", node.zone);
-        node.place = static_cast<std::uint32_t>(of.integer("place", 0, 0, script.places - 1));
-        node.port = static_cast<std::uint16_t>(of.integer("port", 0, 0, 65535));
-        read_behaviour_into(of, *block, node.behaviour);
-        of.reject_unknown();
+        node.name = block_reader.label("the node's name");
+        node.zone = block_reader.string("zone", node.zone);
+        node.place = static_cast<std::uint32_t>(block_reader.integer("place", 0, 0, script.places - 1));
+        node.port = static_cast<std::uint16_t>(block_reader.integer("port", 0, 0, 65535));
+        read_behaviour_into(block_reader, *block, node.behaviour);
+        block_reader.reject_unknown();
         script.nodes.push_back(std::move(node));
     }
-    read_sections(in, script, mistakes);
-    read_changes(in, script, mistakes);
+    read_sections(in, script, errors);
+    read_changes(in, script, errors);
     in.reject_unknown();
-    if (!mistakes.empty()) throw HclErrors(source, std::move(mistakes));
+    if (!errors.empty()) throw HclErrors(source, std::move(errors));
     return script;
 }
 
 Script read_script_file(const std::string& path) {
     std::ifstream file(path);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("the script " + path + " can't be read");
+    if (!file) throw ConfigError("can't read the script " + path);
     return read_script(text, path);
 }
 
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -505,7 +505,7 @@
     ScriptedRelay& relay = w.called();
     relay.publish({{"log", ""}});
     w.until([&] { return relay.heard(1); });
-    w.client->leave();
+    w.client->disconnect();
     relay.mute = silent;
     const auto began = std::chrono::steady_clock::now();
     std::raise(SIGTERM);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -256,17 +256,22 @@
         made->state_of_world = std::to_string(limit);
         return made;
     }
-    ResourcePtr endpoints(std::uint32_t pool, const Pool& what, const std::string& version) const override {
+    ResourcePtr endpoints(std::uint32_t pool, const Pool& pool_contents,
+                          const std::string& version) const override {
         std::string text;
-        for (const PoolEndpoint& e : what.endpoints)
-            text += e.id + "=" + std::to_string(e.weight) + (e.state == EndpointState::draining ? "d " : " ");
+        for (const PoolEndpoint& endpoint : pool_contents.endpoints)
+            text += endpoint.id + "=" + std::to_string(endpoint.weight) +
+                    (endpoint.state == EndpointState::draining ? "d " : " ");
         return std::make_shared<XdsResource>(XdsResource{pool_name(pool), version, text, "", pool, 0});
     }
-    ResourcePtr listener(const QueryClassRoute& of, const std::string& version) const override {
-        return std::make_shared<XdsResource>(XdsResource{of.name, version, "l" + of.name, "", 0, 0});
+    ResourcePtr listener(const QueryClassRoute& query_class, const std::string& version) const override {
+        return std::make_shared<XdsResource>(
+            XdsResource{query_class.name, version, "l" + query_class.name, "", 0, 0});
     }
-    ResourcePtr route(const QueryClassRoute& of, std::size_t, const std::string& version) const override {
-        return std::make_shared<XdsResource>(XdsResource{of.name, version, "r" + of.name, "", 0, 0});
+    ResourcePtr route(const QueryClassRoute& query_class, std::size_t,
+                      const std::string& version) const override {
+        return std::make_shared<XdsResource>(
+            XdsResource{query_class.name, version, "r" + query_class.name, "", 0, 0});
     }
 };
 
@@ -304,88 +309,93 @@
 
     std::uint64_t below(std::uint64_t n) { return random() % n; }
 
-    void subscribe(Proxy& p, XdsType type, std::set<std::string> names_wanted) {
-        const auto t = static_cast<std::size_t>(type);
+    void subscribe(Proxy& proxy, XdsType type, std::set<std::string> names_wanted) {
+        const auto type_index = static_cast<std::size_t>(type);
         ProxyRequest request;
         request.type_url = type_url(type);
-        if (p.delta) {
+        if (proxy.delta) {
             for (const std::string& name : names_wanted)
-                if (!p.wanted[t].contains(name)) request.subscribe.push_back(name);
-            for (const std::string& name : p.wanted[t])
-                if (!names_wanted.contains(name)) request.unsubscribe.push_back(name), p.held[t].erase(name);
-            if (!p.asked[t])
-                for (const auto& [name, what] : p.held[t]) request.initial_versions[name] = what->version;
+                if (!proxy.wanted[type_index].contains(name)) request.subscribe.push_back(name);
+            for (const std::string& name : proxy.wanted[type_index])
+                if (!names_wanted.contains(name))
+                    request.unsubscribe.push_back(name), proxy.held[type_index].erase(name);
+            if (!proxy.asked[type_index])
+                for (const auto& [name, resource] : proxy.held[type_index])
+                    request.initial_versions[name] = resource->version;
         } else {
             request.names.assign(names_wanted.begin(), names_wanted.end());
-            request.version = p.version[t];
-            if (p.asked[t]) request.nonce = p.nonce[t];
+            request.version = proxy.version[type_index];
+            if (proxy.asked[type_index]) request.nonce = proxy.nonce[type_index];
         }
-        p.asked[t] = true;
-        p.wanted[t] = std::move(names_wanted);
-        p.queued_requests.push_back(std::move(request));
+        proxy.asked[type_index] = true;
+        proxy.wanted[type_index] = std::move(names_wanted);
+        proxy.queued_requests.push_back(std::move(request));
     }
     // After a proxy has left, it uses its limits until the end of the grace period.
-    bool gone(const Proxy& p) const { return !p.open && now >= p.left_at + control.leave_grace; }
-    void connect(Proxy& p) {
-        if (gone(p)) p.held[0].clear();
-        p.stream = controller.open(p.delta, now);
-        p.open = true;
-        p.queued_requests.clear();
-        p.asked = {};
-        p.wanted = {};
-        p.nonce = {};
+    bool gone(const Proxy& proxy) const { return !proxy.open && now >= proxy.left_at + control.leave_grace; }
+    void connect(Proxy& proxy) {
+        if (gone(proxy)) proxy.held[0].clear();
+        proxy.stream = controller.open(proxy.delta, now);
+        proxy.open = true;
+        proxy.queued_requests.clear();
+        proxy.asked = {};
+        proxy.wanted = {};
+        proxy.nonce = {};
         // Proxies keep their resources over a new connection.
-        subscribe(p, XdsType::cluster, {});
-        subscribe(p, XdsType::listener, {});
-        send(p);  // the first request identifies the proxy
+        subscribe(proxy, XdsType::cluster, {});
+        subscribe(proxy, XdsType::listener, {});
+        send(proxy);  // the first request identifies the proxy
     }
-    void send(Proxy& p) {
-        if (p.queued_requests.empty() || !p.open) return;
-        const ProxyRequest request = std::move(p.queued_requests.front());
-        p.queued_requests.pop_front();
+    void send(Proxy& proxy) {
+        if (proxy.queued_requests.empty() || !proxy.open) return;
+        const ProxyRequest request = std::move(proxy.queued_requests.front());
+        proxy.queued_requests.pop_front();
         ++messages;
-        REQUIRE(controller.on_request(p.stream, p.node, request, now) == Controller::Refusal::none);
+        REQUIRE(controller.on_request(proxy.stream, proxy.node, request, now) == Controller::Refusal::none);
     }
-    void receive(Proxy& p) {
-        if (!p.open) return;
-        const auto out = controller.next(p.stream, now);
+    void receive(Proxy& proxy) {
+        if (!proxy.open) return;
+        const auto out = controller.next(proxy.stream, now);
         if (!out) return;
         ++messages;
-        const auto t = static_cast<std::size_t>(out->type);
+        const auto type_index = static_cast<std::size_t>(out->type);
         bool rejects = false;
         std::set<std::string> clusters;
-        for (const auto& [name, _] : p.held[0]) clusters.insert(name);
-        for (const ResourcePtr& r : out->resources) {
-            rejects |= p.rejected_resources.contains(r->state_of_world);
-            // A resource must not referenced to one that the proxy was not sent.
-            if (out->type == XdsType::endpoint) REQUIRE(clusters.contains(r->name));
+        for (const auto& [name, _] : proxy.held[0]) clusters.insert(name);
+        for (const ResourcePtr& resource : out->resources) {
+            rejects |= proxy.rejected_resources.contains(resource->state_of_world);
+            // A resource must not refer to one that the proxy was not sent.
+            if (out->type == XdsType::endpoint) REQUIRE(clusters.contains(resource->name));
             if (out->type == XdsType::route) REQUIRE(clusters.size() == 4);
             // Only resources that the proxy subscribed to may be sent.
-            REQUIRE((p.wanted[t].empty() ? t % 2 == 0 : p.wanted[t].contains(r->name)));
+            REQUIRE((proxy.wanted[type_index].empty() ? type_index % 2 == 0
+                                                      : proxy.wanted[type_index].contains(resource->name)));
         }
         if (!rejects) {
-            if (!p.delta && t % 2 == 0) p.held[t].clear();
-            for (const ResourcePtr& r : out->resources) p.held[t][r->name] = r;
-            for (const std::string& name : out->removed) p.held[t].erase(name);
-            p.version[t] = out->version;
+            if (!proxy.delta && type_index % 2 == 0) proxy.held[type_index].clear();
+            for (const ResourcePtr& resource : out->resources)
+                proxy.held[type_index][resource->name] = resource;
+            for (const std::string& name : out->removed) proxy.held[type_index].erase(name);
+            proxy.version[type_index] = out->version;
         }
-        p.nonce[t] = out->nonce;
-        if (p.never_acknowledges) return;
+        proxy.nonce[type_index] = out->nonce;
+        if (proxy.never_acknowledges) return;
         ProxyRequest request;
         request.type_url = type_url(out->type);
         request.nonce = out->nonce;
         request.is_nack = rejects;
         request.error = "no";
-        if (!p.delta)
-            request.names.assign(p.wanted[t].begin(), p.wanted[t].end()), request.version = p.version[t];
-        p.queued_requests.push_back(std::move(request));
+        if (!proxy.delta)
+            request.names.assign(proxy.wanted[type_index].begin(), proxy.wanted[type_index].end()),
+                request.version = proxy.version[type_index];
+        proxy.queued_requests.push_back(std::move(request));
         if (rejects) return;
         std::set<std::string> referenced;
-        for (const auto& [name, _] : p.held[t]) referenced.insert(name);
-        if (out->type == XdsType::cluster && p.wanted[1] != referenced)
-            subscribe(p, XdsType::endpoint, referenced);
-        if (out->type == XdsType::listener && p.wanted[3] != referenced)
-            subscribe(p, XdsType::route, referenced);
+        for (const auto& [name, _] : proxy.held[type_index]) referenced.insert(name);
+        if (out->type == XdsType::cluster && proxy.wanted[1] != referenced)
+            subscribe(proxy, XdsType::endpoint, referenced);
+        if (out->type == XdsType::listener && proxy.wanted[3] != referenced)
+            subscribe(proxy, XdsType::route, referenced);
     }
     void change_fleet() {
         ListedEndpoint& changed = nodes[below(nodes.size())];
@@ -410,9 +420,9 @@
     void check_limits() {
         for (std::uint32_t pool = 0; pool < 4; ++pool) {
             std::uint64_t sum = 0;
-            for (const Proxy& p : proxies) {
-                const auto at = p.held[0].find(pool_name(pool));
-                if (at != p.held[0].end() && !gone(p)) sum += at->second->limit;
+            for (const Proxy& proxy : proxies) {
+                const auto at = proxy.held[0].find(pool_name(pool));
+                if (at != proxy.held[0].end() && !gone(proxy)) sum += at->second->limit;
             }
             REQUIRE(sum <= controller.limits().in_use(pool));
         }
@@ -421,9 +431,9 @@
         for (int i = 0; i < 400; ++i) {
             now += 60 * ms;
             controller.tick(now);
-            for (Proxy& p : proxies) {
-                while (!p.queued_requests.empty() && p.open) send(p);
-                receive(p);
+            for (Proxy& proxy : proxies) {
+                while (!proxy.queued_requests.empty() && proxy.open) send(proxy);
+                receive(proxy);
             }
         }
     }
@@ -439,52 +449,53 @@
         ControlFixture fixture(seed);
         fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
         for (int i = 0; i < 6; ++i) {
-            Proxy p;
-            p.node = "p" + std::to_string(i);
-            p.delta = i % 2 == 1;
-            fixture.proxies.push_back(p);
+            Proxy proxy;
+            proxy.node = "p" + std::to_string(i);
+            proxy.delta = i % 2 == 1;
+            fixture.proxies.push_back(proxy);
         }
         for (int step = 0; step < 500; ++step) {
             fixture.now += static_cast<Nanos>(fixture.below(40)) * ms;
             fixture.controller.tick(fixture.now);
-            Proxy& p = fixture.proxies[fixture.below(fixture.proxies.size())];
-            const auto what = fixture.below(40);
-            if (!p.open)
-                fixture.connect(p);
-            else if (what == 0)
+            Proxy& proxy = fixture.proxies[fixture.below(fixture.proxies.size())];
+            const auto action = fixture.below(40);
+            if (!proxy.open)
+                fixture.connect(proxy);
+            else if (action == 0)
                 fixture.change_fleet();
-            else if (what == 1)
-                fixture.controller.close(p.stream, fixture.now), p.open = false, p.left_at = fixture.now;
-            else if (what == 2)
-                fixture.connect(p);  // the end of its old stream has not been noticed yet
-            else if (what == 3)
-                p.never_acknowledges = !p.never_acknowledges;
-            else if (what < 20)
-                fixture.send(p);
+            else if (action == 1)
+                fixture.controller.close(proxy.stream, fixture.now), proxy.open = false,
+                                                                     proxy.left_at = fixture.now;
+            else if (action == 2)
+                fixture.connect(proxy);  // the end of its old stream has not been noticed yet
+            else if (action == 3)
+                proxy.never_acknowledges = !proxy.never_acknowledges;
+            else if (action < 20)
+                fixture.send(proxy);
             else
-                fixture.receive(p);
+                fixture.receive(proxy);
             fixture.check_limits();
         }
-        for (Proxy& p : fixture.proxies) {
-            p.never_acknowledges = false;
-            fixture.controller.close(p.stream, fixture.now);
-            fixture.connect(p);
+        for (Proxy& proxy : fixture.proxies) {
+            proxy.never_acknowledges = false;
+            fixture.controller.close(proxy.stream, fixture.now);
+            fixture.connect(proxy);
         }
         fixture.settle();
         fixture.check_limits();
         const Decisions& decisions = fixture.controller.decisions();
         std::vector<std::uint64_t> limits(4);
-        for (const Proxy& p : fixture.proxies) {
-            CHECK(fixture.controller.settled(p.stream));
-            REQUIRE(p.held[0].size() == 4);
-            REQUIRE(p.held[1].size() == 4);
-            CHECK(p.held[2].size() == 2);
-            CHECK(p.held[3].size() == 2);
+        for (const Proxy& proxy : fixture.proxies) {
+            CHECK(fixture.controller.settled(proxy.stream));
+            REQUIRE(proxy.held[0].size() == 4);
+            REQUIRE(proxy.held[1].size() == 4);
+            CHECK(proxy.held[2].size() == 2);
+            CHECK(proxy.held[3].size() == 2);
             for (std::uint32_t pool = 0; pool < 4; ++pool) {
                 const std::string wanted =
                     fixture.encoder.endpoints(pool, decisions.pools[pool], "")->state_of_world;
-                CHECK(p.held[1].at(pool_name(pool))->state_of_world == wanted);
-                limits[pool] += p.held[0].at(pool_name(pool))->limit;
+                CHECK(proxy.held[1].at(pool_name(pool))->state_of_world == wanted);
+                limits[pool] += proxy.held[0].at(pool_name(pool))->limit;
             }
         }
         for (std::uint32_t pool = 0; pool < 4; ++pool) CHECK(limits[pool] == decisions.pools[pool].limit);
@@ -497,13 +508,13 @@
     const bool delta = GENERATE(false, true);
     ControlFixture fixture(5);
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
-    Proxy p;
-    p.node = "p";
-    p.delta = delta;
+    Proxy proxy;
+    proxy.node = "p";
+    proxy.delta = delta;
     const std::string bad =
         fixture.encoder.endpoints(2, fixture.controller.decisions().pools[2], "")->state_of_world;
-    p.rejected_resources = {bad};
-    fixture.proxies = {p};
+    proxy.rejected_resources = {bad};
+    fixture.proxies = {proxy};
     fixture.connect(fixture.proxies[0]);
     fixture.settle();
     Proxy& held = fixture.proxies[0];
@@ -576,33 +587,33 @@
     ControlFixture fixture(9);
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
     fixture.proxies.resize(1);
-    Proxy& p = fixture.proxies[0];
-    p.node = "p";
-    fixture.connect(p);
+    Proxy& proxy = fixture.proxies[0];
+    proxy.node = "p";
+    fixture.connect(proxy);
     fixture.settle();
     fixture.nodes[1].started_at = fixture.now;
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
-    fixture.receive(p);  // the restarted node, not acknowledged yet
+    fixture.receive(proxy);  // the restarted node, not acknowledged yet
     fixture.nodes[0].lifecycle = Lifecycle::draining;
     fixture.now -= 3600 * second;  // the clock is set back
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
-    fixture.receive(p);
-    const auto drains = [&p] {
-        return p.held[1].at(pool_name(0))->state_of_world.find("n0=1d") != std::string::npos;
+    fixture.receive(proxy);
+    const auto drains = [&proxy] {
+        return proxy.held[1].at(pool_name(0))->state_of_world.find("n0=1d") != std::string::npos;
     };
     CHECK_FALSE(drains());
-    fixture.send(p);
-    fixture.receive(p);
+    fixture.send(proxy);
+    fixture.receive(proxy);
     CHECK(drains());
     // If an acknowledgement is lost, the next response is sent after the timeout, on the clock that goes on
     // from its latest time.
     fixture.nodes[3].lifecycle = Lifecycle::draining;
-    p.never_acknowledges = true;
+    proxy.never_acknowledges = true;
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
     fixture.now += 3600 * second + 300 * ms;
     fixture.controller.tick(fixture.now);
-    fixture.receive(p);
-    CHECK(p.held[1].at(pool_name(3))->state_of_world.find("n3=1d") != std::string::npos);
+    fixture.receive(proxy);
+    CHECK(proxy.held[1].at(pool_name(3))->state_of_world.find("n3=1d") != std::string::npos);
 }
 
 TEST_CASE("invalid requests end their stream or are ignored, and affect no other stream") {
