--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -80,13 +80,13 @@
     call.incarnation = 1'764'649'382'000'000'000U + n, call.lease_grace = 86'400'000 * ms;
     call.applied_generation = call.known_generation = 1'234'567, call.wait = 2000 * ms;
     call.queries = 5560, call.failed = 12;
-    for (std::size_t i = 0; i < named; ++i) call.silent.push_back(node_name(i));
+    for (std::size_t i = 0; i < named; ++i) call.unresponsive_nodes.push_back(node_name(i));
     return call;
 }
 
 void words() {
     std::size_t sink = 0;
-    point("wire.head", 1, static_cast<double>(write_answer_head({200, 1000}).size()));
+    point("wire.head", 1, static_cast<double>(write_response_head({200, 1000}).size()));
     for (const std::size_t named : {0, 100, 1000}) {
         const MemberCall call = call_of(17, named);
         const std::string bytes = write_member_call(call);
@@ -96,12 +96,13 @@
     }
     for (const std::size_t out : {0, 100, 1000, 7050}) {
         MemberAnswer answer{1'234'567, 10'000 * ms, {}, false};
-        for (std::size_t i = 0; i < out; ++i) answer.out.push_back({false, node_name(i)});
+        for (std::size_t i = 0; i < out; ++i) answer.drained.push_back({false, node_name(i)});
         const std::string bytes = write_member_answer(answer);
         const int turns = out > 1000 ? 100 : 1000;
         point("member.answer_bytes", out, static_cast<double>(bytes.size()));
         point("steward.answer_write", out, cost(turns, [&] { sink += write_member_answer(answer).size(); }));
-        point("member.answer_read", out, cost(turns, [&] { sink += read_member_answer(bytes)->out.size(); }));
+        point("member.answer_read", out,
+              cost(turns, [&] { sink += read_member_answer(bytes)->drained.size(); }));
     }
     for (const std::size_t batch : {1, 10, 100, 1000}) {
         fleet::ReportBatch many;
--- a/measure/scale.cpp
+++ b/measure/scale.cpp
@@ -86,7 +86,8 @@
     const auto sum = [](HollowFigures& to, const HollowFigures& f) {
         to.routers += f.routers, to.lapses += f.lapses, to.cpu_s += f.cpu_s, to.dirty_mb += f.dirty_mb;
         for (const auto of : {&HollowFigures::manager, &HollowFigures::discovery}) {
-            (to.*of).calls += (f.*of).calls, (to.*of).in += (f.*of).in, (to.*of).out += (f.*of).out;
+            (to.*of).requests += (f.*of).requests, (to.*of).bytes_received += (f.*of).bytes_received,
+                (to.*of).bytes_sent += (f.*of).bytes_sent;
         }
     };
     for (std::size_t i = 0; i < b.hollow.size(); ++i)
@@ -112,16 +113,16 @@
         const auto n = static_cast<double>(follow);
         c.follow_cpu /= n, c.follow_disk /= n, c.follow_dirty_mb /= n;
     }
-    const auto wire = [&](std::uint64_t WireCount::*of, WireCount HollowFigures::*whose) {
+    const auto wire = [&](std::uint64_t TrafficCounters::*of, TrafficCounters HollowFigures::*whose) {
         return rate(static_cast<double>(was.*whose.*of), static_cast<double>(is.*whose.*of), routers);
     };
     c.router_cpu = 1000 * rate(was.cpu_s, is.cpu_s, routers);
-    c.manager_in = wire(&WireCount::in, &HollowFigures::manager);
-    c.manager_out = wire(&WireCount::out, &HollowFigures::manager);
-    c.calls = wire(&WireCount::calls, &HollowFigures::manager);
-    c.discovery_in = wire(&WireCount::in, &HollowFigures::discovery);
-    c.discovery_out = wire(&WireCount::out, &HollowFigures::discovery);
-    c.discovery_calls = wire(&WireCount::calls, &HollowFigures::discovery);
+    c.manager_in = wire(&TrafficCounters::bytes_received, &HollowFigures::manager);
+    c.manager_out = wire(&TrafficCounters::bytes_sent, &HollowFigures::manager);
+    c.calls = wire(&TrafficCounters::requests, &HollowFigures::manager);
+    c.discovery_in = wire(&TrafficCounters::bytes_received, &HollowFigures::discovery);
+    c.discovery_out = wire(&TrafficCounters::bytes_sent, &HollowFigures::discovery);
+    c.discovery_calls = wire(&TrafficCounters::requests, &HollowFigures::discovery);
     c.router_mb = is.dirty_mb / routers;
     c.own_cpu = 1000 * rate(a.own_cpu_s, b.own_cpu_s);
     c.discovery_bytes = rate(static_cast<double>(a.discovery.bytes), static_cast<double>(b.discovery.bytes));
@@ -433,8 +434,8 @@
     std::uint64_t bytes = 0, lapses = 0, calls = 0;
     for (std::size_t i = 0; i < after.hollow.size(); ++i) {
         const HollowFigures &a = before.hollow[i], &b = after.hollow[i];
-        bytes += b.discovery.in - a.discovery.in;
-        calls += b.manager.calls;
+        bytes += b.discovery.bytes_received - a.discovery.bytes_received;
+        calls += b.manager.requests;
         lapses += b.lapses;
     }
     const double each = static_cast<double>(bytes) / static_cast<double>(rig.plan.routers * changed);
--- a/measure/two_phase.cpp
+++ b/measure/two_phase.cpp
@@ -35,7 +35,7 @@
 
 struct Came {
     WorkCounts work;
-    PhaseCounts counts;
+    TwoPhaseCounters counts;
     std::vector<double> ms;
     int finals = 0, served = 0, whole = 0, differing = 0, asked = 0;
     std::size_t answer_bytes = 0, memory_bytes = 0;
@@ -128,7 +128,7 @@
         service.turn();
     }
     came.work = fleet.work();
-    came.counts = service.dispatcher().phase_counts();
+    came.counts = service.dispatcher().two_phase_counters();
     came.memory_bytes = service.dispatcher().section_filter_cache().bytes();
     std::sort(came.ms.begin(), came.ms.end());
     return came;
@@ -190,7 +190,7 @@
         lost += c.asked - c.finals;
         differing += c.differing;
         first += c.counts.first_phases;
-        kept += c.counts.kept_budget;
+        kept += c.counts.within_budget;
         overrun = std::max(overrun, c.counts.worst_overrun);
     };
     std::printf("%-11s %-9s %9s %9s %10s %8s %8s %8s\n", "selectivity", "way", "look-ups", "records",
@@ -241,7 +241,7 @@
             "rough: %-28.*s finals %d of %d, whole %d, p99 %.1f ms, rechecked %llu, wrong words %llu\n",
             static_cast<int>(std::string_view(trouble).size() - 1), trouble, c.finals, c.asked, c.whole,
             c.at(0.99), static_cast<unsigned long long>(c.counts.rechecked),
-            static_cast<unsigned long long>(c.counts.wrong_words));
+            static_cast<unsigned long long>(c.counts.wrong_summaries));
     }
 
     // A day of ever other terms that no section holds, with and without what sections said being remembered.
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -25,10 +25,11 @@
 FleetManager::FleetManager(boost::asio::io_context& io, const FleetManagerConfig& config, std::uint64_t id,
                            const StartupConfig& startup, Nanos clock_error)
     : signals_(io, SIGTERM, SIGINT), config_(config), id_(id), turn_(io, time_), endpoints_(startup.config),
-      state_(config_, endpoints_),
-      server_(io, time_, *this, max_clients, client_stall, config.takes_changes ? max_change_body : max_body),
+      state_(config_, endpoints_), server_(io, time_, *this, max_clients, client_stall,
+                                           config.takes_changes ? max_change_body : max_body_bytes),
       discovery_(io, time_, *this, startup.discovery, startup.config.discovery,
-                 static_cast<std::uint32_t>(startup.config.places), startup.seed, startup.list_bound),
+                 static_cast<std::uint32_t>(startup.config.places), startup.seed,
+                 startup.endpoint_list_limit),
       raft_(io, raft_config(config_, id), state_), responder_(server_, raft_, config_, id),
       proposer_(time_, raft_, state_, clock_error), members_(time_, state_, proposer_, responder_),
       relays_(time_, state_, proposer_, responder_),
@@ -51,7 +52,7 @@
     Nanos max_sleep = 0;
     while (!stopping_) {
         const Nanos sleep = std::min(max_sleep, leader_duties_.tick_interval());
-        turn_.run(std::min(time_.due.next(), time_.now() + sleep));
+        turn_.run_once(std::min(time_.due.next(), time_.now() + sleep));
         leader_duties_.run();
         max_sleep = raft_.turn();
         members_.answer_waiting();
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -18,12 +18,12 @@
 #include "fleet_manager/responder.hpp"
 #include "service/startup_config.hpp"
 #include "wire/discovery_watch.hpp"
-#include "wire/event_turn.hpp"
+#include "wire/event_loop.hpp"
 #include "wire/http_server.hpp"
 
 namespace tealcart::fleet_manager {
 
-class FleetManager final : private RequestHandler, private ListTaker {
+class FleetManager final : private RequestHandler, private EndpointListObserver {
   public:
     // Listens, and takes part in the group, from here on. `clock_error` is added to the clock that commands
     // carry: for tests of clocks that run apart. Throws std::runtime_error where the log can't be read, and
@@ -45,7 +45,7 @@
 
     void on_request(Handle client, Request& request, Nanos began) override;
     void on_client_disconnected(Handle client) override;
-    void on_list(const EndpointList& list) override { endpoints_.on_endpoints(list, time_.now()); }
+    void on_endpoint_list(const EndpointList& list) override { endpoints_.on_endpoints(list, time_.now()); }
 
     void show_ready(Handle client, const Request& request);
     void show_status(Handle client, const Request& request);
@@ -61,7 +61,7 @@
     const FleetManagerConfig config_;
     const std::uint64_t id_;
     EventClock time_;
-    EventTurn turn_;
+    EventLoop turn_;
     EndpointView endpoints_;
     ReplicatedState state_;
     HttpServer server_;
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -25,7 +25,7 @@
     explicit Exchange(boost::asio::io_context& io) : socket(io), reader(max_answer) {}
 
     tcp::socket socket;
-    AnswerReader reader;
+    ResponseReader reader;
     std::string out, in;
     std::array<char, 16384> buffer;
     Reply reply;
@@ -36,9 +36,10 @@
 void read_answer(const ExchangePtr& exchange) {
     const auto on_read = [exchange](const error_code& ec, std::size_t size) {
         exchange->in.append(exchange->buffer.data(), size);
-        const Reading reading = ec ? Reading::bad : exchange->reader.feed(exchange->in);
-        if (reading == Reading::more) return read_answer(exchange);
-        if (reading == Reading::done) exchange->reply = {exchange->reader.status(), exchange->reader.body()};
+        const ParseStatus reading = ec ? ParseStatus::malformed : exchange->reader.feed(exchange->in);
+        if (reading == ParseStatus::incomplete) return read_answer(exchange);
+        if (reading == ParseStatus::complete)
+            exchange->reply = {exchange->reader.status(), exchange->reader.body()};
         exchange->ended = true;
     };
     exchange->socket.async_read_some(boost::asio::buffer(exchange->buffer), on_read);
@@ -53,7 +54,7 @@
 }
 
 std::string request_of(const std::string& host, const std::string& path, const std::string& body) {
-    if (body.empty()) return write_get(host, path);
+    if (body.empty()) return write_get_request(host, path);
     return "POST " + path + " HTTP/1.1\r\nHost: " + host +
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
--- a/src/fleet_manager/member_service.cpp
+++ b/src/fleet_manager/member_service.cpp
@@ -13,7 +13,7 @@
     if (!proposer_.leads()) return responder_.not_leader(client);
     if (const std::uint64_t later = later_incarnation(*call); later > 0)
         return responder_.superseded(client, later);
-    if (call->leaves) return leave(client, *call);
+    if (call->leaving) return leave(client, *call);
     const fleet::Join join = join_of(*call);
     if (!is_joined(join)) batch_.reports.joins.push_back(join);
     batch_.reports.renewals.push_back(renew_of(*call));
--- a/src/fleet_manager/operator_requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -84,10 +84,13 @@
 }
 
 fleet::Renew renew_of(const MemberCall& call) {
-    fleet::Renew renewal{
-        call.name,
-        call.incarnation,
-        {call.applied_generation, {}, {call.silent.begin(), call.silent.end()}, call.queries, call.failed}};
+    fleet::Renew renewal{call.name,
+                         call.incarnation,
+                         {call.applied_generation,
+                          {},
+                          {call.unresponsive_nodes.begin(), call.unresponsive_nodes.end()},
+                          call.queries,
+                          call.failed}};
     for (const TargetName& target : call.in_flight)
         renewal.report.in_flight.insert({target.router, target.name});
     return renewal;
@@ -96,7 +99,7 @@
 MemberAnswer answer_of(const fleet::FleetState& state) {
     MemberAnswer answer{state.generation(), state.budgets().lease, {}, state.halted()};
     for (const auto& [target, request] : state.removed_targets())
-        answer.out.push_back({target.router, target.name});
+        answer.drained.push_back({target.router, target.name});
     return answer;
 }
 
--- a/src/fleet_manager/relay_service.cpp
+++ b/src/fleet_manager/relay_service.cpp
@@ -77,7 +77,7 @@
 void RelayService::ask_for_full_report(Handle client) {
     ChangesAnswer answer;
     answer.version = state_.changes().version();
-    answer.say_all = true;
+    answer.full_report_required = true;
     answer.drift = state_.changes().limits().drift;
     responder_.ok(client, write_changes_answer(answer));
 }
@@ -85,7 +85,7 @@
 void RelayService::answer(const Waiting& waiting) {
     ChangesAnswer answer;
     answer.lease = state_.changes().limits().lease;
-    answer.taken = waiting.report_number;
+    answer.acknowledged_report = waiting.report_number;
     answer.drift = state_.changes().limits().drift;
     add_document_news(state_.changes(), waiting.position, answer);
     responder_.ok(waiting.client, write_changes_answer(answer));
--- a/src/fleet_manager/responder.cpp
+++ b/src/fleet_manager/responder.cpp
@@ -1,7 +1,7 @@
 #include "fleet_manager/responder.hpp"
 
-#include "wire/answer_body.hpp"
 #include "wire/member_messages.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart::fleet_manager {
 
--- a/src/members/member_host.hpp
+++ b/src/members/member_host.hpp
@@ -27,7 +27,7 @@
 };
 
 // Takes the endpoint list as it is to reach the module.
-class MemberHost : public ListTaker {
+class MemberHost : public EndpointListObserver {
   public:
     virtual void observe_outcomes(OutcomeObserver* observer) = 0;
     virtual void set_serving_state(ServingStateSource source, const MemberServingState& serving_state) = 0;
--- a/src/relay/follower_service.cpp
+++ b/src/relay/follower_service.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "wire/answer_body.hpp"
 #include "wire/member_messages.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart::relay {
 
@@ -15,7 +15,7 @@
     const auto last = last_reports_.find(report.name);
     if (last != last_reports_.end() && last->second.incarnation > report.incarnation)
         return server_.answer(client, {409, write_superseded(last->second.incarnation), 0});
-    if (call->leaves) return on_farewell(client, report);
+    if (call->leaving) return on_farewell(client, report);
     const Nanos now = time_.now();
     if (!reports_.record_report(now, report)) return error(client, 503, "it has as many followers as it may");
     record(report);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 
 #include "log/log.hpp"
-#include "wire/answer_body.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart::relay {
 namespace {
@@ -52,7 +52,7 @@
 
 void Relay::run() {
     while (!stopping_ && superseded_by_.empty()) {
-        turn_.run(std::min({time_.due.next(), time_.now() + max_sleep, followers_.next_deadline()}));
+        turn_.run_once(std::min({time_.due.next(), time_.now() + max_sleep, followers_.next_deadline()}));
         observe_lease();
         followers_.answer_waiting();
     }
@@ -125,10 +125,10 @@
 void Relay::on_changes(Nanos sent, const ChangesAnswer& answer) {
     managers_answered_ = true;
     drift_ = answer.drift;
-    if (answer.say_all) reports_.require_full_report();
-    if (answer.taken > 0 && answer.lease > 0) {
+    if (answer.full_report_required) reports_.require_full_report();
+    if (answer.acknowledged_report > 0 && answer.lease > 0) {
         lease_ = answer.lease;
-        reports_.acknowledge(answer.taken, sent, answer.lease);
+        reports_.acknowledge(answer.acknowledged_report, sent, answer.lease);
         followers_.on_lease_renewed();
     }
     const std::uint64_t version_before = documents_.copy().version();
@@ -172,14 +172,14 @@
 
 // While the watch is between two calls, or retries at another fleet manager, the next call has the report.
 void Relay::schedule_report() {
-    if (!managers_.waits() || report_due_ != TimerQueue::none) return;
+    if (!managers_.call_in_flight() || report_due_ != TimerQueue::none) return;
     const Nanos at = std::max(time_.now() + gather_window, called_at_ + call_interval);
     time_.due.move(report_due_, at, *this, Handle{}, 0);
 }
 
 void Relay::on_due(Handle, std::uint64_t) {
     report_due_ = TimerQueue::none;
-    if (managers_.waits())
+    if (managers_.call_in_flight())
         managers_.call_now();
     else
         managers_.next();
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -16,7 +16,7 @@
 #include "relay/follower_service.hpp"
 #include "relay/relay_config.hpp"
 #include "wire/change_watch.hpp"
-#include "wire/event_turn.hpp"
+#include "wire/event_loop.hpp"
 #include "wire/http_server.hpp"
 
 namespace tealcart::relay {
@@ -47,7 +47,7 @@
     boost::asio::signal_set signals_;
     const RelayConfig config_;
     EventClock time_;
-    EventTurn turn_;
+    EventLoop turn_;
     std::uint64_t incarnation_;
     changes::ReportAggregator reports_;
     DocumentSource documents_;
--- a/src/service/attempt_dispatcher.cpp
+++ b/src/service/attempt_dispatcher.cpp
@@ -44,8 +44,8 @@
     return handle;
 }
 
-void AttemptDispatcher::queue(Handle handle, char letter) {
-    attempts_.find(handle)->letter = letter;
+void AttemptDispatcher::queue(Handle handle, char frame_type) {
+    attempts_.find(handle)->frame_type = frame_type;
     queued_.push_back(handle);
 }
 
@@ -78,7 +78,7 @@
     for (std::size_t i = first; i < queued_.size() && batch.messages.size() < max_requests_per_call_; ++i) {
         Attempt* attempt = attempts_.find(queued_[i]);
         if (!is_queued(attempt) || attempt->node != node) continue;
-        if (!batch.messages.empty() && batch.messages.front().letter != attempt->letter) continue;
+        if (!batch.messages.empty() && batch.messages.front().frame_type != attempt->frame_type) continue;
         batch.messages.push_back(make_message(queued_[i], *attempt, attempts_until));
         const Query& query = *queries_.find(attempt->query);
         const auto& used = query.shard_requests[attempt->shard_request].connections;
@@ -94,8 +94,8 @@
     const ShardRequest& shard_request = query.shard_requests[attempt.shard_request];
     AttemptMessage message{handle, query.text, shard_request.shard, attempt.deadline,
                            send_by(query, shard_request, attempt, attempts_until)};
-    if (attempt.letter == 'R') return message;
-    message.letter = attempt.letter;
+    if (attempt.frame_type == 'R') return message;
+    message.frame_type = attempt.frame_type;
     message.leg = shard_request.leg;
     message.rows = static_cast<std::uint16_t>(query.two_phase->find.rows);
     message.wants_filter = query.two_phase->machine.config().cache_filters;
@@ -172,7 +172,7 @@
 
 // Keeps the value of a shard request; false where no response could hold it.
 bool AttemptDispatcher::keep_value(Query& query, ShardRequest& shard_request, std::string_view value) {
-    if (query.value_bytes + value.size() > max_body) return false;
+    if (query.value_bytes + value.size() > max_body_bytes) return false;
     query.value_bytes += value.size();
     shard_request.value = value;
     shard_request.answered = true;
--- a/src/service/attempt_dispatcher.hpp
+++ b/src/service/attempt_dispatcher.hpp
@@ -24,7 +24,7 @@
         std::uint32_t shard_request = 0;  // its index in the query
         std::uint32_t node = 0;
         std::uint8_t number = 0;  // among those of its shard request
-        char letter = 'R';        // the type of the frame that it goes into
+        char frame_type = 'R';    // the type of the frame that it goes into
         Nanos sent_at = 0, deadline = 0;
         TimerQueue::Ticket timeout = TimerQueue::none;  // none until it is handed to the sender
     };
@@ -38,7 +38,7 @@
     // the query does.
     Handle add(const QueryTable::ShardRequestPosition& position, std::uint32_t node, Nanos wait);
     // Queues an attempt for `send_queued`, in a frame of this type.
-    void queue(Handle handle, char letter);
+    void queue(Handle handle, char frame_type);
     // Hands over what the round has added. Attempts to one node travel together, as many in a frame as the
     // deployment allows. Nothing is written later than `attempts_until`.
     void send_queued(const NodeTable& nodes, Nanos attempts_until);
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Nanos millisecond = 1'000'000;
-constexpr Nanos farewell_timeout = 300 * millisecond;
+constexpr Nanos leave_timeout = 300 * millisecond;
 // Answers in a row without a lease, after its own has expired, until it turns to another relay.
 constexpr int max_answers_without_lease = 3;
 // Between calls whose answers bring nothing and were not held back.
@@ -29,15 +29,15 @@
 
 }  // namespace
 
-ConfigFollower::ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
+ConfigFollower::ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& startup,
                                QueryDispatcher& dispatcher)
-    : time_(time), config_(follower_lease_config(launch.operators.member)),
-      name_(config_.name.empty() ? launch.name : config_.name), dispatcher_(dispatcher),
-      log_(launch.operators.log),
-      overlay_({launch.operators.log, launch.phases}, launch.config, launch.connection_config.query_classes),
+    : time_(time), config_(follower_lease_config(startup.operator_config.member)),
+      name_(config_.name.empty() ? startup.name : config_.name), dispatcher_(dispatcher),
+      log_(startup.operator_config.log), overlay_({startup.operator_config.log, startup.two_phase_configs},
+                                                  startup.config, startup.connection_config.query_classes),
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
       relays_(io, time, *this, follower_path, "relay", config_.relays, std::hash<std::string>{}(name_),
-              launch.seed | 1),
+              startup.seed | 1),
       ready_by_(time.now() + config_.startup_wait) {
     update_serving_state();
 }
@@ -69,7 +69,7 @@
         name_,          lease_.incarnation(), config_.lease_grace, applied_version_, refused_version_,
         refusal_reason_};
     call.zone = config_.zone;
-    call.leaves = leaving_;
+    call.leaving = leaving_;
     call.position = {copy_.version(), copy_.digest(), copy_.needs_pages(), copy_.next_page_after(), 0};
     if (!leaving_) call.position.wait = lease_.wait(false);
     wait_ = call.position.wait;
@@ -168,7 +168,7 @@
         return relays_.next();
     // This relay reaches no fleet manager; another may.
     answers_without_lease_ = 0;
-    relays_.pass_over("it grants no lease");
+    relays_.fail_over("it grants no lease");
 }
 
 void ConfigFollower::on_superseded(std::uint64_t last_incarnation) {
@@ -176,16 +176,16 @@
     update_serving_state();
 }
 
-bool ConfigFollower::farewell() {
+bool ConfigFollower::leave() {
     const Nanos now = time_.now();
-    if (farewell_began_ == 0) {
-        farewell_began_ = now;
+    if (leave_began_ == 0) {
+        leave_began_ = now;
         leaving_ = true;
         time_.due.drop(pause_);
         if (serving_state_ != ServingState::leased) return true;
         relays_.call_now();
     }
-    return left_ || now - farewell_began_ > farewell_timeout;
+    return left_ || now - leave_began_ > leave_timeout;
 }
 
 }  // namespace tealcart
--- a/src/service/config_follower.hpp
+++ b/src/service/config_follower.hpp
@@ -14,7 +14,7 @@
 
 class ConfigFollower final : public DueHandler, private ChangeObserver {
   public:
-    ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
+    ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& startup,
                    QueryDispatcher& dispatcher);
 
     void start() { relays_.start(); }
@@ -27,7 +27,7 @@
     Nanos next_change() const;
     // Tells the relay that the router leaves; true once it has answered, or after a time-out. To be called
     // until then.
-    bool farewell();
+    bool leave();
     void on_due(Handle, std::uint64_t what) override;
 
     // 0: what it was started with.
@@ -68,7 +68,7 @@
     bool next_pending_ = false;               // the next call is due after the round
     bool leaving_ = false, left_ = false;
     ServingState serving_state_ = ServingState::unregistered;
-    Nanos farewell_began_ = 0;  // 0: not yet
+    Nanos leave_began_ = 0;  // 0: not yet
     TimerQueue::Ticket pause_ = TimerQueue::none;
 };
 
--- a/src/service/decision_executor.cpp
+++ b/src/service/decision_executor.cpp
@@ -1,7 +1,7 @@
 #include "service/decision_executor.hpp"
 
 #include "log/log.hpp"
-#include "wire/answer_body.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart {
 
@@ -26,7 +26,7 @@
     const Query* query = queries_.find_active(id);
     if (query == nullptr) return;
     if (query->two_phase) return two_phase_.end_leg(id, LegDecision::answer, 0);
-    AnswerBody body(complete);
+    QueryResponseBody body(complete);
     for (const ShardRequest& shard_request : query->shard_requests)
         if (shard_request.answered) body.add(shard_request.shard, shard_request.value);
     completion_.respond_with_results(id, body.finish());
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -11,13 +11,13 @@
 namespace tealcart {
 namespace {
 
-constexpr Nanos farewell_timeout = 300'000'000;  // ns
+constexpr Nanos leave_timeout = 300'000'000;  // ns
 const char* const serving_states[] = {"no steward has spoken yet", "a member",
                                       "its lease is over; it goes on by what it last knew", "cut off"};
 
 // A digest of all that was stated when the router started.
-std::string digest_of(const StartupConfig& launch) {
-    const std::string all = launch.settings + '\n' + launch.operators.text;
+std::string digest_of(const StartupConfig& startup) {
+    const std::string all = startup.settings_text + '\n' + startup.operator_config.text;
     char text[17];
     std::snprintf(text, sizeof text, "%016llx",
                   static_cast<unsigned long long>(XXH3_64bits(all.data(), all.size())));
@@ -26,21 +26,23 @@
 
 }  // namespace
 
-Membership::Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch,
+Membership::Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& startup,
                        MemberHost& host)
-    : time_(time), config_(launch.operators.member), name_(config_.name.empty() ? launch.name : config_.name),
-      digest_(digest_of(launch)), host_(host),
+    : time_(time), config_(startup.operator_config.member),
+      name_(config_.name.empty() ? startup.name : config_.name), digest_(digest_of(startup)), host_(host),
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
-      managers_(io, time, *this, config_.managers, launch.agreed_bound) {
+      managers_(io, time, *this, config_.managers, startup.manager_response_limit) {
     host_.observe_outcomes(this);
     update_serving_state();
 }
 
 void Membership::update_host(const EndpointList& list) {
-    if (!list.nodes.empty() || list.full) host_.on_list(list);
+    if (!list.nodes.empty() || list.full) host_.on_endpoint_list(list);
 }
 
-void Membership::on_list(const EndpointList& list) { update_host(endpoints_.apply_discovered(list)); }
+void Membership::on_endpoint_list(const EndpointList& list) {
+    update_host(endpoints_.apply_discovered(list));
+}
 
 // Guards against acting, after a stall, on a lease that has expired.
 void Membership::update_serving_state() {
@@ -92,11 +94,11 @@
     call.known_generation = known_generation_;
     call.in_flight = targets_in_flight();
     call.wait = lease_.wait(!call.in_flight.empty() || applied_generation_ < known_generation_);
-    call.silent = unresponsive_nodes();
+    call.unresponsive_nodes = unresponsive_nodes();
     const OutcomeStats::Counts counts = outcomes_.counts(time_.now());
     call.queries = counts.queries;
     call.failed = counts.failed;
-    call.leaves = leaving_;
+    call.leaving = leaving_;
     return call;
 }
 
@@ -115,7 +117,7 @@
 void Membership::apply_generation(const MemberAnswer& answer) {
     std::set<std::string> drained_nodes;
     drained_ = false;
-    for (const TargetName& target : answer.out) {
+    for (const TargetName& target : answer.drained) {
         if (!target.router)
             drained_nodes.insert(target.name);
         else if (target.name == name_)
@@ -134,15 +136,15 @@
     update_serving_state();
 }
 
-bool Membership::farewell() {
+bool Membership::leave() {
     const Nanos now = time_.now();
-    if (farewell_began_ == 0) {
-        farewell_began_ = now;
+    if (leave_began_ == 0) {
+        leave_began_ = now;
         leaving_ = true;
         if (serving_state_ != ServingState::leased) return true;
         managers_.call_now();
     }
-    return left_ || now - farewell_began_ > farewell_timeout;
+    return left_ || now - leave_began_ > leave_timeout;
 }
 
 void Membership::on_query_end(int status) { outcomes_.record_query(time_.now(), status != 200); }
--- a/src/service/membership.hpp
+++ b/src/service/membership.hpp
@@ -12,15 +12,15 @@
 
 namespace tealcart {
 
-class Membership final : public ListTaker, private ManagerObserver, private OutcomeObserver {
+class Membership final : public EndpointListObserver, private ManagerObserver, private OutcomeObserver {
   public:
-    Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& launch, MemberHost& host);
+    Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& startup, MemberHost& host);
 
     void start() { managers_.start(); }
     void stop() { managers_.stop(); }
-    void on_list(const EndpointList& list) override;
+    void on_endpoint_list(const EndpointList& list) override;
     // The list that the router starts with, which the host has already: agreed drains hold for its nodes too.
-    void know(const EndpointList& list) { endpoints_.apply_discovered(list); }
+    void apply_cached_list(const EndpointList& list) { endpoints_.apply_discovered(list); }
 
     // To be called before each round: applies what the clock alone has changed.
     void update_serving_state();
@@ -29,10 +29,10 @@
     Nanos next_change() const { return lease_.next_change(time_.now()); }
     const MemberLease& lease() const { return lease_; }
     std::uint64_t applied_generation() const { return applied_generation_; }
-    const WireCount& wire() const { return managers_.wire(); }
+    const TrafficCounters& traffic() const { return managers_.traffic(); }
     // Tells the managers that the router leaves; true once they have answered, or after a time-out. To be
     // called until then.
-    bool farewell();
+    bool leave();
 
   private:
     MemberCall member_call() override;
@@ -61,7 +61,7 @@
     bool fenced_ = false;
     bool leaving_ = false, left_ = false;
     ServingState serving_state_ = ServingState::unregistered;
-    Nanos farewell_began_ = 0;  // 0: not yet
+    Nanos leave_began_ = 0;  // 0: not yet
 };
 
 }  // namespace tealcart
--- a/src/service/query_completion.cpp
+++ b/src/service/query_completion.cpp
@@ -1,11 +1,11 @@
 #include "service/query_completion.hpp"
 
 #include "log/log.hpp"
-#include "wire/answer_body.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart {
 
-void QueryCompletion::respond(std::uint32_t id, Answer response) {
+void QueryCompletion::respond(std::uint32_t id, Response response) {
     const Query* query = queries_.find_active(id);
     if (query == nullptr) return;
     if (outcomes_ != nullptr) outcomes_->on_query_end(response.status);
@@ -14,7 +14,7 @@
 }
 
 void QueryCompletion::respond_with_results(std::uint32_t id, std::string body) {
-    if (body.size() > max_body) {
+    if (body.size() > max_body_bytes) {
         log_about(LogLevel::warn, queries_.find_active(id)->text->id, "a response of %zu bytes is too long",
                   body.size());
         return respond(id, {500, write_error("the answer is too long"), 0});
--- a/src/service/query_completion.hpp
+++ b/src/service/query_completion.hpp
@@ -19,7 +19,7 @@
     void set_observer(OutcomeObserver* observer) { outcomes_ = observer; }
 
     // Ends a query, by the module's id, with this response; does nothing where it has ended.
-    void respond(std::uint32_t id, Answer response);
+    void respond(std::uint32_t id, Response response);
     // The same with status 200 and this body, or with 500 where the body is longer than the protocol allows.
     // The query must be active.
     void respond_with_results(std::uint32_t id, std::string body);
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -44,7 +44,7 @@
         return writer_->answer(client, health_response(request));
     auto parsed = parser_.parse(
         request, [this](std::size_t query_class) { return two_phase_.config(query_class).enabled; });
-    if (auto* error = std::get_if<Answer>(&parsed)) return writer_->answer(client, std::move(*error));
+    if (auto* error = std::get_if<Response>(&parsed)) return writer_->answer(client, std::move(*error));
     const auto refuse = [&](int status, std::string_view message) {
         writer_->answer(client, RequestParser::error(status, message));
     };
@@ -55,7 +55,7 @@
     begin_query(client, request, std::get<QueryRequest>(std::move(parsed)), began);
 }
 
-Answer QueryDispatcher::health_response(const Request& request) const {
+Response QueryDispatcher::health_response(const Request& request) const {
     if (request.method != "GET") return RequestParser::method_not_allowed("GET only", "GET");
     if (request.path == healthy_path) return {200, {}, 0};
     if (!begun_) return RequestParser::error(503, "waiting for discovery's list");
@@ -91,7 +91,7 @@
     completion_.end(handle);
 }
 
-void QueryDispatcher::on_list(const EndpointList& list) {
+void QueryDispatcher::on_endpoint_list(const EndpointList& list) {
     apply_list(list, list.full ? ListKind::full : ListKind::delta);
 }
 
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -42,7 +42,7 @@
     bool on_two_phase_refused(std::uint32_t node) override;
     void on_attempt_lost(Handle attempt, Outcome outcome) override;
     // MemberHost
-    void on_list(const EndpointList& list) override;
+    void on_endpoint_list(const EndpointList& list) override;
     void observe_outcomes(OutcomeObserver* observer) override;
     void set_serving_state(ServingStateSource source, const MemberServingState& state) override;
     bool any_attempt_to(const std::function<bool(const std::string&)>& matches) const override;
@@ -65,12 +65,12 @@
 
     std::size_t attempts_in_flight() const { return attempts_.in_flight(); }
     const NodeTable& nodes() const { return nodes_; }
-    const PhaseCounts& phase_counts() const { return two_phase_.counts(); }
-    const TwoPhaseCapability& speakers() const { return two_phase_.capability(); }
+    const TwoPhaseCounters& two_phase_counters() const { return two_phase_.counters(); }
+    const TwoPhaseCapability& two_phase_capability() const { return two_phase_.capability(); }
     const SectionFilterCache& section_filter_cache() const { return two_phase_.section_filter_cache(); }
 
   private:
-    Answer health_response(const Request& request) const;
+    Response health_response(const Request& request) const;
     void begin_query(Handle client, Request& request, QueryRequest query_request, Nanos began);
 
     EventClock& clock_;
--- a/src/service/request_parser.cpp
+++ b/src/service/request_parser.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <optional>
 
-#include "wire/answer_body.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart {
 namespace {
@@ -35,11 +35,11 @@
         needs_key_.push_back(query_class.effect == Effect::idempotent_with_key);
 }
 
-Answer RequestParser::error(int status, std::string_view message) {
+Response RequestParser::error(int status, std::string_view message) {
     return {status, write_error(message), 0};
 }
 
-Answer RequestParser::method_not_allowed(std::string_view message, std::string_view allowed) {
+Response RequestParser::method_not_allowed(std::string_view message, std::string_view allowed) {
     return {405, write_error(message), 0, allowed};
 }
 
@@ -53,9 +53,9 @@
     return static_cast<std::size_t>(found - query_classes_.begin());
 }
 
-std::variant<QueryRequest, Answer> RequestParser::parse_query(const Request& request,
-                                                              std::uint16_t query_class,
-                                                              bool two_phase) const {
+std::variant<QueryRequest, Response> RequestParser::parse_query(const Request& request,
+                                                                std::uint16_t query_class,
+                                                                bool two_phase) const {
     if (request.method != "POST") return method_not_allowed("POST only", "POST");
     if (!is_token(request.id)) return error(400, "X-Request-Id is missing or malformed");
     const auto deadline = read_deadline(request.deadline);
--- a/src/service/request_parser.hpp
+++ b/src/service/request_parser.hpp
@@ -28,7 +28,7 @@
     // `two_phase(query_class)` says whether a query's conditions are to be read. Errors are complete
     // responses: 404, 405 or 400, with a JSON body that names what is wrong.
     template <typename TwoPhase>
-    std::variant<QueryRequest, Answer> parse(const Request& request, TwoPhase two_phase) const {
+    std::variant<QueryRequest, Response> parse(const Request& request, TwoPhase two_phase) const {
         const auto query_class = find_query_class(request.path);
         if (query_class == query_classes_.size()) return error(404, "no such vertical");
         return parse_query(request, static_cast<std::uint16_t>(query_class), two_phase(query_class));
@@ -36,13 +36,13 @@
 
     bool needs_key(std::uint16_t query_class) const { return needs_key_[query_class]; }
 
-    static Answer error(int status, std::string_view message);
-    static Answer method_not_allowed(std::string_view message, std::string_view allowed);
+    static Response error(int status, std::string_view message);
+    static Response method_not_allowed(std::string_view message, std::string_view allowed);
 
   private:
     std::size_t find_query_class(std::string_view path) const;
-    std::variant<QueryRequest, Answer> parse_query(const Request& request, std::uint16_t query_class,
-                                                   bool two_phase) const;
+    std::variant<QueryRequest, Response> parse_query(const Request& request, std::uint16_t query_class,
+                                                     bool two_phase) const;
 
     const std::vector<std::string> query_classes_;
     const std::uint32_t shards_;
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -22,21 +22,21 @@
 constexpr Nanos heartbeat = 100 * millisecond;
 
 std::size_t max_node_connections(const StartupConfig& startup) {
-    return (startup.sockets - reserved_descriptors) / data_node_share;
+    return (startup.max_descriptors - reserved_descriptors) / data_node_share;
 }
 std::size_t max_client_connections(const StartupConfig& startup) {
-    return startup.sockets - reserved_descriptors - max_node_connections(startup);
+    return startup.max_descriptors - reserved_descriptors - max_node_connections(startup);
 }
 
 std::unique_ptr<Membership> make_membership(boost::asio::io_context& io, EventClock& clock,
                                             const StartupConfig& startup, QueryDispatcher& dispatcher) {
-    if (!startup.operators.member.on) return nullptr;
+    if (!startup.operator_config.member.on) return nullptr;
     return std::make_unique<Membership>(io, clock, startup, dispatcher);
 }
 
 std::unique_ptr<ConfigFollower> make_follower(boost::asio::io_context& io, EventClock& clock,
                                               const StartupConfig& startup, QueryDispatcher& dispatcher) {
-    if (startup.operators.member.relays.empty()) return nullptr;
+    if (startup.operator_config.member.relays.empty()) return nullptr;
     return std::make_unique<ConfigFollower>(io, clock, startup, dispatcher);
 }
 
@@ -50,28 +50,29 @@
       connections_(io_, clock_, startup_.connection_config, dispatcher_, max_node_connections(startup_)),
       membership_(make_membership(io_, clock_, startup_, dispatcher_)),
       follower_(make_follower(io_, clock_, startup_, dispatcher_)),
-      discovery_(io_, clock_, membership_ ? static_cast<ListTaker&>(*membership_) : dispatcher_,
+      discovery_(io_, clock_, membership_ ? static_cast<EndpointListObserver&>(*membership_) : dispatcher_,
                  startup_.discovery, startup_.config.discovery,
-                 static_cast<std::uint32_t>(startup_.config.places), startup_.seed + 2, startup_.list_bound),
+                 static_cast<std::uint32_t>(startup_.config.places), startup_.seed + 2,
+                 startup_.endpoint_list_limit),
       timer_(io_) {
     start();
 }
 
 void Service::start() {
-    start_log(startup_.operators.log);
+    start_log(startup_.operator_config.log);
     dispatcher_.connect(server_, connections_);
-    dispatcher_.apply_list(startup_.known, ListKind::cached);
-    if (membership_) membership_->know(startup_.known);
+    dispatcher_.apply_list(startup_.cached_endpoints, ListKind::cached);
+    if (membership_) membership_->apply_cached_list(startup_.cached_endpoints);
     if (membership_) membership_->start();
     if (follower_) follower_->start();
     server_.listen(startup_.listen.host, startup_.listen.port);
-    discovery_.start(startup_.known.generation);
+    discovery_.start(startup_.cached_endpoints.generation);
     first_list_deadline_ = clock_.now() + first_list_timeout;
     await_signal();
     log_line("%s serves at %s:%u with %zu data nodes of list %llu", startup_.name.c_str(),
              startup_.listen.host.c_str(), server_.port(), dispatcher_.nodes().ready(),
-             static_cast<unsigned long long>(startup_.known.generation));
-    startup_.known = {};
+             static_cast<unsigned long long>(startup_.cached_endpoints.generation));
+    startup_.cached_endpoints = {};
 }
 
 void Service::await_signal() {
@@ -93,7 +94,7 @@
         const StartupConfig next = read_config_();
         log_line("SIGHUP: discovery at %s:%u%s", next.discovery.host.c_str(), next.discovery.port,
                  changes_for_next_start(next).c_str());
-        discovery_.follow(next.discovery);
+        discovery_.change_address(next.discovery);
     } catch (const std::exception& e) {
         log_line("SIGHUP: %s; the configuration stands", e.what());
     }
@@ -106,9 +107,9 @@
     };
     add(next.name != startup_.name, "name");
     add(next.listen != startup_.listen, "listen");
-    add(next.sockets != startup_.sockets, "limits.sockets");
-    add(next.settings != startup_.settings, "settings");
-    add(next.operators.text != startup_.operators.text, "the operators' file");
+    add(next.max_descriptors != startup_.max_descriptors, "limits.sockets");
+    add(next.settings_text != startup_.settings_text, "settings");
+    add(next.operator_config.text != startup_.operator_config.text, "the operators' file");
     return changes;
 }
 
@@ -129,7 +130,7 @@
     clock_.due.fire_due(clock_.now());
     if (membership_) membership_->update_serving_state();
     if (follower_) follower_->update_serving_state();
-    if (!dispatcher_.begun() && (discovery_.told() || clock_.now() >= first_list_deadline_))
+    if (!dispatcher_.begun() && (discovery_.has_list() || clock_.now() >= first_list_deadline_))
         dispatcher_.begin();
     run_due_round();
     return !may_exit();
@@ -173,8 +174,8 @@
     server_.close_idle(now - arrivals_after_stop);
     if (server_.open() > 0) return false;
     // Both at once.
-    const bool member_left = !membership_ || membership_->farewell();
-    const bool follower_left = !follower_ || follower_->farewell();
+    const bool member_left = !membership_ || membership_->leave();
+    const bool follower_left = !follower_ || follower_->leave();
     if (!member_left || !follower_left) return false;
     if (!server_.end_listening()) return false;
     log_line("stopped after %lld ms", static_cast<long long>((now - stop_began_) / millisecond));
--- a/src/service/startup_config.cpp
+++ b/src/service/startup_config.cpp
@@ -52,18 +52,18 @@
     const Json& sockets = required(limits, "sockets");
     if (!sockets.is_number_unsigned() || sockets.get<std::uint64_t>() < min_sockets)
         throw ConfigError("'limits.sockets' in the configuration is no number of at least 64");
-    startup.sockets = sockets.get<std::size_t>();
+    startup.max_descriptors = sockets.get<std::size_t>();
     if (const auto memory = limits.find("memory_mb"); memory != limits.end() && memory->is_number_unsigned())
-        startup.memory = std::min(memory->get<std::size_t>(), max_memory_mb) * bytes_per_mb;
+        startup.memory_bytes = std::min(memory->get<std::size_t>(), max_memory_mb) * bytes_per_mb;
 }
 
 void read_settings(const Json& settings, StartupConfig& startup) {
-    startup.settings = settings.dump();
-    startup.config = read_router_config(startup.settings);
-    startup.connection_config = read_connection_config(startup.settings);
-    startup.list_bound = bound_of_list(startup.config, startup.memory);
-    startup.agreed_bound = bound_of_agreed(startup.config, startup.memory);
-    startup.phases.resize(startup.connection_config.query_classes.size());
+    startup.settings_text = settings.dump();
+    startup.config = read_router_config(startup.settings_text);
+    startup.connection_config = read_connection_config(startup.settings_text);
+    startup.endpoint_list_limit = endpoint_list_size_limit(startup.config, startup.memory_bytes);
+    startup.manager_response_limit = manager_response_size_limit(startup.config, startup.memory_bytes);
+    startup.two_phase_configs.resize(startup.connection_config.query_classes.size());
     for (const QueryClassConfig& query_class : startup.config.query_classes)
         if (query_class.second_step_requests > 0)
             throw ConfigError("a vertical has a second step, which is not served on sockets yet");
@@ -71,9 +71,10 @@
 
 EndpointList read_known(const Json& known, const StartupConfig& startup) {
     const std::string stated = known.dump();
-    if (stated.size() > startup.list_bound.bytes) {
+    if (stated.size() > startup.endpoint_list_limit.bytes) {
         log_line("'known' in the configuration, %zu bytes, is over its bound of %zu: %s; it is left out",
-                 stated.size(), startup.list_bound.bytes, startup.list_bound.why.c_str());
+                 stated.size(), startup.endpoint_list_limit.bytes,
+                 startup.endpoint_list_limit.reason.c_str());
         return {};
     }
     auto list = read_endpoint_list(stated, static_cast<std::uint32_t>(startup.config.places));
@@ -94,8 +95,8 @@
     read_limits(required(in, "limits"), startup);
     read_settings(required(in, "settings"), startup);
     if (const auto known = in.find("known"); known != in.end() && !known->is_null())
-        startup.known = read_known(*known, startup);
-    startup.known.full = true;
+        startup.cached_endpoints = read_known(*known, startup);
+    startup.cached_endpoints.full = true;
     return startup;
 }
 
@@ -108,9 +109,9 @@
 
 void apply_operator_config(StartupConfig& startup, OperatorConfig operators) {
     apply_call_config(operators.calls, startup.config, startup.connection_config);
-    startup.phases =
+    startup.two_phase_configs =
         two_phase_by_query_class(operators, startup.config, startup.connection_config.query_classes);
-    startup.operators = std::move(operators);
+    startup.operator_config = std::move(operators);
 }
 
 }  // namespace tealcart
--- a/src/service/startup_config.hpp
+++ b/src/service/startup_config.hpp
@@ -8,7 +8,7 @@
 #include "config/operator_config.hpp"
 #include "config/router_config_reader.hpp"
 #include "tables/endpoint_list.hpp"
-#include "wire/list_bound.hpp"
+#include "wire/response_size_limit.hpp"
 
 namespace tealcart {
 
@@ -16,15 +16,15 @@
     std::string name;
     HostPort listen, discovery;
     std::uint64_t seed = 0;
-    std::size_t sockets = 0;  // file descriptors that the process may have open
-    std::size_t memory = 0;   // bytes that it may have; 0 where none are stated
-    std::string settings;     // as stated
+    std::size_t max_descriptors = 0;  // file descriptors that the process may have open
+    std::size_t memory_bytes = 0;     // bytes that it may have; 0 where none are stated
+    std::string settings_text;        // as stated
     RouterConfig config;
     ConnectionConfig connection_config;
-    ListBound list_bound, agreed_bound;
-    EndpointList known;  // the list as this query router last had it
-    OperatorConfig operators;
-    std::vector<TwoPhaseConfig> phases;  // by query class
+    ResponseSizeLimit endpoint_list_limit, manager_response_limit;
+    EndpointList cached_endpoints;  // the list as this query router last had it
+    OperatorConfig operator_config;
+    std::vector<TwoPhaseConfig> two_phase_configs;  // by query class
 };
 
 // Reads the platform's configuration, JSON. Throws ConfigError, with one plain line that names the member,
--- a/src/service/two_phase_coordinator.cpp
+++ b/src/service/two_phase_coordinator.cpp
@@ -5,15 +5,15 @@
 #include <unordered_set>
 
 #include "log/log.hpp"
-#include "wire/answer_body.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart {
 namespace {
 
 bool may_be_used(const StartupConfig& startup) {
     // With relays a later version of the configuration may bring two phases.
-    return !startup.operators.member.relays.empty() ||
-           std::any_of(startup.phases.begin(), startup.phases.end(),
+    return !startup.operator_config.member.relays.empty() ||
+           std::any_of(startup.two_phase_configs.begin(), startup.two_phase_configs.end(),
                        [](const TwoPhaseConfig& config) { return config.enabled; });
 }
 
@@ -23,11 +23,12 @@
                                          AttemptDispatcher& attempts, QueryCompletion& completion,
                                          const StartupConfig& startup)
     : clock_(clock), queries_(queries), events_(events), attempts_(attempts), completion_(completion),
-      max_attempts_(startup.config.max_attempts), by_query_class_(startup.phases),
+      max_attempts_(startup.config.max_attempts), by_query_class_(startup.two_phase_configs),
       may_be_used_(may_be_used(startup)), remembers_sections_(any_caches_filters(by_query_class_)),
       capability_(startup.config.places, startup.config.replicas_per_shard,
-                  startup.operators.memory.distrust_duration),
-      section_filter_cache_(startup.operators.memory, static_cast<std::uint32_t>(startup.config.shards)),
+                  startup.operator_config.memory.distrust_duration),
+      section_filter_cache_(startup.operator_config.memory,
+                            static_cast<std::uint32_t>(startup.config.shards)),
       random_(startup.seed + 1) {
     for (const QueryClassConfig& query_class : startup.config.query_classes)
         latency_objective_.push_back(query_class.latency_objective);
@@ -60,10 +61,10 @@
         }};
     const Nanos useful_by = objective > now ? std::min(objective, query.deadline_at) : query.deadline_at;
     const Leg leg = two_phase.machine.begin(now, useful_by, outlook);
-    ++counts_.queries;
-    counts_.sections += two_phase.sections.size();
-    counts_.remembered += two_phase.machine.coverage().pruned;
-    counts_.first_phases += leg.kind == Leg::summaries;
+    ++counters_.queries;
+    counters_.sections += two_phase.sections.size();
+    counters_.pruned_from_memory += two_phase.machine.coverage().pruned;
+    counters_.first_phases += leg.kind == Leg::summaries;
     queries_.register_id(handle);
     begin_leg(handle, leg);
 }
@@ -95,8 +96,8 @@
 }
 
 char TwoPhaseCoordinator::frame_type(const ShardRequest& shard_request, std::uint32_t node) const {
-    if (shard_request.first_phase) return capability_.is_one_phase(node) ? 0 : asks_word;
-    return capability_.is_two_phase(node) ? asks_rows : 'R';
+    if (shard_request.first_phase) return capability_.is_one_phase(node) ? 0 : summary_request_frame;
+    return capability_.is_two_phase(node) ? rows_request_frame : 'R';
 }
 
 bool TwoPhaseCoordinator::audited(double share) {
@@ -117,15 +118,15 @@
     --query.in_flight;
     const bool was_first = two_phase.machine.state() == TwoPhaseStateMachine::State::summarizing;
     if (was_first) {
-        counts_.kept_budget += now <= two_phase.first_phase_until;
-        counts_.worst_overrun = std::max(counts_.worst_overrun, now - two_phase.first_phase_until);
+        counters_.within_budget += now <= two_phase.first_phase_until;
+        counters_.worst_overrun = std::max(counters_.worst_overrun, now - two_phase.first_phase_until);
     }
     const bool had_recheck = two_phase.machine.rechecked();
     const Leg leg = two_phase.machine.end_leg(
         verdict, now, [&] { return audited(two_phase.machine.config().audit_share); });
-    if (was_first) counts_.pruned += two_phase.machine.pruned_by_summary();
+    if (was_first) counters_.pruned += two_phase.machine.pruned_by_summary();
     if (two_phase.machine.rechecked() && !had_recheck) {
-        ++counts_.rechecked;
+        ++counters_.rechecked;
         log_about(LogLevel::info, query.text->id, "pruned sections are queried after all");
     }
     begin_leg(handle, leg);
@@ -138,15 +139,15 @@
         return completion_.respond(query.id, {503, write_error("rejected"), two_phase.retry_after});
     if (machine.decision() == LegDecision::fail_query)
         return completion_.respond(query.id, {504, write_error("aborted"), 0});
-    AnswerBody body(machine.is_complete());
+    QueryResponseBody body(machine.is_complete());
     for (const ShardRequest& shard_request : query.shard_requests)
         if (shard_request.answered && !shard_request.first_phase)
             body.add(shard_request.shard, shard_request.value);
     const Coverage covered = machine.coverage();
-    SectionsStated stated{{covered.answered, covered.answered_weight},
-                          {covered.pruned, covered.pruned_weight},
-                          {covered.missing, covered.missing_weight},
-                          {}};
+    SectionCoverage stated{{covered.answered, covered.answered_weight},
+                           {covered.pruned, covered.pruned_weight},
+                           {covered.missing, covered.missing_weight},
+                           {}};
     for (const std::uint32_t section : machine.missing())
         stated.missing_shards.push_back(two_phase.sections[section].shard);
     completion_.respond_with_results(query.id, body.finish(stated));
@@ -183,9 +184,9 @@
     const AttemptDispatcher::Attempt& answered = *attempts_.find(attempt);
     const Nanos now = clock_.now();
     if (capability_.trusted(answered.node, now)) {
-        query.two_phase->machine.on_summary(shard_request.section, answered.node, answer.word);
+        query.two_phase->machine.on_summary(shard_request.section, answered.node, answer.summary);
         if (remembers_sections_)
-            section_filter_cache_.store(shard_request.shard, answered.node, answer.word, answered.sent_at,
+            section_filter_cache_.store(shard_request.shard, answered.node, answer.summary, answered.sent_at,
                                         now);
     }
     attempts_.end(attempt, Outcome::ok);
@@ -198,7 +199,7 @@
     const std::uint32_t section = shard_request.section;
     TwoPhaseStateMachine& machine = query.two_phase->machine;
     if (machine.is_stale(section, answer.version)) {
-        ++counts_.stale_rows;
+        ++counters_.stale_rows;
         log_about(LogLevel::info, query.text->id,
                   "data node %u holds an older version of shard %u than its summary stated",
                   attempts_.find(attempt)->node, shard_request.shard);
@@ -218,7 +219,7 @@
 void TwoPhaseCoordinator::distrust_sections(const Query& query) {
     const Nanos now = clock_.now();
     for (const std::uint32_t node : query.two_phase->machine.take_contradicted_nodes()) {
-        ++counts_.wrong_words;
+        ++counters_.wrong_summaries;
         if (capability_.trusted(node, now))
             log_about(LogLevel::warn, query.text->id,
                       "data node %u gave a wrong summary; its summaries are not used for a while", node);
--- a/src/service/two_phase_coordinator.hpp
+++ b/src/service/two_phase_coordinator.hpp
@@ -21,10 +21,10 @@
 namespace tealcart {
 
 // What came of queries in two phases since the start.
-struct PhaseCounts {
-    std::uint64_t queries = 0, first_phases = 0, kept_budget = 0;
-    std::uint64_t sections = 0, remembered = 0, pruned = 0;
-    std::uint64_t rechecked = 0, wrong_words = 0, stale_rows = 0;
+struct TwoPhaseCounters {
+    std::uint64_t queries = 0, first_phases = 0, within_budget = 0;
+    std::uint64_t sections = 0, pruned_from_memory = 0, pruned = 0;
+    std::uint64_t rechecked = 0, wrong_summaries = 0, stale_rows = 0;
     Nanos worst_overrun = 0;
 };
 
@@ -56,7 +56,7 @@
     bool on_refused(std::uint32_t node);
     void on_endpoints(const NodeTable::Changes& changes, ListKind kind);
 
-    const PhaseCounts& counts() const { return counts_; }
+    const TwoPhaseCounters& counters() const { return counters_; }
     const TwoPhaseCapability& capability() const { return capability_; }
     const SectionFilterCache& section_filter_cache() const { return section_filter_cache_; }
 
@@ -84,7 +84,7 @@
     bool remembers_sections_;  // some query class that is in two phases does
     TwoPhaseCapability capability_;
     SectionFilterCache section_filter_cache_;
-    PhaseCounts counts_;
+    TwoPhaseCounters counters_;
     std::knuth_b random_;
 };
 
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -30,7 +30,7 @@
     FollowerCall call;
     call.report = {name, incarnation_, 3600'000 * ms, applied_version, refused, why_};
     call.zone = "a";
-    call.leaves = leaves_;
+    call.leaving = leaves_;
     call.position = {copy.version(), copy.digest(), copy.needs_pages(), copy.next_page_after(),
                      lease_ > 0 ? lease_ / 5 : 200 * ms};
     return {write_follower_call(call), call.position.wait};
--- a/src/testing/client.cpp
+++ b/src/testing/client.cpp
@@ -57,14 +57,14 @@
 }
 
 Client::Client(boost::asio::io_context& io, std::uint16_t port, std::function<void(ClientResponse)> done)
-    : reader_(std::make_shared<AnswerReader>(1 << 20)), done_(std::move(done)) {
+    : reader_(std::make_shared<ResponseReader>(1 << 20)), done_(std::move(done)) {
     boost::asio::ip::tcp::socket socket(io);
     socket.connect({boost::asio::ip::address_v4::loopback(), port});
     socket.set_option(boost::asio::ip::tcp::no_delay(true));
     connection_ = std::make_shared<Connection>(std::move(socket), [this, reader = reader_](Connection& c) {
         while (!c.in.empty()) {
-            const Reading reading = reader->feed(c.in);
-            if (reading != Reading::done) return reading == Reading::more;
+            const ParseStatus reading = reader->feed(c.in);
+            if (reading != ParseStatus::complete) return reading == ParseStatus::incomplete;
             ClientResponse read = read_answer(reader->status(), reader->body());
             reader->next();
             ++answers_;
--- a/src/testing/client.hpp
+++ b/src/testing/client.hpp
@@ -51,7 +51,7 @@
 
   private:
     std::shared_ptr<Connection> connection_;
-    std::shared_ptr<AnswerReader> reader_;
+    std::shared_ptr<ResponseReader> reader_;
     std::function<void(ClientResponse)> done_;
     int answers_ = 0;
 };
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -12,7 +12,7 @@
 
 std::string frame_of(char letter, std::string_view rest) {
     std::string out;
-    start_frame(out, letter, rest.size());
+    append_frame_header(out, letter, rest.size());
     return out.append(rest);
 }
 
@@ -95,24 +95,24 @@
 bool DataNode::take(Connection& c) {
     std::string_view in = c.in;
     Frame frame;
-    Framing framing = Framing::more;
-    while ((framing = take_frame(in, frame)) == Framing::frame) {
-        work.bytes_in += frame.rest.size() + 5;
+    FrameStatus framing = FrameStatus::incomplete;
+    while ((framing = take_frame(in, frame)) == FrameStatus::complete) {
+        work.bytes_in += frame.payload.size() + 5;
         bool good = true;
-        if (frame.letter == 'R')
-            good = take_shard_requests(c, frame.rest);
-        else if (frame.letter == asks_word || frame.letter == asks_rows)
-            good = take_phase_requests(c, frame.letter, frame.rest);
-        else if (frame.letter == 'A' || frame.letter == gives_up_phase)
+        if (frame.type == 'R')
+            good = take_shard_requests(c, frame.payload);
+        else if (frame.type == summary_request_frame || frame.type == rows_request_frame)
+            good = take_phase_requests(c, frame.type, frame.payload);
+        else if (frame.type == 'A' || frame.type == phase_cancel_frame)
             ++work.given_up;
-        else if (frame.letter == 'G')
+        else if (frame.type == 'G')
             c.send(frame_of('G', "OK"));
         else
             good = false;
         if (!good) return false;
     }
     c.in.erase(0, c.in.size() - in.size());
-    return framing == Framing::more;
+    return framing == FrameStatus::incomplete;
 }
 
 void DataNode::answer_after(Nanos delay, Connection& c, std::string bytes) {
@@ -181,7 +181,7 @@
         return true;  // the router closes the connection, and this side does on its next bytes
     }
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;) {
-        const auto line = read_phase_line(rest.substr(0, end));
+        const auto line = read_phase_request_line(rest.substr(0, end));
         rest.remove_prefix(end + 1);
         if (!line || line->text > rest.size() || line->find > rest.size() - line->text) return false;
         auto criteria = read_find(rest.substr(line->text, line->find));
@@ -189,31 +189,32 @@
         if (!criteria || line->id.shard >= script_.shards) return false;
         criteria->rows = line->rows;
         const std::uint32_t shard = line->id.shard;
-        ++(letter == asks_word ? work.summaries : work.rows);
+        ++(letter == summary_request_frame ? work.summaries : work.rows);
         if (on_request) on_request(letter, shard);
         if (behaviour.resets) return c.close(true), false;
-        if (silent_on(behaviour, shard) || (letter == asks_word && behaviour.silent_summaries)) continue;
-        const char answer_letter = letter == asks_word ? brings_word : brings_rows;
-        const Nanos delay = letter == asks_word ? behaviour.summary_delay : behaviour.rows_delay;
+        if (silent_on(behaviour, shard) || (letter == summary_request_frame && behaviour.silent_summaries))
+            continue;
+        const char answer_letter = letter == summary_request_frame ? summary_frame : rows_frame;
+        const Nanos delay = letter == summary_request_frame ? behaviour.summary_delay : behaviour.rows_delay;
         std::string out;
         if (behaviour.rejects || behaviour.errs) {
-            write_phase_end(out, answer_letter, line->id, behaviour.rejects ? "REJECTED" : "ERROR");
+            write_phase_failure_frame(out, answer_letter, line->id, behaviour.rejects ? "REJECTED" : "ERROR");
             answer_after(delay, c, std::move(out));
             continue;
         }
         const Section& section = script_.sections[shard];
         ++work.lookups;
-        if (letter == asks_word) {
+        if (letter == summary_request_frame) {
             SectionSummary summary = summarize(section, *criteria, behaviour.lease, line->wants_filter);
             if (behaviour.hides_rows) summary.no_matches = true, summary.top_ranks.clear();
             summary.max_rank += behaviour.bound_error;
             for (double& rank : summary.top_ranks) rank += behaviour.bound_error;
             if (behaviour.garbles_summaries) {
                 std::string id;
-                write_phase_id(id, line->id);
-                out = frame_of(brings_word, id + " OK 1 u=1,s=99,l=0\n");
+                write_phase_request_id(id, line->id);
+                out = frame_of(summary_frame, id + " OK 1 u=1,s=99,l=0\n");
             } else {
-                write_word(out, line->id, summary);
+                write_summary_frame(out, line->id, summary);
             }
         } else {
             const auto rows = best_rows(section, *criteria);
@@ -221,7 +222,7 @@
             std::vector<double> ranks;
             for (const Row* row : rows) ranks.push_back(row->rank);
             const std::uint64_t version = section.version - std::min(section.version, behaviour.behind);
-            write_rows(out, line->id, version, ranks, format_rows(rows, script_.record));
+            write_rows_frame(out, line->id, version, ranks, format_rows(rows, script_.record));
         }
         answer_after(delay, c, std::move(out));
     }
@@ -237,8 +238,8 @@
 // Sends full lists only. The first request of a connection is answered at once, a later one when the list
 // changes.
 bool Discovery::take(Connection& c, RequestReader& reader) {
-    Reading reading = Reading::more;
-    while ((reading = reader.feed(c.in)) == Reading::done) {
+    ParseStatus reading = ParseStatus::incomplete;
+    while ((reading = reader.feed(c.in)) == ParseStatus::complete) {
         const bool first = answered_.insert(&c).second;
         reader.next();
         if (first)
@@ -246,13 +247,13 @@
         else
             watching_.insert(c.shared_from_this());
     }
-    return reading == Reading::more;
+    return reading == ParseStatus::incomplete;
 }
 
 void Discovery::answer(Connection& c) {
     const std::string body = "{\"generation\":" + std::to_string(generation_) +
                              ",\"reset\":true,\"instances\":[" + entries_ + "]}";
-    c.send(write_answer_head({200, body.size(), 0, false}) + body);
+    c.send(write_response_head({200, body.size(), 0, false}) + body);
 }
 
 void Discovery::publish(std::string entries) {
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -30,20 +30,23 @@
 }
 
 StartupConfig launch_of(const HollowConfig& config, std::size_t number) {
-    StartupConfig launch;
-    launch.name = "r" + std::to_string(number);
-    launch.operators.member.on = true;
-    launch.operators.member.zone = config.zone;
-    launch.operators.member.managers = config.managers;
-    launch.agreed_bound = bound_of_agreed(settled(config), memory);
-    return launch;
+    StartupConfig startup;
+    startup.name = "r" + std::to_string(number);
+    startup.operator_config.member.on = true;
+    startup.operator_config.member.zone = config.zone;
+    startup.operator_config.member.managers = config.managers;
+    startup.manager_response_limit = manager_response_size_limit(settled(config), memory);
+    return startup;
 }
 
-void add(WireCount& sum, const WireCount& more) {
-    sum.calls += more.calls, sum.in += more.in, sum.out += more.out;
+void add(TrafficCounters& sum, const TrafficCounters& more) {
+    sum.requests += more.requests, sum.bytes_received += more.bytes_received,
+        sum.bytes_sent += more.bytes_sent;
 }
 
-Json written(const WireCount& c) { return {{"calls", c.calls}, {"in", c.in}, {"out", c.out}}; }
+Json written(const TrafficCounters& c) {
+    return {{"calls", c.requests}, {"in", c.bytes_received}, {"out", c.bytes_sent}};
+}
 
 HostPort address_of(const std::string& text) {
     const auto at = parse_host_port(text);
@@ -103,11 +106,11 @@
     : time_(time), generation_(config.whole ? 0 : config.generation),
       member_(io, time, launch_of(config, number), *this),
       watch_(io, time, member_, config.discovery, Discovery::push, config.places, number,
-             bound_of_list(settled(config), memory)) {
+             endpoint_list_size_limit(settled(config), memory)) {
     EndpointList seeded{config.generation, true, {}, 0};
     for (std::uint32_t n = 0; n < config.seeded; ++n)
         seeded.nodes.push_back(hollow_node(n, config.places, config.address));
-    member_.on_list(seeded);
+    member_.on_endpoint_list(seeded);
 }
 
 void HollowRouter::start() {
@@ -123,7 +126,7 @@
 
 void HollowRouter::update_serving_state() { member_.update_serving_state(); }
 
-void HollowRouter::on_list(const EndpointList& list) {
+void HollowRouter::on_endpoint_list(const EndpointList& list) {
     const NodeTable::Changes news = nodes_.apply(list);
     arrived_.insert(arrived_.end(), news.entries.begin(), news.entries.end());
     if (round_ == TimerQueue::none) round_ = time_.due.add(last_round_ + step, *this, Handle{});
@@ -155,7 +158,7 @@
 HollowProcess::HollowProcess(boost::asio::io_context& io, HollowConfig config)
     : io_(io), config_(std::move(config)),
       reader_(io, time_, *this, config_.discovery, Discovery::push, config_.places, config_.from,
-              bound_of_list(settled(config_), memory)),
+              endpoint_list_size_limit(settled(config_), memory)),
       control_(io) {
     start_log({LogForm::text, LogLevel::error});
     routers_.resize(config_.count);
@@ -170,8 +173,8 @@
     for (std::size_t i = first; i < std::min(first + count, routers_.size()); ++i) {
         if (routers_[i]) {
             lapses_before_ += routers_[i]->lapses();
-            add(manager_before_, routers_[i]->member().wire());
-            add(discovery_before_, routers_[i]->discovery().wire());
+            add(manager_before_, routers_[i]->member().traffic());
+            add(discovery_before_, routers_[i]->discovery().traffic());
             routers_[i]->stop();
             ended_.push_back(std::move(routers_[i]));
         }
@@ -180,7 +183,7 @@
     }
 }
 
-void HollowProcess::on_list(const EndpointList& list) { nodes_.apply(list); }
+void HollowProcess::on_endpoint_list(const EndpointList& list) { nodes_.apply(list); }
 
 void HollowProcess::run() {
     boost::asio::steady_timer timer(io_);
@@ -236,15 +239,15 @@
 std::string HollowProcess::report() const {
     std::size_t holding = 0, known = nodes_.size();
     std::uint64_t lapses = lapses_before_, entries = 0, least = UINT64_MAX, most = 0;
-    WireCount manager = manager_before_, discovery = discovery_before_;
+    TrafficCounters manager = manager_before_, discovery = discovery_before_;
     for (const auto& r : routers_) {
         holding += r->holds();
         lapses += r->lapses();
         entries += r->entries();
         least = std::min(least, r->member().applied_generation());
         most = std::max(most, r->member().applied_generation());
-        add(manager, r->member().wire());
-        add(discovery, r->discovery().wire());
+        add(manager, r->member().traffic());
+        add(discovery, r->discovery().traffic());
     }
     rusage used{};
     ::getrusage(RUSAGE_SELF, &used);
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -58,7 +58,7 @@
     std::uint64_t entries() const { return entries_; }  // of lists, that came to the module's door
 
   private:
-    void on_list(const EndpointList& list) override;
+    void on_endpoint_list(const EndpointList& list) override;
     void observe_outcomes(OutcomeObserver*) override {}
     void set_serving_state(ServingStateSource by, const MemberServingState& serving_state) override;
     Nanos next_round() const override;
@@ -81,14 +81,14 @@
 // The process. Says `hello FROM` to the control port, then answers each line with one: "report" with figures
 // as JSON, "cut" ends all connections, "heal" makes them anew, "restart N" starts the first N routers anew.
 // Runs until the control connection ends.
-class HollowProcess final : private ListTaker {
+class HollowProcess final : private EndpointListObserver {
   public:
     HollowProcess(boost::asio::io_context& io, HollowConfig config);
 
     void run();
 
   private:
-    void on_list(const EndpointList& list) override;
+    void on_endpoint_list(const EndpointList& list) override;
     void read();
     std::string answer(const std::string& line);
     std::string report() const;
@@ -102,7 +102,7 @@
     NodeTable nodes_;
     DiscoveryWatch reader_;
     std::uint64_t lapses_before_ = 0;  // of routers that were started anew
-    WireCount manager_before_, discovery_before_;
+    TrafficCounters manager_before_, discovery_before_;
     boost::asio::ip::tcp::socket control_;
     std::array<char, 256> buffer_;
     std::string in_;
--- a/src/testing/hollow_discovery.cpp
+++ b/src/testing/hollow_discovery.cpp
@@ -93,7 +93,7 @@
 // A caller asks anew only once it was answered.
 bool HollowDiscovery::take(const std::shared_ptr<Caller>& c) {
     const auto end = c->in.find("\r\n\r\n");
-    if (end == c->in.npos) return c->in.size() < max_head;
+    if (end == c->in.npos) return c->in.size() < max_head_bytes;
     const std::string target = c->in.substr(0, c->in.find("\r\n"));
     c->in.erase(0, end + 4);
     ++counts_.calls;
@@ -133,7 +133,7 @@
         for (const std::uint32_t n : changed) add(nodes_[n]);
     }
     body += "]}";
-    kept = std::make_shared<const std::string>(write_answer_head({200, body.size(), 0, false}) + body);
+    kept = std::make_shared<const std::string>(write_response_head({200, body.size(), 0, false}) + body);
     return kept;
 }
 
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -133,7 +133,7 @@
 void HollowFollower::go_on() {
     if (without_lease_ < max_without_lease || config_.relays.size() == 1) return watch_.next();
     without_lease_ = 0;
-    watch_.pass_over("it grants no lease");
+    watch_.fail_over("it grants no lease");
 }
 
 FollowerProcess::FollowerProcess(boost::asio::io_context& io, FollowerConfig config)
--- a/src/testing/hollow_rig.hpp
+++ b/src/testing/hollow_rig.hpp
@@ -48,7 +48,7 @@
     pid_t pid = -1;  // -1: it does not answer
     std::size_t routers = 0, holding = 0, reader_nodes = 0;
     std::uint64_t lapses = 0, entries = 0, acts_on_least = 0, acts_on_most = 0;
-    WireCount manager, discovery;
+    TrafficCounters manager, discovery;
     double cpu_s = 0, dirty_mb = 0;
 };
 
--- a/src/wire/attempt_message.hpp
+++ b/src/wire/attempt_message.hpp
@@ -24,7 +24,7 @@
     Nanos deadline = 0;                 // when its answer is no longer waited for
     Nanos send_by = TimerQueue::never;  // it is not written later than this
     // The frame's type: 'R', or of a query in two phases 'P' or 'F'. The messages of one frame have one type.
-    char letter = 'R';
+    char frame_type = 'R';
     std::uint8_t leg = 0;
     std::uint16_t rows = 0;
     bool wants_filter = false;
--- a/src/wire/change_messages.cpp
+++ b/src/wire/change_messages.cpp
@@ -150,7 +150,7 @@
     Json out = write_report(call.report);
     write_position(out, call.position);
     if (!call.zone.empty()) out["zone"] = call.zone;
-    if (call.leaves) out["leaves"] = true;
+    if (call.leaving) out["leaves"] = true;
     return dump(out);
 }
 
@@ -161,7 +161,7 @@
     read_report(in, call.report);
     read_position(in, call.position);
     in.name("zone", call.zone, Presence::optional, "'zone' is malformed");
-    in.flag("leaves", call.leaves, "'leaves' is no truth value");
+    in.flag("leaves", call.leaving, "'leaves' is no truth value");
     return std::move(in).result(std::move(call));
 }
 
@@ -202,8 +202,8 @@
 
 std::string write_changes_answer(const ChangesAnswer& answer) {
     Json out = {{"version", answer.version}, {"lease_ms", answer.lease / millisecond}};
-    if (answer.taken > 0) out["taken"] = answer.taken;
-    if (answer.say_all) out["say_all"] = true;
+    if (answer.acknowledged_report > 0) out["taken"] = answer.acknowledged_report;
+    if (answer.full_report_required) out["say_all"] = true;
     if (answer.drift > 0) out["drift_ms"] = answer.drift / millisecond;
     if (answer.delta) out["delta"] = write_delta(*answer.delta);
     if (answer.page) out["page"] = write_page(*answer.page);
@@ -218,8 +218,8 @@
         if (in.find(required) == nullptr) in.fail(required, "a field is missing");
     in.number("version", answer.version, "'version' is no number");
     in.duration("lease_ms", answer.lease, "'lease_ms' is no number of ms up to a year");
-    in.number("taken", answer.taken, "'taken' is no number");
-    in.flag("say_all", answer.say_all, "'say_all' is no truth value");
+    in.number("taken", answer.acknowledged_report, "'taken' is no number");
+    in.flag("say_all", answer.full_report_required, "'say_all' is no truth value");
     in.duration("drift_ms", answer.drift, "'drift_ms' is no number of ms up to a year");
     const Json *delta = in.find("delta"), *page = in.find("page");
     if (delta != nullptr && page != nullptr) in.fail("page", "there are both 'delta' and 'page'");
--- a/src/wire/change_messages.hpp
+++ b/src/wire/change_messages.hpp
@@ -28,7 +28,7 @@
 struct FollowerCall {
     changes::MemberReport report;
     std::string zone;
-    bool leaves = false;
+    bool leaving = false;
     WatchPosition position;
 };
 
@@ -39,11 +39,12 @@
 
 // The answer to both calls. At most one of `delta` and `page` is set.
 struct ChangesAnswer {
-    std::uint64_t version = 0;  // the latest of the process that answers
-    Nanos lease = 0;            // counted from when the call was sent; 0: none is granted
-    std::uint64_t taken = 0;    // to relays: the number of the report that was applied
-    bool say_all = false;       // to relays: this incarnation is unknown, the next report is to be full
-    Nanos drift = 0;            // to relays: how far clocks may run apart within one lease
+    std::uint64_t version = 0;              // the latest of the process that answers
+    Nanos lease = 0;                        // counted from when the call was sent; 0: none is granted
+    std::uint64_t acknowledged_report = 0;  // to relays: the number of the report that was applied
+    bool full_report_required =
+        false;        // to relays: this incarnation is unknown, the next report is to be full
+    Nanos drift = 0;  // to relays: how far clocks may run apart within one lease
     std::optional<changes::Delta> delta;
     std::optional<changes::Page> page;
 };
--- a/src/wire/change_watch.hpp
+++ b/src/wire/change_watch.hpp
@@ -36,9 +36,9 @@
     void stop() { poll_.stop(); }
     void next() { poll_.next(); }
     void call_now() { poll_.call_now(); }
-    void pass_over(const char* reason) { poll_.pass_over(reason); }
+    void fail_over(const char* reason) { poll_.fail_over(reason); }
     // Only while a call is out does call_now send no more than one call.
-    bool waits() const { return poll_.waits(); }
+    bool call_in_flight() const { return poll_.call_in_flight(); }
     const HostPort& address() const { return poll_.address(); }
 
   private:
--- a/src/wire/discovery_watch.cpp
+++ b/src/wire/discovery_watch.cpp
@@ -33,11 +33,11 @@
 
 }  // namespace
 
-DiscoveryWatch::DiscoveryWatch(boost::asio::io_context& io, EventClock& clock, ListTaker& taker,
+DiscoveryWatch::DiscoveryWatch(boost::asio::io_context& io, EventClock& clock, EndpointListObserver& observer,
                                HostPort address, Discovery mode, std::uint32_t places, std::uint64_t seed,
-                               ListBound bound)
-    : io_(io), clock_(clock), taker_(taker), address_(std::move(address)), places_(places),
-      bound_(std::move(bound)),
+                               ResponseSizeLimit limit)
+    : io_(io), clock_(clock), observer_(observer), address_(std::move(address)), places_(places),
+      limit_(std::move(limit)),
       first_answer_timeout_(mode == Discovery::poll ? poll_first_answer : push_first_answer),
       max_backoff_(mode == Discovery::poll ? poll_max_backoff : push_max_backoff), random_(seed),
       backoff_(first_backoff) {}
@@ -60,7 +60,7 @@
 }
 
 // Generations of the new address need not be those of the old one: so its full list is polled first.
-void DiscoveryWatch::follow(HostPort address) {
+void DiscoveryWatch::change_address(HostPort address) {
     if (address == address_) return;
     address_ = std::move(address);
     close(former_);
@@ -73,7 +73,7 @@
 }
 
 void DiscoveryWatch::connect() {
-    connection_ = std::make_shared<Connection>(io_, bound_.bytes);
+    connection_ = std::make_shared<Connection>(io_, limit_.bytes);
     error_code failure;
     const auto host = boost::asio::ip::make_address(address_.host, failure);
     if (failure) return fail("its address is no number");
@@ -95,9 +95,9 @@
         target +=
             "?index=" + std::to_string(generation_) + "&wait=" + std::to_string(poll_wait_ / millisecond);
     polled_at_ = clock_.now();
-    connection_->request = write_get(address_.host + ":" + std::to_string(address_.port), target);
-    ++traffic_.calls;
-    traffic_.out += connection_->request.size();
+    connection_->request = write_get_request(address_.host + ":" + std::to_string(address_.port), target);
+    ++traffic_.requests;
+    traffic_.bytes_sent += connection_->request.size();
     const Nanos timeout = healthy_ && !needs_full_list_ ? max_poll_wait + poll_slack : first_answer_timeout_;
     clock_.due.move(timer_, polled_at_ + timeout, *this, Handle{}, silence);
     boost::asio::async_write(connection_->socket, boost::asio::buffer(connection_->request),
@@ -115,7 +115,7 @@
             if (connection != connection_ && connection != former_) return;
             const bool ended = failure == boost::asio::error::eof;
             if (failure && !ended) return lose(connection, failure.message().c_str());
-            traffic_.in += size;
+            traffic_.bytes_received += size;
             connection->received.append(connection->buffer.data(), size);
             parse_answer(connection, ended);
         });
@@ -128,14 +128,14 @@
 
 // An answer without a length ends with its stream, where that ends cleanly: a reset is no end.
 void DiscoveryWatch::parse_answer(const ConnectionPtr& connection, bool ended) {
-    AnswerReader& reader = connection->reader;
-    const Reading reading = ended ? reader.end() : reader.feed(connection->received);
-    if (reading == Reading::more) return ended ? lose(connection, "End of file") : read(connection);
-    const auto list = reading == Reading::done && reader.status() == 200
+    ResponseReader& reader = connection->reader;
+    const ParseStatus reading = ended ? reader.end() : reader.feed(connection->received);
+    if (reading == ParseStatus::incomplete) return ended ? lose(connection, "End of file") : read(connection);
+    const auto list = reading == ParseStatus::complete && reader.status() == 200
                           ? read_endpoint_list(reader.body(), places_)
                           : std::nullopt;
     if (connection == former_) {  // its last list, while the new address has not answered
-        if (list) taker_.on_list(*list);
+        if (list) observer_.on_endpoint_list(*list);
         return close(former_);
     }
     if (const char* reason = reason_unusable(reader, reading, list.has_value())) return fail(reason);
@@ -143,13 +143,14 @@
 }
 
 // Null where the answer holds a list. The last good list stands until a full one comes.
-const char* DiscoveryWatch::reason_unusable(const AnswerReader& reader, Reading reading, bool has_list) {
-    if (reading == Reading::bad && reader.too_long()) {
+const char* DiscoveryWatch::reason_unusable(const ResponseReader& reader, ParseStatus reading,
+                                            bool has_list) {
+    if (reading == ParseStatus::malformed && reader.too_long()) {
         needs_full_list_ = true;
         log_too_long(reader);
         return "its list is too long";
     }
-    if (reading == Reading::bad) return "its answer can't be read";
+    if (reading == ParseStatus::malformed) return "its answer can't be read";
     if (reader.status() != 200) return "its answer is not 200";
     if (has_list) return nullptr;
     needs_full_list_ = true;
@@ -168,7 +169,7 @@
     generation_ = list.generation;
     close(former_);
     const bool keep_alive = connection->reader.keep_alive();
-    taker_.on_list(list);
+    observer_.on_endpoint_list(list);
     connection->reader.next();
     connection->poll_in_flight = false;
     if (!keep_alive) return connect();
@@ -178,12 +179,12 @@
     poll();
 }
 
-void DiscoveryWatch::log_too_long(const AnswerReader& reader) {
+void DiscoveryWatch::log_too_long(const ResponseReader& reader) {
     if (std::exchange(too_long_logged_, true)) return;
     const bool stated = reader.stated_length() > 0;
     log_line("discovery: a list of %s%llu bytes is over its bound of %zu: %s", stated ? "" : "over ",
-             static_cast<unsigned long long>(stated ? reader.stated_length() : bound_.bytes), bound_.bytes,
-             bound_.why.c_str());
+             static_cast<unsigned long long>(stated ? reader.stated_length() : limit_.bytes), limit_.bytes,
+             limit_.reason.c_str());
 }
 
 void DiscoveryWatch::fail(const char* reason) {
--- a/src/wire/discovery_watch.hpp
+++ b/src/wire/discovery_watch.hpp
@@ -13,15 +13,15 @@
 #include "tables/event_clock.hpp"
 #include "tables/slot_map.hpp"
 #include "wire/http.hpp"
-#include "wire/list_bound.hpp"
+#include "wire/response_size_limit.hpp"
 
 namespace tealcart {
 
 // Receives the lists that a watch brings.
-class ListTaker {
+class EndpointListObserver {
   public:
-    virtual ~ListTaker() = default;
-    virtual void on_list(const EndpointList& list) = 0;
+    virtual ~EndpointListObserver() = default;
+    virtual void on_endpoint_list(const EndpointList& list) = 0;
 };
 
 // A connection that breaks, or stays silent for longer than the poll may wait, is replaced after a backoff
@@ -29,18 +29,19 @@
 class DiscoveryWatch final : public DueHandler {
   public:
     // Entries at a place that is not below `places` are left out. All references must outlive the watch.
-    DiscoveryWatch(boost::asio::io_context& io, EventClock& clock, ListTaker& taker, HostPort address,
-                   Discovery mode, std::uint32_t places, std::uint64_t seed, ListBound bound = {});
+    DiscoveryWatch(boost::asio::io_context& io, EventClock& clock, EndpointListObserver& observer,
+                   HostPort address, Discovery mode, std::uint32_t places, std::uint64_t seed,
+                   ResponseSizeLimit limit = {});
 
     // Watches for what is newer than `generation`.
     void start(std::uint64_t generation);
     void stop();
     // Goes to another address at once and polls its full list. The poll that is in flight at the old one may
     // still bring a list until the new one has answered.
-    void follow(HostPort address);
+    void change_address(HostPort address);
     // Whether discovery has answered with a list since the start.
-    bool told() const { return has_list_; }
-    const WireCount& wire() const { return traffic_; }
+    bool has_list() const { return has_list_; }
+    const TrafficCounters& traffic() const { return traffic_; }
     void on_due(Handle, std::uint64_t what) override;
 
   private:
@@ -51,7 +52,7 @@
         boost::asio::ip::tcp::socket socket;
         std::string request, received;
         std::array<char, 8192> buffer;
-        AnswerReader reader;
+        ResponseReader reader;
         bool poll_in_flight = false;
     };
     using ConnectionPtr = std::shared_ptr<Connection>;
@@ -60,19 +61,19 @@
     void poll();
     void read(const ConnectionPtr& connection);
     void parse_answer(const ConnectionPtr& connection, bool ended);
-    const char* reason_unusable(const AnswerReader& reader, Reading reading, bool has_list);
+    const char* reason_unusable(const ResponseReader& reader, ParseStatus reading, bool has_list);
     void apply_answer(const ConnectionPtr& connection, const EndpointList& list);
     void lose(const ConnectionPtr& connection, const char* reason);
     void fail(const char* reason);
-    void log_too_long(const AnswerReader& reader);
+    void log_too_long(const ResponseReader& reader);
     static void close(ConnectionPtr& connection);
 
     boost::asio::io_context& io_;
     EventClock& clock_;
-    ListTaker& taker_;
+    EndpointListObserver& observer_;
     HostPort address_;
     const std::uint32_t places_;
-    const ListBound bound_;
+    const ResponseSizeLimit limit_;
     const Nanos first_answer_timeout_, max_backoff_;  // by the mode of discovery
     std::uint64_t generation_ = 0;
     std::knuth_b random_;
@@ -83,7 +84,7 @@
     bool healthy_ = false;          // the last poll was answered
     bool needs_full_list_ = false;  // the next poll asks for it
     bool failure_logged_ = false, too_long_logged_ = false;
-    WireCount traffic_;
+    TrafficCounters traffic_;
     ConnectionPtr connection_;
     ConnectionPtr former_;  // at the address before
     TimerQueue::Ticket timer_ = TimerQueue::none;
--- a/src/wire/event_turn.hpp
+++ b/src/wire/event_loop.hpp
@@ -9,13 +9,13 @@
 
 namespace tealcart {
 
-class EventTurn {
+class EventLoop {
   public:
-    EventTurn(boost::asio::io_context& io, EventClock& time) : io_(io), time_(time), timer_(io) {}
+    EventLoop(boost::asio::io_context& io, EventClock& time) : io_(io), time_(time), timer_(io) {}
 
     // Waits until a handler is ready, or `wake_at` at the latest; runs what is ready, a bounded number of
     // handlers, and the timers of the clock that are due.
-    void run(Nanos wake_at) {
+    void run_once(Nanos wake_at) {
         set_timer(std::max(wake_at, time_.now()));
         io_.run_one();
         for (int ran = 0; ran < max_handlers && io_.poll_one() > 0; ++ran) {
--- a/src/wire/frame_queue.cpp
+++ b/src/wire/frame_queue.cpp
@@ -17,16 +17,16 @@
 std::string encode_line(const AttemptMessage& message, Nanos time_left) {
     const QueryText& query = *message.query;
     std::string line;
-    if (message.letter == 'R')
+    if (message.frame_type == 'R')
         write_shard_request_line(
             line, {query.id, message.shard, time_left / millisecond, query.key, query.text.size()});
     else
-        write_phase_line(line, {{query.id, message.shard, message.leg},
-                                time_left / millisecond,
-                                message.rows,
-                                message.wants_filter,
-                                query.text.size(),
-                                query.find.size()});
+        write_phase_request_line(line, {{query.id, message.shard, message.leg},
+                                        time_left / millisecond,
+                                        message.rows,
+                                        message.wants_filter,
+                                        query.text.size(),
+                                        query.find.size()});
     return line;
 }
 
@@ -36,9 +36,9 @@
     frames_.push_back({number, std::move(messages), {}});
 }
 
-void FrameQueue::push_control(char letter, std::string_view rest) {
+void FrameQueue::push_control(char type, std::string_view rest) {
     std::string& bytes = frames_.emplace_back().bytes;
-    start_frame(bytes, letter, rest.size());
+    append_frame_header(bytes, type, rest.size());
     bytes += rest;
 }
 
@@ -72,7 +72,7 @@
 }
 
 void FrameQueue::encode_attempts(const Frame& frame, Nanos now, Buffers& buffers) {
-    const bool two_phase = frame.messages.front().letter != 'R';
+    const bool two_phase = frame.messages.front().frame_type != 'R';
     std::vector<std::string> lines;
     std::size_t length = 0;
     for (const AttemptMessage& message : frame.messages) {
@@ -82,7 +82,7 @@
         if (two_phase) length += message.query->find.size();
     }
     std::string& head = batch_bytes_.emplace_back();
-    start_frame(head, frame.messages.front().letter, length);
+    append_frame_header(head, frame.messages.front().frame_type, length);
     append(buffers, head);
     for (std::size_t i = 0; i < lines.size(); ++i) {
         append(buffers, batch_bytes_.emplace_back(std::move(lines[i])));
--- a/src/wire/frame_queue.hpp
+++ b/src/wire/frame_queue.hpp
@@ -19,7 +19,7 @@
     // A frame of attempts. Numbers are above 0, and each is given to one frame only.
     void push_attempts(std::uint64_t number, std::vector<AttemptMessage> messages);
     // A frame without attempts.
-    void push_control(char letter, std::string_view rest);
+    void push_control(char type, std::string_view rest);
 
     // Removes one attempt that no batch has taken yet; false if there is none.
     bool withdraw(Handle attempt);
--- a/src/wire/frame_receiver.cpp
+++ b/src/wire/frame_receiver.cpp
@@ -22,17 +22,17 @@
     std::string_view rest = received;
     for (;;) {
         Frame frame;
-        const Framing framing = take_frame(rest, frame);
-        if (framing == Framing::more &&
+        const FrameStatus framing = take_frame(rest, frame);
+        if (framing == FrameStatus::incomplete &&
             (rest.size() <= type_position || known_types.find(rest[type_position]) != known_types.npos)) {
             connection.keep_received(rest);
             return Result::ok;
         }
-        if (framing != Framing::frame) {
+        if (framing != FrameStatus::complete) {
             log_malformed(connection.node());
             return Result::malformed;
         }
-        if (frame.letter == probe || frame.letter == probe_answer) continue;
+        if (frame.type == probe || frame.type == probe_answer) continue;
         const Result result = process_frame(handle, connection, frame);
         if (result != Result::ok) return result;
     }
@@ -48,20 +48,20 @@
         log_malformed(connection.node());
         return Result::malformed_answer;
     }
-    if (frame.letter != refusal) {
+    if (frame.type != refusal) {
         log_malformed(connection.node());
         return Result::malformed;
     }
     if (two_phase_refused(connection)) return Result::two_phase_refused;
-    const auto logged = static_cast<int>(std::min(frame.rest.size(), max_logged_reason));
-    log_line("data node %u rejected a frame: %.*s", connection.node(), logged, frame.rest.data());
+    const auto logged = static_cast<int>(std::min(frame.payload.size(), max_logged_reason));
+    log_line("data node %u rejected a frame: %.*s", connection.node(), logged, frame.payload.data());
     return Result::malformed;
 }
 
 FrameReceiver::AnswerStatus FrameReceiver::process_node_answer(Handle handle, NodeConnection& connection,
                                                                const Frame& frame) {
-    if (frame.letter != node_answer) return AnswerStatus::unexpected;
-    const auto answer = read_node_answer(frame.rest);
+    if (frame.type != node_answer) return AnswerStatus::unexpected;
+    const auto answer = read_node_answer(frame.payload);
     if (!answer) return AnswerStatus::unexpected;
     const bool in_flight = observer_.on_node_answer(handle, *answer);
     return judge_answer(connection, in_flight, answer->outcome, answer->malformed,
@@ -70,8 +70,8 @@
 
 FrameReceiver::AnswerStatus FrameReceiver::process_phase_answer(Handle handle, NodeConnection& connection,
                                                                 const Frame& frame) {
-    if (frame.letter != brings_word && frame.letter != brings_rows) return AnswerStatus::unexpected;
-    const auto answer = read_phase_answer(frame.letter, frame.rest);
+    if (frame.type != summary_frame && frame.type != rows_frame) return AnswerStatus::unexpected;
+    const auto answer = read_phase_answer(frame.type, frame.payload);
     if (!answer) return AnswerStatus::unexpected;
     connection.set_two_phase_answered();
     const bool in_flight = observer_.on_phase_answer(handle, *answer);
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -22,11 +22,11 @@
   public:
     explicit MessageParser(std::size_t max_size) {
         this->eager(true);
-        this->header_limit(max_head);
+        this->header_limit(max_head_bytes);
         this->body_limit(max_size);
     }
 
-    Reading feed(std::string& in) {
+    ParseStatus feed(std::string& in) {
         std::size_t consumed = 0;
         error_code ec;
         while (!this->is_done() && !ec && consumed < in.size()) {
@@ -37,15 +37,15 @@
         in.erase(0, consumed);
         if (ec && ec != http::error::need_more) {
             error = ec;
-            return Reading::bad;
+            return ParseStatus::malformed;
         }
-        return this->is_done() ? Reading::done : Reading::more;
+        return this->is_done() ? ParseStatus::complete : ParseStatus::incomplete;
     }
 
-    Reading end() {
+    ParseStatus end() {
         error_code ec;
         if (this->got_some()) this->put_eof(ec);
-        return this->is_done() ? Reading::done : Reading::more;
+        return this->is_done() ? ParseStatus::complete : ParseStatus::incomplete;
     }
 
     std::string body;
@@ -97,7 +97,7 @@
     using MessageParser::MessageParser;
 
     Request request;
-    bool owes_continue = false, begun = false;
+    bool expects_continue = false, begun = false;
 
   private:
     void on_request_impl(http::verb, string_view method, string_view target, int, error_code&) override {
@@ -108,7 +108,7 @@
     }
     void on_field_impl(http::field name, string_view text, string_view value, error_code& ec) override {
         MessageParser::on_field_impl(name, text, value, ec);
-        if (name == http::field::expect) owes_continue = iequals(value, "100-continue");
+        if (name == http::field::expect) expects_continue = iequals(value, "100-continue");
         if (is_header_done()) return;  // trailers behind the body don't count
         // Stated twice, nobody could tell which holds.
         const auto once = [&](std::string& to) {
@@ -130,9 +130,9 @@
     : parser_(std::make_unique<Parser>(max_size)), max_size_(max_size) {}
 RequestReader::~RequestReader() = default;
 
-Reading RequestReader::feed(std::string& in) {
+ParseStatus RequestReader::feed(std::string& in) {
     parser_->begun |= !in.empty();
-    if (!parser_->is_header_done() && is_folded(in)) return Reading::bad;
+    if (!parser_->is_header_done() && is_folded(in)) return ParseStatus::malformed;
     return parser_->feed(in);
 }
 
@@ -142,33 +142,34 @@
     return 400;
 }
 
-bool RequestReader::owes_continue() {
-    return parser_->is_header_done() && !parser_->is_done() && std::exchange(parser_->owes_continue, false);
+bool RequestReader::expects_continue() {
+    return parser_->is_header_done() && !parser_->is_done() &&
+           std::exchange(parser_->expects_continue, false);
 }
 
 bool RequestReader::begun() const { return parser_->begun; }
 Request& RequestReader::request() { return parser_->request; }
 void RequestReader::next() { parser_ = std::make_unique<Parser>(max_size_); }
 
-class AnswerReader::Parser final : public MessageParser<false> {
+class ResponseReader::Parser final : public MessageParser<false> {
   public:
     using MessageParser::MessageParser;
 };
 
-AnswerReader::AnswerReader(std::size_t max_size)
+ResponseReader::ResponseReader(std::size_t max_size)
     : parser_(std::make_unique<Parser>(max_size)), max_size_(max_size) {}
-AnswerReader::~AnswerReader() = default;
-
-Reading AnswerReader::feed(std::string& in) { return parser_->feed(in); }
-Reading AnswerReader::end() { return parser_->end(); }
-int AnswerReader::status() const { return parser_->status; }
-bool AnswerReader::keep_alive() const { return parser_->keep_alive(); }
-bool AnswerReader::too_long() const { return parser_->error == http::error::body_limit; }
-std::uint64_t AnswerReader::stated_length() const { return parser_->stated_length; }
-const std::string& AnswerReader::body() const { return parser_->body; }
-void AnswerReader::next() { parser_ = std::make_unique<Parser>(max_size_); }
-
-std::string write_answer_head(const AnswerHead& head) {
+ResponseReader::~ResponseReader() = default;
+
+ParseStatus ResponseReader::feed(std::string& in) { return parser_->feed(in); }
+ParseStatus ResponseReader::end() { return parser_->end(); }
+int ResponseReader::status() const { return parser_->status; }
+bool ResponseReader::keep_alive() const { return parser_->keep_alive(); }
+bool ResponseReader::too_long() const { return parser_->error == http::error::body_limit; }
+std::uint64_t ResponseReader::stated_length() const { return parser_->stated_length; }
+const std::string& ResponseReader::body() const { return parser_->body; }
+void ResponseReader::next() { parser_ = std::make_unique<Parser>(max_size_); }
+
+std::string write_response_head(const ResponseHead& head) {
     const auto reason = http::obsolete_reason(static_cast<http::status>(head.status));
     char text[256];
     int n = std::snprintf(text, sizeof text, "HTTP/1.1 %d %.*s\r\nContent-Length: %zu\r\n", head.status,
@@ -186,7 +187,7 @@
     return out += "\r\n";
 }
 
-std::string write_get(std::string_view host, std::string_view target) {
+std::string write_get_request(std::string_view host, std::string_view target) {
     std::string out = "GET ";
     out.append(target).append(" HTTP/1.1\r\nHost: ").append(host);
     return out += "\r\n\r\n";
--- a/src/wire/http.hpp
+++ b/src/wire/http.hpp
@@ -9,11 +9,11 @@
 namespace tealcart {
 
 // In bytes, by the protocol's page.
-constexpr std::size_t max_head = 8UL * 1024;
-constexpr std::size_t max_body = 64UL * 1024;
+constexpr std::size_t max_head_bytes = 8UL * 1024;
+constexpr std::size_t max_body_bytes = 64UL * 1024;
 
 // What reading a message came to: more bytes are needed, it is complete, or it is malformed.
-enum class Reading : std::uint8_t { more, done, bad };
+enum class ParseStatus : std::uint8_t { incomplete, complete, malformed };
 
 // A complete HTTP request.
 struct Request {
@@ -28,23 +28,23 @@
 
 // Traffic of a watch since its start: polls sent, and bytes over its connections as they are read and
 // written.
-struct WireCount {
-    std::uint64_t calls = 0, in = 0, out = 0;
+struct TrafficCounters {
+    std::uint64_t requests = 0, bytes_received = 0, bytes_sent = 0;
 };
 
 // Reads requests one after the other; bodies are accepted up to `max_size` bytes.
 class RequestReader {
   public:
-    explicit RequestReader(std::size_t max_size = max_body);
+    explicit RequestReader(std::size_t max_size = max_body_bytes);
     ~RequestReader();
 
     // Reads what it can from the front of `in`, and removes it. With `done`, the rest belongs to the next
     // request.
-    Reading feed(std::string& in);
+    ParseStatus feed(std::string& in);
     // The status that a malformed request is answered with; the connection is to be closed then.
     int error_status() const;
     // True once for a request whose client expects "100 Continue" before it sends the body.
-    bool owes_continue();
+    bool expects_continue();
     // Whether any byte of the current request has been read.
     bool begun() const;
     Request& request();
@@ -58,15 +58,15 @@
 };
 
 // Reads responses one after the other; bodies are accepted up to `max_size` bytes.
-class AnswerReader {
+class ResponseReader {
   public:
-    explicit AnswerReader(std::size_t max_size);
-    ~AnswerReader();
+    explicit ResponseReader(std::size_t max_size);
+    ~ResponseReader();
 
     // As RequestReader::feed.
-    Reading feed(std::string& in);
+    ParseStatus feed(std::string& in);
     // The stream has ended cleanly, and all of it has been fed: `done` if that is where the response ends.
-    Reading end();
+    ParseStatus end();
     int status() const;
     bool keep_alive() const;
     // With `bad`: the body is longer than `max_size`; its length as stated, 0 where none was.
@@ -82,7 +82,7 @@
 };
 
 // The head of a response.
-struct AnswerHead {
+struct ResponseHead {
     int status = 200;
     std::size_t length = 0;
     std::int64_t retry_after_ms = 0;  // 0 for none
@@ -90,7 +90,7 @@
     std::string_view allow = {};  // the method that would be accepted, with 405
 };
 
-std::string write_answer_head(const AnswerHead& head);
-std::string write_get(std::string_view host, std::string_view target);
+std::string write_response_head(const ResponseHead& head);
+std::string write_get_request(std::string_view host, std::string_view target);
 
 }  // namespace tealcart
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -20,7 +20,8 @@
 constexpr Nanos request_timeout = 2750 * millisecond;
 constexpr Nanos linger_timeout = 1000 * millisecond;     // for the client to take its last response
 constexpr Nanos accept_retry_pause = 100 * millisecond;  // after a failed accept
-constexpr std::size_t max_unread = max_head + max_body;  // of further requests, while one is in progress
+constexpr std::size_t max_unread =
+    max_head_bytes + max_body_bytes;  // of further requests, while one is in progress
 constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
 
 boost::asio::const_buffer buffer_of(std::string_view text) { return {text.data(), text.size()}; }
@@ -170,11 +171,11 @@
 void HttpServer::parse(Handle handle) {
     Connection& connection = *connections_.find(handle);
     const bool had_begun = connection.reader.begun();
-    const Reading reading = connection.reader.feed(connection.unread);
+    const ParseStatus reading = connection.reader.feed(connection.unread);
     if (!had_begun && connection.reader.begun()) note_request_began(handle, connection);
     if (connection.unread.empty()) connection.next_request_began = 0;
-    if (reading == Reading::more) {
-        if (connection.reader.owes_continue() && !connection.write_pending) {
+    if (reading == ParseStatus::incomplete) {
+        if (connection.reader.expects_continue() && !connection.write_pending) {
             connection.writes_continue = true;
             write(handle);
         }
@@ -182,7 +183,7 @@
     }
     clock_.due.drop(connection.timer);
     connection.state = State::waiting;
-    if (reading == Reading::bad) {
+    if (reading == ParseStatus::malformed) {
         connection.is_last = true;
         return answer(handle, {connection.reader.error_status(), {}, 0});
     }
@@ -199,15 +200,15 @@
     clock_.due.move(connection.timer, counts_from + request_timeout, *this, handle);
 }
 
-void HttpServer::answer(Handle handle, Answer answer) {
+void HttpServer::answer(Handle handle, Response answer) {
     Connection* connection = connections_.find(handle);
     if (connection == nullptr || connection->state != State::waiting) return;
     connection->state = State::writing;
     connection->is_last |= stopping_;
     connection->body = std::move(answer.body);
     connection->head =
-        write_answer_head({answer.status, connection->body.size(), answer.retry_after / millisecond,
-                           connection->is_last, answer.allow});
+        write_response_head({answer.status, connection->body.size(), answer.retry_after / millisecond,
+                             connection->is_last, answer.allow});
     clock_.due.move(connection->timer, clock_.now() + write_timeout_, *this, handle);
     write(handle);
 }
--- a/src/wire/http_server.hpp
+++ b/src/wire/http_server.hpp
@@ -13,7 +13,7 @@
 namespace tealcart {
 
 // What a client is answered.
-struct Answer {
+struct Response {
     int status = 200;
     std::string body;
     Nanos retry_after = 0;        // in nanoseconds; 0 for none
@@ -36,7 +36,7 @@
   public:
     virtual ~ResponseWriter() = default;
     // Does nothing for a client that is disconnected.
-    virtual void answer(Handle client, Answer answer) = 0;
+    virtual void answer(Handle client, Response answer) = 0;
 };
 
 // Owns the connections; each is released in `release_if_ended`, once it is closed and no read or write on it
@@ -46,13 +46,14 @@
     // At most `max_connections` at a time; a client that does not take its response within `write_timeout` is
     // disconnected. Bodies of requests are accepted up to `max_request_body` bytes.
     HttpServer(boost::asio::io_context& io, EventClock& clock, RequestHandler& handler,
-               std::size_t max_connections, Nanos write_timeout, std::size_t max_request_body = max_body);
+               std::size_t max_connections, Nanos write_timeout,
+               std::size_t max_request_body = max_body_bytes);
 
     // Throws boost::system::system_error where the address can't be bound.
     void listen(const std::string& host, std::uint16_t port);
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
-    void answer(Handle handle, Answer answer) override;
+    void answer(Handle handle, Response answer) override;
 
     // From now on responses close their connection, and idle ones are half-closed.
     void begin_stop();
--- a/src/wire/long_poll.cpp
+++ b/src/wire/long_poll.cpp
@@ -31,9 +31,9 @@
 
 LongPoll::LongPoll(boost::asio::io_context& io, EventClock& time, LongPollObserver& observer,
                    std::string_view path, std::vector<HostPort> addresses, std::size_t first,
-                   std::uint64_t jitter_seed, ListBound bound)
+                   std::uint64_t jitter_seed, ResponseSizeLimit limit)
     : io_(io), time_(time), observer_(observer), path_(path), addresses_(std::move(addresses)),
-      bound_(std::move(bound)), address_index_(addresses_.empty() ? 0 : first % addresses_.size()),
+      limit_(std::move(limit)), address_index_(addresses_.empty() ? 0 : first % addresses_.size()),
       random_(jitter_seed) {}
 
 void LongPoll::disconnect() {
@@ -51,7 +51,7 @@
 void LongPoll::connect() {
     next_pending_ = false;
     disconnect();
-    connection_ = std::make_shared<Connection>(io_, bound_.bytes);
+    connection_ = std::make_shared<Connection>(io_, limit_.bytes);
     error_code ec;
     const auto host = boost::asio::ip::make_address(address().host, ec);
     if (ec) return fail("its address is no number");
@@ -69,8 +69,8 @@
 void LongPoll::send_call() {
     const LongPollObserver::Call call = observer_.next_call();
     connection_->out = request_of(path_, address().host, call.body);
-    ++wire_.calls;
-    wire_.out += connection_->out.size();
+    ++traffic_.requests;
+    traffic_.bytes_sent += connection_->out.size();
     sent_at_ = time_.now();  // before it is written: the lease counts from here
     time_.due.move(due_, sent_at_ + call.wait + answer_slack, *this, Handle{}, timed_out);
     boost::asio::async_write(connection_->socket, boost::asio::buffer(connection_->out),
@@ -84,7 +84,7 @@
     const auto on_read = [this, connection](const error_code& failed, std::size_t size) {
         if (connection != connection_) return;
         if (failed) return fail(failed.message().c_str());
-        wire_.in += size;
+        traffic_.bytes_received += size;
         connection->in.append(connection->buffer.data(), size);
         on_bytes(connection);
     };
@@ -92,10 +92,10 @@
 }
 
 void LongPoll::on_bytes(const ConnectionPtr& connection) {
-    AnswerReader& reader = connection->reader;
-    const Reading reading = reader.feed(connection->in);
-    if (reading == Reading::more) return read(connection);
-    if (reading == Reading::bad) return on_malformed(reader);
+    ResponseReader& reader = connection->reader;
+    const ParseStatus reading = reader.feed(connection->in);
+    if (reading == ParseStatus::incomplete) return read(connection);
+    if (reading == ParseStatus::malformed) return on_malformed(reader);
     switch (reader.status()) {
         case 200:
             return on_complete(reader);
@@ -108,14 +108,14 @@
     }
 }
 
-void LongPoll::on_malformed(const AnswerReader& reader) {
+void LongPoll::on_malformed(const ResponseReader& reader) {
     if (!reader.too_long()) return fail("its answer can't be read");
     const bool stated = reader.stated_length() > 0;
-    if (!std::exchange(bound_logged_, true))
+    if (!std::exchange(limit_logged_, true))
         log_line("%s: an answer of %s%llu bytes is over its bound of %zu: %s", path_.c_str(),
                  stated ? "" : "over ",
-                 static_cast<unsigned long long>(stated ? reader.stated_length() : bound_.bytes),
-                 bound_.bytes, bound_.why.c_str());
+                 static_cast<unsigned long long>(stated ? reader.stated_length() : limit_.bytes),
+                 limit_.bytes, limit_.reason.c_str());
     fail("its answer is too long");
 }
 
@@ -136,11 +136,11 @@
     go_to(address_index_, min_backoff << std::min(failures_++, max_conflict_doublings));
 }
 
-void LongPoll::on_complete(AnswerReader& reader) {
+void LongPoll::on_complete(ResponseReader& reader) {
     if (!observer_.read(reader.body())) return fail("its answer can't be read");
     if (std::exchange(unreachable_, false)) observer_.on_reachable_again();
     failures_ = 0;
-    bound_logged_ = false;
+    limit_logged_ = false;
     time_.due.drop(due_);
     const bool keep_alive = reader.keep_alive();
     const Nanos sent = sent_at_;
--- a/src/wire/long_poll.hpp
+++ b/src/wire/long_poll.hpp
@@ -14,7 +14,7 @@
 #include "config/host_port.hpp"
 #include "tables/event_clock.hpp"
 #include "wire/http.hpp"
-#include "wire/list_bound.hpp"
+#include "wire/response_size_limit.hpp"
 
 namespace tealcart {
 
@@ -48,7 +48,7 @@
     // as long; 0: none. An answer over `bound` is not read, which is logged once.
     LongPoll(boost::asio::io_context& io, EventClock& time, LongPollObserver& observer, std::string_view path,
              std::vector<HostPort> addresses, std::size_t first = 0, std::uint64_t jitter_seed = 0,
-             ListBound bound = {});
+             ResponseSizeLimit limit = {});
 
     void start() { connect(); }
     void stop();
@@ -57,11 +57,11 @@
     // Drops a call that is out, and sends a new one at once.
     void call_now() { go_to(address_index_, 0); }
     // In place of `next`: the answers are of no use, the next of the addresses is called.
-    void pass_over(const char* reason) { fail(reason); }
+    void fail_over(const char* reason) { fail(reason); }
     // A call is out, and its answer is awaited.
-    bool waits() const { return connection_ && sent_at_ > 0 && !next_pending_; }
+    bool call_in_flight() const { return connection_ && sent_at_ > 0 && !next_pending_; }
     const HostPort& address() const { return addresses_[address_index_]; }
-    const WireCount& wire() const { return wire_; }
+    const TrafficCounters& traffic() const { return traffic_; }
     void on_due(Handle, std::uint64_t what) override;
 
   private:
@@ -70,7 +70,7 @@
         boost::asio::ip::tcp::socket socket;
         std::string out, in;
         std::array<char, 4096> buffer;
-        AnswerReader reader;
+        ResponseReader reader;
     };
     using ConnectionPtr = std::shared_ptr<Connection>;
 
@@ -78,8 +78,8 @@
     void send_call();
     void read(const ConnectionPtr& connection);
     void on_bytes(const ConnectionPtr& connection);
-    void on_malformed(const AnswerReader& reader);
-    void on_complete(AnswerReader& reader);
+    void on_malformed(const ResponseReader& reader);
+    void on_complete(ResponseReader& reader);
     void on_not_leader(std::string_view body);
     void on_conflict(std::string_view body);
     // Retries at the next address after a backoff.
@@ -93,14 +93,14 @@
     LongPollObserver& observer_;
     const std::string path_;
     const std::vector<HostPort> addresses_;
-    const ListBound bound_;
+    const ResponseSizeLimit limit_;
     std::size_t address_index_ = 0;
     std::uint64_t random_ = 0;   // state of the jitter; 0: there is none
     int failures_ = 0;           // calls in a row
     Nanos sent_at_ = 0;          // 0: nothing was sent on this connection
     bool next_pending_ = false;  // an answer was handed on, and `next` was not called yet
-    bool unreachable_ = false, bound_logged_ = false;
-    WireCount wire_;
+    bool unreachable_ = false, limit_logged_ = false;
+    TrafficCounters traffic_;
     ConnectionPtr connection_;
     TimerQueue::Ticket due_ = TimerQueue::none;
 };
--- a/src/wire/manager_watch.cpp
+++ b/src/wire/manager_watch.cpp
@@ -5,8 +5,8 @@
 namespace tealcart {
 
 ManagerWatch::ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& observer,
-                           std::vector<HostPort> managers, ListBound bound)
-    : observer_(observer), poll_(io, time, *this, member_path, std::move(managers), 0, 0, std::move(bound)) {}
+                           std::vector<HostPort> managers, ResponseSizeLimit limit)
+    : observer_(observer), poll_(io, time, *this, member_path, std::move(managers), 0, 0, std::move(limit)) {}
 
 LongPollObserver::Call ManagerWatch::next_call() {
     const MemberCall call = observer_.member_call();
--- a/src/wire/manager_watch.hpp
+++ b/src/wire/manager_watch.hpp
@@ -5,9 +5,9 @@
 #include <string_view>
 #include <vector>
 
-#include "wire/list_bound.hpp"
 #include "wire/long_poll.hpp"
 #include "wire/member_messages.hpp"
+#include "wire/response_size_limit.hpp"
 
 namespace tealcart {
 
@@ -26,14 +26,14 @@
 class ManagerWatch final : private LongPollObserver {
   public:
     ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& observer,
-                 std::vector<HostPort> managers, ListBound bound = {});
+                 std::vector<HostPort> managers, ResponseSizeLimit limit = {});
 
     // As those of LongPoll.
     void start() { poll_.start(); }
     void stop() { poll_.stop(); }
     void next() { poll_.next(); }
     void call_now() { poll_.call_now(); }
-    const WireCount& wire() const { return poll_.wire(); }
+    const TrafficCounters& traffic() const { return poll_.traffic(); }
 
   private:
     Call next_call() override;
--- a/src/wire/member_messages.cpp
+++ b/src/wire/member_messages.cpp
@@ -48,8 +48,8 @@
     if (!call.version.empty()) out["version"] = call.version;
     if (!call.digest.empty()) out["digest"] = call.digest;
     if (!call.in_flight.empty()) out["in_hand"] = write_targets(call.in_flight);
-    if (!call.silent.empty()) out["silent"] = call.silent;
-    if (call.leaves) out["leaves"] = true;
+    if (!call.unresponsive_nodes.empty()) out["silent"] = call.unresponsive_nodes;
+    if (call.leaving) out["leaves"] = true;
     return out.dump();
 }
 
@@ -73,15 +73,15 @@
     in.duration("serve_on_ms", call.lease_grace, "a span is no number of ms up to a year");
     in.duration("wait_ms", call.wait, "a span is no number of ms up to a year");
     in.list("in_hand", call.in_flight, read_target, "'in_hand' is malformed");
-    in.list("silent", call.silent, read_name, "'silent' is malformed");
-    in.flag("leaves", call.leaves, "'leaves' is no truth value");
+    in.list("silent", call.unresponsive_nodes, read_name, "'silent' is malformed");
+    in.flag("leaves", call.leaving, "'leaves' is no truth value");
     return std::move(in).result(std::move(call));
 }
 
 std::string write_member_answer(const MemberAnswer& answer) {
     return Json{{"generation", answer.generation},
                 {"lease_ms", answer.lease / millisecond},
-                {"out", write_targets(answer.out)},
+                {"out", write_targets(answer.drained)},
                 {"halted", answer.halted}}
         .dump();
 }
@@ -95,7 +95,7 @@
     in.number("generation", answer.generation, "'generation' is no number");
     in.duration("lease_ms", answer.lease, "'lease_ms' is no number of ms up to a year");
     if (answer.lease <= 0) in.fail("lease_ms", "'lease_ms' is missing or 0");
-    in.list("out", answer.out, read_target, "'out' is malformed");
+    in.list("out", answer.drained, read_target, "'out' is malformed");
     in.flag("halted", answer.halted, "'halted' is no truth value");
     return std::move(in).result(std::move(answer));
 }
--- a/src/wire/member_messages.hpp
+++ b/src/wire/member_messages.hpp
@@ -29,20 +29,20 @@
 struct MemberCall {
     std::string name, role, zone, version, digest;  // role: "router" or "control"
     std::uint64_t incarnation = 0;                  // greater at each start of the process
-    Nanos lease_grace = 0;                  // how long it serves after its lease expired; at most a year
-    std::uint64_t applied_generation = 0;   // the generation that it acts on
-    std::uint64_t known_generation = 0;     // the answer may wait for a later generation than this ...
-    Nanos wait = 0;                         // ... for at most this long
-    std::vector<TargetName> in_flight;      // drained targets that still have queries or attempts in flight
-    std::vector<std::string> silent;        // data nodes that do not respond to it
-    std::uint64_t queries = 0, failed = 0;  // of the last ten seconds
-    bool leaves = false;                    // its last call: it shuts down
+    Nanos lease_grace = 0;                 // how long it serves after its lease expired; at most a year
+    std::uint64_t applied_generation = 0;  // the generation that it acts on
+    std::uint64_t known_generation = 0;    // the answer may wait for a later generation than this ...
+    Nanos wait = 0;                        // ... for at most this long
+    std::vector<TargetName> in_flight;     // drained targets that still have queries or attempts in flight
+    std::vector<std::string> unresponsive_nodes;  // data nodes that do not respond to it
+    std::uint64_t queries = 0, failed = 0;        // of the last ten seconds
+    bool leaving = false;                         // its last call: it shuts down
 };
 
 struct MemberAnswer {
     std::uint64_t generation = 0;
     Nanos lease = 0;  // counted from when the call was sent
-    std::vector<TargetName> out;
+    std::vector<TargetName> drained;
     bool halted = false;
 };
 
--- a/src/wire/node_connection_pool.cpp
+++ b/src/wire/node_connection_pool.cpp
@@ -32,7 +32,7 @@
 
 Handle NodeConnectionPool::send(std::uint32_t node, const std::string& address,
                                 std::vector<AttemptMessage> messages, std::span<const Handle> avoid) {
-    const bool two_phase = messages.front().letter != 'R';
+    const bool two_phase = messages.front().frame_type != 'R';
     Handle chosen = choose(node, two_phase, avoid);
     if (connections_.find(chosen) == nullptr) chosen = add_connection(node, address, two_phase);
     NodeConnection& connection = *connections_.find(chosen);
@@ -247,14 +247,14 @@
         return close(handle, Outcome::reset);  // it has taken nothing for long
     std::string id;
     if (connection->two_phase())
-        write_phase_id(id, {query.id, shard, leg});
+        write_phase_request_id(id, {query.id, shard, leg});
     else
         write_shard_request_id(id, query.id, shard);
-    send_control(handle, connection->two_phase() ? gives_up_phase : cancel_frame, id);
+    send_control(handle, connection->two_phase() ? phase_cancel_frame : cancel_frame, id);
 }
 
-void NodeConnectionPool::send_control(Handle handle, char letter, std::string_view rest) {
-    connections_.find(handle)->queue().push_control(letter, rest);
+void NodeConnectionPool::send_control(Handle handle, char type, std::string_view rest) {
+    connections_.find(handle)->queue().push_control(type, rest);
     write(handle);
 }
 
--- a/src/wire/node_connection_pool.hpp
+++ b/src/wire/node_connection_pool.hpp
@@ -59,7 +59,7 @@
     void watch_incomplete_frame(Handle handle, NodeConnection& connection);
     void write(Handle handle);
     void on_written(Handle handle, const boost::system::error_code& failure, std::size_t size);
-    void send_control(Handle handle, char letter, std::string_view rest);
+    void send_control(Handle handle, char type, std::string_view rest);
     template <typename Predicate>
     void discard_unsent(NodeConnection& connection, Predicate matches);
 
--- a/src/wire/node_frames.cpp
+++ b/src/wire/node_frames.cpp
@@ -2,25 +2,25 @@
 
 #include <charconv>
 
-#include "wire/answer_body.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart {
 
-Framing take_frame(std::string_view& in, Frame& frame) {
-    if (in.size() < 4) return Framing::more;
+FrameStatus take_frame(std::string_view& in, Frame& frame) {
+    if (in.size() < 4) return FrameStatus::incomplete;
     std::uint32_t length = 0;
     for (int i = 3; i >= 0; --i) length = length << 8 | static_cast<unsigned char>(in[i]);
-    if (length == 0 || length > max_frame) return Framing::lost;
-    if (in.size() < 4 + std::size_t{length}) return Framing::more;
+    if (length == 0 || length > max_frame_bytes) return FrameStatus::malformed;
+    if (in.size() < 4 + std::size_t{length}) return FrameStatus::incomplete;
     frame = {in[4], in.substr(5, length - 1)};
     in.remove_prefix(4 + std::size_t{length});
-    return Framing::frame;
+    return FrameStatus::complete;
 }
 
-void start_frame(std::string& out, char letter, std::size_t rest) {
+void append_frame_header(std::string& out, char type, std::size_t rest) {
     const auto length = static_cast<std::uint32_t>(rest + 1);
     for (int i = 0; i < 4; ++i) out += static_cast<char>(length >> (8 * i) & 0xff);
-    out += letter;
+    out += type;
 }
 
 void write_shard_request_id(std::string& out, std::string_view query, std::uint32_t shard) {
--- a/src/wire/node_frames.hpp
+++ b/src/wire/node_frames.hpp
@@ -12,22 +12,22 @@
 
 // The longest frame accepted from a data node, in bytes: a value that no response could hold is not worth its
 // memory.
-constexpr std::size_t max_frame = 65UL * 1024;
+constexpr std::size_t max_frame_bytes = 65UL * 1024;
 
 // A frame as read from a data node.
 struct Frame {
-    char letter = 0;  // its type
-    std::string_view rest;
+    char type = 0;  // its type
+    std::string_view payload;
 };
 
 // What reading a frame came to: more bytes are needed, one was read, or the length can't be one.
-enum class Framing : std::uint8_t { more, frame, lost };
+enum class FrameStatus : std::uint8_t { incomplete, complete, malformed };
 
 // Reads one frame from the front of `in`; the frame refers to its bytes.
-Framing take_frame(std::string_view& in, Frame& frame);
+FrameStatus take_frame(std::string_view& in, Frame& frame);
 
 // Appends a frame's length and type; so many bytes must follow.
-void start_frame(std::string& out, char letter, std::size_t rest);
+void append_frame_header(std::string& out, char type, std::size_t payload);
 
 // The line of a shard request in a frame of attempts.
 struct ShardRequestLine {
@@ -51,6 +51,6 @@
 
 // None if the line can't be read. An end that is not known counts as an error: the shard request may have
 // run. Of the load report nothing is asked.
-std::optional<NodeAnswer> read_node_answer(std::string_view rest);
+std::optional<NodeAnswer> read_node_answer(std::string_view payload);
 
 }  // namespace tealcart
--- a/src/wire/phase_frames.cpp
+++ b/src/wire/phase_frames.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <cstring>
 
-#include "wire/answer_body.hpp"
+#include "wire/response_body.hpp"
 
 namespace tealcart {
 namespace {
@@ -122,19 +122,19 @@
 }
 
 void append_frame(std::string& out, char letter, const std::string& rest) {
-    start_frame(out, letter, rest.size());
+    append_frame_header(out, letter, rest.size());
     out += rest;
 }
 
 }  // namespace
 
-void write_phase_id(std::string& out, const PhaseId& id) {
+void write_phase_request_id(std::string& out, const PhaseRequestId& id) {
     write_shard_request_id(out, id.query, id.shard);
     out.append(1, '.').append(std::to_string(id.leg));
 }
 
-std::optional<PhaseId> read_phase_id(std::string_view text) {
-    PhaseId id;
+std::optional<PhaseRequestId> read_phase_request_id(std::string_view text) {
+    PhaseRequestId id;
     const auto leg = text.rfind('.');
     if (leg == std::string_view::npos || !read_number(text.substr(leg + 1), id.leg)) return std::nullopt;
     const std::string_view shard_request = text.substr(0, leg);
@@ -146,18 +146,18 @@
     return id;
 }
 
-void write_phase_line(std::string& out, const PhaseLine& line) {
-    write_phase_id(out, line.id);
+void write_phase_request_line(std::string& out, const PhaseRequestLine& line) {
+    write_phase_request_id(out, line.id);
     out.append(" d=").append(std::to_string(line.wait_ms)).append(",n=").append(std::to_string(line.rows));
     if (line.wants_filter) out.append(",m=1");
     out.append(1, ' ').append(std::to_string(line.text)).append(1, ' ').append(std::to_string(line.find));
     out += '\n';
 }
 
-std::optional<PhaseLine> read_phase_line(std::string_view line) {
-    const auto id = read_phase_id(next_token(line));
+std::optional<PhaseRequestLine> read_phase_request_line(std::string_view line) {
+    const auto id = read_phase_request_id(next_token(line));
     const std::string_view list = next_token(line);
-    PhaseLine read;
+    PhaseRequestLine read;
     int filter = 0;
     if (!id || !read_option(list, 'd', read.wait_ms) || !read_option(list, 'n', read.rows) ||
         !read_option(list, 'm', filter) || !read_number(next_token(line), read.text) ||
@@ -202,7 +202,8 @@
         } else {
             return std::nullopt;
         }
-        if (find.terms.size() > max_find || find.ranges.size() > max_find) return std::nullopt;
+        if (find.terms.size() > max_find_conditions || find.ranges.size() > max_find_conditions)
+            return std::nullopt;
     }
     return find;
 }
@@ -211,7 +212,7 @@
     const auto end = rest.find('\n');
     if (end == std::string_view::npos) return std::nullopt;
     std::string_view line = rest.substr(0, end), body = rest.substr(end + 1);
-    const auto id = read_phase_id(next_token(line));
+    const auto id = read_phase_request_id(next_token(line));
     const std::string_view status = next_token(line), version = next_token(line), list = line;
     if (!id || status.empty()) return std::nullopt;
     PhaseAnswer answer;
@@ -222,9 +223,9 @@
     }
     std::size_t ranks = 0;
     bool good = status == "OK" && read_number(version, answer.version);
-    if (letter == brings_word) {
-        good = good && read_word(list, body, answer.word);
-        answer.word.version = answer.version;
+    if (letter == summary_frame) {
+        good = good && read_word(list, body, answer.summary);
+        answer.summary.version = answer.version;
     } else {
         good =
             good && read_option(list, 's', ranks) && read_ranks(body, ranks, answer.ranks) && is_utf8(body);
@@ -235,9 +236,9 @@
     return answer;
 }
 
-void write_word(std::string& out, const PhaseId& id, const SectionSummary& word) {
+void write_summary_frame(std::string& out, const PhaseRequestId& id, const SectionSummary& word) {
     std::string rest;
-    write_phase_id(rest, id);
+    write_phase_request_id(rest, id);
     rest.append(" OK ")
         .append(std::to_string(word.version))
         .append(" l=")
@@ -263,13 +264,13 @@
             append_double(rest, extent.max);
         }
     }
-    append_frame(out, brings_word, rest);
+    append_frame(out, summary_frame, rest);
 }
 
-void write_rows(std::string& out, const PhaseId& id, std::uint64_t version, const std::vector<double>& ranks,
-                std::string_view value) {
+void write_rows_frame(std::string& out, const PhaseRequestId& id, std::uint64_t version,
+                      const std::vector<double>& ranks, std::string_view value) {
     std::string rest;
-    write_phase_id(rest, id);
+    write_phase_request_id(rest, id);
     rest.append(" OK ")
         .append(std::to_string(version))
         .append(" s=")
@@ -277,12 +278,13 @@
         .append("\n");
     for (const double rank : ranks) append_double(rest, rank);
     rest += value;
-    append_frame(out, brings_rows, rest);
+    append_frame(out, rows_frame, rest);
 }
 
-void write_phase_end(std::string& out, char letter, const PhaseId& id, std::string_view end) {
+void write_phase_failure_frame(std::string& out, char letter, const PhaseRequestId& id,
+                               std::string_view end) {
     std::string rest;
-    write_phase_id(rest, id);
+    write_phase_request_id(rest, id);
     rest.append(" ").append(end).append(" 0 -\n");
     append_frame(out, letter, rest);
 }
--- a/src/wire/phase_frames.hpp
+++ b/src/wire/phase_frames.hpp
@@ -16,29 +16,30 @@
 namespace tealcart {
 
 // Letters: P asks for a summary, F for rows, U cancels an attempt; S brings a summary, W rows.
-constexpr char asks_word = 'P', asks_rows = 'F', gives_up_phase = 'U', brings_word = 'S', brings_rows = 'W';
-constexpr int max_find = 16;  // terms, and ranges, that a query may look for
+constexpr char summary_request_frame = 'P', rows_request_frame = 'F', phase_cancel_frame = 'U',
+               summary_frame = 'S', rows_frame = 'W';
+constexpr int max_find_conditions = 16;  // terms, and ranges, that a query may look for
 
-struct PhaseId {
+struct PhaseRequestId {
     std::string_view query;
     std::uint32_t shard = 0;
     std::uint8_t leg = 0;
 
-    friend bool operator==(const PhaseId&, const PhaseId&) = default;
+    friend bool operator==(const PhaseRequestId&, const PhaseRequestId&) = default;
 };
-void write_phase_id(std::string& out, const PhaseId& id);
-std::optional<PhaseId> read_phase_id(std::string_view text);
+void write_phase_request_id(std::string& out, const PhaseRequestId& id);
+std::optional<PhaseRequestId> read_phase_request_id(std::string_view text);
 
 // A line of P or F; so many bytes of text follow it, then so many of the find.
-struct PhaseLine {
-    PhaseId id;
+struct PhaseRequestLine {
+    PhaseRequestId id;
     std::int64_t wait_ms = 0;
     int rows = 0;
     bool wants_filter = false;  // P: the section's filter is welcome
     std::size_t text = 0, find = 0;
 };
-void write_phase_line(std::string& out, const PhaseLine& line);
-std::optional<PhaseLine> read_phase_line(std::string_view line);
+void write_phase_request_line(std::string& out, const PhaseRequestLine& line);
+std::optional<PhaseRequestLine> read_phase_request_line(std::string_view line);
 
 // The find's own bytes, as a client states it and a data node reads it.
 std::string write_find(const SearchCriteria& find);
@@ -46,10 +47,10 @@
 
 // What a data node says to a P or F.
 struct PhaseAnswer {
-    PhaseId id;
+    PhaseRequestId id;
     Outcome outcome = Outcome::error;
     bool malformed = false;  // whose shard request it is can be told, but not what was said
-    SectionSummary word;     // of S
+    SectionSummary summary;  // of S
     std::uint64_t version = 0;
     std::vector<double> ranks;  // of W: its rows', highest first
     std::string_view value;     // of W
@@ -60,10 +61,10 @@
 std::optional<PhaseAnswer> read_phase_answer(char letter, std::string_view rest);
 
 // The same, written; for whoever holds sections.
-void write_word(std::string& out, const PhaseId& id, const SectionSummary& word);
-void write_rows(std::string& out, const PhaseId& id, std::uint64_t version, const std::vector<double>& ranks,
-                std::string_view value);
+void write_summary_frame(std::string& out, const PhaseRequestId& id, const SectionSummary& word);
+void write_rows_frame(std::string& out, const PhaseRequestId& id, std::uint64_t version,
+                      const std::vector<double>& ranks, std::string_view value);
 // How a shard request ended that brings nothing: "REJECTED" or "ERROR".
-void write_phase_end(std::string& out, char letter, const PhaseId& id, std::string_view end);
+void write_phase_failure_frame(std::string& out, char letter, const PhaseRequestId& id, std::string_view end);
 
 }  // namespace tealcart
--- a/src/wire/answer_body.cpp
+++ b/src/wire/response_body.cpp
@@ -1,4 +1,4 @@
-#include "wire/answer_body.hpp"
+#include "wire/response_body.hpp"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-AnswerBody::AnswerBody(bool complete)
+QueryResponseBody::QueryResponseBody(bool complete)
     : out_(complete ? R"({"all_in":true,"matches":[)" : R"({"all_in":false,"matches":[)") {}
 
 // The value's bytes as they are, escaped as far as JSON needs it.
-void AnswerBody::add(std::uint32_t shard, std::string_view value) {
+void QueryResponseBody::add(std::uint32_t shard, std::string_view value) {
     if (!first_) out_ += ',';
     first_ = false;
     out_ += "{\"segment\":";
@@ -39,9 +39,9 @@
     out_ += "\"}";
 }
 
-std::string AnswerBody::finish() { return std::move(out_ += "]}"); }
+std::string QueryResponseBody::finish() { return std::move(out_ += "]}"); }
 
-std::string AnswerBody::finish(const SectionsStated& stated) {
+std::string QueryResponseBody::finish(const SectionCoverage& stated) {
     add_count("],\"answered\":", stated.answered);
     add_count("},\"pruned\":", stated.pruned);
     add_count("},\"missing\":", stated.missing);
@@ -51,7 +51,7 @@
     return std::move(out_ += "]}}");
 }
 
-void AnswerBody::add_count(const char* opening, const SectionsStated::Count& count) {
+void QueryResponseBody::add_count(const char* opening, const SectionCoverage::Count& count) {
     char weight[32];
     const auto end = std::to_chars(weight, weight + sizeof weight, count.weight).ptr;
     out_.append(opening).append("{\"sections\":").append(std::to_string(count.sections));
@@ -59,7 +59,7 @@
 }
 
 bool is_utf8(std::string_view text) {
-    AnswerBody body(true);
+    QueryResponseBody body(true);
     body.add(0, text);
     return nlohmann::json::accept(body.finish());
 }
--- a/src/wire/answer_body.hpp
+++ b/src/wire/response_body.hpp
@@ -9,7 +9,7 @@
 namespace tealcart {
 
 // What an answer in two phases states of its sections beside the values.
-struct SectionsStated {
+struct SectionCoverage {
     struct Count {
         std::uint32_t sections = 0;
         double weight = 0;  // of 1 over the whole query
@@ -19,16 +19,16 @@
 };
 
 // Writes an answer value by value; `finish` ends it.
-class AnswerBody {
+class QueryResponseBody {
   public:
-    explicit AnswerBody(bool complete);
+    explicit QueryResponseBody(bool complete);
     // The value must be UTF-8.
     void add(std::uint32_t shard, std::string_view value);
     std::string finish();
-    std::string finish(const SectionsStated& stated);
+    std::string finish(const SectionCoverage& stated);
 
   private:
-    void add_count(const char* opening, const SectionsStated::Count& count);
+    void add_count(const char* opening, const SectionCoverage::Count& count);
 
     std::string out_;
     bool first_ = true;
--- a/src/wire/list_bound.cpp
+++ b/src/wire/response_size_limit.cpp
@@ -1,4 +1,4 @@
-#include "wire/list_bound.hpp"
+#include "wire/response_size_limit.hpp"
 
 #include <algorithm>
 
@@ -18,11 +18,11 @@
     return 2 * static_cast<std::size_t>(config.places) * static_cast<std::size_t>(config.replicas_per_shard);
 }
 
-ListBound make_bound(const RouterConfig& config, std::size_t memory, std::size_t items,
-                     std::size_t bytes_per_item) {
+ResponseSizeLimit make_bound(const RouterConfig& config, std::size_t memory, std::size_t items,
+                             std::size_t bytes_per_item) {
     const std::size_t wanted = items * bytes_per_item;
     const std::size_t available = memory > 0 ? memory / memory_share : wanted;
-    if (std::min(wanted, available) <= ListBound::min_bytes) return {};
+    if (std::min(wanted, available) <= ResponseSizeLimit::min_bytes) return {};
     if (available < wanted) return {available, "a quarter of limits.memory_mb"};
     return {wanted, "2 x " + std::to_string(config.places) + " places x " +
                         std::to_string(config.replicas_per_shard) + " holders of a shard, " +
@@ -31,11 +31,11 @@
 
 }  // namespace
 
-ListBound bound_of_list(const RouterConfig& config, std::size_t memory) {
+ResponseSizeLimit endpoint_list_size_limit(const RouterConfig& config, std::size_t memory) {
     return make_bound(config, memory, max_nodes(config), max_entry_bytes);
 }
 
-ListBound bound_of_agreed(const RouterConfig& config, std::size_t memory) {
+ResponseSizeLimit manager_response_size_limit(const RouterConfig& config, std::size_t memory) {
     return make_bound(config, memory, max_nodes(config) + static_cast<std::size_t>(config.routers),
                       max_name_bytes);
 }
--- a/src/wire/list_bound.hpp
+++ b/src/wire/response_size_limit.hpp
@@ -9,15 +9,15 @@
 
 namespace tealcart {
 
-struct ListBound {
+struct ResponseSizeLimit {
     static constexpr std::size_t min_bytes = 8UL * 1024 * 1024;  // whatever the settings state
     std::size_t bytes = min_bytes;
-    std::string why = "the least bound";  // where it comes from, for the log
+    std::string reason = "the least bound";  // where it comes from, for the log
 };
 
 // Of an endpoint list. `memory` is what the process may have, in bytes; 0 for no bound of its own.
-ListBound bound_of_list(const RouterConfig& config, std::size_t memory);
+ResponseSizeLimit endpoint_list_size_limit(const RouterConfig& config, std::size_t memory);
 // Of a fleet manager's answer, which names every node that is out, and every router.
-ListBound bound_of_agreed(const RouterConfig& config, std::size_t memory);
+ResponseSizeLimit manager_response_size_limit(const RouterConfig& config, std::size_t memory);
 
 }  // namespace tealcart
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -20,10 +20,10 @@
 constexpr Nanos stale_list_age = 60'000'000'000;
 
 // Passes endpoint lists from discovery to the server.
-class ListForwarder final : public ListTaker {
+class ListForwarder final : public EndpointListObserver {
   public:
     explicit ListForwarder(XdsServer& server) : server_(server) {}
-    void on_list(const EndpointList& list) override { server_.apply_list(list); }
+    void on_endpoint_list(const EndpointList& list) override { server_.apply_list(list); }
 
   private:
     XdsServer& server_;
@@ -32,15 +32,15 @@
 int run(const std::string& config, const std::string& file) {
     std::signal(SIGPIPE, SIG_IGN);
     const StartupConfig read = [&] {
-        StartupConfig launch = read_startup_config_file(config);
-        apply_operator_config(launch, read_operator_file(file));
-        return launch;
+        StartupConfig startup = read_startup_config_file(config);
+        apply_operator_config(startup, read_operator_file(file));
+        return startup;
     }();
-    const ControlConfig& control = read.operators.control;
+    const ControlConfig& control = read.operator_config.control;
     if (!control.on)
         throw ConfigError("the operators' file " + file +
                           " has no 'control' block, which the control service needs");
-    start_log(read.operators.log);
+    start_log(read.operator_config.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     const auto epoch = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -48,12 +48,12 @@
                            .count();
     XdsServer server(read.config, read.connection_config.query_classes, control,
                      read.connection_config.connect_timeout, read.seed, static_cast<std::uint64_t>(epoch));
-    EndpointList known = read.known;
+    EndpointList known = read.cached_endpoints;
     if (!known.nodes.empty()) server.apply_list(known);
     EventClock time;
     ListForwarder lists(server);
     DiscoveryWatch watch(io, time, lists, read.discovery, read.config.discovery,
-                         static_cast<std::uint32_t>(read.config.places), read.seed, read.list_bound);
+                         static_cast<std::uint32_t>(read.config.places), read.seed, read.endpoint_list_limit);
     const int port = server.start(control.listen);
     watch.start(known.generation);
     log_line("%s serves xDS on port %d, discovery is at %s:%u", read.name.c_str(), port,
--- a/tests/change_messages_test.cpp
+++ b/tests/change_messages_test.cpp
@@ -59,14 +59,14 @@
     REQUIRE(read);
     CHECK(read->report == call.report);
     CHECK(read->zone == "a");
-    CHECK_FALSE(read->leaves);
+    CHECK_FALSE(read->leaving);
     same(read->position, call.position);
     call = {};
-    call.report.name = "r", call.report.incarnation = 1, call.leaves = true;
+    call.report.name = "r", call.report.incarnation = 1, call.leaving = true;
     call.position.wants_pages = true;  // from the first key
     read = read_follower_call(write_follower_call(call));
     REQUIRE(read);
-    CHECK(read->leaves);
+    CHECK(read->leaving);
     same(read->position, call.position);
 }
 
@@ -84,8 +84,8 @@
     REQUIRE(read);
     CHECK(read->version == 43);
     CHECK(read->lease == 9000 * ms);
-    CHECK(read->taken == 3);
-    CHECK(read->say_all);
+    CHECK(read->acknowledged_report == 3);
+    CHECK(read->full_report_required);
     CHECK(read->drift == 1000 * ms);
     CHECK_FALSE(read->delta);
     CHECK_FALSE(read->page);
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -15,7 +15,7 @@
 using namespace tealcart::testing;
 using changes::Document;
 using test::ms;
-using test::Peer;
+using test::TestConnection;
 
 namespace {
 
@@ -101,18 +101,18 @@
 struct ScriptedRelay {
     struct Held {
         FollowerCall call;
-        std::shared_ptr<Peer> peer;
+        std::shared_ptr<TestConnection> peer;
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
 
     explicit ScriptedRelay(boost::asio::io_context& context)
         : io(context),
-          door(std::make_unique<test::FakeDataNode>(io, [this](Peer& peer) { on_bytes(peer); })) {}
+          door(std::make_unique<test::FakeServer>(io, [this](TestConnection& peer) { on_bytes(peer); })) {}
 
-    void on_bytes(Peer& peer) {
+    void on_bytes(TestConnection& peer) {
         auto& reader = readers[&peer];
         if (!reader) reader = std::make_unique<RequestReader>();
-        while (reader->feed(peer.got) == Reading::done) {
+        while (reader->feed(peer.received) == ParseStatus::complete) {
             CHECK(reader->request().path == follower_path);
             auto call = read_follower_call(reader->request().body);
             INFO((call ? "" : call.error().reason));
@@ -120,14 +120,14 @@
             reader->next();
             calls.push_back(*call);
             if (mute) continue;
-            if (call->leaves || call->position.wants_pages || call->position.known_version < version() ||
+            if (call->leaving || call->position.wants_pages || call->position.known_version < version() ||
                 calls.size() == 1)
                 answer(*call, peer);
             else
                 hold(*call, peer);
         }
     }
-    void hold(const FollowerCall& call, Peer& peer) {
+    void hold(const FollowerCall& call, TestConnection& peer) {
         const auto h = std::make_shared<Held>();
         h->call = call, h->peer = peer.shared_from_this();
         h->timer =
@@ -137,7 +137,7 @@
             if (!ec && std::erase(held, h) > 0) answer(h->call, *h->peer);
         });
     }
-    void answer(const FollowerCall& call, Peer& peer) {
+    void answer(const FollowerCall& call, TestConnection& peer) {
         ChangesAnswer a;
         a.version = version();
         a.lease = lease;
@@ -180,8 +180,8 @@
     }
 
     boost::asio::io_context& io;
-    std::unique_ptr<test::FakeDataNode> door;
-    std::map<Peer*, std::unique_ptr<RequestReader>> readers;
+    std::unique_ptr<test::FakeServer> door;
+    std::map<TestConnection*, std::unique_ptr<RequestReader>> readers;
     std::vector<Document> documents = {{}};
     std::vector<FollowerCall> calls;
     std::vector<std::shared_ptr<Held>> held;
@@ -281,13 +281,13 @@
         return answers.back();
     }
     bool ready() {
-        const auto peer = test::dial(io, service->port());
+        const auto peer = test::connect_to(io, service->port());
         peer->send("GET /-/ready HTTP/1.1\r\n\r\n");
-        until([&] { return peer->got.find("\r\n\r\n") != std::string::npos; });
-        return peer->got.find(" 200 ") != std::string::npos;
+        until([&] { return peer->received.find("\r\n\r\n") != std::string::npos; });
+        return peer->received.find(" 200 ") != std::string::npos;
     }
     const ConfigFollower& follower() const { return *service->follower(); }
-    const PhaseCounts& counts() const { return service->dispatcher().phase_counts(); }
+    const TwoPhaseCounters& counts() const { return service->dispatcher().two_phase_counters(); }
 
     std::string operators, step_;
 };
@@ -511,7 +511,7 @@
     std::raise(SIGTERM);
     while (w.service->turn()) REQUIRE(std::chrono::steady_clock::now() - began < std::chrono::seconds(20));
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(1500));
-    CHECK(relay.calls.back().leaves);
+    CHECK(relay.calls.back().leaving);
     CHECK(relay.calls.back().report.applied_version == 1);
 }
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -9,9 +9,9 @@
 #include "wire/discovery_watch.hpp"
 
 using namespace tealcart;
-using tealcart::test::FakeDataNode;
+using tealcart::test::FakeServer;
 using tealcart::test::ms;
-using tealcart::test::Peer;
+using tealcart::test::TestConnection;
 
 namespace {
 
@@ -25,10 +25,10 @@
 }
 
 // Discovery's agent on loopback and a watch on it, on a clock that the test moves.
-struct WatchRig final : ListTaker {
+struct WatchRig final : EndpointListObserver {
     explicit WatchRig(std::uint64_t seed = 1, Discovery mode = Discovery::push) : seed_(seed), mode_(mode) {}
 
-    void on_list(const EndpointList& list) override { generation = list.generation; }
+    void on_endpoint_list(const EndpointList& list) override { generation = list.generation; }
     void start() { watch.start(4); }
     // All that can happen without time passing.
     void settle() {
@@ -47,21 +47,21 @@
 
     std::uint64_t seed_;
     Discovery mode_;
-    ListBound bound{4096, "the test's"};
+    ResponseSizeLimit limit{4096, "the test's"};
     boost::asio::io_context io{1};
     Nanos now = 1'000'000 * ms;
     EventClock time{now};
     std::uint64_t generation = 0;
-    std::vector<std::pair<std::string, std::shared_ptr<Peer>>> heads;
-    std::function<void(Peer&, std::size_t)> on_call;  // with its number, from 0
-    FakeDataNode agent{io, [this](Peer& peer) {
-                           const auto end = peer.got.find("\r\n\r\n");
-                           if (end == std::string::npos) return;
-                           heads.emplace_back(peer.got.substr(0, end), peer.shared_from_this());
-                           peer.got.erase(0, end + 4);
-                           if (on_call) on_call(peer, heads.size() - 1);
-                       }};
-    DiscoveryWatch watch{io, time, *this, *parse_host_port(agent.address()), mode_, 4, seed_, bound};
+    std::vector<std::pair<std::string, std::shared_ptr<TestConnection>>> heads;
+    std::function<void(TestConnection&, std::size_t)> on_call;  // with its number, from 0
+    FakeServer agent{io, [this](TestConnection& peer) {
+                         const auto end = peer.received.find("\r\n\r\n");
+                         if (end == std::string::npos) return;
+                         heads.emplace_back(peer.received.substr(0, end), peer.shared_from_this());
+                         peer.received.erase(0, end + 4);
+                         if (on_call) on_call(peer, heads.size() - 1);
+                     }};
+    DiscoveryWatch watch{io, time, *this, *parse_host_port(agent.address()), mode_, 4, seed_, limit};
 };
 
 }  // namespace
@@ -73,7 +73,7 @@
     const Way way = GENERATE(silent, reset, refused_status, garbage);
     const std::size_t failures = GENERATE(0U, 1U, 2U);
     WatchRig rig(GENERATE(1U, 2U, 3U));
-    rig.on_call = [&](Peer& peer, std::size_t n) {
+    rig.on_call = [&](TestConnection& peer, std::size_t n) {
         if (n == 0) return peer.send(reply(nothing_new));
         if (n == 1) return;
         if (n == 2 + failures) return peer.send(reply(list_five));
@@ -93,13 +93,13 @@
 
 TEST_CASE("a process that starts hears what its agent has within 1.5 s, its first connection silent") {
     WatchRig rig;
-    rig.on_call = [](Peer& peer, std::size_t n) {
+    rig.on_call = [](TestConnection& peer, std::size_t n) {
         if (n == 1) peer.send(reply(list_five));
     };
     rig.start();
     const Nanos began = rig.now;
     rig.pass_until([&] { return rig.generation == 5; }, 30'000 * ms);
-    CHECK(rig.watch.told());
+    CHECK(rig.watch.has_list());
     CHECK(rig.now - began < 1500 * ms);
 }
 
@@ -109,7 +109,7 @@
         WatchRig rig(seed);
         bool down = true;
         auto& times = asked.emplace_back();
-        rig.on_call = [&](Peer& peer, std::size_t) {
+        rig.on_call = [&](TestConnection& peer, std::size_t) {
             times.push_back(rig.now);
             if (down)
                 peer.reset();
@@ -135,8 +135,8 @@
     const Way way = GENERATE(silent, reset, refused_status, garbage);
     WatchRig rig(GENERATE(1U, 2U, 3U), Discovery::poll);
     Nanos answer_at = 0;
-    std::shared_ptr<Peer> waiting;
-    rig.on_call = [&](Peer& peer, std::size_t n) {
+    std::shared_ptr<TestConnection> waiting;
+    rig.on_call = [&](TestConnection& peer, std::size_t n) {
         if (n == 0) return peer.send(reply(nothing_new));
         if (n == 1) return;  // falls silent, and that is when the change comes
         const std::size_t failures = way == silent ? 0 : 2;
@@ -169,23 +169,24 @@
     boost::asio::io_context io{1};
     Nanos now = 1'000'000 * ms;
     EventClock time{now};
-    struct Told final : ListTaker {
-        void on_list(const EndpointList& list) override { generation = list.generation; }
+    struct Told final : EndpointListObserver {
+        void on_endpoint_list(const EndpointList& list) override { generation = list.generation; }
         std::uint64_t generation = 0;
     };
     std::vector<Told> told(routers);
     struct Due {
         Nanos at;
-        std::shared_ptr<Peer> peer;
+        std::shared_ptr<TestConnection> peer;
     };
     std::deque<Due> line;
     Nanos busy_until = 0;
     std::size_t refused = 0;
-    FakeDataNode discovery(io, [&](Peer& peer) {
-        const auto end = peer.got.find("\r\n\r\n");
+    FakeServer discovery(io, [&](TestConnection& peer) {
+        const auto end = peer.received.find("\r\n\r\n");
         if (end == std::string::npos) return;
-        const bool goes_on = peer.got.find("index=5&") != std::string::npos;  // a watch, which costs nothing
-        peer.got.erase(0, end + 4);
+        const bool goes_on =
+            peer.received.find("index=5&") != std::string::npos;  // a watch, which costs nothing
+        peer.received.erase(0, end + 4);
         if (goes_on) return;
         busy_until = std::max(busy_until, now);
         if (busy_until - now > 2000 * ms) {
@@ -224,7 +225,7 @@
 TEST_CASE("an answer without a length ends with its stream, but never with a reset") {
     const bool cut = GENERATE(false, true);
     WatchRig rig;
-    rig.on_call = [cut](Peer& peer, std::size_t n) {
+    rig.on_call = [cut](TestConnection& peer, std::size_t n) {
         if (n > 0) return;
         peer.send("HTTP/1.1 200 OK\r\n\r\n" + list_five);  // a whole list by its looks
         if (!cut) peer.socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send);
@@ -244,7 +245,7 @@
     const bool stated = GENERATE(true, false);
     WatchRig rig;
     bool grown = true;
-    rig.on_call = [&](Peer& peer, std::size_t) {
+    rig.on_call = [&](TestConnection& peer, std::size_t) {
         if (rig.generation == 5) return;
         std::string list = list_five;
         list.insert(list.size() - 1, grown ? 4096 : 0, ' ');  // as long as its bound would do, and more
@@ -265,14 +266,14 @@
 TEST_CASE("a list's bound follows from the deployment's size, between its least and what memory allows") {
     RouterConfig config;
     config.places = 27'000, config.replicas_per_shard = 3, config.routers = 3600;
-    CHECK(bound_of_list(config, 0).bytes == 2UL * 81'000 * 1024);
-    CHECK(bound_of_list(config, 192'000'000).bytes == 48'000'000);
-    CHECK(bound_of_agreed(config, 192'000'000).bytes == (2UL * 81'000 + 3600) * 256);
-    CHECK(bound_of_list(config, 8'000'000).bytes == 8 * 1024 * 1024);
-    CHECK(bound_of_list(config, 8'000'000).why == "the least bound");
+    CHECK(endpoint_list_size_limit(config, 0).bytes == 2UL * 81'000 * 1024);
+    CHECK(endpoint_list_size_limit(config, 192'000'000).bytes == 48'000'000);
+    CHECK(manager_response_size_limit(config, 192'000'000).bytes == (2UL * 81'000 + 3600) * 256);
+    CHECK(endpoint_list_size_limit(config, 8'000'000).bytes == 8 * 1024 * 1024);
+    CHECK(endpoint_list_size_limit(config, 8'000'000).reason == "the least bound");
     config.places = 10;
-    CHECK(bound_of_list(config, 192'000'000).bytes == 8 * 1024 * 1024);
-    CHECK(bound_of_agreed(config, 0).bytes == 8 * 1024 * 1024);
+    CHECK(endpoint_list_size_limit(config, 192'000'000).bytes == 8 * 1024 * 1024);
+    CHECK(manager_response_size_limit(config, 0).bytes == 8 * 1024 * 1024);
     config.places = config.replicas_per_shard = 1'000'000;
-    CHECK(bound_of_list(config, 192'000'000).bytes == 48'000'000);
+    CHECK(endpoint_list_size_limit(config, 192'000'000).bytes == 48'000'000);
 }
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -17,7 +17,7 @@
 
 constexpr Nanos ms = 1'000'000;
 
-std::size_t held_bytes();  // by all that was made with new and not yet deleted
+std::size_t allocated_bytes();  // by all that was made with new and not yet deleted
 
 struct Decision {
     enum Kind { send_attempt, cancel, answer, reject, fail_query, set_timer, watch_endpoints, log } kind;
@@ -98,7 +98,7 @@
 }
 
 // One node at each place, its id 100 + place.
-inline std::vector<Endpoint> small_list(int places = 4) {
+inline std::vector<Endpoint> small_endpoint_list(int places = 4) {
     std::vector<Endpoint> list;
     for (int p = 0; p < places; ++p)
         list.push_back({100U + static_cast<unsigned>(p), static_cast<std::uint16_t>(p), Lifecycle::ready, 0});
@@ -107,9 +107,9 @@
 
 // A query with shard requests of these weights at shards `first`, `first` + 1, ...; shard request ids follow
 // the query's.
-inline void arrive(RoundEventHandler& h, std::uint32_t id, std::uint16_t query_class, Nanos deadline_at,
-                   const std::vector<double>& weights, std::uint32_t shards = 4, std::uint32_t first = 0,
-                   bool again = false) {
+inline void deliver_query(RoundEventHandler& h, std::uint32_t id, std::uint16_t query_class,
+                          Nanos deadline_at, const std::vector<double>& weights, std::uint32_t shards = 4,
+                          std::uint32_t first = 0, bool again = false) {
     h.on_query({id, id, query_class, 0, deadline_at, again});
     for (std::uint32_t i = 0; i < weights.size(); ++i)
         h.on_shard_request({id + 1 + i, id, (first + i) % shards, weights[i], 0});
@@ -128,19 +128,19 @@
  {"name": "keyed", "promise": 2000.0, "deadline": 4000.0, "repeat_window": 3000.0, "semantics": "by_key"}]})";
 
 // One connection of a stand-in: all that came in, and whether and how the far side has ended it.
-class Peer : public std::enable_shared_from_this<Peer> {
+class TestConnection : public std::enable_shared_from_this<TestConnection> {
   public:
-    using Seen = std::function<void(Peer&)>;
+    using OnChange = std::function<void(TestConnection&)>;
     using Socket = boost::asio::ip::tcp::socket;
 
-    Peer(Socket s, Seen seen) : socket(std::move(s)), seen_(std::move(seen)) {}
+    TestConnection(Socket s, OnChange on_change) : socket(std::move(s)), on_change_(std::move(on_change)) {}
 
     void read() {
         socket.async_read_some(boost::asio::buffer(buffer_), [self = shared_from_this()](auto ec, auto n) {
-            self->got.append(self->buffer_.data(), n);
+            self->received.append(self->buffer_.data(), n);
             self->ended = static_cast<bool>(ec);
             self->broken = ec && ec != boost::asio::error::eof;
-            if (self->seen_) self->seen_(*self);
+            if (self->on_change_) self->on_change_(*self);
             if (!ec) self->read();
         });
     }
@@ -156,43 +156,43 @@
     }
 
     Socket socket;
-    std::string got;
+    std::string received;
     bool ended = false, broken = false;  // broken: by a reset, or the like
 
   private:
-    Seen seen_;
+    OnChange on_change_;
     std::array<char, 4096> buffer_;
 };
 
 // A listening stand-in on a free port of loopback; `seen` is called whenever one of its connections has news.
-class FakeDataNode {
+class FakeServer {
   public:
-    FakeDataNode(boost::asio::io_context& io, Peer::Seen seen)
-        : acceptor_(io, {boost::asio::ip::address_v4::loopback(), 0}), seen_(std::move(seen)) {
+    FakeServer(boost::asio::io_context& io, TestConnection::OnChange on_change)
+        : acceptor_(io, {boost::asio::ip::address_v4::loopback(), 0}), on_change_(std::move(on_change)) {
         accept();
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
     void close() { acceptor_.close(); }
 
-    std::vector<std::shared_ptr<Peer>> peers;
+    std::vector<std::shared_ptr<TestConnection>> peers;
 
   private:
     void accept() {
-        acceptor_.async_accept([this](auto ec, Peer::Socket socket) {
+        acceptor_.async_accept([this](auto ec, TestConnection::Socket socket) {
             if (ec) return;
-            peers.push_back(std::make_shared<Peer>(std::move(socket), seen_));
+            peers.push_back(std::make_shared<TestConnection>(std::move(socket), on_change_));
             peers.back()->read();
             accept();
         });
     }
     boost::asio::ip::tcp::acceptor acceptor_;
-    Peer::Seen seen_;
+    TestConnection::OnChange on_change_;
 };
 
-inline std::shared_ptr<Peer> dial(boost::asio::io_context& io, std::uint16_t port) {
+inline std::shared_ptr<TestConnection> connect_to(boost::asio::io_context& io, std::uint16_t port) {
     boost::asio::ip::tcp::socket socket(io);
     socket.connect({boost::asio::ip::address_v4::loopback(), port});
-    auto peer = std::make_shared<Peer>(std::move(socket), Peer::Seen());
+    auto peer = std::make_shared<TestConnection>(std::move(socket), TestConnection::OnChange());
     peer->read();
     return peer;
 }
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -15,7 +15,7 @@
 namespace {
 std::atomic<std::size_t> held = 0;
 }
-std::size_t tealcart::test::held_bytes() { return held; }
+std::size_t tealcart::test::allocated_bytes() { return held; }
 
 void* operator new(std::size_t size) {
     void* const at = std::malloc(size > 0 ? size : 1);
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -51,7 +51,7 @@
   public:
     std::map<std::string, Lifecycle> nodes;
 
-    void on_list(const EndpointList& list) override {
+    void on_endpoint_list(const EndpointList& list) override {
         for (const ListedEndpoint& n : list.nodes) nodes[n.id] = n.lifecycle;
     }
     void observe_outcomes(OutcomeObserver*) override {}
@@ -70,23 +70,23 @@
 TEST_CASE("a node that only the list at the start names goes out by agreement too") {
     boost::asio::io_context io(1);
     EventClock time;
-    test::FakeDataNode manager(io, [](test::Peer& peer) {
-        if (peer.got.find("\r\n\r\n") == std::string::npos || peer.got.back() != '}') return;
-        peer.got.clear();
+    test::FakeServer manager(io, [](test::TestConnection& peer) {
+        if (peer.received.find("\r\n\r\n") == std::string::npos || peer.received.back() != '}') return;
+        peer.received.clear();
         const std::string body = write_member_answer({1, 10 * second, {{false, "n0"}}, false});
         peer.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     });
-    StartupConfig launch = read_startup_config(
+    StartupConfig startup = read_startup_config(
         R"({"name":"r","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"00ff","limits":{"sockets":256},)"
         R"("settings":)" +
         test::settings_text + "}");
-    launch.operators.member.on = true;
-    launch.operators.member.managers = {*parse_host_port(manager.address())};
+    startup.operator_config.member.on = true;
+    startup.operator_config.member.managers = {*parse_host_port(manager.address())};
     Host host;
-    Membership member(io, time, launch, host);
+    Membership member(io, time, startup, host);
     const EndpointList known{1, true, {listed("n0"), listed("n1")}, 0};
-    host.on_list(known);
-    member.know(known);
+    host.on_endpoint_list(known);
+    member.apply_cached_list(known);
     member.start();
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (member.applied_generation() != 1 && std::chrono::steady_clock::now() < end) {
@@ -235,7 +235,7 @@
     REQUIRE(read);
     CHECK(write_member_call(*read) == write_member_call(call));
     CHECK(read->in_flight == call.in_flight);
-    CHECK(read->leaves);
+    CHECK(read->leaving);
     const std::string bad[] = {"",
                                "[]",
                                "{",
@@ -255,7 +255,7 @@
     const auto answer = read_member_answer(write_member_answer({9, 10 * second, {{false, "n1"}}, true}));
     REQUIRE(answer);
     CHECK(answer->generation == 9);
-    CHECK(answer->out == std::vector<TargetName>{{false, "n1"}});
+    CHECK(answer->drained == std::vector<TargetName>{{false, "n1"}});
     CHECK(answer->halted);
     CHECK_FALSE(read_member_answer(R"({"generation":9,"lease_ms":0,"out":[],"halted":false})"));
     CHECK_FALSE(read_member_answer(R"({"generation":9,"lease_ms":5,"halted":false})"));
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -37,13 +37,13 @@
   public:
     std::map<std::uint32_t, Asked> asked;  // by the client's slot
     std::vector<Out> out;
-    std::vector<Answer> answers;
+    std::vector<Response> answers;
     std::set<std::uint32_t> leaving;
     Nanos now = 1'000'000 * ms;
     std::uint32_t links = 0, withdrawn = 0;
     bool none_left = false;
 
-    void answer(Handle client, Answer given) override {
+    void answer(Handle client, Response given) override {
         answers.push_back(given);
         const auto it = asked.find(client.slot);
         if (it == asked.end()) return;  // one that was not taken
@@ -111,19 +111,19 @@
     std::vector<std::pair<Handle, std::string>> gave_up;
 };
 
-StartupConfig small_launch() {
-    StartupConfig launch;
-    launch.config = read_router_config(test::settings_text);
-    launch.connection_config = read_connection_config(test::settings_text);
-    launch.phases.resize(launch.connection_config.query_classes.size());
-    launch.seed = 7;
-    return launch;
+StartupConfig small_startup_config() {
+    StartupConfig startup;
+    startup.config = read_router_config(test::settings_text);
+    startup.connection_config = read_connection_config(test::settings_text);
+    startup.two_phase_configs.resize(startup.connection_config.query_classes.size());
+    startup.seed = 7;
+    return startup;
 }
 
 struct Rig {
     Model model;
     EventClock time{model.now};
-    QueryDispatcher dispatcher{time, small_launch()};
+    QueryDispatcher dispatcher{time, small_startup_config()};
     std::uint32_t clients = 0;
 
     Rig() {
@@ -137,7 +137,7 @@
         for (std::uint32_t n = 0; n < states.size(); ++n)
             list.nodes.push_back({"s" + std::to_string(n), "10.0.0." + std::to_string(n + 1) + ":1", "z", "k",
                                   n % 2, states[n], 0});
-        dispatcher.on_list(list);
+        dispatcher.on_endpoint_list(list);
         for (std::uint32_t n = 0; n < states.size(); ++n)
             states[n] == Lifecycle::ready ? void(model.leaving.erase(n)) : void(model.leaving.insert(n));
     }
@@ -313,7 +313,7 @@
     for (int i = 0; i < 12; ++i) rig.ask(false, 4);
     CHECK(rig.dispatcher.unfinished_count() == 40);  // eight of them, as the settings allow
     REQUIRE(rig.model.answers.size() == 4);
-    for (const Answer& a : rig.model.answers) CHECK(a.status == 503);
+    for (const Response& a : rig.model.answers) CHECK(a.status == 503);
     rig.step();
     for (const Out& o : rig.model.out) CHECK(std::stoi(o.piece.query->id.substr(1)) <= 8);
     CHECK(rig.model.out.size() == 32);
--- a/tests/recorded_messages_test.cpp
+++ b/tests/recorded_messages_test.cpp
@@ -3,9 +3,9 @@
 // hold.
 #include <catch2/catch.hpp>
 
-#include "wire/answer_body.hpp"
 #include "wire/change_messages.hpp"
 #include "wire/member_messages.hpp"
+#include "wire/response_body.hpp"
 
 using namespace tealcart;
 
@@ -53,9 +53,9 @@
     call.applied_generation = 17, call.known_generation = 18;
     call.wait = 2000 * ms;
     call.in_flight = {{true, "router-a1"}, {false, "n3"}};
-    call.silent = {"n4", "n5"};
+    call.unresponsive_nodes = {"n4", "n5"};
     call.queries = 1200, call.failed = 7;
-    call.leaves = true;
+    call.leaving = true;
     return call;
 }
 
@@ -77,17 +77,17 @@
     CHECK(read.known_generation == expected.known_generation);
     CHECK(read.wait == expected.wait);
     CHECK(read.in_flight == expected.in_flight);
-    CHECK(read.silent == expected.silent);
+    CHECK(read.unresponsive_nodes == expected.unresponsive_nodes);
     CHECK(read.queries == expected.queries);
     CHECK(read.failed == expected.failed);
-    CHECK(read.leaves == expected.leaves);
+    CHECK(read.leaving == expected.leaving);
 }
 
 FollowerCall full_follower_call() {
     FollowerCall call;
     call.report = {"router-a1", 7, 1500 * ms, 41, 42, "line 3: \"x\" is not known \xc3\xbc"};
     call.zone = "a";
-    call.leaves = true;
+    call.leaving = true;
     call.position = {41, 0xffff'ffff'ffff'fffe, true, "k/1", 200 * ms};
     return call;
 }
@@ -128,8 +128,8 @@
 
 ChangesAnswer changes_answer() {
     ChangesAnswer answer;
-    answer.version = 43, answer.lease = 9000 * ms, answer.taken = 3;
-    answer.say_all = true, answer.drift = 1000 * ms;
+    answer.version = 43, answer.lease = 9000 * ms, answer.acknowledged_report = 3;
+    answer.full_report_required = true, answer.drift = 1000 * ms;
     return answer;
 }
 
@@ -149,8 +149,8 @@
 void check_same(const ChangesAnswer& read, const ChangesAnswer& expected) {
     CHECK(read.version == expected.version);
     CHECK(read.lease == expected.lease);
-    CHECK(read.taken == expected.taken);
-    CHECK(read.say_all == expected.say_all);
+    CHECK(read.acknowledged_report == expected.acknowledged_report);
+    CHECK(read.full_report_required == expected.full_report_required);
     CHECK(read.drift == expected.drift);
     CHECK(read.delta == expected.delta);
     CHECK(read.page == expected.page);
@@ -176,7 +176,7 @@
         REQUIRE(read);
         CHECK(read->generation == answer.generation);
         CHECK(read->lease == answer.lease);
-        CHECK(read->out == answer.out);
+        CHECK(read->drained == answer.drained);
         CHECK(read->halted == answer.halted);
     }
 }
@@ -198,7 +198,7 @@
         REQUIRE(read);
         CHECK(read->report == call.report);
         CHECK(read->zone == call.zone);
-        CHECK(read->leaves == call.leaves);
+        CHECK(read->leaving == call.leaving);
         check_same(read->position, call.position);
     }
 }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -16,7 +16,7 @@
 const Weights even_quarters = {0.25, 0.25, 0.25, 0.25};
 
 QueryRouter started(const RouterConfig& config = small_config(),
-                    const std::vector<Endpoint>& list = small_list()) {
+                    const std::vector<Endpoint>& list = small_endpoint_list()) {
     QueryRouter router(config, 7);
     play(router, start - 1000 * ms, [&](RoundEventHandler& h) { h.on_nodes(ListKind::cached, list); });
     return router;
@@ -27,7 +27,7 @@
                           const Weights& weights, std::uint32_t queries = 1) {
     const auto come = [&](RoundEventHandler& h) {
         for (std::uint32_t i = 0; i < queries; ++i)
-            arrive(h, id + 20 * i, query_class, now + 4000 * ms, weights);
+            deliver_query(h, id + 20 * i, query_class, now + 4000 * ms, weights);
     };
     return play(router, now, come).of(Decision::send_attempt);
 }
@@ -112,7 +112,7 @@
     const Weights wide(40, 0.025);
     RouterConfig config = small_config(Effect::idempotent, 40);
     config.max_attempts = 1;
-    QueryRouter router = started(config, small_list(40));
+    QueryRouter router = started(config, small_endpoint_list(40));
     const auto calls = ask(router, start, 1000, 0, wide);
     REQUIRE(calls.size() == 40);
     play(router, start + 50 * ms, [&](RoundEventHandler& h) {
@@ -145,7 +145,7 @@
 TEST_CASE("the last shard request of a query that needs all is hedged under load, that of another is not") {
     const auto query_class = GENERATE(std::uint16_t{0}, std::uint16_t{1});
     const Weights tenths(10, 0.1);
-    QueryRouter router = started(small_config(Effect::idempotent, 10), small_list(10));
+    QueryRouter router = started(small_config(Effect::idempotent, 10), small_endpoint_list(10));
     // Calls take twenty times what they took at rest.
     for (std::uint32_t i = 0; i < 8; ++i)
         ask_and_end(router, start + i * 500 * ms, 1000 + 100 * i, 1, tenths, Outcome::ok,
@@ -213,8 +213,9 @@
 TEST_CASE("clients that turn impatient do not pass for late retries") {
     QueryRouter router = started();
     ask_and_end(router, start, 10, 1, {0.5, 0.5}, Outcome::ok, 50 * ms);
-    const RecordedDecisions decisions =
-        play(router, start + 100 * ms, [](RoundEventHandler& h) { arrive(h, 20, 1, start + 600 * ms, {1}); });
+    const RecordedDecisions decisions = play(router, start + 100 * ms, [](RoundEventHandler& h) {
+        deliver_query(h, 20, 1, start + 600 * ms, {1});
+    });
     CHECK(decisions.of(Decision::reject).empty());
     CHECK(decisions.of(Decision::send_attempt).size() == 1);
 }
@@ -223,8 +224,9 @@
     QueryRouter router = started();
     ask_and_end(router, start - 100 * ms, 500, 1, even_quarters, Outcome::ok, 50 * ms);
     end_all(router, start + 6000 * ms, ask(router, start, 10, 1, even_quarters, 3), Outcome::ok, 6000 * ms);
-    const RecordedDecisions decisions = play(
-        router, start + 6100 * ms, [](RoundEventHandler& h) { arrive(h, 900, 1, start + 10100 * ms, {1}); });
+    const RecordedDecisions decisions = play(router, start + 6100 * ms, [](RoundEventHandler& h) {
+        deliver_query(h, 900, 1, start + 10100 * ms, {1});
+    });
     CHECK(decisions.of(Decision::reject).at(0).wait > 0);
     CHECK(decisions.of(Decision::send_attempt).empty());
     // A router that turns all away asks again once what it saw is old.
@@ -252,7 +254,7 @@
     config.discovery = Discovery::poll;
     QueryRouter router(config, 7);
     const auto told = [](ListKind kind) {
-        return [kind](RoundEventHandler& h) { h.on_nodes(kind, small_list()); };
+        return [kind](RoundEventHandler& h) { h.on_nodes(kind, small_endpoint_list()); };
     };
     CHECK(play(router, start, told(ListKind::cached)).of(Decision::watch_endpoints).size() == 1);
     CHECK(play(router, start + 100 * ms, told(ListKind::failed)).of(Decision::watch_endpoints).empty());
@@ -264,7 +266,7 @@
 TEST_CASE("many routers leave a warming node less than rule 4 does, but some") {
     RouterConfig config = small_config();
     config.routers = 60;
-    std::vector<Endpoint> list = small_list();
+    std::vector<Endpoint> list = small_endpoint_list();
     list[1].started_at = start - 100 * ms;
     int cold = 0, warm = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -288,7 +290,7 @@
     const Nanos call = 100 * ms;  // what a shard request takes: a node carries ten a second
     RouterConfig config = small_config(Effect::idempotent, 12);
     config.routers = routers;
-    std::vector<Endpoint> list = small_list(12);
+    std::vector<Endpoint> list = small_endpoint_list(12);
     const Nanos began = start + 8000 * ms;  // of the cold node, after a while for the routers to learn
     std::knuth_b chance(7);
     std::vector<Nanos> attempts_while_warming;
@@ -323,7 +325,8 @@
                             {s.id, s.node, ended[s.id]++, fails ? Outcome::error : Outcome::ok, call});
                     }
                 for (; next <= now; next += static_cast<Nanos>(gap(chance) * 1e9), id += 2)
-                    arrive(h, id, 1, now + 5000 * ms, {1.0}, 12, static_cast<std::uint32_t>(chance() % 12));
+                    deliver_query(h, id, 1, now + 5000 * ms, {1.0}, 12,
+                                  static_cast<std::uint32_t>(chance() % 12));
                 h.on_timer(0);
             });
             std::erase_if(out, [&](auto& o) { return now - o.first > call + 10 * ms; });
@@ -371,7 +374,7 @@
     const auto calls = ask(router, start + 100 * ms, 50, 1, even_quarters);
     const RecordedDecisions decisions = play(router, start + 1900 * ms, [&](RoundEventHandler& h) {
         for (const Decision& s : calls) h.on_attempt_result({s.id, s.node, 0, Outcome::ok, 60 * ms});
-        arrive(h, 90, 1, start + 5000 * ms, even_quarters);
+        deliver_query(h, 90, 1, start + 5000 * ms, even_quarters);
     });
     CHECK(decisions.of(Decision::answer).at(0).complete);
     CHECK(decisions.of(Decision::send_attempt).size() == 4);
@@ -392,13 +395,13 @@
     CHECK(decisions.of(Decision::send_attempt).size() == (one_back ? 3 : 0));
     // Its marked repeat goes out shard request by shard request until one is back.
     const auto repeat = [](RoundEventHandler& h) {
-        arrive(h, 70, 1, start + 4000 * ms, even_quarters, 4, 0, true);
+        deliver_query(h, 70, 1, start + 4000 * ms, even_quarters, 4, 0, true);
     };
     CHECK(play(router, start + 300 * ms, repeat).of(Decision::send_attempt).size() == 1);
 }
 
 TEST_CASE("a node is expected to be as slow as its zone and kind, whatever the rest of the fleet does") {
-    std::vector<Endpoint> list = small_list(12);
+    std::vector<Endpoint> list = small_endpoint_list(12);
     for (std::size_t i = 0; i < 12; ++i) list[i].group = i % 3 == 0;
     QueryRouter router = started(small_config(Effect::idempotent, 12), list);
     const auto in_group = [](const Decision& s) { return s.node % 3 == 1; };  // 100, 103 ...
@@ -410,7 +413,7 @@
         end_all(router, now + 3000 * ms, {slow, calls.end()}, Outcome::ok, 3000 * ms);
     }
     const auto come = [](RoundEventHandler& h) {
-        arrive(h, 900, 1, start + 36'000 * ms, even_quarters, 12, 6);
+        deliver_query(h, 900, 1, start + 36'000 * ms, even_quarters, 12, 6);
     };
     const auto calls = play(router, start + 32'000 * ms, come).of(Decision::send_attempt);
     CHECK(calls.size() == 4);
@@ -425,7 +428,7 @@
     QueryRouter router(config, 7);
     std::size_t held = 0;
     for (std::uint32_t life = 0; life < 1500; ++life) {
-        std::vector<Endpoint> list = small_list();
+        std::vector<Endpoint> list = small_endpoint_list();
         for (Endpoint& e : list) e.node += 10 * life, e.started_at = 1 + life;
         const Nanos now = start + life * 100 * ms;
         play(router, now, [&](RoundEventHandler& h) { h.on_nodes(ListKind::full, list); });
@@ -437,9 +440,9 @@
             play(router, now + 20 * ms, [&](RoundEventHandler& h) { h.on_nodes(ListKind::full, {}); });
         end_all(router, now + 30 * ms, calls, life % 5 == 0 ? Outcome::reset : Outcome::ok, 20 * ms);
         play(router, now + 99 * ms, [&](RoundEventHandler& h) { h.on_query_dropped(1 + 20 * life); });
-        if (life == 300) held = held_bytes();
+        if (life == 300) held = allocated_bytes();
     }
-    CHECK(held_bytes() <= held + 10'000);
+    CHECK(allocated_bytes() <= held + 10'000);
 }
 
 TEST_CASE("where a call costs work, shard requests of a round join the call that goes to a replica already") {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -179,7 +179,7 @@
         QueryRouter router(config, seed + static_cast<std::uint64_t>(life));
         RulesModel model(config);
         due.clear();
-        std::vector<Endpoint> list = small_list(config.places);
+        std::vector<Endpoint> list = small_endpoint_list(config.places);
         for (Endpoint& e : list) model.endpoint_told(now, e);
         bool listed = false;
         std::vector<std::uint32_t> second;
