--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -12,34 +12,35 @@
 #include "helpers.hpp"
 
 using namespace tealcart;
-using tealcart::test::dial;
-using tealcart::test::FakeDataNode;
-using tealcart::test::Peer;
+using tealcart::test::connect_to;
+using tealcart::test::FakeServer;
+using tealcart::test::TestConnection;
 
 namespace {
 
 struct Call {
     std::string id, list, text;
-    std::shared_ptr<Peer> peer;
+    std::shared_ptr<TestConnection> peer;
 };
 
 std::string frame(char letter, const std::string& rest) {
     std::string out;
-    start_frame(out, letter, rest.size());
+    append_frame_header(out, letter, rest.size());
     return out + rest;
 }
 
 // Reads calls and what is given up from frames; answers each call with "v" and its id unless told otherwise.
 struct DataNode {
-    explicit DataNode(boost::asio::io_context& io) : door(io, [this](Peer& peer) { on_bytes(peer); }) {}
+    explicit DataNode(boost::asio::io_context& io)
+        : door(io, [this](TestConnection& peer) { on_bytes(peer); }) {}
 
-    void on_bytes(Peer& peer) {
-        std::string_view in = peer.got;
+    void on_bytes(TestConnection& peer) {
+        std::string_view in = peer.received;
         Frame f;
-        while (take_frame(in, f) == Framing::frame) {
-            if (f.letter == 'A') given_up.emplace_back(f.rest);
-            std::string_view rest = f.rest;
-            while (f.letter == 'R' && !rest.empty()) {
+        while (take_frame(in, f) == FrameStatus::complete) {
+            if (f.type == 'A') given_up.emplace_back(f.payload);
+            std::string_view rest = f.payload;
+            while (f.type == 'R' && !rest.empty()) {
                 const std::string line(rest.substr(0, rest.find('\n')));
                 rest.remove_prefix(line.size() + 1);
                 const auto a = line.find(' '), b = line.find(' ', a + 1), c = line.find(' ', b + 1);
@@ -50,13 +51,13 @@
                 if (on_call) on_call(calls.back());
             }
         }
-        peer.got.erase(0, peer.got.size() - in.size());
+        peer.received.erase(0, peer.received.size() - in.size());
     }
     static void say(const Call& call, const std::string& how, const std::string& value) {
         call.peer->send(frame('Y', call.id + " " + how + " 1 -\n" + value));
     }
 
-    FakeDataNode door;
+    FakeServer door;
     std::vector<Call> calls;
     std::vector<std::string> given_up;
     std::function<void(const Call&)> on_call = [](const Call& call) { say(call, "OK", "v" + call.id); };
@@ -65,13 +66,13 @@
 struct World {
     boost::asio::io_context io{1};
     std::vector<std::unique_ptr<DataNode>> nodes;
-    std::vector<std::pair<std::string, std::shared_ptr<Peer>>> watches;
+    std::vector<std::pair<std::string, std::shared_ptr<TestConnection>>> watches;
     bool discovery_silent = false;
     // The short call after a failure, or at the start, is answered at once: there is nothing new.
-    Peer::Seen on_watch = [this](Peer& peer) {
-        for (std::size_t end; (end = peer.got.find("\r\n\r\n")) != std::string::npos;) {
-            const std::string head = peer.got.substr(0, end);
-            peer.got.erase(0, end + 4);
+    TestConnection::OnChange on_watch = [this](TestConnection& peer) {
+        for (std::size_t end; (end = peer.received.find("\r\n\r\n")) != std::string::npos;) {
+            const std::string head = peer.received.substr(0, end);
+            peer.received.erase(0, end + 4);
             if (discovery_silent || head.find("&wait=100 ") == std::string::npos) {
                 watches.emplace_back(head, peer.shared_from_this());
                 continue;
@@ -82,7 +83,7 @@
                       body);
         }
     };
-    FakeDataNode discovery{io, on_watch}, other_discovery{io, on_watch};
+    FakeServer discovery{io, on_watch}, other_discovery{io, on_watch};
     std::unique_ptr<Service> service;
     std::string known, lookout = discovery.address();  // what the configuration says now
     std::size_t sockets;
@@ -123,11 +124,11 @@
             service->turn();
         }
     }
-    std::shared_ptr<Peer> client() { return dial(io, service->port()); }
+    std::shared_ptr<TestConnection> client() { return connect_to(io, service->port()); }
     // Waits for one whole answer and takes it from what the client got.
-    std::pair<int, std::string> answer(Peer& peer) {
-        AnswerReader reader(max_body);
-        until([&] { return reader.feed(peer.got) != Reading::more || peer.ended; });
+    std::pair<int, std::string> answer(TestConnection& peer) {
+        ResponseReader reader(max_body_bytes);
+        until([&] { return reader.feed(peer.received) != ParseStatus::incomplete || peer.ended; });
         return {reader.status(), reader.body()};
     }
     std::vector<Call> calls() const {
@@ -186,8 +187,8 @@
     const std::string all = query("A", "Expect: 100-continue\r\nConnection: close\r\n");
     const std::size_t body = all.find("\r\n\r\n") + 4;
     c->send(all.substr(0, body));
-    w.until([&] { return c->got == "HTTP/1.1 100 Continue\r\n\r\n"; });
-    c->got.clear();
+    w.until([&] { return c->received == "HTTP/1.1 100 Continue\r\n\r\n"; });
+    c->received.clear();
     c->send(all.substr(body));
     CHECK(w.answer(*c) == std::pair(200, whole_answer));
     w.until([&] { return c->ended; });
@@ -367,8 +368,8 @@
     for (const Call& call : held) DataNode::say(call, "OK", "v" + call.id);
     w.until([&] { return busy->ended && fresh->ended; });
     for (const auto& peer : {busy, fresh}) {
-        CHECK(peer->got.find("HTTP/1.1 200 OK\r\n") == 0);
-        CHECK(peer->got.find("Connection: close\r\n") != std::string::npos);
+        CHECK(peer->received.find("HTTP/1.1 200 OK\r\n") == 0);
+        CHECK(peer->received.find("Connection: close\r\n") != std::string::npos);
     }
     while (w.service->turn()) {
     }
@@ -395,7 +396,7 @@
 
 TEST_CASE("with all descriptors for clients in use, kept idle connections make room") {
     World w(2, 64);  // thirty-two for clients
-    std::vector<std::shared_ptr<Peer>> clients;
+    std::vector<std::shared_ptr<TestConnection>> clients;
     for (int i = 0; i < 50; ++i) {
         clients.push_back(w.client());
         clients.back()->send(query("q" + std::to_string(i)));
@@ -444,7 +445,7 @@
     Owner owner;
     const ConnectionConfig config;
     NodeConnectionPool links{io, time, config, owner, 3};
-    FakeDataNode node{io, nullptr};
+    FakeServer node{io, nullptr};
 
     static ConnectionConfig terms_with(bool probing) {
         ConnectionConfig t = read_connection_config(test::settings_text);
@@ -475,10 +476,10 @@
     rig.now += 2;
     CHECK(rig.send(0, 2) == link);
     rig.until([&] {
-        return !rig.owner.lost.empty() && !rig.node.peers.empty() && !rig.node.peers[0]->got.empty();
+        return !rig.owner.lost.empty() && !rig.node.peers.empty() && !rig.node.peers[0]->received.empty();
     });
     CHECK(rig.owner.lost == std::vector{std::pair(Handle{1, 1}, Outcome::not_sent)});
-    CHECK(rig.node.peers[0]->got == frame('R', "q2.0 0 d=100 0\n"));
+    CHECK(rig.node.peers[0]->received == frame('R', "q2.0 0 d=100 0\n"));
 }
 
 TEST_CASE("a leaf call for which there is no descriptor waits for one, and blames no node") {
@@ -490,7 +491,7 @@
     rig.send(5, 6);
     CHECK(rig.links.open() == 3);
     CHECK(rig.links.waiting() == 3);
-    rig.until([&] { return rig.node.peers.size() == 3 && !rig.node.peers[2]->got.empty(); });
+    rig.until([&] { return rig.node.peers.size() == 3 && !rig.node.peers[2]->received.empty(); });
     CHECK(rig.owner.lost.empty());
     // What is taken back, or waits for a node that leaves, was never sent and leaves the line.
     CHECK(rig.links.withdraw(fourth, Handle{4, 1}));
@@ -502,8 +503,8 @@
     rig.owner.end(Handle{2, 1});
     CHECK(rig.links.waiting() == 0);
     CHECK(rig.links.open() == 3);
-    rig.until([&] { return rig.node.peers.size() == 4 && !rig.node.peers[3]->got.empty(); });
-    CHECK(rig.node.peers[3]->got == frame('R', "q5.0 0 d=100 0\n"));
+    rig.until([&] { return rig.node.peers.size() == 4 && !rig.node.peers[3]->received.empty(); });
+    CHECK(rig.node.peers[3]->received == frame('R', "q5.0 0 d=100 0\n"));
     CHECK(rig.send(4, 7) == fifth);
     CHECK(rig.owner.lost.size() == 1);
     rig.links.close_all();
@@ -526,7 +527,7 @@
     rig.until([&] { return rig.links.open() == 0; });
     // Idle: closed before the far side would, and not used from then on.
     const Handle kept = rig.send(1, 200);
-    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers.back()->got.empty(); });
+    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers.back()->received.empty(); });
     rig.owner.end(Handle{200, 1});
     rig.now += rig.config.idle_close - 1;
     rig.time.due.fire_due(rig.now);
@@ -558,7 +559,7 @@
     LinkRig rig;
     const Handle link = rig.send(0, 1);
     for (std::uint32_t call = 2; call < 5; ++call) CHECK(rig.send(0, call) == link);
-    rig.until([&] { return !rig.node.peers.empty() && rig.node.peers[0]->got.size() == 4 * 20; });
+    rig.until([&] { return !rig.node.peers.empty() && rig.node.peers[0]->received.size() == 4 * 20; });
     rig.node.peers[0]->send(said(2) + spoilt);
     rig.until([&] { return rig.owner.out.empty(); });
     CHECK(rig.owner.answered[0] == std::pair(Handle{2, 1}, Outcome::ok));
@@ -574,14 +575,14 @@
     LinkRig rig;
     const Handle link = rig.send(0, 1);
     CHECK(rig.send(0, 2) == link);
-    rig.until([&] { return !rig.node.peers.empty() && rig.node.peers[0]->got.size() == 2 * 20; });
+    rig.until([&] { return !rig.node.peers.empty() && rig.node.peers[0]->received.size() == 2 * 20; });
     rig.owner.end(Handle{2, 1});  // given up
     // A second copy, a late answer, and a load report that nobody can read.
     rig.node.peers[0]->send(said(1, "OK 1 \x01\xff,=\nv") + said(1) + said(2));
     rig.until([&] { return rig.owner.answered.size() == 1; });
     CHECK(rig.owner.answered[0].second == Outcome::ok);
     CHECK(rig.send(0, 3) == link);
-    rig.until([&] { return rig.node.peers[0]->got.size() == 3 * 20; });
+    rig.until([&] { return rig.node.peers[0]->received.size() == 3 * 20; });
     rig.node.peers[0]->send(said(3) + "nois");
     rig.until([&] { return rig.node.peers[0]->ended; });
     CHECK(rig.owner.answered.size() == 2);
@@ -592,14 +593,14 @@
     // Guards against taking a broken connection for a node that is gone: all calls to it would be lost.
     LinkRig rig;
     const Handle first = rig.send(0, 1);
-    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->got.empty(); });
+    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->received.empty(); });
     rig.now += rig.config.connect_timeout;
     CHECK(rig.send(0, 2) == first);
     rig.now += 1;
     const Handle second = rig.send(0, 3);
     CHECK_FALSE(second == first);
     CHECK(rig.send(0, 4) == second);
-    rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->got.empty(); });
+    rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->received.empty(); });
     // A node that turns calls away may still be at work on the others.
     rig.node.peers[1]->send(said(3, "REJECTED 0 -\n"));
     rig.until([&] { return rig.owner.answered.size() == 1; });
@@ -610,10 +611,10 @@
     CHECK(rig.send(0, 5) == second);
     // With two that are silent it is the node: no third is made. Once nothing is out on one, it is closed.
     rig.now += rig.config.connect_timeout + 1;
-    rig.until([&] { return rig.node.peers[1]->got.size() >= 2 * 20; });
+    rig.until([&] { return rig.node.peers[1]->received.size() >= 2 * 20; });
     const Handle third = rig.send(0, 6);
     CHECK_FALSE(third == second);
-    rig.until([&] { return rig.node.peers.size() == 3 && !rig.node.peers[2]->got.empty(); });
+    rig.until([&] { return rig.node.peers.size() == 3 && !rig.node.peers[2]->received.empty(); });
     rig.now += rig.config.connect_timeout + 1;
     const Handle fourth = rig.send(0, 7);
     CHECK((fourth == second || fourth == third));
@@ -625,19 +626,19 @@
     // Guards against calling off heavy calls because lighter ones are answered on another connection.
     LinkRig rig{true};
     const Handle first = rig.send(0, 1);
-    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->got.empty(); });
+    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->received.empty(); });
     rig.now += rig.config.connect_timeout + 1;
     rig.send(0, 2);
     const auto answer_second = [&](int call) {
         const std::size_t answered = rig.owner.answered.size();
-        rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->got.empty(); });
-        rig.node.peers[1]->got.clear();
+        rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->received.empty(); });
+        rig.node.peers[1]->received.clear();
         rig.node.peers[1]->send(said(call));
         rig.until([&] { return rig.owner.answered.size() > answered; });
     };
     answer_second(2);
     CHECK(rig.owner.lost.empty());
-    rig.until([&] { return rig.node.peers[0]->got == frame('R', "q1.0 0 d=100 0\n") + frame('G', ""); });
+    rig.until([&] { return rig.node.peers[0]->received == frame('R', "q1.0 0 d=100 0\n") + frame('G', ""); });
     // Unanswered for as long as a connection has to be made, it is given up.
     rig.now += rig.config.connect_timeout;
     rig.send(0, 3);
@@ -654,14 +655,14 @@
     LinkRig rig{true};
     const Handle first = rig.send(0, 1);
     CHECK(rig.send(0, 2) == first);
-    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->got.empty(); });
+    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->received.empty(); });
     rig.now += rig.config.connect_timeout + 1;
     CHECK_FALSE(rig.send(0, 3) == first);
-    rig.until([&] { return rig.node.peers[0]->got.ends_with(frame('G', "")); });
+    rig.until([&] { return rig.node.peers[0]->received.ends_with(frame('G', "")); });
     rig.node.peers[0]->send(frame('G', "ERROR") + said(1));
     rig.until([&] { return rig.owner.answered.size() == 1; });
     CHECK(rig.send(0, 4) == first);
-    rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->got.empty(); });
+    rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->received.empty(); });
     rig.node.peers[1]->send(said(3));
     rig.until([&] { return rig.owner.answered.size() == 2; });
     CHECK(rig.owner.lost.empty());
@@ -671,11 +672,11 @@
     // Guards against a line, or a value, that never ends: its calls would wait for their whole patience.
     LinkRig rig;
     const Handle link = rig.send(0, 1);
-    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->got.empty(); });
+    rig.until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->received.empty(); });
     rig.node.peers[0]->send(said(1).substr(0, 12));
     rig.until([&] { return rig.time.due.size() == 1; });
     CHECK_FALSE(rig.send(0, 2) == link);
-    rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->got.empty(); });
+    rig.until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->received.empty(); });
     rig.now += rig.config.connect_timeout;
     rig.time.due.fire_due(rig.now);
     CHECK(rig.owner.lost == std::vector{std::pair(Handle{1, 1}, Outcome::error)});
@@ -707,8 +708,8 @@
     void until(Happened happened) {
         while (!happened()) REQUIRE(io.run_one_for(std::chrono::seconds(20)) > 0);
     }
-    std::shared_ptr<Peer> client(const std::string& bytes) {
-        auto peer = dial(io, front.port());
+    std::shared_ptr<TestConnection> client(const std::string& bytes) {
+        auto peer = connect_to(io, front.port());
         peer->send(bytes);
         return peer;
     }
@@ -741,25 +742,25 @@
     rig.now = rig.time.due.next() - 1;
     rig.time.due.fire_due(rig.now);
     rig.io.poll();
-    CHECK(c->got.empty());
+    CHECK(c->received.empty());
     rig.now += 1;
     rig.time.due.fire_due(rig.now);
     rig.until([&] { return c->ended; });
-    CHECK(c->got.find("HTTP/1.1 408 ") == 0);
+    CHECK(c->received.find("HTTP/1.1 408 ") == 0);
     CHECK(rig.taken.empty());
 }
 
 TEST_CASE("after a stall a client's time counts from its beginning, but not from before its last answer") {
     FrontRig rig(3);
     const auto kept = rig.client(get);
-    rig.until([&] { return !kept->got.empty(); });
+    rig.until([&] { return !kept->received.empty(); });
     CHECK(rig.last_began == rig.now);
     const Nanos stall = rig.now + 200 * test::ms;
     rig.now += 900 * test::ms;
     rig.time.awake_by = stall;
-    kept->got.clear();
+    kept->received.clear();
     kept->send(get);
-    rig.until([&] { return !kept->got.empty(); });
+    rig.until([&] { return !kept->received.empty(); });
     CHECK(rig.last_began == stall);
     kept->send(get);
     rig.until([&] { return rig.taken.size() == 3; });
@@ -774,7 +775,7 @@
     FrontRig rig(5);
     const auto silent = rig.client(""), served = rig.client(get);
     const auto held = rig.client("GET /held HTTP/1.1\r\n\r\n");
-    rig.until([&] { return rig.taken.size() == 2 && rig.front.open() == 3 && !served->got.empty(); });
+    rig.until([&] { return rig.taken.size() == 2 && rig.front.open() == 3 && !served->received.empty(); });
     rig.now += 2000 * test::ms - 1;
     rig.time.due.fire_due(rig.now);
     rig.io.poll();
@@ -797,14 +798,14 @@
     rig.until([&] { return rig.front.open() == 3 && rig.time.due.size() == 2; });
     // One that says nothing makes room first, then one that was served, then one in the middle of a request.
     const auto whole = rig.client(get);
-    rig.until([&] { return !whole->got.empty() && silent->ended; });
+    rig.until([&] { return !whole->received.empty() && silent->ended; });
     const auto more = rig.client(get);
-    rig.until([&] { return !more->got.empty() && whole->ended; });
+    rig.until([&] { return !more->received.empty() && whole->ended; });
     CHECK_FALSE(stalled->ended);
     const auto other = rig.client("GET /held HTTP/1.1\r\n\r\n");
     rig.until([&] { return rig.taken.size() == 4 && more->ended; });
     const auto last = rig.client(get);
-    rig.until([&] { return !last->got.empty() && stalled->ended; });
+    rig.until([&] { return !last->received.empty() && stalled->ended; });
     CHECK_FALSE(held->ended);
     CHECK_FALSE(other->ended);
     CHECK(rig.gone == 0);
@@ -827,7 +828,7 @@
     c->send(get);
     rig.until([&] { return c->ended; });
     CHECK_FALSE(c->broken);
-    CHECK(c->got.empty());
+    CHECK(c->received.empty());
     boost::system::error_code reset;  // by what was sent first, had our side not waited for the client's end
     boost::asio::write(c->socket, boost::asio::buffer(get), reset);
     CHECK_FALSE(reset);
@@ -852,7 +853,8 @@
     FrontRig rig(5);
     boost::asio::ip::tcp::socket socket(rig.io);
     socket.connect({boost::asio::ip::address_v4::loopback(), rig.front.port()});
-    const auto c = std::make_shared<Peer>(std::move(socket), Peer::Seen());  // does not read yet
+    const auto c =
+        std::make_shared<TestConnection>(std::move(socket), TestConnection::OnChange());  // does not read yet
     c->send("GET /held HTTP/1.1\r\n\r\n");
     rig.until([&] { return rig.taken.size() == 1; });
     rig.front.begin_stop();
@@ -865,8 +867,8 @@
     c->read();
     rig.until([&] { return c->ended; });
     CHECK_FALSE(c->broken);
-    CHECK(c->got.size() > body.size());
-    CHECK(c->got.substr(c->got.size() - body.size()) == body);
+    CHECK(c->received.size() > body.size());
+    CHECK(c->received.substr(c->received.size() - body.size()) == body);
 }
 
 TEST_CASE("a client that sends much at once and goes is seen to have gone behind all that it sent") {
@@ -891,8 +893,8 @@
     }
     rig.front.answer(rig.last, {200, "yes"});
     rig.until([&] { return c->ended; });
-    CHECK(c->got.find("Connection: close") != std::string::npos);
-    CHECK(c->got.find("\r\n\r\nyes") != std::string::npos);
+    CHECK(c->received.find("Connection: close") != std::string::npos);
+    CHECK(c->received.find("\r\n\r\nyes") != std::string::npos);
     CHECK(rig.taken.size() == 1);
 }
 
@@ -900,8 +902,8 @@
     // Guards against clients that send without end what was turned away at its head.
     FrontRig rig(5);
     const auto c = rig.client("POST /x HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
-    rig.until([&] { return c->got.find("HTTP/1.1 413 ") == 0; });
-    const std::string more(max_head + max_body + 1, 'x');
+    rig.until([&] { return c->received.find("HTTP/1.1 413 ") == 0; });
+    const std::string more(max_head_bytes + max_body_bytes + 1, 'x');
     boost::asio::async_write(c->socket, boost::asio::buffer(more), [](auto, auto) {});
     rig.until([&] { return rig.front.open() == 0; });
     CHECK(rig.taken.empty());
@@ -1064,7 +1066,7 @@
     const std::size_t before = open_descriptors() - w.discovery.peers.size() - 1;  // but for the watch's own
     w.discovery_silent = true;
     w.watches[0].second->reset();
-    std::vector<std::shared_ptr<Peer>> idle;
+    std::vector<std::shared_ptr<TestConnection>> idle;
     for (int i = 0; i < 48; ++i) idle.push_back(w.client());
     w.until([&] { return w.watches.size() == 3; });  // two calls that were not answered
     const auto ours = [&] { return open_descriptors() - before - idle.size() - w.discovery.peers.size(); };
--- a/tests/tables_test.cpp
+++ b/tests/tables_test.cpp
@@ -121,7 +121,7 @@
         if (life > 0 && !whole) list.push_back(named(life - 1, Lifecycle::removed));
         nodes.apply({life, whole, list, 0});
         REQUIRE(nodes.size() <= 4);
-        if (life == 100) held = test::held_bytes();
+        if (life == 100) held = test::allocated_bytes();
     }
-    CHECK(test::held_bytes() <= held + 1000);
+    CHECK(test::allocated_bytes() <= held + 1000);
 }
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -107,7 +107,7 @@
         CHECK(std::abs(response.answered.weight + response.pruned.weight + response.missing.weight - 1) <
               1e-6);
     }
-    const PhaseCounts& counts() const { return service->dispatcher().phase_counts(); }
+    const TwoPhaseCounters& counts() const { return service->dispatcher().two_phase_counters(); }
 };
 
 }  // namespace
@@ -124,7 +124,7 @@
     CHECK(fixture.fleet.work().summaries == 40);
     CHECK(fixture.fleet.work().rows == response.answered.sections);
     CHECK(fixture.fleet.work().calls == 0);
-    CHECK(fixture.counts().kept_budget == 1);
+    CHECK(fixture.counts().within_budget == 1);
 }
 
 TEST_CASE("a query without search criteria, with too many rows or of another query class has one phase") {
@@ -217,7 +217,7 @@
         refusal == "words" ? Refusal::error_frame : Refusal::close;
     ClientQuery query = fixture.make_query();
     fixture.check_response(query, fixture.ask(query));
-    const auto& capability = fixture.service->dispatcher().speakers();
+    const auto& capability = fixture.service->dispatcher().two_phase_capability();
     const auto one_phase = [&] {
         int count = 0;
         for (std::uint32_t node = 0; node < 4; ++node) count += capability.is_one_phase(node);
@@ -272,7 +272,7 @@
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
     CHECK(response.whole);
-    CHECK(fixture.counts().wrong_words >= 1);
+    CHECK(fixture.counts().wrong_summaries >= 1);
     CHECK(fixture.counts().rechecked == 1);
     const ClientQuery next = fixture.make_query("wanted", 3);
     fixture.check_response(next, fixture.ask(next));
@@ -286,7 +286,7 @@
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
     CHECK(response.whole);
-    CHECK(fixture.counts().wrong_words >= 1);
+    CHECK(fixture.counts().wrong_summaries >= 1);
 }
 
 TEST_CASE("rows of an older version than the summary are discarded, and another replica is queried") {
@@ -304,7 +304,7 @@
     bool changed = false;
     for (DataNode& node : fixture.fleet.nodes)
         node.on_request = [&](char letter, std::uint32_t) {
-            if (letter != asks_rows || std::exchange(changed, true)) return;
+            if (letter != rows_request_frame || std::exchange(changed, true)) return;
             for (std::uint32_t s = 0; s < 8; ++s)
                 if (!fixture.fleet.script().sections[s].rows.empty() &&
                     fixture.fleet.script().sections[s].rows[0].rank >= 1000)
@@ -338,7 +338,7 @@
     std::set<char> after;
     for (std::size_t n = 0; n < 4; ++n)
         fixture.fleet.nodes[n].on_request = [&, n](char letter, std::uint32_t) {
-            if (letter == asks_rows && n == 1 && done && !crashes) after.insert(letter);
+            if (letter == rows_request_frame && n == 1 && done && !crashes) after.insert(letter);
         };
     fixture.client->ask(fixture.make_query());
     fixture.run_until([&] { return fixture.fleet.work().summaries == 12; });
@@ -393,7 +393,7 @@
     fixture.check_response(query, response);
     CHECK(response.whole);
     CHECK(fixture.fleet.work().summaries < 18);  // two are allowed for false positives of the filters
-    CHECK(fixture.counts().remembered >= 14);
+    CHECK(fixture.counts().pruned_from_memory >= 14);
     // A query that reads a section sees its newer version.
     const std::uint64_t summaries = fixture.fleet.work().summaries;
     fixture.fleet.play({0, "", {}, {3}, 0});
@@ -447,40 +447,41 @@
 }
 
 TEST_CASE("two-phase frames are parsed as written, and truncated or altered ones are detected") {
-    const PhaseId id{"q.1", 12, 2};
+    const PhaseRequestId id{"q.1", 12, 2};
     const SearchCriteria find{{"a b", "c"}, {{"expiry", -1.5, 3}}, 4};
     REQUIRE(read_find(write_find(find)));
     CHECK(read_find(write_find(find))->terms == find.terms);
     CHECK(read_find(write_find(find))->ranges[0].from == -1.5);
     std::string line;
-    write_phase_line(line, {id, 30, 4, true, 5, 6});
-    const auto read = read_phase_line(std::string_view(line).substr(0, line.size() - 1));
+    write_phase_request_line(line, {id, 30, 4, true, 5, 6});
+    const auto read = read_phase_request_line(std::string_view(line).substr(0, line.size() - 1));
     REQUIRE(read);
     CHECK(
         (read->id == id && read->wait_ms == 30 && read->rows == 4 && read->wants_filter && read->find == 6));
 
     SectionSummary summary{7, false, 9.5, {9, 8.25}, 40 * ms, true, {make_filter(3, 8), {{"e", 1, 2}}}};
     std::string bytes;
-    write_word(bytes, id, summary);
+    write_summary_frame(bytes, id, summary);
     std::string rows;
-    write_rows(rows, id, 7, {3, 3, 1}, "value");
+    write_rows_frame(rows, id, 7, {3, 3, 1}, "value");
     const std::string_view body = std::string_view(bytes).substr(5),
                            row_body = std::string_view(rows).substr(5);
-    const auto answer = read_phase_answer(brings_word, body);
+    const auto answer = read_phase_answer(summary_frame, body);
     REQUIRE((answer && answer->outcome == Outcome::ok));
-    CHECK((answer->id == id && answer->word.max_rank == 9.5 && answer->word.top_ranks == summary.top_ranks));
-    CHECK((answer->word.lease == summary.lease && answer->word.filter.terms == summary.filter.terms));
-    CHECK(read_phase_answer(brings_rows, row_body)->value == "value");
-    for (const auto& [letter, whole] : {std::pair(brings_word, body), std::pair(brings_rows, row_body)})
+    CHECK((answer->id == id && answer->summary.max_rank == 9.5 &&
+           answer->summary.top_ranks == summary.top_ranks));
+    CHECK((answer->summary.lease == summary.lease && answer->summary.filter.terms == summary.filter.terms));
+    CHECK(read_phase_answer(rows_frame, row_body)->value == "value");
+    for (const auto& [letter, whole] : {std::pair(summary_frame, body), std::pair(rows_frame, row_body)})
         for (std::size_t i = 0; i < whole.size(); ++i) {
             const auto cut = read_phase_answer(letter, whole.substr(0, i));
-            if (letter == brings_word && cut) CHECK(cut->malformed);
+            if (letter == summary_frame && cut) CHECK(cut->malformed);
             for (const char c : {'\0', '9', '\n', ' ', '\xff', ','}) {
                 std::string changed(whole);
                 changed[i] = c;
                 const auto got = read_phase_answer(letter, changed);
-                if (got && got->outcome == Outcome::ok && !got->word.top_ranks.empty())
-                    CHECK(got->word.top_ranks.front() <= got->word.max_rank);
+                if (got && got->outcome == Outcome::ok && !got->summary.top_ranks.empty())
+                    CHECK(got->summary.top_ranks.front() <= got->summary.max_rank);
             }
         }
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -3,11 +3,11 @@
 
 #include "config/host_port.hpp"
 #include "config/router_config_reader.hpp"
-#include "wire/answer_body.hpp"
 #include "wire/endpoint_list_codec.hpp"
 #include "wire/http.hpp"
 #include "wire/node_frames.hpp"
 #include "wire/query_body.hpp"
+#include "wire/response_body.hpp"
 
 using namespace tealcart;
 
@@ -22,7 +22,7 @@
 
 int status_of(std::string bytes) {
     RequestReader reader;
-    return reader.feed(bytes) == Reading::bad ? reader.error_status() : 0;
+    return reader.feed(bytes) == ParseStatus::malformed ? reader.error_status() : 0;
 }
 
 std::string wrong_with(const std::string& body) {
@@ -42,9 +42,9 @@
     for (std::size_t at = 0; at < all.size(); at += piece) {
         in += all.substr(at, piece);
         while (!in.empty()) {
-            const Reading reading = reader.feed(in);
-            REQUIRE(reading != Reading::bad);
-            if (reading == Reading::more) break;
+            const ParseStatus reading = reader.feed(in);
+            REQUIRE(reading != ParseStatus::malformed);
+            if (reading == ParseStatus::incomplete) break;
             read.push_back(reader.request());
             reader.next();
         }
@@ -94,32 +94,32 @@
 TEST_CASE("a client that waits to be told to go on is owed it once, before its body") {
     RequestReader reader;
     std::string in = "POST /part HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
-    CHECK(reader.feed(in) == Reading::more);
-    CHECK(reader.owes_continue());
-    CHECK_FALSE(reader.owes_continue());
+    CHECK(reader.feed(in) == ParseStatus::incomplete);
+    CHECK(reader.expects_continue());
+    CHECK_FALSE(reader.expects_continue());
     in = "ab";
-    CHECK(reader.feed(in) == Reading::done);
-    CHECK_FALSE(reader.owes_continue());
+    CHECK(reader.feed(in) == ParseStatus::complete);
+    CHECK_FALSE(reader.expects_continue());
 }
 
 TEST_CASE("answers' heads, and discovery's answers") {
-    const std::string head = write_answer_head({503, 2, 1250, true});
+    const std::string head = write_response_head({503, 2, 1250, true});
     CHECK(head.find("HTTP/1.1 503 Service Unavailable\r\n") == 0);
     CHECK(head.find("Content-Length: 2\r\n") != std::string::npos);
-    CHECK(write_answer_head({405, 0, 0, false, "POST"}).find("\r\nAllow: POST\r\n") != std::string::npos);
+    CHECK(write_response_head({405, 0, 0, false, "POST"}).find("\r\nAllow: POST\r\n") != std::string::npos);
     CHECK(head.find("Retry-After: 1.250\r\n") != std::string::npos);
     CHECK(head.find("Connection: close\r\n") != std::string::npos);
-    CHECK(write_answer_head({200, 0, 0, false}).find("Retry-After") == std::string::npos);
-    AnswerReader reader(100);
+    CHECK(write_response_head({200, 0, 0, false}).find("Retry-After") == std::string::npos);
+    ResponseReader reader(100);
     std::string in = head + "ok" + head;
-    CHECK(reader.feed(in) == Reading::done);
+    CHECK(reader.feed(in) == ParseStatus::complete);
     CHECK(reader.status() == 503);
     CHECK(reader.body() == "ok");
     CHECK_FALSE(reader.keep_alive());
     CHECK(in == head);
-    AnswerReader small(1);
+    ResponseReader small(1);
     in = head + "ok";
-    CHECK(small.feed(in) == Reading::bad);
+    CHECK(small.feed(in) == ParseStatus::malformed);
 }
 
 TEST_CASE("text is told from what is none") {
@@ -178,13 +178,13 @@
 }
 
 TEST_CASE("an answer holds its values as they are, escaped as JSON needs") {
-    AnswerBody body(false);
+    QueryResponseBody body(false);
     body.add(3, "a\"\\\n\x01");
     body.add(0, "\xc3\xa9\xff");
     CHECK(body.finish() ==
           "{\"all_in\":false,\"matches\":[{\"segment\":3,\"payload\":\"a\\\"\\\\\\u000a\\u0001\"},"
           "{\"segment\":0,\"payload\":\"\xc3\xa9\xff\"}]}");
-    CHECK(AnswerBody(true).finish() == R"({"all_in":true,"matches":[]})");
+    CHECK(QueryResponseBody(true).finish() == R"({"all_in":true,"matches":[]})");
 }
 
 TEST_CASE("a list is read; entries that can't be used are left out; what is no list is none") {
@@ -223,7 +223,7 @@
     std::string bytes;
     for (const char* rest :
          {"q.1 OK 17 -\nv", "q.2 REJECTED 0 inflight=7\n", "q.3 ERROR 0 -\n", "a.b.4 ODD 0 -\n"}) {
-        start_frame(bytes, 'Y', std::string_view(rest).size());
+        append_frame_header(bytes, 'Y', std::string_view(rest).size());
         bytes += rest;
     }
     CHECK(bytes.substr(0, 5) == std::string("\x0e\0\0\0Y", 5));
@@ -235,8 +235,8 @@
         in += bytes.substr(at, piece);
         std::string_view rest = in;
         Frame frame;
-        while (take_frame(rest, frame) == Framing::frame) {
-            const auto answer = read_node_answer(frame.rest);
+        while (take_frame(rest, frame) == FrameStatus::complete) {
+            const auto answer = read_node_answer(frame.payload);
             REQUIRE(answer);
             CHECK(answer->shard == ends.size() + 1);
             CHECK(answer->value == (ends.empty() ? "v" : ""));
@@ -252,9 +252,9 @@
 TEST_CASE("frames that lie about their length and lines that can't be read are found") {
     Frame frame;
     std::string_view in("\0\0\0\0Y", 5);
-    CHECK(take_frame(in, frame) == Framing::lost);
+    CHECK(take_frame(in, frame) == FrameStatus::malformed);
     in = "\xff\xff\xff\x7fY";
-    CHECK(take_frame(in, frame) == Framing::lost);
+    CHECK(take_frame(in, frame) == FrameStatus::malformed);
     for (const char* rest : {"", "\n", "q.1 OK 1 -", "q OK 1 -\n", ".1 OK 1 -\n", "q. OK 1 -\n",
                              "q.x OK 1 -\n", "q.-1 OK 1 -\n", "q.99999999999 OK 1 -\n", "q.1\n", "q.1 \n"}) {
         INFO(rest);
