--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -42,16 +42,17 @@
     };
     ++number_;
     const bool first = decisions_.pools.empty();
-    for (std::uint32_t p = 0; p < decisions.pools.size(); ++p) {
-        if (first) pool_names_.push_back(pool_name(p));
-        const std::string& name = pool_names_[p];
-        if (first || !(decisions_.pools[p] == decisions.pools[p])) {
-            resources_[at(XdsType::endpoint)][name] = encoder_.endpoints(p, decisions.pools[p], version());
+    for (std::uint32_t pool = 0; pool < decisions.pools.size(); ++pool) {
+        if (first) pool_names_.push_back(pool_name(pool));
+        const std::string& name = pool_names_[pool];
+        if (first || !(decisions_.pools[pool] == decisions.pools[pool])) {
+            resources_[at(XdsType::endpoint)][name] =
+                encoder_.endpoints(pool, decisions.pools[pool], version());
             ++encoded_;
             mark_changed(XdsType::endpoint, name);
         }
-        if (first || decisions_.pools[p].limit != decisions.pools[p].limit) {
-            limits_.set_total(p, decisions.pools[p].limit);
+        if (first || decisions_.pools[pool].limit != decisions.pools[pool].limit) {
+            limits_.set_total(pool, decisions.pools[pool].limit);
             reallocate_at_ =
                 std::min(reallocate_at_, first ? now : now + reallocation_interval);  // drains are sent first
         }
@@ -125,17 +126,17 @@
 
 void Controller::update_clusters(Stream& stream) {
     const std::vector<std::uint32_t> due = limits_.allowed_limits(stream.proxy);
-    for (std::uint32_t p = 0; p < due.size(); ++p) {
-        ResourcePtr& held = stream.clusters[pool_names_[p]];
-        if (held != nullptr && held->limit == due[p]) continue;
-        held = cluster(p, due[p]);
+    for (std::uint32_t pool = 0; pool < due.size(); ++pool) {
+        ResourcePtr& held = stream.clusters[pool_names_[pool]];
+        if (held != nullptr && held->limit == due[pool]) continue;
+        held = cluster(pool, due[pool]);
         ++stream.clusters_changed;
     }
 }
 
 XdsView Controller::view_of(const Stream& stream) const {
     XdsView view{{decisions_.generation, epoch_, number_}, {}};
-    for (std::size_t t = 0; t < xds_types; ++t) view.resources[t] = &resources_[t];
+    for (std::size_t type = 0; type < xds_types; ++type) view.resources[type] = &resources_[type];
     view.change_counts = change_counts_;
     view.resources[at(XdsType::cluster)] = &stream.clusters;
     view.change_counts[at(XdsType::cluster)] = stream.clusters_changed;
@@ -269,9 +270,9 @@
     const auto found = streams_.find(id);
     if (found == streams_.end()) return;
     const Stream& stream = found->second;
-    for (std::size_t t = 0; t < xds_types; ++t) {
-        const auto type = static_cast<XdsType>(t);
-        Subscribers& subscribers = subscribers_[t];
+    for (std::size_t index = 0; index < xds_types; ++index) {
+        const auto type = static_cast<XdsType>(index);
+        Subscribers& subscribers = subscribers_[index];
         subscribers.wildcard.erase(id);
         for (const std::string& name : stream.state.names(type)) remove_subscriber(subscribers, name, id);
     }
--- a/src/control/proxy_stream.cpp
+++ b/src/control/proxy_stream.cpp
@@ -341,10 +341,10 @@
 }
 
 bool ProxyStream::settled(const XdsView& view) const {
-    for (std::size_t t = 0; t < xds_types; ++t) {
-        const Change due = change(static_cast<XdsType>(t), view);
-        if (subscriptions_[t].requested &&
-            (subscriptions_[t].in_flight || subscriptions_[t].owes_response || !due.empty()))
+    for (std::size_t type = 0; type < xds_types; ++type) {
+        const Change due = change(static_cast<XdsType>(type), view);
+        if (subscriptions_[type].requested &&
+            (subscriptions_[type].in_flight || subscriptions_[type].owes_response || !due.empty()))
             return false;
     }
     return true;
--- a/src/control/resources.cpp
+++ b/src/control/resources.cpp
@@ -22,21 +22,22 @@
     return static_cast<XdsType>(at - urls.begin());
 }
 
-std::string format_version(const XdsVersion& v) {
-    return std::to_string(v.generation) + "." + std::to_string(v.epoch) + "." + std::to_string(v.number);
+std::string format_version(const XdsVersion& version) {
+    return std::to_string(version.generation) + "." + std::to_string(version.epoch) + "." +
+           std::to_string(version.number);
 }
 
 std::optional<XdsVersion> parse_version(std::string_view text) {
-    XdsVersion v;
+    XdsVersion version;
     const char* at = text.data();
     const char* const end = at + text.size();
-    for (std::uint64_t* part : {&v.generation, &v.epoch, &v.number}) {
+    for (std::uint64_t* part : {&version.generation, &version.epoch, &version.number}) {
         const auto [next, ec] = std::from_chars(at, end, *part);
-        const bool last = part == &v.number;
+        const bool last = part == &version.number;
         if (ec != std::errc() || (last ? next != end : next == end || *next != '.')) return std::nullopt;
         at = last ? next : next + 1;
     }
-    return v;
+    return version;
 }
 
 std::string pool_name(std::uint32_t pool) { return "holders-" + std::to_string(pool); }
--- a/src/phases/term_filter.cpp
+++ b/src/phases/term_filter.cpp
@@ -36,18 +36,18 @@
 void add_term(std::span<std::uint8_t> filter, std::uint64_t hash) {
     if (filter.size() < filter_block_bytes) return;
     std::uint8_t* block = filter.data() + block_offset(filter.size(), hash);
-    for (std::size_t w = 0; w < 8; ++w) {
-        const int bit = bit_index(w, hash);
-        block[4 * w + static_cast<std::size_t>(bit / 8)] |= static_cast<std::uint8_t>(1 << (bit % 8));
+    for (std::size_t word = 0; word < 8; ++word) {
+        const int bit = bit_index(word, hash);
+        block[4 * word + static_cast<std::size_t>(bit / 8)] |= static_cast<std::uint8_t>(1 << (bit % 8));
     }
 }
 
 bool may_contain(std::span<const std::uint8_t> filter, std::uint64_t hash) {
     if (filter.size() < filter_block_bytes) return true;
     const std::uint8_t* block = filter.data() + block_offset(filter.size(), hash);
-    for (std::size_t w = 0; w < 8; ++w) {
-        const int bit = bit_index(w, hash);
-        if ((block[4 * w + static_cast<std::size_t>(bit / 8)] >> (bit % 8) & 1) == 0) return false;
+    for (std::size_t word = 0; word < 8; ++word) {
+        const int bit = bit_index(word, hash);
+        if ((block[4 * word + static_cast<std::size_t>(bit / 8)] >> (bit % 8) & 1) == 0) return false;
     }
     return true;
 }
--- a/src/testing/client.cpp
+++ b/src/testing/client.cpp
@@ -61,18 +61,19 @@
     boost::asio::ip::tcp::socket socket(io);
     socket.connect({boost::asio::ip::address_v4::loopback(), port});
     socket.set_option(boost::asio::ip::tcp::no_delay(true));
-    connection_ = std::make_shared<Connection>(std::move(socket), [this, reader = reader_](Connection& c) {
-        while (!c.in.empty()) {
-            const ParseStatus reading = reader->feed(c.in);
-            if (reading != ParseStatus::complete) return reading == ParseStatus::incomplete;
-            ClientResponse read = read_answer(reader->status(), reader->body());
-            reader->next();
-            ++answers_;
-            done_(std::move(read));
-            if (!c.open) return false;
-        }
-        return true;
-    });
+    connection_ =
+        std::make_shared<Connection>(std::move(socket), [this, reader = reader_](Connection& connection) {
+            while (!connection.in.empty()) {
+                const ParseStatus reading = reader->feed(connection.in);
+                if (reading != ParseStatus::complete) return reading == ParseStatus::incomplete;
+                ClientResponse read = read_answer(reader->status(), reader->body());
+                reader->next();
+                ++answers_;
+                done_(std::move(read));
+                if (!connection.open) return false;
+            }
+            return true;
+        });
     connection_->on_end = [this] { done_({}); };
     connection_->read();
 }
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -25,9 +25,9 @@
 
 void Connection::read() {
     socket.async_read_some(boost::asio::buffer(buffer_),
-                           [self = shared_from_this()](const error_code& ec, std::size_t n) {
+                           [self = shared_from_this()](const error_code& ec, std::size_t length) {
                                if (!self->open) return;
-                               self->in.append(self->buffer_.data(), n);
+                               self->in.append(self->buffer_.data(), length);
                                if (ec || !self->take_(*self)) return self->close(false);
                                self->read();
                            });
@@ -73,7 +73,7 @@
             error_code ignored;
             socket.set_option(tcp::no_delay(true), ignored);
             auto made = std::make_shared<Connection>(std::move(socket), make_());
-            std::erase_if(connections_, [](const auto& c) { return c.expired(); });
+            std::erase_if(connections_, [](const auto& connection) { return connection.expired(); });
             connections_.push_back(made);
             made->read();
         }
@@ -85,41 +85,42 @@
     error_code ec;
     acceptor_.close(ec);
     for (const auto& held : connections_)
-        if (const auto c = held.lock()) c->close(reset);
+        if (const auto connection = held.lock()) connection->close(reset);
 }
 
 DataNode::DataNode(boost::asio::io_context& io, Script& script, NodeScript& self)
-    : io_(io), script_(script), self_(self),
-      listener_(io, self.port, [this] { return [this](Connection& c) { return take(c); }; }) {}
+    : io_(io), script_(script), self_(self), listener_(io, self.port, [this] {
+          return [this](Connection& connection) { return take(connection); };
+      }) {}
 
-bool DataNode::take(Connection& c) {
-    std::string_view in = c.in;
+bool DataNode::take(Connection& connection) {
+    std::string_view in = connection.in;
     Frame frame;
     FrameStatus framing = FrameStatus::incomplete;
     while ((framing = take_frame(in, frame)) == FrameStatus::complete) {
         work.bytes_in += frame.payload.size() + 5;
         bool good = true;
         if (frame.type == 'R')
-            good = take_shard_requests(c, frame.payload);
+            good = take_shard_requests(connection, frame.payload);
         else if (frame.type == summary_request_frame || frame.type == rows_request_frame)
-            good = take_phase_requests(c, frame.type, frame.payload);
+            good = take_phase_requests(connection, frame.type, frame.payload);
         else if (frame.type == 'A' || frame.type == phase_cancel_frame)
             ++work.given_up;
         else if (frame.type == 'G')
-            c.send(frame_of('G', "OK"));
+            connection.send(frame_of('G', "OK"));
         else
             good = false;
         if (!good) return false;
     }
-    c.in.erase(0, c.in.size() - in.size());
+    connection.in.erase(0, connection.in.size() - in.size());
     return framing == FrameStatus::incomplete;
 }
 
-void DataNode::answer_after(Nanos delay, Connection& c, std::string bytes) {
+void DataNode::answer_after(Nanos delay, Connection& connection, std::string bytes) {
     work.bytes_out += bytes.size();
-    if (delay <= 0) return c.send(std::move(bytes));
+    if (delay <= 0) return connection.send(std::move(bytes));
     auto timer = std::make_shared<boost::asio::steady_timer>(io_, std::chrono::nanoseconds(delay));
-    timer->async_wait([timer, bytes = std::move(bytes), self = c.shared_from_this()](
+    timer->async_wait([timer, bytes = std::move(bytes), self = connection.shared_from_this()](
                           const error_code&) mutable { self->send(std::move(bytes)); });
 }
 
@@ -136,7 +137,7 @@
 }
 
 // Each shard request is a line `ID SHARD LIST LENGTH`, followed by LENGTH bytes of text.
-bool DataNode::take_shard_requests(Connection& c, std::string_view rest) {
+bool DataNode::take_shard_requests(Connection& connection, std::string_view rest) {
     const Behaviour& behaviour = self_.behaviour;
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;) {
         const std::string_view line = rest.substr(0, end);
@@ -155,10 +156,10 @@
         if (shard >= script_.shards) return false;
         ++work.calls;
         if (on_request) on_request('R', shard);
-        if (behaviour.resets) return c.close(true), false;
+        if (behaviour.resets) return connection.close(true), false;
         if (silent_on(behaviour, shard)) continue;
         if (behaviour.rejects || behaviour.errs) {
-            answer_after(behaviour.call_delay, c,
+            answer_after(behaviour.call_delay, connection,
                          frame_of('Y', id + (behaviour.rejects ? " REJECTED 0 -\n" : " ERROR 0 -\n")));
             continue;
         }
@@ -168,16 +169,16 @@
         work.records += rows.size();
         const std::string value =
             criteria.rows > 0 ? format_rows(rows, script_.record) : self_.name + " on '" + text + "'";
-        answer_after(behaviour.call_delay, c, frame_of('Y', id + " OK 1 -\n" + value));
+        answer_after(behaviour.call_delay, connection, frame_of('Y', id + " OK 1 -\n" + value));
     }
     return true;
 }
 
-bool DataNode::take_phase_requests(Connection& c, char letter, std::string_view rest) {
+bool DataNode::take_phase_requests(Connection& connection, char letter, std::string_view rest) {
     const Behaviour& behaviour = self_.behaviour;
     if (behaviour.refusal == Refusal::close) return false;
     if (behaviour.refusal == Refusal::error_frame) {
-        c.send(frame_of('N', "an unknown letter"));
+        connection.send(frame_of('N', "an unknown letter"));
         return true;  // the router closes the connection, and this side does on its next bytes
     }
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;) {
@@ -191,7 +192,7 @@
         const std::uint32_t shard = line->id.shard;
         ++(letter == summary_request_frame ? work.summaries : work.rows);
         if (on_request) on_request(letter, shard);
-        if (behaviour.resets) return c.close(true), false;
+        if (behaviour.resets) return connection.close(true), false;
         if (silent_on(behaviour, shard) || (letter == summary_request_frame && behaviour.silent_summaries))
             continue;
         const char answer_letter = letter == summary_request_frame ? summary_frame : rows_frame;
@@ -199,7 +200,7 @@
         std::string out;
         if (behaviour.rejects || behaviour.errs) {
             write_phase_failure_frame(out, answer_letter, line->id, behaviour.rejects ? "REJECTED" : "ERROR");
-            answer_after(delay, c, std::move(out));
+            answer_after(delay, connection, std::move(out));
             continue;
         }
         const Section& section = script_.sections[shard];
@@ -224,42 +225,43 @@
             const std::uint64_t version = section.version - std::min(section.version, behaviour.behind);
             write_rows_frame(out, line->id, version, ranks, format_rows(rows, script_.record));
         }
-        answer_after(delay, c, std::move(out));
+        answer_after(delay, connection, std::move(out));
     }
     return true;
 }
 
 Discovery::Discovery(boost::asio::io_context& io, std::uint16_t port)
     : listener_(io, port, [this] {
-          return
-              [this, reader = std::make_shared<RequestReader>()](Connection& c) { return take(c, *reader); };
+          return [this, reader = std::make_shared<RequestReader>()](Connection& connection) {
+              return take(connection, *reader);
+          };
       }) {}
 
 // Sends full lists only. The first request of a connection is answered at once, a later one when the list
 // changes.
-bool Discovery::take(Connection& c, RequestReader& reader) {
+bool Discovery::take(Connection& connection, RequestReader& reader) {
     ParseStatus reading = ParseStatus::incomplete;
-    while ((reading = reader.feed(c.in)) == ParseStatus::complete) {
-        const bool first = answered_.insert(&c).second;
+    while ((reading = reader.feed(connection.in)) == ParseStatus::complete) {
+        const bool first = answered_.insert(&connection).second;
         reader.next();
         if (first)
-            answer(c);
+            answer(connection);
         else
-            watching_.insert(c.shared_from_this());
+            watching_.insert(connection.shared_from_this());
     }
     return reading == ParseStatus::incomplete;
 }
 
-void Discovery::answer(Connection& c) {
+void Discovery::answer(Connection& connection) {
     const std::string body = "{\"generation\":" + std::to_string(generation_) +
                              ",\"reset\":true,\"instances\":[" + entries_ + "]}";
-    c.send(write_response_head({200, body.size(), 0, false}) + body);
+    connection.send(write_response_head({200, body.size(), 0, false}) + body);
 }
 
 void Discovery::publish(std::string entries) {
     entries_ = std::move(entries);
     ++generation_;
-    for (const auto& c : std::exchange(watching_, {})) answer(*c);
+    for (const auto& connection : std::exchange(watching_, {})) answer(*connection);
 }
 
 Fleet::Fleet(boost::asio::io_context& io, Script script)
--- a/src/testing/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -86,10 +86,10 @@
     std::function<void(char letter, std::uint32_t shard)> on_request;  // called before the answer
 
   private:
-    bool take(Connection& c);
-    bool take_shard_requests(Connection& c, std::string_view rest);
-    bool take_phase_requests(Connection& c, char letter, std::string_view rest);
-    void answer_after(Nanos delay, Connection& c, std::string bytes);
+    bool take(Connection& connection);
+    bool take_shard_requests(Connection& connection, std::string_view rest);
+    bool take_phase_requests(Connection& connection, char letter, std::string_view rest);
+    void answer_after(Nanos delay, Connection& connection, std::string bytes);
     SearchCriteria criteria_in(std::string_view text) const;
 
     boost::asio::io_context& io_;
@@ -108,8 +108,8 @@
     void publish(std::string entries);
 
   private:
-    bool take(Connection& c, RequestReader& reader);
-    void answer(Connection& c);
+    bool take(Connection& connection, RequestReader& reader);
+    void answer(Connection& connection);
 
     std::string entries_;
     std::uint64_t generation_ = 1;
--- a/src/xds/recorder.cpp
+++ b/src/xds/recorder.cpp
@@ -28,16 +28,16 @@
     if (kept.size() >= max_kept) kept.clear();
     ReadEndpoints& read = kept[bytes];
     if (read != nullptr) return read;
-    envoy::config::endpoint::v3::ClusterLoadAssignment a;
-    a.ParseFromString(bytes);
+    envoy::config::endpoint::v3::ClusterLoadAssignment assignment;
+    assignment.ParseFromString(bytes);
     std::vector<Recorder::Endpoints::Entry> all;
-    for (const auto& locality : a.endpoints())
-        for (const auto& e : locality.lb_endpoints())
-            all.push_back({e.endpoint().hostname(),
-                           {e.health_status() == envoy::config::core::v3::DRAINING,
-                            e.load_balancing_weight().value()}});
+    for (const auto& locality : assignment.endpoints())
+        for (const auto& endpoint : locality.lb_endpoints())
+            all.push_back({endpoint.endpoint().hostname(),
+                           {endpoint.health_status() == envoy::config::core::v3::DRAINING,
+                            endpoint.load_balancing_weight().value()}});
     read = std::make_shared<const std::pair<std::string, Recorder::Endpoints>>(
-        a.cluster_name(), Recorder::Endpoints(std::move(all)));
+        assignment.cluster_name(), Recorder::Endpoints(std::move(all)));
     return read;
 }
 
@@ -74,11 +74,11 @@
         std::vector<std::string> names;
         for (const auto& any : resources) {
             if (type == XdsType::cluster) {
-                envoy::config::cluster::v3::Cluster c;
-                any.UnpackTo(&c);
-                names.push_back(c.name());
-                changes.push_back([this, name = c.name(),
-                                   limit = c.circuit_breakers().thresholds(0).max_requests().value()] {
+                envoy::config::cluster::v3::Cluster cluster;
+                any.UnpackTo(&cluster);
+                names.push_back(cluster.name());
+                changes.push_back([this, name = cluster.name(),
+                                   limit = cluster.circuit_breakers().thresholds(0).max_requests().value()] {
                     state.limits[name] = limit;
                 });
             } else if (type == XdsType::endpoint) {
@@ -86,19 +86,19 @@
                 names.push_back(read->first);
                 changes.push_back([this, read] { take_endpoints(read->first, read->second); });
             } else if (type == XdsType::listener) {
-                envoy::config::listener::v3::Listener l;
-                any.UnpackTo(&l);
-                names.push_back(l.name());
-                changes.push_back([this, name = l.name()] {
+                envoy::config::listener::v3::Listener listener;
+                any.UnpackTo(&listener);
+                names.push_back(listener.name());
+                changes.push_back([this, name = listener.name()] {
                     if (std::find(state.listeners.begin(), state.listeners.end(), name) ==
                         state.listeners.end())
                         state.listeners.push_back(name);
                 });
             } else {
-                auto r = std::make_shared<envoy::config::route::v3::RouteConfiguration>();
-                any.UnpackTo(r.get());
-                names.push_back(r->name());
-                changes.push_back([this, r] { take_route(*r); });
+                auto config = std::make_shared<envoy::config::route::v3::RouteConfiguration>();
+                any.UnpackTo(config.get());
+                names.push_back(config->name());
+                changes.push_back([this, config] { take_route(*config); });
             }
         }
         if (options_.rejects && options_.rejects(type, names)) return false;
@@ -147,20 +147,20 @@
             if (!was.draining && (!here || at->second.draining)) partly_draining_.insert(node);
         }
     }
-    void take_route(const envoy::config::route::v3::RouteConfiguration& r) {
-        auto& of = state.routes[r.name()];
-        of.clear();
-        for (const auto& host : r.virtual_hosts())
+    void take_route(const envoy::config::route::v3::RouteConfiguration& config) {
+        auto& clusters = state.routes[config.name()];
+        clusters.clear();
+        for (const auto& host : config.virtual_hosts())
             for (const auto& route : host.routes()) {
-                of.push_back(route.route().cluster());
-                state.max_retries[r.name()] = route.route().retry_policy().num_retries().value();
-                state.unknown_references += !state.limits.contains(of.back());
+                clusters.push_back(route.route().cluster());
+                state.max_retries[config.name()] = route.route().retry_policy().num_retries().value();
+                state.unknown_references += !state.limits.contains(clusters.back());
             }
     }
     bool gone_everywhere(const std::string& node) const {
-        return std::none_of(state.endpoints.begin(), state.endpoints.end(), [&node](const auto& of) {
-            const auto at = of.second.find(node);
-            return at != of.second.end() && !at->second.draining;
+        return std::none_of(state.endpoints.begin(), state.endpoints.end(), [&node](const auto& cluster) {
+            const auto found = cluster.second.find(node);
+            return found != cluster.second.end() && !found->second.draining;
         });
     }
     std::set<std::string> partly_draining_;  // no longer served by some cluster, but still by another
@@ -200,7 +200,7 @@
             std::string version;
             if constexpr (delta) {
                 removed.assign(in_.removed_resources().begin(), in_.removed_resources().end());
-                for (const auto& r : in_.resources()) resources.push_back(r.resource());
+                for (const auto& resource : in_.resources()) resources.push_back(resource.resource());
                 version = in_.system_version_info();
             } else {
                 resources.assign(in_.resources().begin(), in_.resources().end());
@@ -237,55 +237,56 @@
         if (queue_.size() == 1) this->StartWrite(&queue_.front());
     }
     Request request_for(XdsType type) {
-        Request r;
-        if (first_) r.mutable_node()->set_id(options_.node);
+        Request request;
+        if (first_) request.mutable_node()->set_id(options_.node);
         first_ = false;
-        r.set_type_url(std::string(type_url(type)));
-        return r;
+        request.set_type_url(std::string(type_url(type)));
+        return request;
     }
     void subscribe(XdsType type, const std::vector<std::string>& names) {
-        auto& asked = asked_[static_cast<std::size_t>(type)];
+        auto& subscription = subscriptions_[static_cast<std::size_t>(type)];
         const std::set<std::string> wanted(names.begin(), names.end());
-        if (asked.known && wanted == asked.names) return;
-        if (asked.known && delta && type == XdsType::cluster) return;
-        Request r = request_for(type);
+        if (subscription.requested && wanted == subscription.names) return;
+        if (subscription.requested && delta && type == XdsType::cluster) return;
+        Request request = request_for(type);
         if constexpr (delta) {
             for (const std::string& name : names)
-                if (!asked.names.contains(name)) r.add_resource_names_subscribe(name);
+                if (!subscription.names.contains(name)) request.add_resource_names_subscribe(name);
         } else {
-            for (const std::string& name : names) r.add_resource_names(name);
-            if (asked.known)
-                r.set_response_nonce(asked.nonce), r.set_version_info(asked.version);
+            for (const std::string& name : names) request.add_resource_names(name);
+            if (subscription.requested)
+                request.set_response_nonce(subscription.nonce),
+                    request.set_version_info(subscription.version);
             else
-                r.set_version_info(options_.known_version);
+                request.set_version_info(options_.known_version);
         }
-        asked.names = wanted;
-        asked.known = true;
-        send(std::move(r));
+        subscription.names = wanted;
+        subscription.requested = true;
+        send(std::move(request));
     }
     void answer(XdsType type, bool taken) {
-        auto& asked = asked_[static_cast<std::size_t>(type)];
-        asked.nonce = in_.nonce();
-        Request r = request_for(type);
-        r.set_response_nonce(in_.nonce());
+        auto& subscription = subscriptions_[static_cast<std::size_t>(type)];
+        subscription.nonce = in_.nonce();
+        Request request = request_for(type);
+        request.set_response_nonce(in_.nonce());
         if constexpr (!delta) {
-            if (taken) asked.version = in_.version_info();
-            r.set_version_info(asked.version);
-            for (const std::string& name : asked.names) r.add_resource_names(name);
+            if (taken) subscription.version = in_.version_info();
+            request.set_version_info(subscription.version);
+            for (const std::string& name : subscription.names) request.add_resource_names(name);
         }
         if (!taken) {
-            r.mutable_error_detail()->set_code(3);
-            r.mutable_error_detail()->set_message("rejected by the recorder");
+            request.mutable_error_detail()->set_code(3);
+            request.mutable_error_detail()->set_message("rejected by the recorder");
         }
-        send(std::move(r));
+        send(std::move(request));
     }
 
-    struct Asked {
-        bool known = false;
+    struct Subscription {
+        bool requested = false;
         std::set<std::string> names;
         std::string nonce, version;
     };
-    std::array<Asked, xds_types> asked_;
+    std::array<Subscription, xds_types> subscriptions_;
     std::deque<Request> queue_;
     Response in_;
     bool first_ = true;
@@ -304,8 +305,9 @@
 
 std::vector<Recorder::Endpoints::Entry>::const_iterator Recorder::Endpoints::find(
     const std::string& node) const {
-    const auto at = std::lower_bound(all_->begin(), all_->end(), node,
-                                     [](const Entry& e, const std::string& n) { return e.first < n; });
+    const auto at =
+        std::lower_bound(all_->begin(), all_->end(), node,
+                         [](const Entry& entry, const std::string& name) { return entry.first < name; });
     return at != all_->end() && at->first == node ? at : all_->end();
 }
 
