--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -10,9 +10,9 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-std::string frame_of(char letter, std::string_view rest) {
+std::string frame_of(char frame_type, std::string_view rest) {
     std::string out;
-    append_frame_header(out, letter, rest.size());
+    append_frame_header(out, frame_type, rest.size());
     return out.append(rest);
 }
 
@@ -174,7 +174,7 @@
     return true;
 }
 
-bool DataNode::take_phase_requests(Connection& connection, char letter, std::string_view rest) {
+bool DataNode::take_phase_requests(Connection& connection, char frame_type, std::string_view rest) {
     const Behaviour& behaviour = self_.behaviour;
     if (behaviour.refusal == Refusal::close) return false;
     if (behaviour.refusal == Refusal::error_frame) {
@@ -190,22 +190,24 @@
         if (!criteria || line->id.shard >= script_.shards) return false;
         criteria->rows = line->rows;
         const std::uint32_t shard = line->id.shard;
-        ++(letter == summary_request_frame ? work.summaries : work.rows);
-        if (on_request) on_request(letter, shard);
+        ++(frame_type == summary_request_frame ? work.summaries : work.rows);
+        if (on_request) on_request(frame_type, shard);
         if (behaviour.resets) return connection.close(true), false;
-        if (silent_on(behaviour, shard) || (letter == summary_request_frame && behaviour.silent_summaries))
+        if (silent_on(behaviour, shard) ||
+            (frame_type == summary_request_frame && behaviour.silent_summaries))
             continue;
-        const char answer_letter = letter == summary_request_frame ? summary_frame : rows_frame;
-        const Nanos delay = letter == summary_request_frame ? behaviour.summary_delay : behaviour.rows_delay;
+        const char answer_type = frame_type == summary_request_frame ? summary_frame : rows_frame;
+        const Nanos delay =
+            frame_type == summary_request_frame ? behaviour.summary_delay : behaviour.rows_delay;
         std::string out;
         if (behaviour.rejects || behaviour.errs) {
-            write_phase_failure_frame(out, answer_letter, line->id, behaviour.rejects ? "REJECTED" : "ERROR");
+            write_phase_failure_frame(out, answer_type, line->id, behaviour.rejects ? "REJECTED" : "ERROR");
             answer_after(delay, connection, std::move(out));
             continue;
         }
         const Section& section = script_.sections[shard];
         ++work.lookups;
-        if (letter == summary_request_frame) {
+        if (frame_type == summary_request_frame) {
             SectionSummary summary = summarize(section, *criteria, behaviour.lease, line->wants_filter);
             if (behaviour.hides_rows) summary.no_matches = true, summary.top_ranks.clear();
             summary.max_rank += behaviour.bound_error;
--- a/src/testing/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -25,7 +25,7 @@
     using Take = std::function<bool(Connection&)>;
     using Socket = boost::asio::ip::tcp::socket;
 
-    Connection(Socket s, Take take) : socket(std::move(s)), take_(std::move(take)) {}
+    Connection(Socket connected, Take take) : socket(std::move(connected)), take_(std::move(take)) {}
 
     void read();
     void send(std::string bytes);
@@ -83,12 +83,12 @@
     void crash() { listener_.close(true); }
 
     WorkCounts work;
-    std::function<void(char letter, std::uint32_t shard)> on_request;  // called before the answer
+    std::function<void(char frame_type, std::uint32_t shard)> on_request;  // called before the answer
 
   private:
     bool take(Connection& connection);
     bool take_shard_requests(Connection& connection, std::string_view rest);
-    bool take_phase_requests(Connection& connection, char letter, std::string_view rest);
+    bool take_phase_requests(Connection& connection, char frame_type, std::string_view rest);
     void answer_after(Nanos delay, Connection& connection, std::string bytes);
     SearchCriteria criteria_in(std::string_view text) const;
 
--- a/src/testing/main.cpp
+++ b/src/testing/main.cpp
@@ -29,8 +29,8 @@
     if (self == nullptr) throw std::runtime_error("the script has no node '" + name + "'");
     boost::asio::io_context io(1);
     DataNode node(io, script, *self);
-    node.on_request = [](char letter, std::uint32_t shard) {
-        std::printf("%c %u\n", letter, shard);
+    node.on_request = [](char frame_type, std::uint32_t shard) {
+        std::printf("%c %u\n", frame_type, shard);
         std::fflush(stdout);
     };
     io.run();
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -651,7 +651,7 @@
 }
 
 TEST_CASE(
-    "a cluster is removed only after the routes have moved off it, and sent before routes that referenced to "
+    "a cluster is removed only after the routes have moved off it, and sent before routes that refer to "
     "it") {
     const bool delta = GENERATE(false, true);
     const auto made = [](const std::string& name, const std::string& version) {
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -303,12 +303,12 @@
     ServiceFixture fixture(fleet_script(8, "rows = 8\ntop = 0.25\n"));
     bool changed = false;
     for (DataNode& node : fixture.fleet.nodes)
-        node.on_request = [&](char letter, std::uint32_t) {
-            if (letter != rows_request_frame || std::exchange(changed, true)) return;
-            for (std::uint32_t s = 0; s < 8; ++s)
-                if (!fixture.fleet.script().sections[s].rows.empty() &&
-                    fixture.fleet.script().sections[s].rows[0].rank >= 1000)
-                    fixture.fleet.play({0, "", {}, {s}, -5000});
+        node.on_request = [&](char frame_type, std::uint32_t) {
+            if (frame_type != rows_request_frame || std::exchange(changed, true)) return;
+            for (std::uint32_t shard = 0; shard < 8; ++shard)
+                if (!fixture.fleet.script().sections[shard].rows.empty() &&
+                    fixture.fleet.script().sections[shard].rows[0].rank >= 1000)
+                    fixture.fleet.play({0, "", {}, {shard}, -5000});
         };
     const ClientQuery query = fixture.make_query();
     const ClientResponse response = fixture.ask(query);
@@ -336,9 +336,9 @@
     ServiceFixture fixture(fleet_script(12, "rows = 8\n"));
     bool done = false;
     std::set<char> after;
-    for (std::size_t n = 0; n < 4; ++n)
-        fixture.fleet.nodes[n].on_request = [&, n](char letter, std::uint32_t) {
-            if (letter == rows_request_frame && n == 1 && done && !crashes) after.insert(letter);
+    for (std::size_t node = 0; node < 4; ++node)
+        fixture.fleet.nodes[node].on_request = [&, node](char frame_type, std::uint32_t) {
+            if (frame_type == rows_request_frame && node == 1 && done && !crashes) after.insert(frame_type);
         };
     fixture.client->ask(fixture.make_query());
     fixture.run_until([&] { return fixture.fleet.work().summaries == 12; });
@@ -472,14 +472,14 @@
            answer->summary.top_ranks == summary.top_ranks));
     CHECK((answer->summary.lease == summary.lease && answer->summary.filter.terms == summary.filter.terms));
     CHECK(read_phase_answer(rows_frame, row_body)->value == "value");
-    for (const auto& [letter, whole] : {std::pair(summary_frame, body), std::pair(rows_frame, row_body)})
+    for (const auto& [frame_type, whole] : {std::pair(summary_frame, body), std::pair(rows_frame, row_body)})
         for (std::size_t i = 0; i < whole.size(); ++i) {
-            const auto cut = read_phase_answer(letter, whole.substr(0, i));
-            if (letter == summary_frame && cut) CHECK(cut->malformed);
+            const auto cut = read_phase_answer(frame_type, whole.substr(0, i));
+            if (frame_type == summary_frame && cut) CHECK(cut->malformed);
             for (const char c : {'\0', '9', '\n', ' ', '\xff', ','}) {
                 std::string changed(whole);
                 changed[i] = c;
-                const auto got = read_phase_answer(letter, changed);
+                const auto got = read_phase_answer(frame_type, changed);
                 if (got && got->outcome == Outcome::ok && !got->summary.top_ranks.empty())
                     CHECK(got->summary.top_ranks.front() <= got->summary.max_rank);
             }
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -70,7 +70,7 @@
         state.listeners.size() != 2)
         return false;
     return std::all_of(state.endpoints.begin(), state.endpoints.end(),
-                       [pool_size](const auto& e) { return e.second.size() == pool_size; });
+                       [pool_size](const auto& entry) { return entry.second.size() == pool_size; });
 }
 
 // Sends these bytes as the first message of a stream and waits for the stream's end.
@@ -160,8 +160,8 @@
         REQUIRE(again.wait_until([&](const State& state) {
             if (state.endpoints.size() != 4 || state.routes.size() != 2) return false;
             for (const auto& [_, endpoints] : state.endpoints)
-                for (const auto& [node, e] : endpoints)
-                    if (node == drains && !e.draining) return false;
+                for (const auto& [node, endpoint] : endpoints)
+                    if (node == drains && !endpoint.draining) return false;
             return true;
         }));
         CHECK(again.state().unknown_references == 0);
