--- a/models/drains.pml
+++ b/models/drains.pml
@@ -1,43 +1,44 @@
-/* A drain of one data node by agreement: grant, acknowledgement, lease, and the way back, with words that are
- * lost, late or out of order, routers that pause for any time, and stewards that lose none of what they agreed on.
+/* Model of a drain of one data node: grant, acknowledgement, lease and return. Reports may be lost, delayed or reordered,
+ * and routers may pause for any time. The fleet managers never lose committed state.
  *
- * Checked: never "done" while a router may still send to the node, nor while one that lives has work there. Variants that have to be caught:
- *   NO_FENCE    a word of an earlier drain counts for a later one
- *   WALL_CLOCK  routers judge their lease by a clock that may be set back
- *   OLD_WORDS   an older word replaces a newer one but for its generation
- *   LATE_COUNT  a router counts its lease from when the answer came, not from when it asked
+ * Checked: a drain is never "done" while a router may still send to the node, nor while a live router has requests in flight
+ * there. These faulty variants have to be caught:
+ *   NO_FENCE             a report of an earlier drain counts for a later one
+ *   WALL_CLOCK           routers check their lease by a clock that may be set back
+ *   STALE_REPORTS        an older report replaces a newer one, except for its generation
+ *   LEASE_FROM_RESPONSE  a router's lease counts from when the response arrived, not from when the request was sent
  */
-#define R 1            /* each is waited for by itself, so one stands for all */
+#define R 1            /* each router is waited for separately, so one is enough */
 #define LEASE 1
 #define DRIFT 1
 #define GENERATIONS 3
 #define END 4
 
 byte now;
-byte generation, out_since;      /* what is agreed; out_since: the generation of the drain */
+byte generation, out_since;      /* the committed state; out_since: the generation of the drain */
 bool out, done;
-byte acked[R], lease_at_stewards[R];
-bool hand_told[R];
+byte acked_generation[R], granted_lease[R];
+bool reported_in_flight[R];
 
-byte acts_on[R], lease[R];       /* what each router goes by */
-bool sees_out[R], in_hand[R];
+byte applied_generation[R], lease[R];       /* the state of each router */
+bool sees_out[R], in_flight[R];
 #ifdef WALL_CLOCK
-byte back[R];                    /* by so much its clock was set back */
-#define CLOCK(i) (now - back[i])
+byte set_back[R];                /* how far its clock was set back */
+#define CLOCK(i) (now - set_back[i])
 #else
 #define CLOCK(i) now
 #endif
 
-chan word[R] = [2] of { byte, byte, bool };    /* acts on, sent at, something in hand */
-chan told[R] = [2] of { byte, bool, byte };    /* generation, out, the word's time */
+chan report[R] = [2] of { byte, byte, bool };    /* applied generation, sent at, requests in flight */
+chan response[R] = [2] of { byte, bool, byte };    /* generation, out, time at which the report was sent */
 
 proctype Router(byte i) {
     byte g, s;
     bool o, h;
     do
-    :: atomic { nfull(word[i]) && now < END -> word[i]!acts_on[i], CLOCK(i), in_hand[i] && sees_out[i] }
-    :: atomic { told[i]?g, o, s ->
-#ifdef LATE_COUNT
+    :: atomic { nfull(report[i]) && now < END -> report[i]!applied_generation[i], CLOCK(i), in_flight[i] && sees_out[i] }
+    :: atomic { response[i]?g, o, s ->
+#ifdef LEASE_FROM_RESPONSE
            s = CLOCK(i);
 #endif
            if
@@ -45,41 +46,41 @@
            :: else
            fi;
            if
-           :: g > acts_on[i] -> acts_on[i] = g; sees_out[i] = o
+           :: g > applied_generation[i] -> applied_generation[i] = g; sees_out[i] = o
            :: else
            fi
        }
-       /* The clock is looked at, then the leaf call is written, in one step. */
-    :: atomic { !sees_out[i] && !in_hand[i] && CLOCK(i) < lease[i] -> assert(!done); in_hand[i] = true }
-    :: atomic { in_hand[i] -> in_hand[i] = false }
-    :: atomic { nempty(word[i]) -> word[i]?g, s, h }                         /* lost */
-    :: atomic { nempty(told[i]) -> told[i]?g, o, s }
-    :: atomic { len(word[i]) == 2 -> word[i]?g, s, h; word[i]!g, s, h }      /* overtaken */
+       /* Checking the clock and sending the request is one atomic step. */
+    :: atomic { !sees_out[i] && !in_flight[i] && CLOCK(i) < lease[i] -> assert(!done); in_flight[i] = true }
+    :: atomic { in_flight[i] -> in_flight[i] = false }
+    :: atomic { nempty(report[i]) -> report[i]?g, s, h }                         /* message lost */
+    :: atomic { nempty(response[i]) -> response[i]?g, o, s }
+    :: atomic { len(report[i]) == 2 -> report[i]?g, s, h; report[i]!g, s, h }      /* reports reordered */
 #ifdef WALL_CLOCK
-    :: atomic { back[i] == 0 && now >= 3 -> back[i] = 3 }
+    :: atomic { set_back[i] == 0 && now >= 3 -> set_back[i] = 3 }
 #endif
     od
 }
 
-#define HOLDS_UP(i) (now <= lease_at_stewards[i] && (acked[i] < out_since || hand_told[i]))
+#define HOLDS_UP(i) (now <= granted_lease[i] && (acked_generation[i] < out_since || reported_in_flight[i]))
 
-proctype Stewards() {
+proctype Managers() {
     byte i, g, s;
     bool h;
     do
-    :: atomic { nempty(word[0]) && nfull(told[0]) ->
-           word[i]?g, s, h;
-           lease_at_stewards[i] = now + LEASE + DRIFT;
+    :: atomic { nempty(report[0]) && nfull(response[0]) ->
+           report[i]?g, s, h;
+           granted_lease[i] = now + LEASE + DRIFT;
            if
-#ifdef OLD_WORDS
-           :: g >= acked[i] -> acked[i] = g; hand_told[i] = h
-           :: else -> hand_told[i] = h
+#ifdef STALE_REPORTS
+           :: g >= acked_generation[i] -> acked_generation[i] = g; reported_in_flight[i] = h
+           :: else -> reported_in_flight[i] = h
 #else
-           :: g >= acked[i] -> acked[i] = g; hand_told[i] = h
+           :: g >= acked_generation[i] -> acked_generation[i] = g; reported_in_flight[i] = h
            :: else
 #endif
            fi;
-           told[i]!generation, out, s;
+           response[i]!generation, out, s;
            g = 0; s = 0; h = false
        }
     :: atomic { !out && generation < GENERATIONS ->
@@ -89,7 +90,7 @@
 #endif
        }
     :: atomic { out && !done && !HOLDS_UP(0) ->
-           assert(!in_hand[0] || now > lease_at_stewards[0]);
+           assert(!in_flight[0] || now > granted_lease[0]);
            done = true
        }
     :: atomic { out && generation < GENERATIONS -> generation++; out = false; done = false }
@@ -105,7 +106,7 @@
 init {
     atomic {
         lease[0] = LEASE;
-        lease_at_stewards[0] = LEASE + DRIFT;
-        run Time(); run Stewards(); run Router(0)
+        granted_lease[0] = LEASE + DRIFT;
+        run Time(); run Managers(); run Router(0)
     }
 }
