--- a/measure/drains.cpp
+++ b/measure/drains.cpp
@@ -22,8 +22,8 @@
 constexpr int plans = 200;
 constexpr double max_leaderless_s = 2, max_cpu = 0.02, max_mb = 0.5;
 
-SimPlan plan_of(std::uint64_t seed) {
-    SimPlan plan;
+SimulationPlan plan_of(std::uint64_t seed) {
+    SimulationPlan plan;
     plan.seed = seed;
     plan.budgets.nodes = {4, 1};
     plan.budgets.min_holders = 2;
@@ -101,15 +101,15 @@
         if (!holds) std::printf("missed: %s\n", what);
         kept &= holds;
     };
-    SimVerdict all, alone;
+    SimulationResult all, alone;
     for (int i = 0; i < plans; ++i) {
-        SimPlan plan = plan_of(static_cast<std::uint64_t>(i + 1));
-        const SimVerdict v = play(plan);
+        SimulationPlan plan = plan_of(static_cast<std::uint64_t>(i + 1));
+        const SimulationResult v = run_simulation(plan);
         all.over_budget += v.over_budget, all.after_done += v.after_done, all.late += v.late;
         all.grants += v.grants, all.dones += v.dones, all.attempts += v.attempts;
         all.deaths += v.deaths, all.pauses += v.pauses, all.cuts += v.cuts, all.new_leaders += v.new_leaders;
         plan.agreed = false;
-        const SimVerdict w = play(plan);
+        const SimulationResult w = run_simulation(plan);
         alone.over_budget += w.over_budget, alone.grants += w.grants;
     }
     std::printf(
@@ -128,12 +128,12 @@
     aim(all.dones > plans && alone.over_budget > 0, "the plans show something");
     double simulated[2][2];
     for (const int which : {0, 1}) {
-        SimPlan plan = plan_of(7);
+        SimulationPlan plan = plan_of(7);
         plan.members = which == 0 ? 300 : 10'000;
         plan.faults = false;
         plan.budgets.lease = 10'000'000'000;
         plan.span = 30'000'000'000;
-        const SimVerdict v = play(plan);
+        const SimulationResult v = run_simulation(plan);
         simulated[which][0] = ms_at(v.grant_to_done, 0.5), simulated[which][1] = ms_at(v.grant_to_done, 0.99);
         std::printf("%d members simulated: %zu grants to done, p50 %.1f ms, p99 %.1f ms\n", plan.members,
                     v.grant_to_done.size(), simulated[which][0], simulated[which][1]);
--- a/measure/relays.cpp
+++ b/measure/relays.cpp
@@ -68,7 +68,7 @@
         if (b.is_object()) s.in += b["in"].get<double>(), s.out += b["out"].get<double>();
     s.at = Clock::now();
     const auto figures = [](const auto& from, auto& to) {
-        for (const auto& p : from) to.push_back(p ? figures_of(p->pid()) : ProcessFigures());
+        for (const auto& p : from) to.push_back(p ? process_figures(p->pid()) : ProcessFigures());
     };
     figures(rig.managers, s.managers);
     figures(rig.relays, s.relays);
@@ -358,7 +358,7 @@
     const std::vector<std::string> words(argv + 1, argv + argc);
     if (!words.empty() && words[0] == "--followers") {
         boost::asio::io_context io(1);
-        FollowerProcess(io, read_followers(words)).run();
+        FollowerProcess(io, read_follower_arguments(words)).run();
         return 0;
     }
     std::vector<std::size_t> ladder = {300, 1200, 3600};
--- a/measure/scale.cpp
+++ b/measure/scale.cpp
@@ -59,8 +59,8 @@
     s.hollow = rig.hollow();
     s.leader = rig.leader();
     for (const auto& p : rig.managers) s.pids.push_back(p ? p->pid() : -1);
-    for (const auto& p : rig.managers) s.managers.push_back(p ? figures_of(p->pid()) : ProcessFigures());
-    s.own_cpu_s = figures_of(::getpid()).cpu_s;
+    for (const auto& p : rig.managers) s.managers.push_back(p ? process_figures(p->pid()) : ProcessFigures());
+    s.own_cpu_s = process_figures(::getpid()).cpu_s;
     s.discovery = rig.discovery->counts();
     s.answers = rig.answers;
     s.at = Clock::now();
@@ -173,11 +173,11 @@
     Rung r;
     r.routers = rig.plan.routers, r.nodes = rig.plan.nodes;
     const auto began = Clock::now();
-    r.list_bytes = rig.discovery->whole_bytes();
+    r.list_bytes = rig.discovery->full_list_bytes();
     r.up = rig.until(
         [&] {
             rig.run_for(Ms(200));
-            return rig.all_hold();
+            return rig.all_hold_leases();
         },
         Ms(300'000));
     r.up_s = std::chrono::duration<double>(Clock::now() - began).count();
@@ -202,7 +202,7 @@
                             e.who.c_str(), e.what.c_str());
     r.heard = true;
     for (int i = 0; i < drains; ++i) {
-        r.drains.push_back(rig.drain(static_cast<std::uint32_t>(i) % rig.plan.seeded, Ms(40'000)));
+        r.drains.push_back(rig.drain(static_cast<std::uint32_t>(i) % rig.plan.known_nodes, Ms(40'000)));
         const auto& d = r.drains.back();
         r.heard &= d.granted;
         r.drain_ms = d.done ? std::max(r.drain_ms, d.ms) : 1e9;
@@ -210,7 +210,7 @@
                     d.done      ? "done"
                     : d.granted ? "granted, NOT done"
                                 : "NOT granted",
-                    d.ms, d.done ? "" : ": ", d.done ? "" : d.said.substr(0, 160).c_str());
+                    d.ms, d.done ? "" : ": ", d.done ? "" : d.response.substr(0, 160).c_str());
         if (!d.granted) break;
     }
     if (!r.heard) std::printf("  the stewards never heard of these nodes\n");
@@ -257,7 +257,7 @@
         d.name = std::move(name), d.may_lapse = may_lapse, d.is_ordinary = is_ordinary;
         const Sample before = sample(rig_);
         what(d);
-        if (d.drain.ms < 0) d.drain = rig_.drain(next_++ % rig_.plan.seeded, Ms(40'000));
+        if (d.drain.ms < 0) d.drain = rig_.drain(next_++ % rig_.plan.known_nodes, Ms(40'000));
         d.cost = cost(before, sample(rig_));
         print(d.name.c_str(), d.cost);
         std::printf("    drain: %s, %.0f ms", d.drain.done ? "done" : "NOT done", d.drain.ms);
@@ -278,19 +278,20 @@
             const double s = std::chrono::duration<double>(now - began).count();
             if (now - began < span && s * restarts_a_s * times > begun) {
                 ++begun;
-                const std::uint32_t n = rig_.plan.seeded + turn_++ % (rig_.plan.nodes - rig_.plan.seeded);
+                const std::uint32_t n =
+                    rig_.plan.known_nodes + turn_++ % (rig_.plan.nodes - rig_.plan.known_nodes);
                 for (int i = 0; i < 3; ++i) due.push_back({now + Ms(300 * i), {n, i}});
                 std::sort(due.begin(), due.end());
             }
             while (!due.empty() && due.front().first <= now) {
                 const auto [n, what] = due.front().second;
                 due.pop_front();
-                rig_.discovery->set(n,
-                                    what == 0   ? Lifecycle::draining
-                                    : what == 1 ? Lifecycle::removed
-                                                : Lifecycle::ready,
-                                    what == 2 ? epoch_now() : 0);
-                rig_.discovery->tell();
+                rig_.discovery->set_lifecycle(n,
+                                              what == 0   ? Lifecycle::draining
+                                              : what == 1 ? Lifecycle::removed
+                                                          : Lifecycle::ready,
+                                              what == 2 ? epoch_now() : 0);
+                rig_.discovery->publish();
             }
             rig_.run_for(Ms(5));
         }
@@ -299,8 +300,8 @@
     void zone(Day& d) {
         const auto all = [&](Lifecycle a, Nanos started) {
             for (std::uint32_t n = 0; n < rig_.plan.nodes; ++n)
-                if (n % hollow_zones == 3) rig_.discovery->set(n, a, started);
-            rig_.discovery->tell();
+                if (n % hollow_zones == 3) rig_.discovery->set_lifecycle(n, a, started);
+            rig_.discovery->publish();
         };
         for (std::size_t i = 3; i < rig_.plan.processes; i += hollow_zones)
             rig_.processes[i]->signal(SIGKILL);
@@ -327,23 +328,24 @@
 
     void third(Day& d) {
         for (std::size_t i = 0; i < rig_.plan.processes; ++i)
-            rig_.say(i, "restart " + std::to_string(rig_.plan.routers / rig_.plan.processes / 3));
+            rig_.send_command(i, "restart " + std::to_string(rig_.plan.routers / rig_.plan.processes / 3));
         d.back_s = back();
         rig_.run_for(Ms(10'000));
     }
 
     void cut(Day& d) {
         const std::size_t some = rig_.plan.processes / 6;
-        for (std::size_t i = 0; i < some; ++i) rig_.say(i, "cut");
-        d.drain = rig_.drain(next_++ % rig_.plan.seeded, Ms(40'000));
+        for (std::size_t i = 0; i < some; ++i) rig_.send_command(i, "cut");
+        d.drain = rig_.drain(next_++ % rig_.plan.known_nodes, Ms(40'000));
         rig_.run_for(Ms(5000));
-        for (std::size_t i = 0; i < some; ++i) rig_.say(i, "heal");
+        for (std::size_t i = 0; i < some; ++i) rig_.send_command(i, "heal");
         d.back_s = back();
     }
 
     double back() {
         const auto from = Clock::now();
-        const bool held = rig_.until([&] { return rig_.run_for(Ms(100)), rig_.all_hold(); }, Ms(300'000));
+        const bool held =
+            rig_.until([&] { return rig_.run_for(Ms(100)), rig_.all_hold_leases(); }, Ms(300'000));
         return held ? seconds_since(from) : 1e9;
     }
     static double seconds_since(TimePoint from) {
@@ -394,7 +396,7 @@
     plan.processes = 4;
     plan.lease = "60s";  // no lease ends in the run, however late a process is woken
     HollowRig rig(io, std::move(plan));
-    const bool up = rig.until([&] { return rig.run_for(Ms(100)), rig.all_hold(); }, Ms(60'000));
+    const bool up = rig.until([&] { return rig.run_for(Ms(100)), rig.all_hold_leases(); }, Ms(60'000));
     aim(up, "120 routers hold a lease");
     const auto read = [&] {
         for (const HollowFigures& f : rig.hollow())
@@ -418,8 +420,9 @@
     // What has changed reaches each router once: as many entries as nodes changed, and their bytes.
     const Sample before = sample(rig);
     constexpr std::uint32_t changed = 100;
-    for (std::uint32_t n = 1000; n < 1000 + changed; ++n) rig.discovery->set(n, Lifecycle::draining);
-    rig.discovery->tell();
+    for (std::uint32_t n = 1000; n < 1000 + changed; ++n)
+        rig.discovery->set_lifecycle(n, Lifecycle::draining);
+    rig.discovery->publish();
     const auto entries = [](const std::vector<HollowFigures>& all) {
         std::uint64_t sum = 0;
         for (const HollowFigures& f : all) sum += f.entries;
@@ -458,7 +461,7 @@
     std::vector<std::string> words(argv + 1, argv + argc);
     if (!words.empty() && words[0] == "--hollow") {
         boost::asio::io_context io(1);
-        HollowProcess process(io, read_hollow(words));
+        HollowProcess process(io, read_hollow_arguments(words));
         process.run();
         return 0;
     }
@@ -488,7 +491,7 @@
         "nodes and what\nchanges, and have no module and no queries; one reader a process has the whole "
         "list. "
         "Discovery is a script, data\nnodes are its entries, twelve listeners answer for them all.\n",
-        plan_of(1, 1).seeded);
+        plan_of(1, 1).known_nodes);
     Aims aim;
     if (quick) return quickly(aim);
     std::vector<Rung> rungs;
--- a/src/changes/report_aggregator.hpp
+++ b/src/changes/report_aggregator.hpp
@@ -3,10 +3,10 @@
 //
 // A member's lease never outlives that of its relay: a member is granted the rest of the relay's lease, which
 // counts from when the acknowledged report was *sent*. So when the fleet managers know that the relay's lease
-// has expired
-// (`drift` after its end), they know the same of all its members. Nothing is granted to a member before the
-// fleet managers have applied a report that lists it as joined: they would not wait for a member that they
-// don't know. A member polls one relay at a time and ignores responses from a relay that it has left.
+// has expired, `drift` after its end, they know the same of all its members. Nothing is granted to a member
+// before the fleet managers have applied a report that lists it as joined: they would not wait for a member
+// that they don't know. A member polls one relay at a time and ignores responses from a relay that it has
+// left.
 #pragma once
 
 #include <cstddef>
@@ -66,8 +66,8 @@
     struct Departed {
         std::uint64_t incarnation = 0;
         bool lost = false;
-        std::uint64_t reported_since =
-            0;  // the number of the first report that listed it as left or lost; 0 if none yet
+        // The number of the first report that listed it as left or lost; 0 if none yet.
+        std::uint64_t reported_since = 0;
     };
 
     void depart(const std::string& name, std::uint64_t incarnation, bool lost);
--- a/src/fleet/removal_queue.hpp
+++ b/src/fleet/removal_queue.hpp
@@ -63,7 +63,8 @@
     std::set<std::uint64_t> take_completion_candidates(std::uint64_t lowest_applied);
     void recheck_completion(const Target& target);
 
-    // Sets what blocks all queued requests. The reason is kept for requests that are added later.
+    // Sets what blocks every queued request, and requests that are added later. block() then overrides it for
+    // the first request of a queue.
     void block_all(const std::string& reason);
     void block(std::uint64_t id, const std::string& reason);
     // Forgets the reason of block_all() once no queued request is left.
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -18,109 +18,117 @@
 using namespace fleet;
 
 constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr int width = 3;
+constexpr int replicas_per_shard = 3;
 
-class Sim {
+class Simulation {
   public:
-    explicit Sim(const SimPlan& plan)
-        : plan_(plan), chance_(static_cast<unsigned>(plan.seed)), state_(plan.budgets) {
+    explicit Simulation(const SimulationPlan& plan)
+        : plan_(plan), random_(static_cast<unsigned>(plan.seed)), state_(plan.budgets) {
         for (int n = 0; n < plan_.nodes; ++n) {
             Node node{n % 2 == 0 ? "a" : "b", "m", {}, Health::healthy, 0};
-            for (int j = 0; j < width; ++j)
+            for (int j = 0; j < replicas_per_shard; ++j)
                 node.shards.push_back(static_cast<std::uint32_t>((n + plan_.nodes - j) % plan_.nodes));
-            truth_["n" + std::to_string(n)] = node;
-            names_.push_back("n" + std::to_string(n));
+            actual_nodes_["n" + std::to_string(n)] = node;
+            node_names_.push_back("n" + std::to_string(n));
         }
         members_.resize(static_cast<std::size_t>(plan_.members));
     }
 
-    SimVerdict run() {
-        state_.apply({"", now_, EndpointsObserved{truth_, true, {}}});
-        for (std::size_t i = 0; i < members_.size(); ++i) at(pick(200 * ms), [this, i] { start(i); });
+    SimulationResult run() {
+        state_.apply({"", now_, EndpointsObserved{actual_nodes_, true, {}}});
+        for (std::size_t i = 0; i < members_.size(); ++i)
+            schedule(random_below(200 * ms), [this, i] { start(i); });
         tick();
-        for (int tool = 0; tool < 3; ++tool) use(tool);
+        for (int tool = 0; tool < 3; ++tool) use_tool(tool);
         if (plan_.faults) {
-            at(second, [this] { fault_managers(); });
-            at(second, [this] { trouble_members(); });
-            at(second, [this] { trouble_nodes(); });
+            schedule(second, [this] { inject_manager_fault(); });
+            schedule(second, [this] { inject_member_fault(); });
+            schedule(second, [this] { inject_node_fault(); });
         }
         const Nanos end = now_ + plan_.span;
-        while (!events_.empty() && events_.top().at <= end) {
-            const Event e = events_.top();
+        while (!events_.empty() && events_.top().time <= end) {
+            const Event event = events_.top();
             events_.pop();
-            now_ = e.at;
-            e.what();
+            now_ = event.time;
+            event.action();
         }
-        return verdict_;
+        return result_;
     }
 
   private:
     struct Event {
-        Nanos at;
+        Nanos time;
         std::uint64_t order;
-        std::function<void()> what;
-        bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
+        std::function<void()> action;
+        bool operator<(const Event& other) const {
+            return time != other.time ? time > other.time : order > other.order;
+        }
     };
     struct Member {
         std::unique_ptr<MemberLease> lease;
-        std::uint64_t incarnation = 0, applied_version = 0, told = 0,
-                      call = 0;  // call: the number of the one that is out
+        std::uint64_t incarnation = 0, applied_generation = 0, known_generation = 0;
+        std::uint64_t call = 0;  // the number of the pending call
         std::set<std::string> out;
-        std::map<std::string, Nanos>
-            arrived;  // nodes that the last word at its socket has as out, since when
+        // Nodes that are out according to the last response at its socket, and since when.
+        std::map<std::string, Nanos> arrived;
         std::map<std::string, int> in_flight;
-        Nanos paused_until = 0, cut_to = 0, cut_from = 0;
-        bool up = false;
+        Nanos paused_until = 0, cut_off_to_managers_until = 0, cut_off_from_managers_until = 0;
+        bool running = false;
     };
-    struct Waiting {
+    struct WaitingCall {
         std::size_t member;
-        std::uint64_t call, incarnation, knows;
+        std::uint64_t call, incarnation, known_generation;
         Nanos sent, until;
     };
 
-    Nanos pick(Nanos below) { return below <= 0 ? 0 : static_cast<Nanos>(chance_()) * 65'537 % below; }
-    bool odds(int of) { return chance_() % static_cast<unsigned>(of) == 0; }
-    Nanos way() { return 200'000 + pick(2 * ms); }
-    void at(Nanos in, std::function<void()> what) { events_.push({now_ + in, ++order_, std::move(what)}); }
+    Nanos random_below(Nanos limit) {
+        return limit <= 0 ? 0 : static_cast<Nanos>(random_()) * 65'537 % limit;
+    }
+    bool one_in(int n) { return random_() % static_cast<unsigned>(n) == 0; }
+    Nanos network_delay() { return 200'000 + random_below(2 * ms); }
+    void schedule(Nanos delay, std::function<void()> action) {
+        events_.push({now_ + delay, ++order_, std::move(action)});
+    }
 
-    // The managers as one log: what is proposed is agreed after a few ms, or, where the leader dies
-    // meanwhile, is lost or agreed without a word.
-    void propose(Command c, std::function<void(bool)> told = {}) {
-        if (!leads_) {
-            if (told) told(false);
+    // Models the fleet managers as one log: a proposal is committed after a few ms. If the leader dies in the
+    // meantime, it is lost, or committed without a response.
+    void propose(Command command, std::function<void(bool)> on_committed = {}) {
+        if (!has_leader_) {
+            if (on_committed) on_committed(false);
             return;
         }
-        c.proposed_at = now_ + skew_;
+        command.proposed_at = now_ + leader_clock_skew_;
         const auto epoch = epoch_;
-        at(2 * ms + pick(4 * ms), [this, c = std::move(c), told = std::move(told), epoch] {
-            const bool same = epoch == epoch_;
-            if (same || odds(2)) apply(c);
-            if (told) told(same);
-        });
+        schedule(2 * ms + random_below(4 * ms),
+                 [this, command = std::move(command), on_committed = std::move(on_committed), epoch] {
+                     const bool same_leader = epoch == epoch_;
+                     if (same_leader || one_in(2)) apply(command);
+                     if (on_committed) on_committed(same_leader);
+                 });
     }
 
-    void apply(const Command& c) {
-        std::set<std::string> whole;
+    void apply(const Command& command) {
+        std::set<std::string> healthy_before;
         for (const auto& [name, node] : state_.nodes())
-            if (!state_.is_out({false, name})) whole.insert(name);
+            if (!state_.is_out({false, name})) healthy_before.insert(name);
         const std::uint64_t before = state_.generation();
-        for (const fleet::Effect& effect : state_.apply(c)) {
+        for (const fleet::Effect& effect : state_.apply(command)) {
             if (const auto* granted = std::get_if<RemovalGranted>(&effect)) {
-                ++verdict_.grants;
+                ++result_.grants;
                 granted_at_[granted->request] = now_;
-                if (whole.contains(granted->target)) check_budget();
+                if (healthy_before.contains(granted->target)) check_budget();
             }
             if (const auto* done = std::get_if<RemovalDone>(&effect)) {
-                ++verdict_.dones;
+                ++result_.dones;
                 done_.insert(done->target);
-                verdict_.grant_to_done.push_back(now_ - granted_at_[done->request]);
+                result_.grant_to_done.push_back(now_ - granted_at_[done->request]);
             }
             if (const auto* returned = std::get_if<TargetReturned>(&effect)) done_.erase(returned->target);
         }
-        if (state_.generation() != before) answer_waiting([](const Waiting&) { return true; });
+        if (state_.generation() != before) answer_waiting([](const WaitingCall&) { return true; });
     }
 
-    // Counted anew from what the managers see.
+    // Recounts what is out from the fleet managers' state.
     void check_budget() {
         std::size_t out = 0;
         std::map<std::uint32_t, std::size_t> holders;
@@ -129,91 +137,96 @@
             out += is_out;
             for (const std::uint32_t s : n.shards) holders[s] += !is_out;
         }
-        verdict_.over_budget += out > plan_.budgets.nodes.allowed(state_.nodes().size());
+        result_.over_budget += out > plan_.budgets.nodes.allowed(state_.nodes().size());
     }
 
     void tick() {
         propose({"", 0, Tick{}});
-        at(250 * ms, [this] { tick(); });
+        schedule(250 * ms, [this] { tick(); });
     }
 
     template <typename Which>
     void answer_waiting(Which which) {
-        std::vector<Waiting> all;
-        std::erase_if(waiting_, [&](const Waiting& w) {
-            if (!which(w)) return false;
-            all.push_back(w);
+        std::vector<WaitingCall> all;
+        std::erase_if(waiting_, [&](const WaitingCall& waiting) {
+            if (!which(waiting)) return false;
+            all.push_back(waiting);
             return true;
         });
         std::set<std::string> out;
         for (const auto& [target, request] : state_.removed_targets())
             if (!target.router) out.insert(target.name);
         const auto shared = std::make_shared<const std::set<std::string>>(std::move(out));
-        for (const Waiting& w : all) {
-            if (members_[w.member].cut_from > now_) continue;
-            at(way(), [this, w, generation = state_.generation(), shared] { hear(w, generation, *shared); });
+        for (const WaitingCall& waiting : all) {
+            if (members_[waiting.member].cut_off_from_managers_until > now_) continue;
+            schedule(network_delay(), [this, waiting, generation = state_.generation(), shared] {
+                receive_response(waiting, generation, *shared);
+            });
         }
     }
 
-    // A manager's side of a member's call.
-    void take(Waiting called, Join join, Renew renew, Nanos wait_for) {
-        if (!leads_) return;  // it will have been silent for too long
+    // Handles a member's call at the fleet managers.
+    void handle_call(WaitingCall called, Join join, Renew renew, Nanos wait_for) {
+        if (!has_leader_) return;  // the member's call will time out
         batch_.joins.push_back(std::move(join));
         batch_.renewals.push_back(std::move(renew));
         batch_calls_.emplace_back(called, wait_for);
         if (batch_calls_.size() > 1) return;
-        at(5 * ms, [this] {
+        schedule(5 * ms, [this] {
             auto calls =
-                std::make_shared<std::vector<std::pair<Waiting, Nanos>>>(std::exchange(batch_calls_, {}));
-            propose({"", 0, std::exchange(batch_, {})}, [this, calls](bool agreed) {
-                if (!agreed) return;
+                std::make_shared<std::vector<std::pair<WaitingCall, Nanos>>>(std::exchange(batch_calls_, {}));
+            propose({"", 0, std::exchange(batch_, {})}, [this, calls](bool committed) {
+                if (!committed) return;
                 Nanos first = INT64_MAX;
-                for (auto& [w, wait] : *calls) {
-                    w.until = now_ + wait;
+                for (auto& [waiting, wait] : *calls) {
+                    waiting.until = now_ + wait;
                     first = std::min(first, wait);
-                    waiting_.push_back(w);
+                    waiting_.push_back(waiting);
                 }
-                // Some want an answer sooner than others: each is looked at when the first of them is due,
-                // and again.
+                // The calls have different wait times: check them whenever one of the times has passed.
                 std::set<Nanos> times;
-                for (const auto& [w, wait] : *calls) times.insert(wait);
+                for (const auto& [waiting, wait] : *calls) times.insert(wait);
                 for (const Nanos t : times)
-                    at(t, [this] { answer_waiting([this](const Waiting& w) { return now_ >= w.until; }); });
-                answer_waiting([this](const Waiting& w) { return state_.generation() > w.knows; });
+                    schedule(t, [this] {
+                        answer_waiting([this](const WaitingCall& waiting) { return now_ >= waiting.until; });
+                    });
+                answer_waiting([this](const WaitingCall& waiting) {
+                    return state_.generation() > waiting.known_generation;
+                });
             });
         });
     }
 
     void start(std::size_t i) {
-        Member& m = members_[i];
+        Member& member = members_[i];
         MemberConfig config;
         config.lease_grace = plan_.strict ? 0 : 24 * 3600 * second;
         config.stop_after_grace = plan_.strict;
-        const std::uint64_t incarnation = m.incarnation + 1, call = m.call + 1;
-        m = Member{};
-        m.incarnation = incarnation, m.call = call, m.up = true;
-        m.lease = std::make_unique<MemberLease>(config, now_, incarnation);
-        call_out(i);
-        leaf(i, incarnation);
+        const std::uint64_t incarnation = member.incarnation + 1, call = member.call + 1;
+        member = Member{};
+        member.incarnation = incarnation, member.call = call, member.running = true;
+        member.lease = std::make_unique<MemberLease>(config, now_, incarnation);
+        call_managers(i);
+        send_request(i, incarnation);
     }
 
-    bool runs(const Member& m, std::uint64_t incarnation) const {
-        return m.up && m.incarnation == incarnation;
+    bool is_running(const Member& member, std::uint64_t incarnation) const {
+        return member.running && member.incarnation == incarnation;
     }
-    // What a paused process does, it does once it goes on.
-    bool put_off(const Member& m, std::function<void()> what) {
-        if (m.paused_until <= now_) return false;
-        at(m.paused_until - now_, std::move(what));
+    // Postpones an action of a paused process until the process resumes.
+    bool postpone(const Member& member, std::function<void()> action) {
+        if (member.paused_until <= now_) return false;
+        schedule(member.paused_until - now_, std::move(action));
         return true;
     }
 
-    void call_out(std::size_t i) {
-        Member& m = members_[i];
-        const std::uint64_t number = ++m.call, incarnation = m.incarnation;
-        Renew renew{"r" + std::to_string(i), incarnation, {m.applied_version, {}, {}, 0, 0}};
-        for (const auto& [node, calls] : m.in_flight)
-            if (calls > 0 && m.out.contains(node)) renew.report.in_flight.insert({false, node});
-        const Nanos wait = m.lease->wait(!renew.report.in_flight.empty());
+    void call_managers(std::size_t i) {
+        Member& member = members_[i];
+        const std::uint64_t number = ++member.call, incarnation = member.incarnation;
+        Renew renew{"r" + std::to_string(i), incarnation, {member.applied_generation, {}, {}, 0, 0}};
+        for (const auto& [node, calls] : member.in_flight)
+            if (calls > 0 && member.out.contains(node)) renew.report.in_flight.insert({false, node});
+        const Nanos wait = member.lease->wait(!renew.report.in_flight.empty());
         Join join{renew.name,
                   Role::router,
                   i % 2 == 0 ? "a" : "b",
@@ -221,177 +234,190 @@
                   "d",
                   incarnation,
                   plan_.strict ? 0 : 24 * 3600 * second};
-        const Waiting w{i, number, incarnation, m.told, now_, 0};
-        if (m.cut_to <= now_) at(way(), [this, w, join, renew, wait] { take(w, join, renew, wait); });
-        at(wait + second, [this, i, number, incarnation] { silent(i, number, incarnation); });
+        const WaitingCall waiting{i, number, incarnation, member.known_generation, now_, 0};
+        if (member.cut_off_to_managers_until <= now_)
+            schedule(network_delay(),
+                     [this, waiting, join, renew, wait] { handle_call(waiting, join, renew, wait); });
+        schedule(wait + second, [this, i, number, incarnation] { on_timeout(i, number, incarnation); });
     }
-    void silent(std::size_t i, std::uint64_t number, std::uint64_t incarnation) {
-        Member& m = members_[i];
-        if (!runs(m, incarnation) || m.call != number) return;
-        if (put_off(m, [this, i, number, incarnation] { silent(i, number, incarnation); })) return;
-        call_out(i);
+    void on_timeout(std::size_t i, std::uint64_t number, std::uint64_t incarnation) {
+        Member& member = members_[i];
+        if (!is_running(member, incarnation) || member.call != number) return;
+        if (postpone(member, [this, i, number, incarnation] { on_timeout(i, number, incarnation); })) return;
+        call_managers(i);
     }
-    void hear(const Waiting& w, std::uint64_t generation, const std::set<std::string>& out) {
-        Member& m = members_[w.member];
-        if (!runs(m, w.incarnation) || m.call != w.call) return;
-        // The observer notes what has come to the process, whether or not it runs.
+    void receive_response(const WaitingCall& waiting, std::uint64_t generation,
+                          const std::set<std::string>& out) {
+        Member& member = members_[waiting.member];
+        if (!is_running(member, waiting.incarnation) || member.call != waiting.call) return;
+        // Records what has reached the process's socket, whether or not the process is paused.
         std::map<std::string, Nanos> arrived;
         for (const std::string& node : out) {
-            const auto since = m.arrived.find(node);
-            arrived[node] = since == m.arrived.end() ? now_ : since->second;
+            const auto since = member.arrived.find(node);
+            arrived[node] = since == member.arrived.end() ? now_ : since->second;
         }
-        m.arrived = std::move(arrived);
-        if (put_off(m, [this, w, generation, out] { hear(w, generation, out); })) return;
-        m.lease->renewed(w.sent, plan_.budgets.lease);
-        Nanos round = 0;
-        if (generation > m.told) {
-            m.out = out;
-            m.told = generation;
-            round = 5 * ms;
+        member.arrived = std::move(arrived);
+        if (postpone(member,
+                     [this, waiting, generation, out] { receive_response(waiting, generation, out); }))
+            return;
+        member.lease->renewed(waiting.sent, plan_.budgets.lease);
+        Nanos round_delay = 0;
+        if (generation > member.known_generation) {
+            member.out = out;
+            member.known_generation = generation;
+            round_delay = 5 * ms;
         }
-        at(round, [this, w] {
-            Member& after = members_[w.member];
-            if (!runs(after, w.incarnation) || after.call != w.call) return;
-            after.applied_version = after.told;
-            call_out(w.member);
+        schedule(round_delay, [this, waiting] {
+            Member& after = members_[waiting.member];
+            if (!is_running(after, waiting.incarnation) || after.call != waiting.call) return;
+            after.applied_generation = after.known_generation;
+            call_managers(waiting.member);
         });
     }
 
-    // One leaf call after the other, each to a node that the member may send to as far as it knows.
-    void leaf(std::size_t i, std::uint64_t incarnation) {
-        Member& m = members_[i];
-        if (!runs(m, incarnation)) return;
-        // A process that goes on reads what has come before it decides: a round comes after the reads.
-        if (put_off(m, [this, i, incarnation] { at(1, [this, i, incarnation] { leaf(i, incarnation); }); }))
+    // Sends requests one after the other, each to a node that the member believes it may use.
+    void send_request(std::size_t i, std::uint64_t incarnation) {
+        Member& member = members_[i];
+        if (!is_running(member, incarnation)) return;
+        // A process that resumes first reads its sockets: a decision round comes after the reads.
+        if (postpone(member, [this, i, incarnation] {
+                schedule(1, [this, i, incarnation] { send_request(i, incarnation); });
+            }))
             return;
-        at(20 * ms + pick(60 * ms), [this, i, incarnation] { leaf(i, incarnation); });
-        const std::string& node = names_[static_cast<std::size_t>(pick(plan_.nodes))];
-        if (m.out.contains(node) || now_ >= m.lease->attempts_until(now_)) return;
-        ++verdict_.attempts;
-        const bool live = m.lease->serving_state(now_) == ServingState::leased;
-        if (done_.contains(node) && (plan_.strict || live)) ++verdict_.after_done;
-        const auto told = m.arrived.find(node);
-        if (told != m.arrived.end() && now_ - told->second > second) ++verdict_.late;
-        ++m.in_flight[node];
-        at(5 * ms + pick(300 * ms), [this, i, incarnation, node] {
+        schedule(20 * ms + random_below(60 * ms), [this, i, incarnation] { send_request(i, incarnation); });
+        const std::string& node = node_names_[static_cast<std::size_t>(random_below(plan_.nodes))];
+        if (member.out.contains(node) || now_ >= member.lease->attempts_until(now_)) return;
+        ++result_.attempts;
+        const bool live = member.lease->serving_state(now_) == ServingState::leased;
+        if (done_.contains(node) && (plan_.strict || live)) ++result_.after_done;
+        const auto arrival = member.arrived.find(node);
+        if (arrival != member.arrived.end() && now_ - arrival->second > second) ++result_.late;
+        ++member.in_flight[node];
+        schedule(5 * ms + random_below(300 * ms), [this, i, incarnation, node] {
             if (members_[i].incarnation == incarnation) --members_[i].in_flight[node];
         });
     }
 
-    // A tool that drains some nodes and lets them back.
-    void use(int tool) {
-        at(200 * ms + pick(1500 * ms), [this, tool] { use(tool); });
-        const std::string& node = names_[static_cast<std::size_t>(pick(plan_.nodes))];
-        if (!plan_.agreed) return use_alone(tool, node);
-        const std::string id = "t" + std::to_string(tool) + "-" + std::to_string(++asked_);
-        if (odds(2)) {
-            // Said twice now and then, as by one who got no answer.
+    // An operator's tool that drains nodes and lets them back.
+    void use_tool(int tool) {
+        schedule(200 * ms + random_below(1500 * ms), [this, tool] { use_tool(tool); });
+        const std::string& node = node_names_[static_cast<std::size_t>(random_below(plan_.nodes))];
+        if (!plan_.agreed) return use_tool_without_consensus(tool, node);
+        const std::string id = "t" + std::to_string(tool) + "-" + std::to_string(++tool_calls_);
+        if (one_in(2)) {
+            // Sometimes sent twice, like a retry after a lost response.
             propose({id, 0, RequestRemoval{"t", {false, node}}});
-            if (odds(3))
-                at(50 * ms, [this, id, node] { propose({id, 0, RequestRemoval{"t", {false, node}}}); });
+            if (one_in(3))
+                schedule(50 * ms, [this, id, node] { propose({id, 0, RequestRemoval{"t", {false, node}}}); });
         } else if (!state_.requests().empty()) {
-            const auto n = static_cast<std::ptrdiff_t>(pick(static_cast<Nanos>(state_.requests().size())));
+            const auto n =
+                static_cast<std::ptrdiff_t>(random_below(static_cast<Nanos>(state_.requests().size())));
             propose({id, 0, UndoRemoval{std::next(state_.requests().begin(), n)->first}});
         }
     }
 
-    // The same without agreement: it looks at who is out, late, and acts on what it saw.
-    void use_alone(int tool, const std::string& node) {
-        if (odds(2) && !alone_out_.empty()) {
-            alone_out_.erase(std::next(alone_out_.begin(), pick(static_cast<Nanos>(alone_out_.size()))));
+    // The same without consensus: the tool reads what is out and acts on that stale view.
+    void use_tool_without_consensus(int tool, const std::string& node) {
+        if (one_in(2) && !uncoordinated_out_.empty()) {
+            uncoordinated_out_.erase(std::next(uncoordinated_out_.begin(),
+                                               random_below(static_cast<Nanos>(uncoordinated_out_.size()))));
             return;
         }
         (void)tool;
-        const std::set<std::string> seen = alone_out_;
-        at(50 * ms + pick(500 * ms), [this, seen, node] {
-            if (seen.size() + 1 > plan_.budgets.nodes.allowed(names_.size()) || seen.contains(node)) return;
-            alone_out_.insert(node);
-            ++verdict_.grants;
-            verdict_.over_budget += alone_out_.size() > plan_.budgets.nodes.allowed(names_.size());
+        const std::set<std::string> seen = uncoordinated_out_;
+        schedule(50 * ms + random_below(500 * ms), [this, seen, node] {
+            if (seen.size() + 1 > plan_.budgets.nodes.allowed(node_names_.size()) || seen.contains(node))
+                return;
+            uncoordinated_out_.insert(node);
+            ++result_.grants;
+            result_.over_budget +=
+                uncoordinated_out_.size() > plan_.budgets.nodes.allowed(node_names_.size());
         });
     }
 
-    void fault_managers() {
+    void inject_manager_fault() {
         ++epoch_;
-        leads_ = false;
+        has_leader_ = false;
         waiting_.clear();
         batch_ = {}, batch_calls_ = {};
-        ++verdict_.new_leaders;
-        // Now and then there is no majority for a while.
-        at(odds(4) ? 3 * second + pick(6 * second) : 300 * ms + pick(900 * ms), [this] {
-            leads_ = true;
-            ++epoch_;
-            skew_ = pick(4 * second) - 2 * second;
-        });
-        at(3 * second + pick(8 * second), [this] { fault_managers(); });
+        ++result_.new_leaders;
+        // Sometimes there is no quorum for a while.
+        schedule(one_in(4) ? 3 * second + random_below(6 * second) : 300 * ms + random_below(900 * ms),
+                 [this] {
+                     has_leader_ = true;
+                     ++epoch_;
+                     leader_clock_skew_ = random_below(4 * second) - 2 * second;
+                 });
+        schedule(3 * second + random_below(8 * second), [this] { inject_manager_fault(); });
     }
 
-    void trouble_members() {
-        at(100 * ms + pick(600 * ms), [this] { trouble_members(); });
-        const auto i = static_cast<std::size_t>(pick(plan_.members));
-        Member& m = members_[i];
-        const Nanos span = 200 * ms + pick(2 * plan_.budgets.lease);
-        switch (pick(4)) {
+    void inject_member_fault() {
+        schedule(100 * ms + random_below(600 * ms), [this] { inject_member_fault(); });
+        const auto i = static_cast<std::size_t>(random_below(plan_.members));
+        Member& member = members_[i];
+        const Nanos span = 200 * ms + random_below(2 * plan_.budgets.lease);
+        switch (random_below(4)) {
             case 0:
-                ++verdict_.deaths;
-                m.up = false;
-                at(span, [this, i] {
-                    if (!members_[i].up) start(i);
+                ++result_.deaths;
+                member.running = false;
+                schedule(span, [this, i] {
+                    if (!members_[i].running) start(i);
                 });
                 break;
             case 1:
-                ++verdict_.pauses;
-                m.paused_until = now_ + span;
+                ++result_.pauses;
+                member.paused_until = now_ + span;
                 break;
             case 2:
-                ++verdict_.cuts;
-                m.cut_to = now_ + span;
+                ++result_.cuts;
+                member.cut_off_to_managers_until = now_ + span;
                 break;
             default:
-                ++verdict_.cuts;
-                m.cut_from = now_ + span;
+                ++result_.cuts;
+                member.cut_off_from_managers_until = now_ + span;
         }
     }
 
-    void trouble_nodes() {
-        at(second + pick(2 * second), [this] { trouble_nodes(); });
-        const std::string node = names_[static_cast<std::size_t>(pick(plan_.nodes))];
+    void inject_node_fault() {
+        schedule(second + random_below(2 * second), [this] { inject_node_fault(); });
+        const std::string node = node_names_[static_cast<std::size_t>(random_below(plan_.nodes))];
         set_health(node, Health::gone);
-        at(second + pick(3 * second), [this, node] {
+        schedule(second + random_below(3 * second), [this, node] {
             set_health(node, Health::cold);
-            at(second, [this, node] { set_health(node, Health::healthy); });
+            schedule(second, [this, node] { set_health(node, Health::healthy); });
         });
     }
     void set_health(const std::string& node, Health health) {
-        truth_[node].health = health;
-        at(200 * ms + pick(second), [this, node] { see(node); });
+        actual_nodes_[node].health = health;
+        schedule(200 * ms + random_below(second), [this, node] { observe(node); });
     }
-    void see(const std::string& node) {
-        propose({"", 0, EndpointsObserved{{{node, truth_[node]}}, false, {}}}, [this, node](bool agreed) {
-            if (!agreed) at(200 * ms, [this, node] { see(node); });
-        });
+    void observe(const std::string& node) {
+        propose({"", 0, EndpointsObserved{{{node, actual_nodes_[node]}}, false, {}}},
+                [this, node](bool committed) {
+                    if (!committed) schedule(200 * ms, [this, node] { observe(node); });
+                });
     }
 
-    const SimPlan plan_;
-    std::knuth_b chance_;
+    const SimulationPlan plan_;
+    std::knuth_b random_;
     FleetState state_;
     std::priority_queue<Event> events_;
-    std::uint64_t order_ = 0, epoch_ = 0, asked_ = 0;
-    Nanos now_ = 1'000'000 * second, skew_ = 0;
-    bool leads_ = true;
-    std::map<std::string, Node> truth_;
-    std::vector<std::string> names_;
+    std::uint64_t order_ = 0, epoch_ = 0, tool_calls_ = 0;
+    Nanos now_ = 1'000'000 * second, leader_clock_skew_ = 0;
+    bool has_leader_ = true;
+    std::map<std::string, Node> actual_nodes_;
+    std::vector<std::string> node_names_;
     std::vector<Member> members_;
-    std::vector<Waiting> waiting_;
+    std::vector<WaitingCall> waiting_;
     ReportBatch batch_;
-    std::vector<std::pair<Waiting, Nanos>> batch_calls_;
+    std::vector<std::pair<WaitingCall, Nanos>> batch_calls_;
     std::map<std::uint64_t, Nanos> granted_at_;
-    std::set<std::string> done_, alone_out_;
-    SimVerdict verdict_;
+    std::set<std::string> done_, uncoordinated_out_;
+    SimulationResult result_;
 };
 
 }  // namespace
 
-SimVerdict play(const SimPlan& plan) { return Sim(plan).run(); }
+SimulationResult run_simulation(const SimulationPlan& plan) { return Simulation(plan).run(); }
 
 }  // namespace tealcart::testing
--- a/src/testing/fleet_sim.hpp
+++ b/src/testing/fleet_sim.hpp
@@ -1,6 +1,6 @@
-// A fleet on a virtual clock: the real state machine and the real leases, with members, managers, tools and
-// data nodes around them that are slow, cut off, paused and killed by a seeded plan. The same plan gives the
-// same run.
+// Simulates a fleet on a virtual clock. The state machine and the leases are the real ones; members, fleet
+// managers, operators' tools and data nodes are simulated, and are slowed down, partitioned, paused and
+// killed by a seeded plan. The same plan always produces the same run.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +10,31 @@
 
 namespace tealcart::testing {
 
-struct SimPlan {
+// The size of the fleet and the faults to inject.
+struct SimulationPlan {
     std::uint64_t seed = 1;
     int members = 30, nodes = 30;
     fleet::Nanos span = 30'000'000'000;
     bool faults = true;
-    bool strict = true;  // members stop with their lease; else they go on by what they know
-    bool agreed = true;  // false: every tool looks, and acts on what it saw
+    bool strict = true;  // if true, members stop when their lease ends; if false, they go on with their last
+                         // known state
+    bool agreed = true;  // if false, every tool acts on its own view without consensus
     fleet::Budgets budgets;
 };
 
-struct SimVerdict {
+// What happened during the run.
+struct SimulationResult {
     std::uint64_t grants = 0, dones = 0;
-    std::uint64_t over_budget = 0;  // moments at which more went out than may
-    std::uint64_t after_done =
-        0;                   // leaf calls to a node of which "done" was said; strict members' and live ones'
-    std::uint64_t late = 0;  // leaf calls to a node later than 1 s after its member was told
+    std::uint64_t over_budget = 0;  // how often more nodes were out than the budget allows
+    // Requests to a node after its removal was done, by strict members and by members with a valid lease.
+    std::uint64_t after_done = 0;
+    // Requests to a node more than 1 s after the member had received its removal.
+    std::uint64_t late = 0;
     std::uint64_t attempts = 0, deaths = 0, pauses = 0, cuts = 0, new_leaders = 0;
     std::vector<fleet::Nanos> grant_to_done;
 };
 
-SimVerdict play(const SimPlan& plan);
+// Runs the simulation.
+SimulationResult run_simulation(const SimulationPlan& plan);
 
 }  // namespace tealcart::testing
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -1,9 +1,10 @@
-// Many hollow query routers in one process: the program's own membership, lease, list and watches with their
-// timers and their bytes on sockets, but no queries, no module and no clients.
+// Runs many hollow query routers in one process, for measurements of large fleets. A hollow router runs the
+// program's own membership, lease, endpoint list and watches, with their timers and real sockets, but no
+// queries, no decision module and no clients.
 //
-// What is hollow: a router knows of discovery's list only the nodes it is started with (`seeded`) and what
-// has changed since, as one that was started with a list that it had before; the whole list is read by one
-// reader a process, with the program's own watch and list. All of them share one thread and one clock.
+// A hollow router knows only the data nodes that it is started with (`known_nodes`) and the changes since
+// then, like a router that is restarted with a list it had before. The full list is read by one reader per
+// process, with the program's own watch and list. All routers of a process share one thread and one clock.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,27 +21,33 @@
 
 namespace tealcart::testing {
 
-// A hollow fleet has a cell for each three data nodes, and a shard for each cell, which lies at three cells.
-constexpr std::uint32_t hollow_zones = 12, hollow_width = 3, min_places = 74;
+// A hollow fleet has one cell for every three data nodes, and one shard per cell, which is replicated in
+// three cells.
+constexpr std::uint32_t hollow_zones = 12, hollow_replicas = 3, min_places = 74;
+// The number of cells in a fleet with so many data nodes.
 std::uint32_t hollow_places(std::uint32_t nodes);
-// Its n-th data node.
-ListedEndpoint hollow_node(std::uint32_t n, std::uint32_t places, const std::string& address);
+// The n-th data node of a hollow fleet.
+ListedEndpoint hollow_data_node(std::uint32_t n, std::uint32_t places, const std::string& address);
 
+// The configuration of a process with hollow routers.
 struct HollowConfig {
-    std::size_t from = 0, count = 0;  // routers r<from> to r<from + count - 1>
-    std::uint16_t control = 0;        // where whoever started the process takes its reports
+    std::size_t first_router = 0, count = 0;  // routers r<first_router> and the following ones
+    std::uint16_t control = 0;  // the port at which the rig accepts the process's control connection
     HostPort discovery;
     std::vector<HostPort> managers;
-    std::string zone, address;  // address: of each data node
+    std::string zone, address;  // address: the address of every data node
     std::uint64_t generation = 0;
-    std::uint32_t places = min_places, seeded = 0;  // seeded: the first so many data nodes
-    bool whole = false;  // each router reads the whole list, in place of the reader alone
+    std::uint32_t places = min_places,
+                  known_nodes = 0;  // known_nodes: how many data nodes it knows at the start
+    bool full_list = false;         // every router reads the full list, not only the reader
 };
 
-// As words of a command line and back; throws std::runtime_error on noise.
-std::vector<std::string> write_hollow(const HollowConfig& config);
-HollowConfig read_hollow(const std::vector<std::string>& words);
+// Writes the configuration as command line arguments, and reads it back. Reading throws std::runtime_error
+// for malformed arguments.
+std::vector<std::string> write_hollow_arguments(const HollowConfig& config);
+HollowConfig read_hollow_arguments(const std::vector<std::string>& arguments);
 
+// One hollow router.
 class HollowRouter final : private MemberHost, private DueHandler {
   public:
     HollowRouter(boost::asio::io_context& io, EventClock& time, const HollowConfig& config,
@@ -53,9 +60,11 @@
 
     const Membership& member() const { return member_; }
     const DiscoveryWatch& discovery() const { return watch_; }
-    bool holds() const { return member_.lease().serving_state(time_.now()) == ServingState::leased; }
-    std::uint64_t lapses() const { return lapses_; }    // leases that were over before they were renewed
-    std::uint64_t entries() const { return entries_; }  // of lists, that came to the module's door
+    bool holds_lease() const { return member_.lease().serving_state(time_.now()) == ServingState::leased; }
+    // Leases that expired before they were renewed.
+    std::uint64_t lease_lapses() const { return lease_lapses_; }
+    // List entries that would have been passed to the decision module.
+    std::uint64_t entries() const { return entries_; }
 
   private:
     void on_endpoint_list(const EndpointList& list) override;
@@ -69,18 +78,18 @@
 
     EventClock& time_;
     NodeTable nodes_;
-    std::vector<Endpoint> arrived_;
+    std::vector<Endpoint> received_;
     Nanos last_round_ = 0, lease_until_ = 0;
     TimerQueue::Ticket round_ = TimerQueue::none;
-    std::uint64_t lapses_ = 0, entries_ = 0;
+    std::uint64_t lease_lapses_ = 0, entries_ = 0;
     const std::uint64_t generation_;
     Membership member_;
     DiscoveryWatch watch_;
 };
 
-// The process. Says `hello FROM` to the control port, then answers each line with one: "report" with figures
-// as JSON, "cut" ends all connections, "heal" makes them anew, "restart N" starts the first N routers anew.
-// Runs until the control connection ends.
+// The process with hollow routers. It sends `hello FIRST_ROUTER` to the control port and then answers each
+// command line with one line: "report" returns its figures as JSON, "cut" closes all connections, "heal"
+// opens them again, and "restart N" restarts the first N routers. It runs until the control connection ends.
 class HollowProcess final : private EndpointListObserver {
   public:
     HollowProcess(boost::asio::io_context& io, HollowConfig config);
@@ -98,15 +107,15 @@
     const HollowConfig config_;
     EventClock time_;
     std::vector<std::unique_ptr<HollowRouter>> routers_;
-    std::vector<std::unique_ptr<HollowRouter>> ended_;  // what completes for them is still on its way
+    std::vector<std::unique_ptr<HollowRouter>> stopped_;  // kept until their pending handlers have completed
     NodeTable nodes_;
     DiscoveryWatch reader_;
-    std::uint64_t lapses_before_ = 0;  // of routers that were started anew
+    std::uint64_t lease_lapses_before_ = 0;  // of routers that were restarted
     TrafficCounters manager_before_, discovery_before_;
     boost::asio::ip::tcp::socket control_;
     std::array<char, 256> buffer_;
-    std::string in_;
-    bool over_ = false;
+    std::string received_text_;
+    bool disconnected_ = false;
 };
 
 }  // namespace tealcart::testing
--- a/src/testing/hollow_discovery.cpp
+++ b/src/testing/hollow_discovery.cpp
@@ -16,53 +16,53 @@
 constexpr std::size_t max_changes = 200'000;
 constexpr Nanos ms = 1'000'000;
 
-void append(std::string& out, const ListedEndpoint& n) {
-    static const char* const words[] = {"removed", "draining", "up"};
-    const char* word = n.lifecycle == Lifecycle::ready      ? words[2]
-                       : n.lifecycle == Lifecycle::draining ? words[1]
-                                                            : words[0];
+void append_node(std::string& out, const ListedEndpoint& n) {
+    static const char* const lifecycle_names[] = {"removed", "draining", "up"};
+    const char* lifecycle = n.lifecycle == Lifecycle::ready      ? lifecycle_names[2]
+                            : n.lifecycle == Lifecycle::draining ? lifecycle_names[1]
+                                                                 : lifecycle_names[0];
     out.append("{\"instanceId\":\"").append(n.id).append("\",\"hostPort\":\"").append(n.address);
     out.append("\",\"zone\":\"").append(n.zone).append("\",\"machineType\":\"").append(n.kind);
-    out.append("\",\"cell\":").append(std::to_string(n.place)).append(",\"lifecycle\":\"").append(word);
+    out.append("\",\"cell\":").append(std::to_string(n.place)).append(",\"lifecycle\":\"").append(lifecycle);
     out.append("\",\"startedAtMs\":").append(std::to_string(n.started_at / ms)).append("}");
 }
 
-// The number behind `name=` in a target's query.
-std::uint64_t number_in(std::string_view target, std::string_view name, std::uint64_t otherwise) {
-    const auto at = target.find(name);
-    if (at == target.npos) return otherwise;
-    std::uint64_t value = otherwise;
-    const char* from = target.data() + at + name.size();
+// The number that follows `name` in the query of a request target.
+std::uint64_t number_in(std::string_view target, std::string_view name, std::uint64_t default_value) {
+    const auto position = target.find(name);
+    if (position == target.npos) return default_value;
+    std::uint64_t value = default_value;
+    const char* from = target.data() + position + name.size();
     std::from_chars(from, target.data() + target.size(), value);
     return value;
 }
 
 }  // namespace
 
-struct HollowDiscovery::Caller {
-    explicit Caller(tcp::socket s) : socket(std::move(s)), timer(socket.get_executor()) {}
+struct HollowDiscovery::Connection {
+    explicit Connection(tcp::socket s) : socket(std::move(s)), timer(socket.get_executor()) {}
 
     tcp::socket socket;
     boost::asio::steady_timer timer;
     std::array<char, 2048> buffer;
     std::string in;
     Text out;
-    std::uint64_t knows = 0;
-    bool whole = false;
+    std::uint64_t known_generation = 0;
+    bool full = false;
 };
 
 HollowDiscovery::HollowDiscovery(boost::asio::io_context& io, std::uint16_t port, std::uint32_t nodes,
                                  std::vector<std::string> addresses)
     : io_(io), acceptor_(io, {boost::asio::ip::address_v4::loopback(), port}) {
     for (std::uint32_t n = 0; n < nodes; ++n)
-        nodes_.push_back(hollow_node(n, hollow_places(nodes), addresses[n % addresses.size()]));
+        nodes_.push_back(hollow_data_node(n, hollow_places(nodes), addresses[n % addresses.size()]));
     accept();
 }
 
 HollowDiscovery::~HollowDiscovery() {
     error_code ec;
     acceptor_.close(ec);
-    for (const auto& [raw, c] : waiting_) c->timer.cancel();
+    for (const auto& [raw, connection] : waiting_) connection->timer.cancel();
 }
 
 void HollowDiscovery::accept() {
@@ -71,59 +71,60 @@
         if (!ec) {
             error_code ignored;
             socket.set_option(tcp::no_delay(true), ignored);
-            read(std::make_shared<Caller>(std::move(socket)));
+            read(std::make_shared<Connection>(std::move(socket)));
         }
         accept();
     });
 }
 
-void HollowDiscovery::read(const std::shared_ptr<Caller>& c) {
-    c->socket.async_read_some(boost::asio::buffer(c->buffer), [this, c](const error_code& ec, std::size_t n) {
-        if (ec || (c->in.append(c->buffer.data(), n), !take(c))) {
-            waiting_.erase(c.get());
-            c->timer.cancel();
-            error_code ignored;
-            c->socket.close(ignored);
-            return;
-        }
-        read(c);
-    });
+void HollowDiscovery::read(const std::shared_ptr<Connection>& connection) {
+    connection->socket.async_read_some(
+        boost::asio::buffer(connection->buffer), [this, connection](const error_code& ec, std::size_t n) {
+            if (ec || (connection->in.append(connection->buffer.data(), n), !handle_request(connection))) {
+                waiting_.erase(connection.get());
+                connection->timer.cancel();
+                error_code ignored;
+                connection->socket.close(ignored);
+                return;
+            }
+            read(connection);
+        });
 }
 
-// A caller asks anew only once it was answered.
-bool HollowDiscovery::take(const std::shared_ptr<Caller>& c) {
-    const auto end = c->in.find("\r\n\r\n");
-    if (end == c->in.npos) return c->in.size() < max_head_bytes;
-    const std::string target = c->in.substr(0, c->in.find("\r\n"));
-    c->in.erase(0, end + 4);
+// A client sends its next request only after it has received the response.
+bool HollowDiscovery::handle_request(const std::shared_ptr<Connection>& connection) {
+    const auto end = connection->in.find("\r\n\r\n");
+    if (end == connection->in.npos) return connection->in.size() < max_head_bytes;
+    const std::string target = connection->in.substr(0, connection->in.find("\r\n"));
+    connection->in.erase(0, end + 4);
     ++counts_.calls;
-    c->whole = target.find("index=") == target.npos;
-    c->knows = number_in(target, "index=", 0);
-    if (c->whole || c->knows < generation_) {
-        answer(c);
+    connection->full = target.find("index=") == target.npos;
+    connection->known_generation = number_in(target, "index=", 0);
+    if (connection->full || connection->known_generation < generation_) {
+        answer(connection);
         return true;
     }
-    waiting_[c.get()] = c;
-    c->timer.expires_after(
+    waiting_[connection.get()] = connection;
+    connection->timer.expires_after(
         std::chrono::milliseconds(std::min<std::uint64_t>(number_in(target, "wait=", 0), 60'000)));
-    c->timer.async_wait([this, c](const error_code& ec) {
-        if (!ec && waiting_.erase(c.get()) > 0) answer(c);
+    connection->timer.async_wait([this, connection](const error_code& ec) {
+        if (!ec && waiting_.erase(connection.get()) > 0) answer(connection);
     });
     return true;
 }
 
-HollowDiscovery::Text HollowDiscovery::text(std::uint64_t after, bool whole) {
-    whole |= after < forgotten_ || after == 0;
-    Text& kept = whole ? whole_ : deltas_[after];
-    if (kept) return kept;
+HollowDiscovery::Text HollowDiscovery::text(std::uint64_t after, bool full) {
+    full |= after < dropped_generation_ || after == 0;
+    Text& cached = full ? full_text_ : deltas_[after];
+    if (cached) return cached;
     std::string body = "{\"generation\":" + std::to_string(generation_) +
-                       ",\"reset\":" + (whole ? "true" : "false") + ",\"instances\":[";
+                       ",\"reset\":" + (full ? "true" : "false") + ",\"instances\":[";
     const std::size_t empty = body.size();
     const auto add = [&](const ListedEndpoint& n) {
         if (body.size() > empty) body += ',';
-        append(body, n);
+        append_node(body, n);
     };
-    if (whole) {
+    if (full) {
         for (const ListedEndpoint& n : nodes_)
             if (n.lifecycle != Lifecycle::removed) add(n);
     } else {
@@ -133,39 +134,41 @@
         for (const std::uint32_t n : changed) add(nodes_[n]);
     }
     body += "]}";
-    kept = std::make_shared<const std::string>(write_response_head({200, body.size(), 0, false}) + body);
-    return kept;
+    cached = std::make_shared<const std::string>(write_response_head({200, body.size(), 0, false}) + body);
+    return cached;
 }
 
-void HollowDiscovery::answer(const std::shared_ptr<Caller>& c) {
-    c->out = text(c->knows, c->whole);
-    counts_.whole += c->whole || c->knows < forgotten_ || c->knows == 0;
-    counts_.bytes += c->out->size();
-    boost::asio::async_write(c->socket, boost::asio::buffer(*c->out),
-                             [c, text = c->out](const error_code&, std::size_t) {});
+void HollowDiscovery::answer(const std::shared_ptr<Connection>& connection) {
+    connection->out = text(connection->known_generation, connection->full);
+    counts_.full_lists += connection->full || connection->known_generation < dropped_generation_ ||
+                          connection->known_generation == 0;
+    counts_.bytes += connection->out->size();
+    boost::asio::async_write(connection->socket, boost::asio::buffer(*connection->out),
+                             [connection, text = connection->out](const error_code&, std::size_t) {});
 }
 
-void HollowDiscovery::set(std::uint32_t node, Lifecycle lifecycle, Nanos started_at) {
+void HollowDiscovery::set_lifecycle(std::uint32_t node, Lifecycle lifecycle, Nanos started_at) {
     nodes_[node].lifecycle = lifecycle;
     if (started_at > 0) nodes_[node].started_at = started_at;
-    changing_.insert(node);
+    pending_changes_.insert(node);
 }
 
-void HollowDiscovery::tell() {
-    if (changing_.empty()) return;
+void HollowDiscovery::publish() {
+    if (pending_changes_.empty()) return;
     ++generation_;
-    ++counts_.told;
-    for (const std::uint32_t n : changing_) changes_.push_back({generation_, n});
-    changing_.clear();
-    for (; changes_.size() > max_changes; changes_.pop_front()) forgotten_ = changes_.front().generation;
+    ++counts_.generations;
+    for (const std::uint32_t n : pending_changes_) changes_.push_back({generation_, n});
+    pending_changes_.clear();
+    for (; changes_.size() > max_changes; changes_.pop_front())
+        dropped_generation_ = changes_.front().generation;
     deltas_.clear();
-    whole_.reset();
-    for (const auto& [raw, c] : std::exchange(waiting_, {})) {
-        c->timer.cancel();
-        answer(c);
+    full_text_.reset();
+    for (const auto& [raw, connection] : std::exchange(waiting_, {})) {
+        connection->timer.cancel();
+        answer(connection);
     }
 }
 
-std::size_t HollowDiscovery::whole_bytes() { return text(0, true)->size(); }
+std::size_t HollowDiscovery::full_list_bytes() { return text(0, true)->size(); }
 
 }  // namespace tealcart::testing
--- a/src/testing/hollow_discovery.hpp
+++ b/src/testing/hollow_discovery.hpp
@@ -1,6 +1,7 @@
-// Discovery of a hollow fleet on loopback, as the platform's watch speaks: `GET /api/targets` for the whole
-// list, `?index=N&wait=MS` for what is newer than N, held back until there is something or MS are over. The
-// text of an answer is made once and shared by all that get it.
+// The discovery service of a hollow fleet on loopback, with the protocol of the platform's watch: `GET
+// /api/targets` returns the full list, and `?index=N&wait=MS` returns the changes after generation N as soon
+// as there are any, or after MS milliseconds. The text of a response is built once and shared by all clients
+// that receive it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,9 +18,10 @@
 
 namespace tealcart::testing {
 
+// The server, and the nodes that it lists.
 class HollowDiscovery {
   public:
-    // All nodes are up, at these addresses in turn.
+    // Lists `nodes` data nodes, all of them up. They get the addresses in turn.
     HollowDiscovery(boost::asio::io_context& io, std::uint16_t port, std::uint32_t nodes,
                     std::vector<std::string> addresses);
     ~HollowDiscovery();
@@ -28,39 +30,43 @@
     std::uint64_t generation() const { return generation_; }
     std::size_t nodes() const { return nodes_.size(); }
     const ListedEndpoint& node(std::uint32_t n) const { return nodes_[n]; }
-    // Takes effect with the next `tell`, which is one generation.
-    void set(std::uint32_t node, Lifecycle lifecycle, Nanos started_at = 0);
-    void tell();
-    std::size_t whole_bytes();
+    // Changes a node. The change takes effect with the next publish().
+    void set_lifecycle(std::uint32_t node, Lifecycle lifecycle, Nanos started_at = 0);
+    // Publishes all pending changes as one generation.
+    void publish();
+    // The size of a response with the full list.
+    std::size_t full_list_bytes();
 
+    // Requests, responses with the full list, bytes sent, and generations published.
     struct Counts {
-        std::uint64_t calls = 0, whole = 0, bytes = 0, told = 0;  // told: generations
+        std::uint64_t calls = 0, full_lists = 0, bytes = 0, generations = 0;
     };
     const Counts& counts() const { return counts_; }
 
   private:
-    struct Caller;
+    struct Connection;
     using Text = std::shared_ptr<const std::string>;
 
     void accept();
-    void read(const std::shared_ptr<Caller>& c);
-    bool take(const std::shared_ptr<Caller>& c);
-    void answer(const std::shared_ptr<Caller>& c);
-    Text text(std::uint64_t after, bool whole);
+    void read(const std::shared_ptr<Connection>& connection);
+    bool handle_request(const std::shared_ptr<Connection>& connection);
+    void answer(const std::shared_ptr<Connection>& connection);
+    Text text(std::uint64_t after, bool full);
 
     boost::asio::io_context& io_;
     boost::asio::ip::tcp::acceptor acceptor_;
     std::vector<ListedEndpoint> nodes_;
-    std::set<std::uint32_t> changing_;
+    std::set<std::uint32_t> pending_changes_;
     struct Change {
         std::uint64_t generation = 0;
         std::uint32_t node = 0;
     };
-    std::deque<Change> changes_;                    // the last ones, oldest first
-    std::uint64_t generation_ = 1, forgotten_ = 0;  // forgotten_: what is not newer needs a whole list
-    std::map<std::uint64_t, Text> deltas_;          // of this generation, by what is known
-    Text whole_;
-    std::map<Caller*, std::shared_ptr<Caller>> waiting_;
+    std::deque<Change> changes_;  // the most recent changes, oldest first
+    std::uint64_t generation_ = 1;
+    std::uint64_t dropped_generation_ = 0;  // a client with an earlier generation gets the full list
+    std::map<std::uint64_t, Text> deltas_;  // responses for this generation, by the client's generation
+    Text full_text_;
+    std::map<Connection*, std::shared_ptr<Connection>> waiting_;
     Counts counts_;
 };
 
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -16,23 +16,23 @@
 using boost::system::error_code;
 using Json = nlohmann::json;
 
-constexpr Nanos ms = 1'000'000, max_turn = 100 * ms;
-constexpr int handlers_a_turn = 4096;
-constexpr std::size_t words_before_relays = 5;
-// As the program's follower has them (service/follower.cpp).
+constexpr Nanos ms = 1'000'000, max_wait = 100 * ms;
+constexpr int max_handlers_per_turn = 4096;
+constexpr std::size_t arguments_before_relays = 5;
+// The same values as in the program's follower (service/config_follower.cpp).
 constexpr int max_without_lease = 3;
 constexpr Nanos min_pause = 200 * ms;
 
 Nanos steady_now() { return std::chrono::steady_clock::now().time_since_epoch().count(); }
 
-MemberConfig router_config_of(const FollowerConfig& config, std::size_t number) {
-    MemberConfig t;
-    t.on = true;
-    t.name = "r" + std::to_string(number);
-    t.zone = config.zone;
-    t.relays = config.relays;
-    t.startup_wait = t.config_startup_wait;
-    return t;
+MemberConfig member_config_of(const FollowerConfig& config, std::size_t number) {
+    MemberConfig member;
+    member.on = true;
+    member.name = "r" + std::to_string(number);
+    member.zone = config.zone;
+    member.relays = config.relays;
+    member.startup_wait = member.config_startup_wait;
+    return member;
 }
 
 }  // namespace
@@ -43,30 +43,34 @@
     return value;
 }
 
-std::vector<std::string> write_followers(const FollowerConfig& t) {
-    std::vector<std::string> words = {"--followers", std::to_string(t.from), std::to_string(t.count),
-                                      std::to_string(t.control), t.zone};
-    for (const HostPort& r : t.relays) words.push_back(r.host + ":" + std::to_string(r.port));
-    return words;
-}
-
-FollowerConfig read_followers(const std::vector<std::string>& w) {
-    if (w.size() <= words_before_relays) throw std::runtime_error("too few words for a followers' process");
-    FollowerConfig t;
-    t.from = std::stoull(w[1]), t.count = std::stoull(w[2]);
-    t.control = static_cast<std::uint16_t>(std::stoul(w[3]));
-    t.zone = w[4];
-    for (std::size_t i = words_before_relays; i < w.size(); ++i) {
-        const auto at = parse_host_port(w[i]);
-        if (!at) throw std::runtime_error(w[i] + " is no address");
-        t.relays.push_back(*at);
+std::vector<std::string> write_follower_arguments(const FollowerConfig& config) {
+    std::vector<std::string> arguments = {"--followers", std::to_string(config.first_router),
+                                          std::to_string(config.count), std::to_string(config.control),
+                                          config.zone};
+    for (const HostPort& r : config.relays) arguments.push_back(r.host + ":" + std::to_string(r.port));
+    return arguments;
+}
+
+FollowerConfig read_follower_arguments(const std::vector<std::string>& arguments) {
+    if (arguments.size() <= arguments_before_relays)
+        throw std::runtime_error("a process of followers got " + std::to_string(arguments.size()) +
+                                 " arguments; expected more than " + std::to_string(arguments_before_relays));
+    FollowerConfig config;
+    config.first_router = std::stoull(arguments[1]), config.count = std::stoull(arguments[2]);
+    config.control = static_cast<std::uint16_t>(std::stoul(arguments[3]));
+    config.zone = arguments[4];
+    for (std::size_t i = arguments_before_relays; i < arguments.size(); ++i) {
+        const auto address = parse_host_port(arguments[i]);
+        if (!address)
+            throw std::runtime_error("malformed address '" + arguments[i] + "'; expected host:port");
+        config.relays.push_back(*address);
     }
-    return t;
+    return config;
 }
 
 HollowFollower::HollowFollower(boost::asio::io_context& io, EventClock& time, const FollowerConfig& config,
-                               std::size_t number, Acted& acted)
-    : time_(time), config_(router_config_of(config, number)), acted_(acted),
+                               std::size_t number, AppliedTimes& applied_times)
+    : time_(time), config_(member_config_of(config, number)), applied_times_(applied_times),
       lease_(config_, time.now(), static_cast<std::uint64_t>(time.now())),
       watch_(io, time, *this, follower_path, "relay", config.relays, number, number + 1) {
     watch_.start();
@@ -87,13 +91,13 @@
     return {write_follower_call(call), wait_};
 }
 
-// Entries are numbered in the order in which they were published: the latest of a delta is later than all
-// that came before.
-void HollowFollower::look_at(const changes::Delta& delta) {
+// Entries carry sequence numbers in the order of publishing, so the greatest number of a delta has to exceed
+// all earlier ones.
+void HollowFollower::check_order(const changes::Delta& delta) {
     std::uint64_t latest = 0;
     for (const auto& [key, value] : delta.set)
         latest = std::max<std::uint64_t>(latest, std::strtoull(value.c_str(), nullptr, 10));
-    faults_ += latest <= last_number_ && last_number_ > 0;
+    order_violations_ += latest <= last_number_ && last_number_ > 0;
     last_number_ = std::max(last_number_, latest);
 }
 
@@ -102,35 +106,37 @@
     const Nanos now = time_.now(), until = lease_.lease_until();
     if (answer.lease > 0) {
         lease_.renewed(sent, answer.lease);
-        lapses_ += until > 0 && now > until;
+        lease_lapses_ += until > 0 && now > until;
     }
     const auto before = std::tuple(copy_.version(), copy_.needs_pages(), copy_.next_page_after());
     const std::uint64_t version = copy_.version();
     ApplyResult result = ApplyResult::unchanged;
     if (answer.delta) result = copy_.apply(*answer.delta);
     if (answer.page) result = copy_.apply(*answer.page);
-    refused_ += result == ApplyResult::corrupt || result == ApplyResult::gap;
+    rejected_ += result == ApplyResult::corrupt || result == ApplyResult::gap;
     if (result == ApplyResult::applied) {
-        faults_ += copy_.version() <= version;
-        if (answer.delta) look_at(*answer.delta);
+        order_violations_ += copy_.version() <= version;
+        if (answer.delta) check_order(*answer.delta);
         const Nanos at = steady_now();
-        for (std::uint64_t v = version + 1; version > 0 && v <= copy_.version(); ++v) acted_[v].push_back(at);
+        for (std::uint64_t v = version + 1; version > 0 && v <= copy_.version(); ++v)
+            applied_times_[v].push_back(at);
     }
     without_lease_ = answer.lease > 0 || now < lease_.lease_until() ? 0 : without_lease_ + 1;
-    const bool further = before != std::tuple(copy_.version(), copy_.needs_pages(), copy_.next_page_after());
+    const bool progressed =
+        before != std::tuple(copy_.version(), copy_.needs_pages(), copy_.next_page_after());
     const Nanos earliest = sent + std::max(wait_, min_pause);
-    if (!further && time_.now() < earliest)
+    if (!progressed && time_.now() < earliest)
         time_.due.move(pause_, earliest, *this, Handle{}, 0);
     else
-        go_on();
+        call_next();
 }
 
 void HollowFollower::on_due(Handle, std::uint64_t) {
     pause_ = TimerQueue::none;
-    go_on();
+    call_next();
 }
 
-void HollowFollower::go_on() {
+void HollowFollower::call_next() {
     if (without_lease_ < max_without_lease || config_.relays.size() == 1) return watch_.next();
     without_lease_ = 0;
     watch_.fail_over("it grants no lease");
@@ -140,27 +146,28 @@
     : io_(io), config_(std::move(config)), control_(io) {
     start_log({LogForm::text, LogLevel::error});
     for (std::size_t i = 0; i < config_.count; ++i)
-        followers_.push_back(std::make_unique<HollowFollower>(io_, time_, config_, config_.from + i, acted_));
+        followers_.push_back(
+            std::make_unique<HollowFollower>(io_, time_, config_, config_.first_router + i, applied_times_));
     control_.connect({boost::asio::ip::address_v4::loopback(), config_.control});
-    boost::asio::write(control_, boost::asio::buffer("hello " + std::to_string(config_.from) + "\n"));
+    boost::asio::write(control_, boost::asio::buffer("hello " + std::to_string(config_.first_router) + "\n"));
     read();
 }
 
 void FollowerProcess::run() {
     boost::asio::steady_timer timer(io_);
-    Nanos set_to = TimerQueue::never;
-    while (!over_) {
-        // Set anew only for an earlier time: one that is put off would wake the loop for nothing.
-        const Nanos at = std::max(time_.now(), std::min(time_.due.next(), time_.now() + max_turn));
-        if (at < set_to) {
-            set_to = at;
-            timer.expires_at(time_.steady(at));
-            timer.async_wait([&set_to](const error_code& ec) {
-                if (!ec) set_to = TimerQueue::never;
+    Nanos timer_time = TimerQueue::never;
+    while (!disconnected_) {
+        // The timer is set again only for an earlier time. Postponing it would wake the loop without need.
+        const Nanos wake_at = std::max(time_.now(), std::min(time_.due.next(), time_.now() + max_wait));
+        if (wake_at < timer_time) {
+            timer_time = wake_at;
+            timer.expires_at(time_.steady(wake_at));
+            timer.async_wait([&timer_time](const error_code& ec) {
+                if (!ec) timer_time = TimerQueue::never;
             });
         }
         io_.run_one();
-        for (int i = 0; i < handlers_a_turn && io_.poll_one() > 0; ++i) {
+        for (int i = 0; i < max_handlers_per_turn && io_.poll_one() > 0; ++i) {
         }
         time_.due.fire_due(time_.now());
     }
@@ -168,11 +175,13 @@
 
 void FollowerProcess::read() {
     control_.async_read_some(boost::asio::buffer(buffer_), [this](const error_code& ec, std::size_t n) {
-        if (ec) return void(over_ = true);
-        in_.append(buffer_.data(), n);
-        for (std::size_t end = 0; (end = in_.find('\n')) != in_.npos; in_.erase(0, end + 1)) {
+        if (ec) return void(disconnected_ = true);
+        received_text_.append(buffer_.data(), n);
+        for (std::size_t end = 0; (end = received_text_.find('\n')) != received_text_.npos;
+             received_text_.erase(0, end + 1)) {
             error_code failed;
-            boost::asio::write(control_, boost::asio::buffer(answer(in_.substr(0, end)) + "\n"), failed);
+            boost::asio::write(control_, boost::asio::buffer(answer(received_text_.substr(0, end)) + "\n"),
+                               failed);
         }
         read();
     });
@@ -183,29 +192,32 @@
     if (line.rfind("acted ", 0) != 0) return report();
     char* end = nullptr;
     const std::uint64_t from = std::strtoull(line.c_str() + 6, &end, 10);
-    return acted(from, std::strtoull(end, nullptr, 10));
+    return applied_times(from, std::strtoull(end, nullptr, 10));
 }
 
 std::string FollowerProcess::report() const {
     std::size_t holding = 0;
-    std::uint64_t lapses = 0, faults = 0, refused = 0, calls = 0, least = UINT64_MAX, min_held = UINT64_MAX;
+    std::uint64_t lease_lapses = 0, order_violations = 0, rejected = 0, calls = 0, min_version = UINT64_MAX,
+                  min_version_of_holders = UINT64_MAX;
     std::set<std::uint64_t> digests;
     for (const auto& f : followers_) {
-        const bool holds = f->holds();
-        holding += holds;
-        lapses += f->lapses(), faults += f->faults(), refused += f->refused(), calls += f->calls();
-        least = std::min(least, f->applied_version());
-        if (holds && f->applied_version() > 0) min_held = std::min(min_held, f->applied_version());
+        const bool holds_lease = f->holds_lease();
+        holding += holds_lease;
+        lease_lapses += f->lease_lapses(), order_violations += f->order_violations(),
+            rejected += f->rejected(), calls += f->calls();
+        min_version = std::min(min_version, f->applied_version());
+        if (holds_lease && f->applied_version() > 0)
+            min_version_of_holders = std::min(min_version_of_holders, f->applied_version());
         digests.insert(f->copy().digest());
     }
     return Json{{"followers", followers_.size()},
                 {"holding", holding},
-                {"lapses", lapses},
-                {"faults", faults},
-                {"refused", refused},
+                {"lapses", lease_lapses},
+                {"faults", order_violations},
+                {"refused", rejected},
                 {"calls", calls},
-                {"least", least},
-                {"least_held", min_held},
+                {"least", min_version},
+                {"least_held", min_version_of_holders},
                 {"digests", digests}}
         .dump();
 }
@@ -218,11 +230,11 @@
     return Json{{"in", sum.in}, {"out", sum.out}}.dump();
 }
 
-std::string FollowerProcess::acted(std::uint64_t from, std::uint64_t to) const {
+std::string FollowerProcess::applied_times(std::uint64_t from, std::uint64_t to) const {
     Json list = Json::array();
     for (std::uint64_t v = from; v <= to; ++v) {
         Json at = Json::array();
-        if (const auto it = acted_.find(v); it != acted_.end())
+        if (const auto it = applied_times_.find(v); it != applied_times_.end())
             for (const Nanos n : it->second) at.push_back(n / 1000);
         list.push_back(std::move(at));
     }
--- a/src/testing/hollow_follower.hpp
+++ b/src/testing/hollow_follower.hpp
@@ -1,6 +1,7 @@
-// Many hollow followers of a fleet's configuration in one process: the program's own watch on the relays,
-// copy and lease with their timers and their bytes on sockets, but no settings that are read from what came,
-// no module, no queries and no clients. All of a process share one thread and one clock.
+// Runs many hollow followers of a fleet's configuration in one process, for measurements of large fleets. A
+// hollow follower runs the program's own watch on the relays, document copy and lease, with their timers and
+// real sockets, but it reads no settings from the document and has no decision module, queries or clients.
+// All followers of a process share one thread and one clock.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,62 +18,70 @@
 
 namespace tealcart::testing {
 
-// A changed entry's value: its number in the order that it was published in, when that was asked for by the
-// machine's steady clock, and what fills it up to so many bytes.
+// The value of a changed entry: its sequence number, the time of its publish request by the machine's steady
+// clock, and padding up to `bytes`.
 std::string numbered_value(std::uint64_t number, Nanos at, std::size_t bytes);
 
+// The configuration of a process with hollow followers.
 struct FollowerConfig {
-    std::size_t from = 0, count = 0;  // routers r<from> to r<from + count - 1>
-    std::uint16_t control = 0;        // where whoever started the process takes its reports
+    std::size_t first_router = 0, count = 0;  // routers r<first_router> and the following ones
+    std::uint16_t control = 0;  // the port at which the rig accepts the process's control connection
     std::string zone;
-    std::vector<HostPort> relays;  // of its zone; followers begin at them in turn
+    std::vector<HostPort> relays;  // of its zone; the followers start with them in turn
 };
 
-// As words of a command line and back; throws std::runtime_error on noise.
-std::vector<std::string> write_followers(const FollowerConfig& config);
-FollowerConfig read_followers(const std::vector<std::string>& words);
+// Writes the configuration as command line arguments, and reads it back. Reading throws std::runtime_error
+// for malformed arguments.
+std::vector<std::string> write_follower_arguments(const FollowerConfig& config);
+FollowerConfig read_follower_arguments(const std::vector<std::string>& arguments);
 
+// One hollow follower.
 class HollowFollower final : private ChangeObserver, private DueHandler {
   public:
-    // By version, when followers first acted on it or a later one: steady clock, in ns.
-    using Acted = std::map<std::uint64_t, std::vector<Nanos>>;
+    // For each version, the times at which followers first acted on it or a later one, in ns of the steady
+    // clock.
+    using AppliedTimes = std::map<std::uint64_t, std::vector<Nanos>>;
 
     HollowFollower(boost::asio::io_context& io, EventClock& time, const FollowerConfig& config,
-                   std::size_t number, Acted& acted);
+                   std::size_t number, AppliedTimes& applied_times);
     ~HollowFollower() override;
 
     const changes::DocumentCopy& copy() const { return copy_; }
     std::uint64_t applied_version() const { return copy_.version(); }
-    bool holds() const { return lease_.serving_state(time_.now()) == ServingState::leased; }
-    std::uint64_t lapses() const { return lapses_; }    // leases that were over before they were renewed
-    std::uint64_t faults() const { return faults_; }    // versions or entries that came out of order
-    std::uint64_t calls() const { return calls_; }      // to relays
-    std::uint64_t refused() const { return refused_; }  // answers that did not fit the copy
+    bool holds_lease() const { return lease_.serving_state(time_.now()) == ServingState::leased; }
+    // Leases that expired before they were renewed.
+    std::uint64_t lease_lapses() const { return lease_lapses_; }
+    // Versions or entries received out of order.
+    std::uint64_t order_violations() const { return order_violations_; }
+    // Calls to relays.
+    std::uint64_t calls() const { return calls_; }
+    // Responses that could not be applied to the copy.
+    std::uint64_t rejected() const { return rejected_; }
 
   private:
     LongPollObserver::Call next_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
     void on_superseded(std::uint64_t last_incarnation) override { lease_.superseded(last_incarnation); }
     void on_due(Handle, std::uint64_t what) override;
-    void look_at(const changes::Delta& delta);
-    void go_on();
+    void check_order(const changes::Delta& delta);
+    void call_next();
 
     EventClock& time_;
     const MemberConfig config_;
-    Acted& acted_;
+    AppliedTimes& applied_times_;
     changes::DocumentCopy copy_;
     MemberLease lease_;
     ChangeWatch watch_;
     Nanos wait_ = 0;
     TimerQueue::Ticket pause_ = TimerQueue::none;
-    int without_lease_ = 0;  // answers in a row
-    std::uint64_t last_number_ = 0, lapses_ = 0, faults_ = 0, refused_ = 0, calls_ = 0;
+    int without_lease_ = 0;  // consecutive responses without a lease
+    std::uint64_t last_number_ = 0, lease_lapses_ = 0, order_violations_ = 0, rejected_ = 0, calls_ = 0;
 };
 
-// The process. Says `hello FROM` to the control port, then answers each line with one, as JSON: "report" with
-// how its followers stand, "bytes" with what their connections have carried, "acted FROM TO" with when its
-// followers first acted on each of these versions, in us of the steady clock. Runs until the control
-// connection ends.
+// The process with hollow followers. It sends `hello FIRST_ROUTER` to the control port and then answers each
+// command line with one line of JSON: "report" returns the state of its followers, "bytes" the bytes that
+// their connections have carried, and "acted FROM TO" when its followers first acted on each of these
+// versions, in us of the steady clock. It runs until the control connection ends.
 class FollowerProcess {
   public:
     FollowerProcess(boost::asio::io_context& io, FollowerConfig config);
@@ -84,17 +93,17 @@
     std::string answer(const std::string& line);
     std::string report() const;
     std::string bytes() const;
-    std::string acted(std::uint64_t from, std::uint64_t to) const;
+    std::string applied_times(std::uint64_t from, std::uint64_t to) const;
 
     boost::asio::io_context& io_;
     const FollowerConfig config_;
     EventClock time_;
-    HollowFollower::Acted acted_;
+    HollowFollower::AppliedTimes applied_times_;
     std::vector<std::unique_ptr<HollowFollower>> followers_;
     boost::asio::ip::tcp::socket control_;
     std::array<char, 256> buffer_;
-    std::string in_;
-    bool over_ = false;
+    std::string received_text_;
+    bool disconnected_ = false;
 };
 
 }  // namespace tealcart::testing
--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -19,13 +19,13 @@
 using Ms = std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-constexpr int asked = 74;  // shards that witnesses' clients ask for
+constexpr int queried_shards = 74;  // the number of shards that the real routers' clients query
 constexpr std::size_t listeners = 12;
 
 std::string script_text() {
-    std::string text = "fleet {\n shards = " + std::to_string(asked) +
+    std::string text = "fleet {\n shards = " + std::to_string(queried_shards) +
                        "\n places = " + std::to_string(min_places) +
-                       "\n width = " + std::to_string(hollow_width) + "\n rows = 1\n}\n";
+                       "\n width = " + std::to_string(hollow_replicas) + "\n rows = 1\n}\n";
     for (std::size_t n = 0; n < listeners; ++n)
         text += "node \"l" + std::to_string(n) + "\" {\n place = " + std::to_string(n) +
                 "\n zone = \"z0\"\n call_delay = \"2ms\"\n}\n";
@@ -34,14 +34,14 @@
 
 Json settings_of(const HollowPlan& plan) {
     const auto places = hollow_places(plan.nodes);
-    return platform_settings(plan.routers, places, static_cast<int>(places), hollow_width);
+    return platform_settings(plan.routers, places, static_cast<int>(places), hollow_replicas);
 }
 
-std::string at(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
+std::string local_address(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
 }  // namespace
 
-ProcessFigures figures_of(pid_t pid) {
+ProcessFigures process_figures(pid_t pid) {
     ProcessFigures f;
     const std::string proc = "/proc/" + std::to_string(pid);
     std::ifstream stat(proc + "/stat");
@@ -49,9 +49,9 @@
     std::getline(stat, text);
     const auto name_ends = text.rfind(')');
     if (name_ends == text.npos) return f;
-    std::istringstream words(text.substr(name_ends + 2));
+    std::istringstream fields(text.substr(name_ends + 2));
     double ticks = 0;
-    for (int i = 3; i <= 15 && words >> text; ++i)
+    for (int i = 3; i <= 15 && fields >> text; ++i)
         if (i >= 14) ticks += std::stod(text);
     f.cpu_s = ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
     std::ifstream smaps(proc + "/smaps_rollup");
@@ -69,23 +69,25 @@
     return f;
 }
 
-std::vector<std::uint16_t> quiet_ports(std::size_t count) {
-    std::random_device chance;
-    std::uint32_t next = 12'000 + chance() % 16'000;
+std::vector<std::uint16_t> free_non_ephemeral_ports(std::size_t count) {
+    std::random_device random;
+    std::uint32_t next = 12'000 + random() % 16'000;
     boost::asio::io_context io;
     std::vector<boost::asio::ip::tcp::acceptor> held;
     std::vector<std::uint16_t> ports;
-    for (int tries = 0; ports.size() < count && tries < 4000; ++tries) {
-        boost::asio::ip::tcp::acceptor a(io);
+    for (int attempts = 0; ports.size() < count && attempts < 4000; ++attempts) {
+        boost::asio::ip::tcp::acceptor candidate(io);
         boost::system::error_code ec;
         const auto port = static_cast<std::uint16_t>(next++);
-        a.open(boost::asio::ip::tcp::v4(), ec);
-        if (!ec) a.bind({boost::asio::ip::address_v4::any(), port}, ec);
+        candidate.open(boost::asio::ip::tcp::v4(), ec);
+        if (!ec) candidate.bind({boost::asio::ip::address_v4::any(), port}, ec);
         if (ec) continue;
-        held.push_back(std::move(a));
+        held.push_back(std::move(candidate));
         ports.push_back(port);
     }
-    if (ports.size() < count) throw std::runtime_error("too few free ports");
+    if (ports.size() < count)
+        throw std::runtime_error("only " + std::to_string(ports.size()) + " free ports found; expected " +
+                                 std::to_string(count));
     return ports;
 }
 
@@ -93,13 +95,13 @@
     fleet = std::make_unique<Fleet>(io, read_script(script_text(), "hollow"));
     std::vector<std::string> addresses;
     for (const DataNode& n : fleet->nodes) addresses.push_back(n.address());
-    const auto ports = quiet_ports(2 * plan.managers + 2 + plan.witnesses);
+    const auto ports = free_non_ephemeral_ports(2 * plan.managers + 2 + plan.witnesses);
     discovery = std::make_unique<HollowDiscovery>(io, ports[0], plan.nodes, addresses);
-    lines_.resize(plan.processes);
-    answers_.resize(plan.processes);
+    control_connections_.resize(plan.processes);
+    responses_.resize(plan.processes);
     control_ = std::make_unique<LoopbackListener>(io, ports[1], [this] {
-        return [this, process = std::make_shared<std::size_t>(SIZE_MAX)](Connection& c) {
-            return take(c, process);
+        return [this, process = std::make_shared<std::size_t>(SIZE_MAX)](Connection& connection) {
+            return receive(connection, process);
         };
     });
     std::string text =
@@ -108,14 +110,14 @@
         "\"\n data_nodes {\n  share = 0.2\n  least_holders = 1\n }\n routers {\n  share = 0.1\n }\n";
     for (std::size_t i = 0; i < plan.managers; ++i) {
         http_.push_back({"127.0.0.1", ports[2 + 2 * i]});
-        text += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" + at(ports[3 + 2 * i]) +
-                "\"\n  http = \"" + at(http_[i].port) + "\"\n  folder = \"" +
-                directory.path("s" + std::to_string(i + 1)) + "\"\n }\n";
+        text += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" +
+                local_address(ports[3 + 2 * i]) + "\"\n  http = \"" + local_address(http_[i].port) +
+                "\"\n  folder = \"" + directory.path("s" + std::to_string(i + 1)) + "\"\n }\n";
     }
     fleet_file_ = directory.write("fleet.hcl", text + "}\n");
     const Json config = {{"name", "steward"},
                          {"listen", "127.0.0.1:1"},
-                         {"discovery", at(discovery->port())},
+                         {"discovery", local_address(discovery->port())},
                          {"seed", "8c1f30d27a5be910"},
                          {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
                          {"known", {{"generation", 0}, {"reset", true}, {"instances", Json::array()}}},
@@ -136,7 +138,7 @@
 }
 
 HollowRig::~HollowRig() {
-    for (Asker& a : askers_) a.client.reset();
+    for (QueryClient& client : query_clients_) client.client.reset();
 }
 
 void HollowRig::start_manager(std::size_t i) {
@@ -147,11 +149,11 @@
                                  "--id", std::to_string(i + 1), "--config", config_file_});
 }
 
-// A zone each. Their calls begin at the managers in turn, as members' files would name them.
+// Each process is one zone. Its calls start with another manager each, as the members' files would list them.
 void HollowRig::start_hollow(std::size_t i) {
     HollowConfig config;
-    config.from = plan.routers * i / plan.processes;
-    config.count = plan.routers * (i + 1) / plan.processes - config.from;
+    config.first_router = plan.routers * i / plan.processes;
+    config.count = plan.routers * (i + 1) / plan.processes - config.first_router;
     config.control = control_->port();
     config.discovery = {"127.0.0.1", discovery->port()};
     for (std::size_t s = 0; s < plan.managers; ++s) config.managers.push_back(http_[(i + s) % plan.managers]);
@@ -159,20 +161,21 @@
     config.address = discovery->node(0).address;
     config.generation = discovery->generation();
     config.places = hollow_places(plan.nodes);
-    config.seeded = std::min(plan.seeded, plan.nodes);
-    config.whole = plan.whole;
-    std::vector<std::string> words = write_hollow(config);
-    words.insert(words.begin(), plan.self);
-    lines_[i].reset();
+    config.known_nodes = std::min(plan.known_nodes, plan.nodes);
+    config.full_list = plan.full_list;
+    std::vector<std::string> arguments = write_hollow_arguments(config);
+    arguments.insert(arguments.begin(), plan.self);
+    control_connections_[i].reset();
     processes[i].reset();
-    processes[i] = std::make_unique<Process>(io, event_log, "h" + std::to_string(i), std::move(words));
+    processes[i] = std::make_unique<Process>(io, event_log, "h" + std::to_string(i), std::move(arguments));
 }
 
-bool HollowRig::take(Connection& c, const std::shared_ptr<std::size_t>& process) {
-    for (std::size_t end = 0; (end = c.in.find('\n')) != c.in.npos; c.in.erase(0, end + 1)) {
-        const std::string line = c.in.substr(0, end);
+bool HollowRig::receive(Connection& connection, const std::shared_ptr<std::size_t>& process) {
+    for (std::size_t end = 0; (end = connection.in.find('\n')) != connection.in.npos;
+         connection.in.erase(0, end + 1)) {
+        const std::string line = connection.in.substr(0, end);
         if (*process != SIZE_MAX) {
-            answers_[*process] = line;
+            responses_[*process] = line;
             continue;
         }
         if (line.rfind("hello ", 0) != 0) return false;
@@ -180,14 +183,14 @@
         for (std::size_t i = 0; i < plan.processes; ++i)
             if (plan.routers * i / plan.processes == from) *process = i;
         if (*process == SIZE_MAX) return false;
-        lines_[*process] = c.weak_from_this();
+        control_connections_[*process] = connection.weak_from_this();
     }
-    return c.in.size() < 65'536;
+    return connection.in.size() < 65'536;
 }
 
-bool HollowRig::until(const std::function<bool()>& holds, Ms within) {
+bool HollowRig::until(const std::function<bool()>& condition, Ms within) {
     const auto end = Clock::now() + within;
-    while (!holds()) {
+    while (!condition()) {
         if (Clock::now() > end) return false;
         io.run_for(Ms(5));
     }
@@ -197,29 +200,31 @@
 void HollowRig::run_for(Ms span) { io.run_for(span); }
 
 std::size_t HollowRig::leader() const {
-    std::size_t led = plan.managers;
+    std::size_t last_leader = plan.managers;
     for (const EventLog::Event& e : event_log.events) {
-        const auto words = e.what.find(" leads");
-        if (e.who[0] != 's' || words == e.what.npos || e.what.rfind("steward ", 0) != 0) continue;
-        led = std::stoull(e.what.substr(8)) - 1;
+        const auto position = e.what.find(" leads");
+        if (e.who[0] != 's' || position == e.what.npos || e.what.rfind("steward ", 0) != 0) continue;
+        last_leader = std::stoull(e.what.substr(8)) - 1;
     }
-    return led < plan.managers && managers[led] && !managers[led]->ended() ? led : plan.managers;
+    return last_leader < plan.managers && managers[last_leader] && !managers[last_leader]->ended()
+               ? last_leader
+               : plan.managers;
 }
 
-Json HollowRig::say(std::size_t process, const std::string& line) {
-    const auto c = lines_[process].lock();
-    if (!c || !c->open) return {};
-    answers_[process].clear();
-    c->send(line + "\n");
-    if (!until([&] { return !answers_[process].empty(); }, Ms(20'000))) return {};
-    return Json::parse(answers_[process], nullptr, false);
+Json HollowRig::send_command(std::size_t process, const std::string& line) {
+    const auto connection = control_connections_[process].lock();
+    if (!connection || !connection->open) return {};
+    responses_[process].clear();
+    connection->send(line + "\n");
+    if (!until([&] { return !responses_[process].empty(); }, Ms(20'000))) return {};
+    return Json::parse(responses_[process], nullptr, false);
 }
 
 std::vector<HollowFigures> HollowRig::hollow() {
     std::vector<HollowFigures> all(plan.processes);
     for (std::size_t i = 0; i < plan.processes; ++i) {
         if (!processes[i] || processes[i]->ended()) continue;
-        const Json r = say(i, "report");
+        const Json r = send_command(i, "report");
         if (!r.is_object()) continue;
         HollowFigures& f = all[i];
         f.pid = processes[i]->pid();
@@ -228,7 +233,7 @@
         f.acts_on_least = r["acts_on_least"], f.acts_on_most = r["acts_on_most"];
         for (const auto& [key, of] : {std::pair("steward", &f.manager), std::pair("discovery", &f.discovery)})
             *of = {r[key]["calls"], r[key]["in"], r[key]["out"]};
-        f.dirty_mb = figures_of(f.pid).dirty_mb;
+        f.dirty_mb = process_figures(f.pid).dirty_mb;
     }
     return all;
 }
@@ -242,48 +247,50 @@
 void HollowRig::start_witness(std::size_t i, std::uint16_t port) {
     const std::string name = "w" + std::to_string(i);
     const Json config = {{"name", name},
-                         {"listen", at(port)},
-                         {"discovery", at(discovery->port())},
+                         {"listen", local_address(port)},
+                         {"discovery", local_address(discovery->port())},
                          {"seed", "8c1f30d27a5be9" + std::to_string(10 + i % 90)},
                          {"limits", {{"cores", 1.0}, {"memory_mb", 256}, {"sockets", 1024}}},
                          {"known", {{"generation", 0}, {"reset", true}, {"instances", Json::array()}}},
                          {"settings", settings_of(plan)}};
     std::string list;
-    for (const HostPort& s : http_) list += (list.empty() ? "\"" : ", \"") + at(s.port) + "\"";
+    for (const HostPort& s : http_) list += (list.empty() ? "\"" : ", \"") + local_address(s.port) + "\"";
     witnesses.push_back(std::make_unique<Process>(
         io, event_log, name,
         std::vector<std::string>{
             plan.programs + "/tealcart", "serve", "--config", directory.write(name + ".json", config.dump()),
             "--file",
             directory.write(name + ".hcl", "member {\n zone = \"z0\"\n stewards = [" + list + "]\n}\n")}));
-    askers_.push_back({port, nullptr, std::make_unique<boost::asio::steady_timer>(io), 0});
-    ask(i);
+    query_clients_.push_back({port, nullptr, std::make_unique<boost::asio::steady_timer>(io), 0});
+    send_query(i);
 }
 
-void HollowRig::ask(std::size_t i) {
+void HollowRig::send_query(std::size_t i) {
     const auto again = [this, i](int status, Ms pause) {
         if (status >= 0) ++answers[status];
-        if (status <= 0) askers_[i].client.reset();
-        askers_[i].timer->expires_after(pause);
-        askers_[i].timer->async_wait([this, i](const boost::system::error_code& ec) {
-            if (!ec) ask(i);
+        if (status <= 0) query_clients_[i].client.reset();
+        query_clients_[i].timer->expires_after(pause);
+        query_clients_[i].timer->async_wait([this, i](const boost::system::error_code& ec) {
+            if (!ec) send_query(i);
         });
     };
-    Asker& a = askers_[i];
-    ClientQuery asking;
-    asking.query_class = "search";
-    asking.id = "q" + std::to_string(i) + "-" + std::to_string(++a.asked);
+    QueryClient& client = query_clients_[i];
+    ClientQuery query;
+    query.query_class = "search";
+    query.id = "q" + std::to_string(i) + "-" + std::to_string(++client.sent_queries);
     for (std::uint32_t s = 0; s < 4; ++s)
-        asking.shards.push_back(static_cast<std::uint32_t>(a.asked * 4 + s) % asked);
+        query.shards.push_back(static_cast<std::uint32_t>(client.sent_queries * 4 + s) % queried_shards);
     try {
-        // A client's connection that ends is told from within its own handler: the next is made after it.
-        if (!a.client)
-            a.client = std::make_unique<Client>(io, a.port, [this, again](ClientResponse got) {
-                boost::asio::post(io, [this, again, status = got.status] { again(status, Ms(plan.gap_ms)); });
+        // The callback may run inside a handler of a client whose connection has ended, so the next client is
+        // created only after that handler has returned.
+        if (!client.client)
+            client.client = std::make_unique<Client>(io, client.port, [this, again](ClientResponse response) {
+                boost::asio::post(
+                    io, [this, again, status = response.status] { again(status, Ms(plan.query_gap_ms)); });
             });
-        a.client->ask(asking);
+        client.client->ask(query);
     } catch (const boost::system::system_error&) {
-        again(-1, Ms(200));  // the router is not there: no query of its
+        again(-1, Ms(200));  // the router is not running: no query is counted
     }
 }
 
@@ -292,14 +299,14 @@
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
-Json HollowRig::operate(const std::string& what, Json body) {
-    body["id"] = "scale-" + std::to_string(++asked_);
+Json HollowRig::call_operator_api(const std::string& operation, Json body) {
+    body["id"] = "scale-" + std::to_string(++operator_calls_);
     body["asker"] = "scale";
     for (int tries = 0; tries < 20; ++tries) {
         const std::size_t i = leader();
         if (i < plan.managers) {
             const auto reply =
-                fleet_manager::query_manager(io, http_[i], "/fleet/" + what, body.dump(), Ms(5000));
+                fleet_manager::query_manager(io, http_[i], "/fleet/" + operation, body.dump(), Ms(5000));
             if (reply.status == 200) return Json::parse(reply.body, nullptr, false);
             if (reply.status >= 400 && reply.status < 421) return {{"refused", reply.body}};
         }
@@ -308,10 +315,10 @@
     return {};
 }
 
-// When a manager first said so, from this event on.
-TimePoint HollowRig::said(std::size_t from, const std::string& words) const {
+// The time of the first event after `from` in which a manager logged this text.
+TimePoint HollowRig::first_event(std::size_t from, const std::string& text) const {
     for (std::size_t i = from; i < event_log.events.size(); ++i)
-        if (event_log.events[i].who[0] == 's' && event_log.events[i].what.rfind(words, 0) == 0)
+        if (event_log.events[i].who[0] == 's' && event_log.events[i].what.rfind(text, 0) == 0)
             return event_log.events[i].at;
     return {};
 }
@@ -320,19 +327,19 @@
     Drain d;
     const std::size_t from = event_log.events.size();
     const Json targets = Json::array({Json::array({"node", discovery->node(node).id})});
-    const Json asked = operate("ask", {{"targets", targets}});
-    d.said = asked.dump();
-    if (!asked.is_object() || !asked.contains("effects") || asked["effects"].empty()) return d;
-    const std::string request = "request " + std::to_string(asked["effects"][0].value("request", 0)) + " ";
-    d.granted = until([&] { return said(from, "granted: " + request) != TimePoint(); }, within);
+    const Json response = call_operator_api("ask", {{"targets", targets}});
+    d.response = response.dump();
+    if (!response.is_object() || !response.contains("effects") || response["effects"].empty()) return d;
+    const std::string request = "request " + std::to_string(response["effects"][0].value("request", 0)) + " ";
+    d.granted = until([&] { return first_event(from, "granted: " + request) != TimePoint(); }, within);
     if (!d.granted) return d;
-    d.done = until([&] { return said(from, "done: " + request) != TimePoint(); }, within);
+    d.done = until([&] { return first_event(from, "done: " + request) != TimePoint(); }, within);
     if (d.done) {
-        const auto took = said(from, "done: " + request) - said(from, "granted: " + request);
+        const auto took = first_event(from, "done: " + request) - first_event(from, "granted: " + request);
         d.ms = std::chrono::duration<double, std::milli>(took).count();
     }
-    operate("undo", {{"targets", targets}});
-    until([&] { return said(from, "ended: " + request) != TimePoint(); }, within);
+    call_operator_api("undo", {{"targets", targets}});
+    until([&] { return first_event(from, "ended: " + request) != TimePoint(); }, within);
     return d;
 }
 
--- a/src/testing/hollow_rig.hpp
+++ b/src/testing/hollow_rig.hpp
@@ -1,5 +1,5 @@
-// Three real managers as processes, a discovery by script, and processes full of hollow routers
-// (testing/hollow.hpp has what is hollow of them): their figures, and what is done to them.
+// A test rig with real fleet managers as processes, a scripted discovery service and processes of hollow
+// routers (see testing/hollow.hpp). It collects their figures, and starts, stops and drains them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,96 +19,101 @@
 
 namespace tealcart::testing {
 
+// The size and the settings of the fleet.
 struct HollowPlan {
-    std::string programs;                       // folder of the built programs
+    std::string programs;                       // directory of the built programs
     std::string self;                           // the program that runs a hollow process with `--hollow ...`
-    std::size_t routers = 300, processes = 12;  // one zone each
-    std::uint32_t nodes = 1000, seeded = 64;
-    bool whole = false;  // each hollow router reads the whole list
+    std::size_t routers = 300, processes = 12;  // one zone per process
+    std::uint32_t nodes = 1000, known_nodes = 64;
+    bool full_list = false;  // every hollow router reads the full list
     std::string lease = "10s", drift = "1s", election = "600ms";
     std::size_t managers = 3;
-    // Real routers beside, each with one client that asks four shards at a time, one query after the other.
+    // Real routers in addition, each with one client that sends queries for four shards, one query after the
+    // other.
     std::size_t witnesses = 0;
-    int gap_ms = 20;
+    int query_gap_ms = 20;
 };
 
-// Of a process since its start, as the kernel counts them.
+// Figures of a process since its start, from the kernel.
 struct ProcessFigures {
-    double cpu_s = 0, rss_mb = 0, dirty_mb = 0;  // dirty: private memory that was written
+    double cpu_s = 0, rss_mb = 0, dirty_mb = 0;  // dirty: private memory that was written to
     std::size_t descriptors = 0;
-    std::uint64_t disk = 0;  // bytes written to files
+    std::uint64_t disk = 0;  // bytes written to storage
 };
-ProcessFigures figures_of(pid_t pid);
+ProcessFigures process_figures(pid_t pid);
 
-// So many ports that were free a moment ago, below those that the kernel gives to connections.
-std::vector<std::uint16_t> quiet_ports(std::size_t count);
+// Ports that are free at present, below the range that the kernel assigns to outgoing connections.
+std::vector<std::uint16_t> free_non_ephemeral_ports(std::size_t count);
 
-// Of one hollow process; the rig adds them up.
+// Figures of one hollow process.
 struct HollowFigures {
-    pid_t pid = -1;  // -1: it does not answer
+    pid_t pid = -1;  // -1 if the process does not answer
     std::size_t routers = 0, holding = 0, reader_nodes = 0;
     std::uint64_t lapses = 0, entries = 0, acts_on_least = 0, acts_on_most = 0;
     TrafficCounters manager, discovery;
     double cpu_s = 0, dirty_mb = 0;
 };
 
+// Starts the processes and controls them.
 class HollowRig {
   public:
     HollowRig(boost::asio::io_context& io, HollowPlan plan);
     ~HollowRig();
 
-    bool until(const std::function<bool()>& holds, std::chrono::milliseconds within);
+    // Runs the event loop until the condition holds. Returns false if that takes longer than `within`.
+    bool until(const std::function<bool()>& condition, std::chrono::milliseconds within);
     void run_for(std::chrono::milliseconds span);
 
     void start_manager(std::size_t i);
     void start_hollow(std::size_t process);
-    // The one that last said so and lives; the number of managers: none.
+    // The running manager that last logged that it leads; plan.managers if there is none.
     std::size_t leader() const;
     HostPort manager_address(std::size_t i) const { return http_[i]; }
-    // A word to a hollow process, and its answer; null where none came within 20 s.
-    nlohmann::json say(std::size_t process, const std::string& line);
+    // Sends a command to a hollow process and returns its response; null if there is none within 20 s.
+    nlohmann::json send_command(std::size_t process, const std::string& line);
     std::vector<HollowFigures> hollow();  // by process
-    std::size_t holding();                // routers that hold a lease
-    bool all_hold() { return holding() == plan.routers; }
-    // As a manager has it; null where it does not answer in time.
+    std::size_t holding();                // the number of routers that hold a lease
+    bool all_hold_leases() { return holding() == plan.routers; }
+    // The status page of a manager; null if it does not answer in time.
     nlohmann::json status(std::size_t manager);
 
+    // The outcome of a drain.
     struct Drain {
         bool granted = false, done = false;
-        double ms = -1;  // grant to done
-        std::string said;
+        double ms = -1;  // from grant to done
+        std::string response;
     };
-    // Drains a data node, waits until that is done, and takes it back.
+    // Drains a data node, waits until the drain is done, and lets the node back.
     Drain drain(std::uint32_t node, std::chrono::milliseconds within);
 
     boost::asio::io_context& io;
     const HollowPlan plan;
     EventLog event_log;
     TemporaryDirectory directory;
-    std::unique_ptr<Fleet> fleet;  // what answers at the data nodes' addresses
+    std::unique_ptr<Fleet> fleet;  // answers at the addresses of the data nodes
     std::unique_ptr<HollowDiscovery> discovery;
     std::vector<std::unique_ptr<Process>> managers, processes, witnesses;
-    std::map<int, std::uint64_t> answers;  // of the witnesses' clients, by status
+    std::map<int, std::uint64_t> answers;  // responses to the clients of the real routers, by status
 
   private:
-    struct Asker {
+    struct QueryClient {
         std::uint16_t port = 0;
         std::unique_ptr<Client> client;
         std::unique_ptr<boost::asio::steady_timer> timer;
-        std::uint64_t asked = 0;
+        std::uint64_t sent_queries = 0;
     };
     void start_witness(std::size_t i, std::uint16_t port);
-    void ask(std::size_t i);
-    bool take(Connection& c, const std::shared_ptr<std::size_t>& process);
-    nlohmann::json operate(const std::string& what, nlohmann::json body);
-    TimePoint said(std::size_t from, const std::string& words) const;
+    void send_query(std::size_t i);
+    bool receive(Connection& connection, const std::shared_ptr<std::size_t>& process);
+    nlohmann::json call_operator_api(const std::string& operation, nlohmann::json body);
+    TimePoint first_event(std::size_t from, const std::string& text) const;
 
     std::vector<HostPort> http_;
     std::string fleet_file_, config_file_;
-    std::vector<std::weak_ptr<Connection>> lines_;  // to the hollow processes
-    std::vector<std::string> answers_;
-    std::uint64_t asked_ = 0;
-    std::deque<Asker> askers_;
+    std::vector<std::weak_ptr<Connection>> control_connections_;  // to the hollow processes
+    std::vector<std::string> responses_;
+    std::uint64_t operator_calls_ = 0;
+    std::deque<QueryClient> query_clients_;
     std::unique_ptr<LoopbackListener> control_;
 };
 
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 RelayRig::RelayRig(boost::asio::io_context& in, RelayRigOptions p) : io(in), options(std::move(p)) {
-    const auto ports = quiet_ports(2 * options.managers + 2 + options.relays());
+    const auto ports = free_non_ephemeral_ports(2 * options.managers + 2 + options.relays());
     discovery_ =
         std::make_unique<HollowDiscovery>(io, ports[0], nodes, std::vector<std::string>(1, "127.0.0.1:1"));
     lines_.resize(options.zones);
@@ -56,7 +56,7 @@
                          {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
                          {"known", {{"generation", 0}, {"reset", true}, {"instances", Json::array()}}},
                          {"settings", platform_settings(options.followers, static_cast<std::size_t>(places),
-                                                        places, static_cast<int>(hollow_width))}};
+                                                        places, static_cast<int>(hollow_replicas))}};
     config_file_ = directory.write("config.json", config.dump());
     managers.resize(options.managers);
     relays.resize(options.relays());
@@ -102,13 +102,13 @@
     for (std::size_t i = 0; i < options.zones; ++i) {
         if (processes[i]) continue;
         FollowerConfig config;
-        config.from = first_of(i);
-        config.count = first_of(i + 1) - config.from;
+        config.first_router = first_of(i);
+        config.count = first_of(i + 1) - config.first_router;
         config.control = control_->port();
         config.zone = "z" + std::to_string(i);
         for (std::size_t r = 0; r < options.relays_a_zone; ++r)
             config.relays.push_back(relay_at_[i * options.relays_a_zone + r]);
-        std::vector<std::string> words = write_followers(config);
+        std::vector<std::string> words = write_follower_arguments(config);
         words.insert(words.begin(), options.self);
         processes[i] = std::make_unique<Process>(io, event_log, "h" + std::to_string(i), std::move(words));
     }
--- a/tests/drains_test.cpp
+++ b/tests/drains_test.cpp
@@ -388,32 +388,32 @@
 TEST_CASE("simulated fleets under seeded faults: nothing over the budget, nothing sent after done") {
     const bool strict = GENERATE(false, true);
     const auto seed = GENERATE(range(1U, 13U));
-    SimPlan plan;
+    SimulationPlan plan;
     plan.seed = seed;
     plan.strict = strict;
     plan.budgets.nodes = {4, 1};
     plan.budgets.min_holders = 2;
     plan.budgets.lease = 2'000'000'000;
     plan.budgets.drift = 300'000'000;
-    const SimVerdict v = play(plan);
+    const SimulationResult v = run_simulation(plan);
     INFO("seed " << seed);
     CHECK(v.over_budget == 0);
     CHECK(v.after_done == 0);
     CHECK(v.late == 0);
     CHECK(v.grants > 0);
-    const SimVerdict again = play(plan);
+    const SimulationResult again = run_simulation(plan);
     CHECK(again.attempts == v.attempts);
     CHECK(again.grant_to_done == v.grant_to_done);
 }
 
 TEST_CASE("simulated fleets of 300 and 10,000 members acknowledge a drain in time") {
-    SimPlan plan;
+    SimulationPlan plan;
     plan.members = GENERATE(300, 10'000);
     plan.faults = false;
     plan.budgets.nodes = {4, 1};
     plan.budgets.min_holders = 2;
     plan.span = plan.members == 300 ? 20'000'000'000 : 4'000'000'000;
-    const SimVerdict v = play(plan);
+    const SimulationResult v = run_simulation(plan);
     REQUIRE(!v.grant_to_done.empty());
     for (const auto span : v.grant_to_done) CHECK(span < 1'000'000'000);
     CHECK(v.after_done == 0);
