--- a/src/service/attempt_dispatcher.cpp
+++ b/src/service/attempt_dispatcher.cpp
@@ -5,7 +5,7 @@
 namespace tealcart {
 namespace {
 
-// One part in so many of the idempotency window is left for the way to the data node.
+// This fraction of the idempotency window is reserved for the transfer to the data node.
 constexpr Nanos window_margin_divisor = 50;
 
 Nanos usable_window(const QueryClassConfig& query_class) {
@@ -52,7 +52,7 @@
 void AttemptDispatcher::send_queued(const NodeTable& nodes, Nanos attempts_until) {
     for (std::size_t i = 0; i < queued_.size(); ++i) {
         const Attempt* first = attempts_.find(queued_[i]);
-        if (!is_queued(first)) continue;  // ended, or sent with an earlier one
+        if (!is_queued(first)) continue;  // it has ended, or was sent in an earlier frame
         const std::uint32_t node = first->node;
         Batch batch = gather_batch(i, attempts_until);
         std::vector<Handle> sent;
@@ -71,7 +71,7 @@
     queued_.clear();
 }
 
-// The attempt in this place with the queued ones behind it that may share its frame.
+// Returns the queued attempt at index `first` together with later ones that may share its frame.
 AttemptDispatcher::Batch AttemptDispatcher::gather_batch(std::size_t first, Nanos attempts_until) {
     Batch batch;
     const std::uint32_t node = attempts_.find(queued_[first])->node;
@@ -97,13 +97,14 @@
     if (attempt.frame_type == 'R') return message;
     message.frame_type = attempt.frame_type;
     message.leg = shard_request.leg;
-    message.rows = static_cast<std::uint16_t>(query.two_phase->find.rows);
+    message.rows = static_cast<std::uint16_t>(query.two_phase->criteria.rows);
     message.wants_filter = query.two_phase->machine.config().cache_filters;
     return message;
 }
 
-// A retry with an idempotency key must not wait for a connection until it would run as a new request: the
-// window counts from when the first attempt was sent.
+// Returns the latest time to write an attempt. A retry with an idempotency key must not wait for a connection
+// until after the idempotency window, since it would then run as a new request. The window starts when the
+// first attempt is sent.
 Nanos AttemptDispatcher::send_by(const Query& query, const ShardRequest& shard_request,
                                  const Attempt& attempt, Nanos attempts_until) const {
     if (!with_key_[query.query_class] || attempt.number == 0) return attempts_until;
@@ -170,7 +171,7 @@
     queries_.release_if_ended(ended.query);
 }
 
-// Keeps the value of a shard request; false where no response could hold it.
+// Stores the value of a shard request. Returns false if the response can't hold it.
 bool AttemptDispatcher::keep_value(Query& query, ShardRequest& shard_request, std::string_view value) {
     if (query.value_bytes + value.size() > max_body_bytes) return false;
     query.value_bytes += value.size();
--- a/src/service/attempt_dispatcher.hpp
+++ b/src/service/attempt_dispatcher.hpp
@@ -1,4 +1,4 @@
-// Attempts of shard requests from the decision that sends them to their one outcome.
+// Tracks the attempts of shard requests, from the decision to send them until their outcome.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,19 @@
 
 namespace tealcart {
 
-// Every attempt ends once, in `end`: by its answer, its timeout, a cancellation, or the loss of its
+// Each attempt ends exactly once, in `end`, with its answer, a timeout, a cancellation or the loss of its
 // connection.
 class AttemptDispatcher final : public DueHandler {
   public:
+    // An attempt that has no outcome yet.
     struct Attempt {
         Handle query, connection;
-        std::uint32_t shard_request = 0;  // its index in the query
+        std::uint32_t shard_request = 0;  // index among the query's shard requests
         std::uint32_t node = 0;
-        std::uint8_t number = 0;  // among those of its shard request
-        char frame_type = 'R';    // the type of the frame that it goes into
+        std::uint8_t number = 0;  // index among the attempts of its shard request
+        char frame_type = 'R';    // type of the frame that contains it
         Nanos sent_at = 0, deadline = 0;
-        TimerQueue::Ticket timeout = TimerQueue::none;  // none until it is handed to the sender
+        TimerQueue::Ticket timeout = TimerQueue::none;  // none until the sender has the attempt
     };
 
     AttemptDispatcher(EventClock& clock, QueryTable& queries, EventQueue& events,
@@ -34,29 +35,30 @@
     void connect(AttemptSender& sender) { sender_ = &sender; }
     void set_observer(OutcomeObserver* observer) { outcomes_ = observer; }
 
-    // Begins an attempt in the current round; `wait` is how long the module waits for it, 0 for as long as
-    // the query does.
+    // Adds an attempt in the current round. `wait` is how long the router waits for it; 0 means until the
+    // query's deadline.
     Handle add(const QueryTable::ShardRequestPosition& position, std::uint32_t node, Nanos wait);
-    // Queues an attempt for `send_queued`, in a frame of this type.
+    // Queues an attempt to be sent by `send_queued` in a frame of this type.
     void queue(Handle handle, char frame_type);
-    // Hands over what the round has added. Attempts to one node travel together, as many in a frame as the
-    // deployment allows. Nothing is written later than `attempts_until`.
+    // Passes the queued attempts of the round to the sender. Attempts to one node share a frame, up to the
+    // limit in the settings. No attempt is written later than `attempts_until`.
     void send_queued(const NodeTable& nodes, Nanos attempts_until);
 
     const Attempt* find(Handle handle) const { return attempts_.find(handle); }
-    // The attempt of a shard request that is in flight on a connection: late answers and those to an earlier
-    // attempt find none.
+    // Returns the attempt of a shard request that is in flight on a connection. Returns no handle for a late
+    // answer or one to an earlier attempt.
     Handle find_in_flight(const ShardRequest& shard_request, Handle connection) const;
 
-    // Ends an attempt as the module decided, withdrawn if it was not written.
+    // Cancels an attempt as the router decided, or withdraws it if it was not written.
     void cancel(const QueryTable::ShardRequestPosition& position, std::uint8_t number);
-    // Ends attempts that are not written yet, of the query's shard requests from this index on.
+    // Ends the unwritten attempts of the query's shard requests, starting with the shard request at index
+    // `first`.
     void withdraw_unsent(Query& query, std::size_t first);
-    // Ends an attempt with its outcome. Does nothing for one that has ended.
+    // Ends an attempt with its outcome. Does nothing if it has already ended.
     void end(Handle handle, Outcome outcome, std::string_view value = {});
 
     std::size_t in_flight() const { return attempts_.size(); }
-    // Whether an attempt is in flight to a node for which `matches(node)` holds.
+    // Returns whether an attempt is in flight to a node for which `matches(node)` holds.
     template <typename Predicate>
     bool any_in_flight_to(Predicate matches) const {
         bool any = false;
@@ -67,9 +69,11 @@
     void on_due(Handle handle, std::uint64_t what) override;
 
   private:
+    // The attempts of one frame.
     struct Batch {
         std::vector<AttemptMessage> messages;
-        std::vector<Handle> avoid;  // a second attempt on one connection could not be told from the first
+        std::vector<Handle>
+            avoid;  // two attempts of a shard request on one connection would be indistinguishable
     };
 
     bool is_queued(const Attempt* attempt) const {
@@ -87,11 +91,11 @@
     AttemptSender* sender_ = nullptr;
     OutcomeObserver* outcomes_ = nullptr;
     const std::size_t max_requests_per_call_;
-    // By query class: whether retries are bound to a key's window, and how long that is, with a margin.
+    // By query class: whether retries must stay within the idempotency window, and its length less a margin.
     std::vector<bool> with_key_;
     std::vector<Nanos> idempotency_window_;
     SlotMap<Attempt> attempts_;
-    std::vector<Handle> queued_;  // of the current round
+    std::vector<Handle> queued_;  // in the current round
 };
 
 }  // namespace tealcart
--- a/src/service/completion.cpp
+++ b/src/service/completion.cpp
@@ -17,7 +17,7 @@
     return app.get_subcommands([](const CLI::App*) { return true; });
 }
 
-// zsh reads bash's form through its own bashcompinit.
+// Also used for zsh, which runs bash completions through its bashcompinit.
 std::string bash_script(const CLI::App& app) {
     std::string names, cases;
     for (const CLI::App* sub : commands_of(app)) {
--- a/src/service/completion.hpp
+++ b/src/service/completion.hpp
@@ -1,4 +1,4 @@
-// Shell completion, written from the command line's own tree of sub-commands and options.
+// Generates shell completion scripts from the command line's subcommands and options.
 #pragma once
 
 #include <CLI/App.hpp>
@@ -6,7 +6,7 @@
 
 namespace tealcart {
 
-// For "bash", "zsh" or "fish".
+// Returns the script for `shell`, which is "bash", "zsh" or "fish".
 std::string completion_script(const CLI::App& app, const std::string& shell);
 
 }  // namespace tealcart
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -12,14 +12,16 @@
 
 constexpr Nanos millisecond = 1'000'000;
 constexpr Nanos leave_timeout = 300 * millisecond;
-// Answers in a row without a lease, after its own has expired, until it turns to another relay.
+// After its lease has expired, the follower moves to another relay after this many consecutive answers
+// without a lease.
 constexpr int max_answers_without_lease = 3;
-// Between calls whose answers bring nothing and were not held back.
+// Between calls if the relay answers at once and without news.
 constexpr Nanos min_pause = 200 * millisecond;
-const char* const serving_states[] = {"no relay has spoken yet", "its lease holds",
-                                      "its lease is over; it goes on by the version it has", "cut off"};
+const char* const serving_states[] = {"no relay has answered yet", "its lease holds",
+                                      "its lease is over; it continues with its last configuration version",
+                                      "cut off from the relays; it serves no queries"};
 
-// The lease of a follower differs from a member's in how long the router waits for the first answer.
+// A follower's lease differs from a member's lease only in how long the router waits for the first answer.
 MemberConfig follower_lease_config(MemberConfig config) {
     config.startup_wait = config.config_startup_wait;
     return config;
@@ -51,8 +53,8 @@
     const Nanos now = time_.now();
     const ServingState state = lease_.serving_state(now);
     if (std::exchange(serving_state_, state) != state)
-        log_line("configuration, as %s, life %llu: %s", name_.c_str(), printable(lease_.incarnation()),
-                 serving_states[static_cast<int>(state)]);
+        log_line("configuration follower %s, incarnation %llu: %s", name_.c_str(),
+                 printable(lease_.incarnation()), serving_states[static_cast<int>(state)]);
     const bool ready = lease_.ready(now) && (caught_up_ || now >= ready_by_);
     dispatcher_.set_serving_state(ServingStateSource::configuration,
                                   {ready, lease_.admits(now), lease_.attempts_until(now)});
@@ -83,8 +85,8 @@
               printable(refused_version_), printable(accepted_version_), refusal_reason_.c_str());
 }
 
-// Guards against a version of which a part would hold in one round and the rest in the next: handlers run
-// between rounds, and all of it is handed over in one.
+// Applies the whole version in one handler. Handlers run between rounds, which guards against a version that
+// is in force partly in one round and completely only in the next.
 void ConfigFollower::apply_copy() {
     auto read = overlay_.read(copy_.document());
     if (auto* rejection = std::get_if<ConfigOverlay::Rejection>(&read))
@@ -93,7 +95,7 @@
     accepted_version_ = copy_.version();
     refused_version_ = 0;
     refusal_reason_.clear();
-    // Logged at the more verbose of both levels.
+    // The change is logged under the more verbose one of the old and the new log level.
     const bool less_verbose = settings.log.level > log_.level;
     log_ = settings.log;
     if (!less_verbose) start_log(log_);
@@ -115,7 +117,8 @@
     const bool further = before != position();
     if (result == ApplyResult::applied) apply_copy();
     if (result == ApplyResult::corrupt)
-        log_about(LogLevel::warn, {}, "configuration of relay %s:%u does not fit its digest; %llu stands",
+        log_about(LogLevel::warn, {},
+                  "the configuration from relay %s:%u does not match its digest; version %llu stays in force",
                   relays_.address().host.c_str(), relays_.address().port, printable(accepted_version_));
     return further;
 }
@@ -126,8 +129,9 @@
         return;
     }
     if (std::exchange(logged_relay_version_, answer.version) != answer.version)
-        log_line("relay %s:%u has configuration version %llu; %llu stands", relays_.address().host.c_str(),
-                 relays_.address().port, printable(answer.version), printable(copy_.version()));
+        log_line("relay %s:%u has the older configuration version %llu; version %llu stays in force",
+                 relays_.address().host.c_str(), relays_.address().port, printable(answer.version),
+                 printable(copy_.version()));
 }
 
 void ConfigFollower::on_changes(Nanos sent, const ChangesAnswer& answer) {
@@ -143,7 +147,7 @@
     answers_without_lease_ = has_lease ? 0 : answers_without_lease_ + 1;
     caught_up_ |= answer.lease > 0 && copy_.version() >= answer.version;
     update_serving_state();
-    // A relay that answers at once and brings nothing is not called again at once.
+    // A relay that answers at once and without news is not called again before a pause.
     const Nanos earliest = sent + std::max(wait_, min_pause);
     if (!further && time_.now() < earliest)
         time_.due.move(pause_, earliest, *this, Handle{});
@@ -166,7 +170,7 @@
     if (!std::exchange(next_pending_, false)) return;
     if (answers_without_lease_ < max_answers_without_lease || config_.relays.size() == 1)
         return relays_.next();
-    // This relay reaches no fleet manager; another may.
+    // This relay apparently reaches no fleet manager, but another relay may.
     answers_without_lease_ = 0;
     relays_.fail_over("it grants no lease");
 }
--- a/src/service/decision_executor.cpp
+++ b/src/service/decision_executor.cpp
@@ -7,7 +7,8 @@
 
 void DecisionExecutor::send_attempt(std::uint32_t id, std::uint32_t node, Nanos wait) {
     const auto* position = queries_.find_shard_request(id);
-    if (position == nullptr) return log_line("an attempt of shard request %u, which is not known", id);
+    if (position == nullptr)
+        return log_line("the router sent an attempt of shard request %u, which is unknown", id);
     const Handle attempt = attempts_.add(*position, node, wait);
     const Query& query = *queries_.find(position->query);
     if (!query.two_phase) return attempts_.queue(attempt, 'R');
--- a/src/service/decision_executor.hpp
+++ b/src/service/decision_executor.hpp
@@ -1,4 +1,4 @@
-// Carries out what the decision module decides in a round. Makes no decisions of its own.
+// Carries out the decisions of the QueryRouter in a round. Makes no decisions itself.
 #pragma once
 
 #include <cstdint>
@@ -14,6 +14,7 @@
 
 namespace tealcart {
 
+// Passes decisions on to the attempts, to the completion of queries and to two-phase queries.
 class DecisionExecutor final : public DecisionSink, public DueHandler {
   public:
     DecisionExecutor(EventClock& clock, QueryTable& queries, EventQueue& events, AttemptDispatcher& attempts,
@@ -27,10 +28,10 @@
     void reject(std::uint32_t query, Nanos retry_after) override;
     void fail_query(std::uint32_t query) override;
     void set_timer(std::uint64_t cookie, Nanos wait) override;
-    void watch_endpoints() override {}  // discovery is always watched
+    void watch_endpoints() override {}  // the service always watches discovery
     void log(const std::string& line) override;
 
-    // One of the module's timers is due.
+    // A timer that the router has set is due.
     void on_due(Handle, std::uint64_t cookie) override { events_.push(RouterTimerFired{cookie}); }
 
   private:
--- a/src/service/event_queue.cpp
+++ b/src/service/event_queue.cpp
@@ -27,7 +27,8 @@
 
 void EventQueue::play_query(RoundEventHandler& handler, Handle handle) {
     Query* query = queries_.find(handle);
-    if (query == nullptr || query->ended) return;  // its client left before the module heard of it
+    if (query == nullptr || query->ended)
+        return;  // its client disconnected before the router learned of the query
     query->announced = true;
     constexpr std::uint32_t no_tenant = UINT32_MAX;
     QueryArrival arrival{
@@ -38,7 +39,7 @@
         first = two_phase.leg_begins;
         arrival.began_at =
             std::exchange(two_phase.began, two_phase.began > 0 ? two_phase.began : round_began_at_);
-        // A round ends the leg, so it is the one before its time.
+        // The leg ends with a round, so it must be the last round before the first phase's end.
         if (two_phase.machine.state() == TwoPhaseStateMachine::State::summarizing)
             arrival.answer_by = two_phase.first_phase_until - round_interval_;
     }
--- a/src/service/event_queue.hpp
+++ b/src/service/event_queue.hpp
@@ -1,4 +1,4 @@
-// What came in since the last round, kept in its order until the decision module hears of it.
+// Queues the events since the last round, in their order, until the QueryRouter processes them.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace tealcart {
 
-// The endpoint list, or a change of it, was applied.
+// An endpoint list or a delta of it was applied.
 struct EndpointsChanged {
     ListKind kind;
     std::vector<Endpoint> entries;
@@ -21,15 +21,17 @@
 };
 // The client of a query has closed its connection.
 struct ClientDisconnected {
-    std::uint32_t query = 0;  // the module's id
+    std::uint32_t query = 0;  // the query's id at the router
 };
-// A timer that the decision module set has run out.
+// A timer that the router has set is due.
 struct RouterTimerFired {
     std::uint64_t cookie = 0;
 };
+// An event for the router.
 using RouterEvent =
     std::variant<EndpointsChanged, QueryArrived, AttemptResult, ClientDisconnected, RouterTimerFired>;
 
+// Plays the events of a round to the router.
 class EventQueue final : public RoundEvents {
   public:
     EventQueue(QueryTable& queries, Nanos round_interval)
@@ -38,7 +40,7 @@
     void push(RouterEvent event) { pending_.push_back(std::move(event)); }
     bool empty() const { return pending_.empty(); }
 
-    // Takes what is pending into the round that begins now; what comes in meanwhile is for the next one.
+    // Begins a round with the pending events. Events that arrive during the round are played in the next one.
     void begin_round(Nanos now);
     Nanos round_began_at() const { return round_began_at_; }
     void play(RoundEventHandler& handler) override;
--- a/src/service/main.cpp
+++ b/src/service/main.cpp
@@ -1,4 +1,5 @@
-// The command line. Without a subcommand it serves one query router, as the platform starts it.
+// The command line of tealcart. Without a subcommand it serves one query router, which is how the platform
+// starts it.
 
 #include <unistd.h>
 
@@ -26,7 +27,7 @@
 
 constexpr int exit_failure = 1, exit_usage = 2;
 
-// What the command line states.
+// The values of the command line's options.
 struct Options {
     std::string config;  // path of the platform's configuration
     std::string file;    // path of the operators' file
@@ -42,38 +43,41 @@
 }
 
 int serve(const Options& options) {
-    std::signal(SIGPIPE, SIG_IGN);  // a log that nobody reads any more ends nothing
-    std::signal(SIGHUP, SIG_IGN);   // until the service takes it, which is before it reads the configuration
+    std::signal(SIGPIPE, SIG_IGN);  // a write to a log without a reader must not end the process
+    std::signal(SIGHUP,
+                SIG_IGN);  // until the service handles it, which it does before it reads the configuration
     boost::asio::io_context io(1);
     tealcart::Service service(io, [&options] { return read_startup_config(options); });
     service.run();
     return 0;
 }
 
-// Checks the operators' file alone or, where the platform's configuration is at hand, against it.
+// Checks the operators' file, and whether it fits the platform's configuration if that is given.
 int check(const Options& options) {
     const tealcart::OperatorConfig config = tealcart::read_operator_file(options.file);
     if (!options.config.empty()) {
         tealcart::StartupConfig startup = tealcart::read_startup_config_file(options.config);
         tealcart::apply_operator_config(startup, config);
     }
-    std::printf("%s: %zu verticals in two phases%s\n", options.file.c_str(), config.phases.size(),
-                options.config.empty() ? "; not held against a configuration" : "");
+    std::printf("%s is valid: %zu verticals in two phases%s\n", options.file.c_str(), config.phases.size(),
+                options.config.empty() ? "; not checked against a configuration" : "");
     return 0;
 }
 
 std::string read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw tealcart::ConfigError(path + " can't be read");
+    if (!in) throw tealcart::ConfigError("failed to read " + path);
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// Turns an operators' file of the earlier form into one for the deployment of the configuration. Writes the
-// new file only where it is asked to and not in a dry run; lists what stays behind on standard error.
+// Converts an operators' file of the earlier format into one for the deployment of the configuration. Writes
+// the new file only if --to is given without --dry-run, and prints it otherwise. Lists on standard error what
+// is not carried over.
 int migrate(const Options& options) {
     const auto config = nlohmann::json::parse(read_file(options.config), nullptr, false);
     if (config.is_discarded() || !config.is_object() || !config.contains("settings"))
-        throw tealcart::ConfigError(options.config + " is no configuration with 'settings'");
+        throw tealcart::ConfigError(options.config +
+                                    " is not a JSON configuration with the member 'settings'");
     const tealcart::OperatorFileMigration migration =
         tealcart::migrate(read_file(options.file), options.file, config["settings"].dump());
     for (const std::string& line : migration.stated) std::fprintf(stderr, "stated: %s\n", line.c_str());
@@ -81,33 +85,35 @@
         std::fprintf(stderr, "%s:%zu:%zu: not carried over: %s\n", options.file.c_str(), left.position.line,
                      left.position.column, left.message.c_str());
     if (options.dry_run || options.to.empty()) return std::fputs(migration.text.c_str(), stdout) < 0;
-    if (std::filesystem::exists(options.to)) throw tealcart::ConfigError(options.to + " is there already");
+    if (std::filesystem::exists(options.to)) throw tealcart::ConfigError(options.to + " already exists");
     std::ofstream out(options.to, std::ios::binary);
     if (!(out << migration.text) || !out.flush())
-        throw tealcart::ConfigError(options.to + " can't be written");
-    std::fprintf(stderr, "wrote %s: %zu left behind\n", options.to.c_str(), migration.left.size());
+        throw tealcart::ConfigError("failed to write " + options.to);
+    std::fprintf(stderr, "wrote %s: %zu entries not carried over\n", options.to.c_str(),
+                 migration.left.size());
     return 0;
 }
 
 int print_version(const Options&) { return std::printf("tealcart %s\n", tealcart::version) < 0; }
 
-// Subcommands that other programs carry out, which have libraries of their own and stand beside this one.
+// A subcommand that another program in this program's directory carries out, since it needs further
+// libraries.
 struct SiblingCommand {
     const char* name;
-    const char* alias;  // its earlier name; null for none
+    const char* alias;  // an earlier name; null for none
     const char* program;
     const char* build_option;
-    bool passes_name;  // the program serves several subcommands, and is told which
+    bool passes_name;  // the program serves several subcommands and gets the name as an argument
     const char* description;
 };
-constexpr const char* fleet_description = "ask a fleet's stewards; see --help of it";
+constexpr const char* fleet_description = "send a command to the fleet managers; see its --help";
 constexpr SiblingCommand sibling_commands[] = {
     {"control", nullptr, "tealcart-control", "TEALCART_CONTROL", false,
-     "hand decisions to other proxies over xDS; see tealcart control --help"},
+     "run the control service, which configures proxies over xDS; see tealcart control --help"},
     {"fleet-manager", "steward", "tealcart-fleet-manager", "TEALCART_FLEET", false,
-     "replicate what a fleet agrees on; see tealcart fleet-manager --help"},
+     "run a fleet manager, which replicates the state of a fleet; see tealcart fleet-manager --help"},
     {"relay", nullptr, "tealcart-relay", "TEALCART_FLEET", false,
-     "hand a fleet's changes on to its routers; see tealcart relay --help"},
+     "run a relay, which distributes a fleet's configuration to its routers; see tealcart relay --help"},
     {"drain", nullptr, "tealcart-fleet", "TEALCART_FLEET", true, fleet_description},
     {"undrain", nullptr, "tealcart-fleet", "TEALCART_FLEET", true, fleet_description},
     {"halt", nullptr, "tealcart-fleet", "TEALCART_FLEET", true, fleet_description},
@@ -116,11 +122,12 @@
     {"config", nullptr, "tealcart-fleet", "TEALCART_FLEET", true, fleet_description},
 };
 
-// Replaces this process; returns only where the program is not there.
+// Replaces this process with the program. Returns only if the program does not exist.
 int run_sibling(const SiblingCommand& command, char** arguments) {
     const auto path = std::filesystem::read_symlink("/proc/self/exe").parent_path() / command.program;
     ::execv(path.c_str(), command.passes_name ? arguments : arguments + 1);
-    std::fprintf(stderr, "tealcart: %s is not built (%s)\n", path.c_str(), command.build_option);
+    std::fprintf(stderr, "tealcart: %s does not exist; build it with the CMake option %s\n", path.c_str(),
+                 command.build_option);
     return exit_failure;
 }
 
@@ -137,7 +144,8 @@
 
 void add_serve_options(CLI::App& app, Options& options) {
     add_config_option(app, options);
-    app.add_option("--file", options.file, "the operators' file (HCL); without one, nothing of it is on")
+    app.add_option("--file", options.file,
+                   "the operators' file (HCL); without one, all of its features are off")
         ->envname("TEALCART_FILE");
 }
 
@@ -147,10 +155,11 @@
 }
 
 void add_migrate_options(CLI::App& app, Options& options) {
-    app.add_option("FILE", options.file, "the operators' file of the earlier shape")->required();
+    app.add_option("FILE", options.file, "the operators' file of the earlier format")->required();
     app.add_option("--config", options.config, "the new deployment's configuration (JSON)")->required();
-    app.add_option("--to", options.to, "where the new file goes; it must not be there yet");
-    app.add_flag("--dry-run", options.dry_run, "print the new file and what stays behind; write nothing");
+    app.add_option("--to", options.to, "path of the new file, which must not exist yet");
+    app.add_flag("--dry-run", options.dry_run,
+                 "print the new file and what is not carried over; write no file");
 }
 
 void add_completion_options(CLI::App& app, Options& options) {
@@ -159,7 +168,7 @@
         ->check(CLI::IsMember({"bash", "zsh", "fish"}));
 }
 
-// Subcommands that this program carries out itself.
+// A subcommand that this program carries out itself.
 struct Command {
     const char* name;
     const char* description;
@@ -191,7 +200,7 @@
 int main(int argc, char** argv) {
     if (argc > 1)
         if (const SiblingCommand* command = find_sibling(argv[1])) return run_sibling(*command, argv);
-    CLI::App app("tealcart: a co-ordinator of queries over replicated shards");
+    CLI::App app("tealcart: a query router over replicated shards");
     app.name("tealcart");
     app.require_subcommand(0, 1);
     Options options;
@@ -200,13 +209,14 @@
         return std::fputs(tealcart::completion_script(app, of.shell).c_str(), stdout) < 0;
     };
     std::vector<Command> commands{
-        {"serve", "serve one query router; the same as no sub-command", add_serve_options, serve},
-        {"check", "tell every mistake in an operators' file, with line and column", add_check_options, check},
-        {"migrate", "carry an operators' file over to a deployment of the new shape; lists what stays behind",
+        {"serve", "serve one query router (the default without a subcommand)", add_serve_options, serve},
+        {"check", "report every error in an operators' file with its line and column", add_check_options,
+         check},
+        {"migrate", "convert an operators' file to the new format; lists what is not carried over",
          add_migrate_options, migrate},
         {"version", "print the version", nullptr, print_version},
         {"completion", "print a completion script for a shell", add_completion_options, print_completion}};
-    // In the order of --help: the programs beside this one stand in the middle.
+    // The order determines that of --help, which lists the other programs' subcommands in the middle.
     constexpr std::size_t before_siblings = 3;
     for (std::size_t i = 0; i < before_siblings; ++i) add_command(app, commands[i], options);
     for (const SiblingCommand& sibling : sibling_commands) {
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -12,10 +12,11 @@
 namespace {
 
 constexpr Nanos leave_timeout = 300'000'000;  // ns
-const char* const serving_states[] = {"no steward has spoken yet", "a member",
-                                      "its lease is over; it goes on by what it last knew", "cut off"};
+const char* const serving_states[] = {"no fleet manager has answered yet", "a member",
+                                      "its lease is over; it continues with its last known generation",
+                                      "cut off from the fleet; it serves no queries"};
 
-// A digest of all that was stated when the router started.
+// Returns a digest of the settings and the operators' file that the router started with.
 std::string digest_of(const StartupConfig& startup) {
     const std::string all = startup.settings_text + '\n' + startup.operator_config.text;
     char text[17];
@@ -44,12 +45,12 @@
     update_host(endpoints_.apply_discovered(list));
 }
 
-// Guards against acting, after a stall, on a lease that has expired.
+// Guards against acting on an expired lease after the process has stalled.
 void Membership::update_serving_state() {
     const Nanos now = time_.now();
     const ServingState state = lease_.serving_state(now);
     if (std::exchange(serving_state_, state) != state)
-        log_line("member %s, life %llu: %s", name_.c_str(),
+        log_line("member %s, incarnation %llu: %s", name_.c_str(),
                  static_cast<unsigned long long>(lease_.incarnation()),
                  serving_states[static_cast<int>(state)]);
     const bool fenced = now >= lease_.attempts_until(now);
@@ -59,7 +60,7 @@
 }
 
 void Membership::after_round() {
-    // Without a further round due, the module has been played all that the host was told.
+    // If no further round is due, the router has processed everything that the host was given.
     if (host_.next_round() != TimerQueue::never) return;
     applied_generation_ = known_generation_;
     managers_.next();
@@ -108,7 +109,7 @@
         return;
     }
     lease_.renewed(sent, answer.lease);
-    // A new leader may be behind for a moment: what is known stays.
+    // A new leader may briefly have an older generation, which is ignored.
     if (answer.generation > known_generation_ || known_generation_ == 0) apply_generation(answer);
     update_serving_state();
     after_round();
--- a/src/service/membership.hpp
+++ b/src/service/membership.hpp
@@ -1,6 +1,6 @@
-// A query router's membership in a fleet: it keeps the lease, lays the agreed drains over discovery's
-// endpoints for its host, the query dispatcher, and reports what the router acts on. Made only where the
-// operators' file has a `member` block.
+// A query router's membership in a fleet. It renews the router's lease, applies the agreed drains to
+// discovery's endpoint lists for its host (the query dispatcher), and reports the router's state to the fleet
+// managers.
 #pragma once
 
 #include "members/endpoint_overlay.hpp"
@@ -12,6 +12,7 @@
 
 namespace tealcart {
 
+// Created only if the operators' file has a `member` block.
 class Membership final : public EndpointListObserver, private ManagerObserver, private OutcomeObserver {
   public:
     Membership(boost::asio::io_context& io, EventClock& time, const StartupConfig& startup, MemberHost& host);
@@ -19,19 +20,20 @@
     void start() { managers_.start(); }
     void stop() { managers_.stop(); }
     void on_endpoint_list(const EndpointList& list) override;
-    // The list that the router starts with, which the host has already: agreed drains hold for its nodes too.
+    // Applies the list that the router starts with, so that agreed drains hold for its nodes too. The host
+    // already has this list.
     void apply_cached_list(const EndpointList& list) { endpoints_.apply_discovered(list); }
 
-    // To be called before each round: applies what the clock alone has changed.
+    // Must be called before each round. Updates the serving state that depends on the time.
     void update_serving_state();
-    // And after it: the host has acted on what it was told.
+    // Must be called after each round, in which the host has applied the lists that it was given.
     void after_round();
     Nanos next_change() const { return lease_.next_change(time_.now()); }
     const MemberLease& lease() const { return lease_; }
     std::uint64_t applied_generation() const { return applied_generation_; }
     const TrafficCounters& traffic() const { return managers_.traffic(); }
-    // Tells the managers that the router leaves; true once they have answered, or after a time-out. To be
-    // called until then.
+    // Tells the fleet managers that the router leaves. Must be called until it returns true, which it does
+    // after their answer or a timeout.
     bool leave();
 
   private:
@@ -43,7 +45,7 @@
 
     void update_host(const EndpointList& list);
     void apply_generation(const MemberAnswer& answer);
-    // Drained targets with work in flight: this router, and data nodes.
+    // Returns the drained targets, this router or data nodes, that still have queries or attempts in flight.
     std::vector<TargetName> targets_in_flight() const;
     std::vector<std::string> unresponsive_nodes() const;
 
@@ -55,13 +57,13 @@
     EndpointOverlay endpoints_;
     OutcomeStats outcomes_;
     ManagerWatch managers_;
-    // The latest agreed generation that is known, and the one that the router acts on.
+    // The latest agreed generation that is known, and the one that the router has applied.
     std::uint64_t known_generation_ = 0, applied_generation_ = 0;
-    bool drained_ = false;  // this router, by agreement
+    bool drained_ = false;  // this router is drained by agreement
     bool fenced_ = false;
     bool leaving_ = false, left_ = false;
     ServingState serving_state_ = ServingState::unregistered;
-    Nanos leave_began_ = 0;  // 0: not yet
+    Nanos leave_began_ = 0;  // 0 if the router is not leaving
 };
 
 }  // namespace tealcart
--- a/src/service/query_completion.hpp
+++ b/src/service/query_completion.hpp
@@ -1,4 +1,4 @@
-// Ends queries: writes their response and takes back what is not sent yet.
+// Ends queries: writes their responses and withdraws their unsent attempts.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +11,7 @@
 
 namespace tealcart {
 
+// Ends each query once, with or without a response.
 class QueryCompletion {
   public:
     QueryCompletion(QueryTable& queries, AttemptDispatcher& attempts)
@@ -18,13 +19,13 @@
     void connect(ResponseWriter& writer) { writer_ = &writer; }
     void set_observer(OutcomeObserver* observer) { outcomes_ = observer; }
 
-    // Ends a query, by the module's id, with this response; does nothing where it has ended.
+    // Ends the query with this id at the router with a response. Does nothing if the query has ended.
     void respond(std::uint32_t id, Response response);
-    // The same with status 200 and this body, or with 500 where the body is longer than the protocol allows.
-    // The query must be active.
+    // Responds with status 200 and this body, or with status 500 if the body is longer than the protocol
+    // allows. The query must be active.
     void respond_with_results(std::uint32_t id, std::string body);
 
-    // Ends a query without a response. From here on nothing of it is sent.
+    // Ends a query without a response. None of its attempts is sent after that.
     void end(Handle handle);
 
   private:
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -48,7 +48,7 @@
     const auto refuse = [&](int status, std::string_view message) {
         writer_->answer(client, RequestParser::error(status, message));
     };
-    // Its shard requests could not be told from those of the query in progress.
+    // Its shard requests would be indistinguishable from those of the query in progress.
     if (queries_.find_by_request_id(request.id) != Handle{}) return refuse(409, "X-Request-Id is in use");
     if (queries_.active() >= max_active_) return refuse(503, "too many queries in hand");
     if (!serving_state_.admits) return refuse(503, "cut off from the fleet");
@@ -75,7 +75,7 @@
     query.query_class = query_request.query_class;
     query.is_retry = request.retry;
     query.deadline_at = began + query_request.time_to_live;
-    if (two_phase_.applies(query.query_class, query_request.body.find))
+    if (two_phase_.applies(query.query_class, query_request.body.criteria))
         return two_phase_.begin(handle, std::move(query_request.body), began);
     queries_.register_id(handle);
     for (const QueryShardRequest& stated : query_request.body.shard_requests)
@@ -99,13 +99,14 @@
     NodeTable::Changes changes = nodes_.apply(list);
     two_phase_.on_endpoints(changes, kind);
     for (const std::uint32_t node : changes.added)
-        log_line("node %u is %s at %s", node, nodes_.name(node).c_str(), nodes_.address(node).c_str());
+        log_line("node %u is data node %s at %s", node, nodes_.name(node).c_str(),
+                 nodes_.address(node).c_str());
     events_.push(EndpointsChanged{kind, std::move(changes.entries)});
     for (const std::uint32_t node : changes.moved) sender_->retire(node, false);
     for (const std::uint32_t node : changes.leaving) sender_->retire(node, true);
 }
 
-// An answer counts for the attempt that is in flight for this shard request on this very connection.
+// An answer belongs to the attempt that is in flight for its shard request on the same connection.
 bool QueryDispatcher::on_node_answer(Handle connection, const NodeAnswer& answer) {
     const Query* query = queries_.find(queries_.find_by_request_id(answer.query));
     if (query == nullptr) return false;
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -1,5 +1,5 @@
-// Between the sockets and the decision module: takes in requests, answers of data nodes and endpoint lists,
-// plays them to the module once a round and has its decisions carried out.
+// Connects the sockets with the QueryRouter. It receives requests, answers of data nodes and endpoint lists,
+// plays them to the router once per round, and has the router's decisions carried out.
 #pragma once
 
 #include <array>
@@ -25,8 +25,8 @@
 
 namespace tealcart {
 
-// Owns the queries, their attempts and the table of nodes; the connections belong to the sender and writer
-// that it is connected with.
+// Owns the queries, their attempts and the table of nodes. The connections belong to the AttemptSender and
+// the ResponseWriter.
 class QueryDispatcher final : public RequestHandler, public ConnectionObserver, public MemberHost {
   public:
     QueryDispatcher(EventClock& clock, const StartupConfig& startup);
@@ -48,19 +48,19 @@
     bool any_attempt_to(const std::function<bool(const std::string&)>& matches) const override;
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
     std::size_t unfinished_count() const override { return queries_.active(); }
-    // When the next round is due; never while nothing has come in, or before `begin`.
+    // Returns when the next round is due: TimerQueue::never before `begin` and while no event is pending.
     Nanos next_round() const override;
 
-    // Applies an endpoint list that came from elsewhere than the watch on discovery.
+    // Applies an endpoint list that does not come from the watch on discovery.
     void apply_list(const EndpointList& list, ListKind kind);
     void run_round();
-    // From here on it is ready and decides; what has come in before waits till then.
+    // From now on the dispatcher is ready and runs rounds. Earlier events wait until then.
     void begin() { begun_ = true; }
     bool begun() const { return begun_; }
-    // From here on it is not ready; it serves on.
+    // From now on the dispatcher reports that it is not ready, but continues to serve queries.
     void begin_stop() { stopping_ = true; }
-    // From here on queries begin by these, one for each query class; those in progress keep what they began
-    // with. To be called between two rounds.
+    // Sets the two-phase configurations, one for each query class, for queries that begin from now on. Must
+    // be called between two rounds.
     void set_two_phase_config(std::vector<TwoPhaseConfig> by_query_class);
 
     std::size_t attempts_in_flight() const { return attempts_.in_flight(); }
@@ -76,12 +76,12 @@
     EventClock& clock_;
     const RequestParser parser_;
     const Nanos round_interval_;
-    const std::size_t max_active_;  // queries and shard requests
+    const std::size_t max_active_;  // limit for the sum of queries and shard requests
     ResponseWriter* writer_ = nullptr;
     AttemptSender* sender_ = nullptr;
     bool begun_ = false, stopping_ = false;
     std::array<MemberServingState, 2> serving_states_;  // by ServingStateSource
-    MemberServingState serving_state_;                  // the stricter of them
+    MemberServingState serving_state_;                  // the strictest combination of them
 
     NodeTable nodes_;
     QueryTable queries_;
--- a/src/service/query_table.cpp
+++ b/src/service/query_table.cpp
@@ -14,7 +14,7 @@
     return handle;
 }
 
-void QueryTable::renew_id(Handle handle) {
+void QueryTable::assign_new_id(Handle handle) {
     Query& query = *queries_.find(handle);
     query.two_phase->earlier_ids.push_back(query.id);
     query.id = new_id();
@@ -33,7 +33,7 @@
     ++active_;
 }
 
-// Never one that is in use: the ids of a process that runs for long come round.
+// Skips ids that are in use, since the ids of a long-running process wrap around.
 std::uint32_t QueryTable::new_id() {
     do ++last_id_;
     while (by_id_.contains(last_id_) || shard_request_by_id_.contains(last_id_));
--- a/src/service/query_table.hpp
+++ b/src/service/query_table.hpp
@@ -1,4 +1,4 @@
-// The queries that the router works on, with their shard requests, found by every id that names them.
+// The queries in progress and their shard requests, with an index for each of their ids.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,13 @@
 
 namespace tealcart {
 
-// What is asked of one shard, in one leg where the query is in two phases.
+// A request to one shard; in a two-phase query, of one leg.
 struct ShardRequest {
-    std::uint32_t id = 0, shard = 0;  // id: the decision module's
+    std::uint32_t id = 0, shard = 0;  // the id is the one at the router
     double weight = 0;
     Nanos cost_hint = 0;
     bool answered = false;
-    // Of a query in two phases: the leg it is of, its section, and how it stood when the leg began.
+    // Only for two-phase queries: its leg, its section, and the section's state when the leg began.
     std::uint8_t leg = 0;
     bool first_phase = false, answered_before = false;
     std::uint32_t section = 0;
@@ -31,74 +31,78 @@
     Nanos first_sent_at = 0;
     std::string value;
     std::vector<Handle> attempts;     // by attempt number
-    std::vector<Handle> connections;  // they were sent on
+    std::vector<Handle> connections;  // that attempts were sent on
 };
 
-// The state of a query in two phases beside its shard requests.
+// The state of a two-phase query besides its shard requests.
 struct TwoPhaseQuery {
-    TwoPhaseQuery(SearchCriteria conditions, const TwoPhaseConfig& config, int max_attempts,
+    TwoPhaseQuery(SearchCriteria search_criteria, const TwoPhaseConfig& config, int max_attempts,
                   const std::vector<double>& weights)
-        : find(std::move(conditions)), keys(find), machine(config, find.rows, max_attempts, weights) {}
+        : criteria(std::move(search_criteria)), keys(criteria),
+          machine(config, criteria.rows, max_attempts, weights) {}
 
-    const SearchCriteria find;
+    const SearchCriteria criteria;
     const SearchKeys keys;
     TwoPhaseStateMachine machine;
     std::vector<QueryShardRequest> sections;
     std::uint8_t leg = 0;        // counted from 1
-    std::size_t leg_begins = 0;  // place of its first shard request among the query's
-    Nanos began = 0;             // when the module heard of the first leg
+    std::size_t leg_begins = 0;  // index of its first shard request in the query
+    Nanos began = 0;             // when the router learned of the first leg
     Nanos first_phase_until = 0;
-    std::vector<std::uint32_t> earlier_ids;  // the module's, of legs that have ended
+    std::vector<std::uint32_t> earlier_ids;  // ids at the router of legs that have ended
     Nanos retry_after = 0;
 };
 
-// A client's query until its final answer and the end of its last attempt.
+// A client's query, until it has its response and its last attempt has ended.
 struct Query {
-    std::uint32_t id = 0;  // the decision module's; of a query in two phases its current leg's
+    std::uint32_t id = 0;  // the id at the router; in a two-phase query, that of the current leg
     std::uint16_t query_class = 0;
     bool is_retry = false;
-    bool announced = false;  // the module has heard of it
-    bool ended = false;      // the client has its response, or is disconnected
+    bool announced = false;  // the router has learned of the query
+    bool ended = false;      // the client has its response or has disconnected
     Handle client;
     Nanos deadline_at = 0;
     std::shared_ptr<QueryText> text;
     std::vector<ShardRequest> shard_requests;
-    std::size_t value_bytes = 0;  // of all values together
-    int in_flight = 0;            // attempts that have no outcome yet
+    std::size_t value_bytes = 0;  // total size of all values
+    int in_flight = 0;            // number of attempts without an outcome
     std::unique_ptr<TwoPhaseQuery> two_phase;
 };
 
-// Owns the queries; each is released in `release_if_ended`, once it has ended and none of its attempts is in
-// flight. Handles of released queries find nothing.
+// Owns the queries. `release_if_ended` releases a query once it has ended and none of its attempts is in
+// flight. Lookups with the handle of a released query find nothing.
 class QueryTable {
   public:
+    // Locates a shard request.
     struct ShardRequestPosition {
         Handle query;
         std::uint32_t index = 0;  // among the query's shard requests
     };
 
-    // Adds a query of this client under a new id. Its text must hold a client's id that is not in use.
+    // Adds a query of this client under a new id. The request id in its text must not be in use.
     Handle add(Handle client, std::shared_ptr<QueryText> text);
-    // From here on the query's id finds it: the decision module is about to hear of it.
+    // Makes the query available under its id, before the router learns of it.
     void register_id(Handle handle) { by_id_[queries_.find(handle)->id] = handle; }
-    // Gives a query in two phases a new id for its next leg.
-    void renew_id(Handle handle);
+    // Assigns a two-phase query a new id for its next leg.
+    void assign_new_id(Handle handle);
     void add_shard_request(Handle handle, const QueryShardRequest& stated);
 
     Query* find(Handle handle) { return queries_.find(handle); }
-    // By the module's id; null or no handle where it is not known, and null where it has ended.
+    // Look up a query by its id at the router. They return null or no handle if the id is unknown;
+    // find_active also returns null if the query has ended.
     Query* find_active(std::uint32_t id);
     Handle handle_of(std::uint32_t id) const;
     const ShardRequestPosition* find_shard_request(std::uint32_t id) const;
-    // By the client's request id, and by the client that waits for it; no handle where there is none.
+    // Look up a query by its request id or by its client. They return no handle if there is none.
     Handle find_by_request_id(std::string_view request_id) const;
     Handle find_by_client(Handle client) const;
 
-    // The query gets no further response; what is in flight is still waited for.
+    // Marks the query as ended, so that it gets no further response. Its attempts in flight still end
+    // normally.
     void mark_ended(Handle handle);
     void release_if_ended(Handle handle);
 
-    // Queries and shard requests that have not ended.
+    // Returns the total number of queries and shard requests that have not ended.
     std::size_t active() const { return active_; }
 
   private:
--- a/src/service/request_parser.cpp
+++ b/src/service/request_parser.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t max_deadline_ms = 24LL * 3600 * 1000;
 constexpr std::size_t max_token = 128;
 
-// Ids and keys go into the lines of frames as they are.
+// Ids and keys are put into the lines of frames without escaping, so they must not contain separators.
 bool is_token(std::string_view text) {
     return !text.empty() && text.size() <= max_token &&
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f && c != ','; });
@@ -43,7 +43,8 @@
     return {405, write_error(message), 0, allowed};
 }
 
-// The class that the path's first segment names; one past the last where it names none.
+// Returns the index of the query class that the path's first segment names, or the number of classes if there
+// is none.
 std::size_t RequestParser::find_query_class(std::string_view path) const {
     const std::string_view segment = path.substr(0, path.find('/', 1));
     const auto found =
--- a/src/service/request_parser.hpp
+++ b/src/service/request_parser.hpp
@@ -1,4 +1,4 @@
-// Turns a client's HTTP request into a query, or into the response that refuses it.
+// Parses a client's HTTP request into a query, or into the error response to it.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,20 @@
 
 namespace tealcart {
 
-// A well-formed request for a query. The request's id, key and body have been moved or copied out of it.
+// A valid request for a query. It refers to no data of the HTTP request.
 struct QueryRequest {
     std::uint16_t query_class = 0;
-    Nanos time_to_live = 0;  // as the client states it, from when its request began to come in
-    QueryBody body;          // its find is without rows where the query's class is not in two phases
+    Nanos time_to_live = 0;  // stated by the client; counts from the arrival of the request's first byte
+    QueryBody body;          // its criteria have 0 rows if the query's class does not use two phases
 };
 
-// Knows the query classes of the deployment and which of them need an idempotency key.
+// Validates requests against the deployment's query classes.
 class RequestParser {
   public:
     RequestParser(const RouterConfig& config, std::vector<std::string> query_classes);
 
-    // `two_phase(query_class)` says whether a query's conditions are to be read. Errors are complete
-    // responses: 404, 405 or 400, with a JSON body that names what is wrong.
+    // `two_phase(query_class)` returns whether to read the search criteria of a query. An error is a complete
+    // response with status 400, 404 or 405 and a JSON body that describes it.
     template <typename TwoPhase>
     std::variant<QueryRequest, Response> parse(const Request& request, TwoPhase two_phase) const {
         const auto query_class = find_query_class(request.path);
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -9,16 +9,18 @@
 namespace {
 
 constexpr Nanos millisecond = 1'000'000;
-// Of the file descriptors, so many are for what is no connection, and a third of the rest for data nodes.
+// This many file descriptors are reserved for other uses than connections. A third of the rest is for data
+// nodes.
 constexpr std::size_t reserved_descriptors = 16;
 constexpr std::size_t data_node_share = 3;
-// So long after SIGTERM new connections may still come, as the platform's page has it (0.4 s, and its slack).
+// The platform may open new connections for 0.4 s after SIGTERM; the rest is slack.
 constexpr Nanos arrivals_after_stop = 450 * millisecond;
-// What discovery's agent has counts as known from the first moment, and it answers at once: so its list is
-// waited for before the first decision, but no longer than a first silent connection and its successor take.
+// A router is expected to know the list of discovery's agent from its start, and the agent answers at once.
+// The first decision therefore waits for that list, but no longer than a silent first connection and its
+// successor take.
 constexpr Nanos first_list_timeout = 1500 * millisecond;
 constexpr int max_handlers_per_turn = 4096;
-// The loop wakes at least this often, to notice a stall.
+// The loop wakes at least this often, so that it notices when the process has stalled.
 constexpr Nanos heartbeat = 100 * millisecond;
 
 std::size_t max_node_connections(const StartupConfig& startup) {
@@ -69,7 +71,7 @@
     discovery_.start(startup_.cached_endpoints.generation);
     first_list_deadline_ = clock_.now() + first_list_timeout;
     await_signal();
-    log_line("%s serves at %s:%u with %zu data nodes of list %llu", startup_.name.c_str(),
+    log_line("%s serves at %s:%u with %zu data nodes of endpoint list %llu", startup_.name.c_str(),
              startup_.listen.host.c_str(), server_.port(), dispatcher_.nodes().ready(),
              static_cast<unsigned long long>(startup_.cached_endpoints.generation));
     startup_.cached_endpoints = {};
@@ -86,9 +88,9 @@
     });
 }
 
-// Guards against ending on a new configuration, and against one that can't be read: the old one stands then.
-// Of the rest only discovery's address can change while serving; what can't is logged, and holds at the next
-// start.
+// Reads the configuration again. Guards against ending the process at SIGHUP; if the new configuration is
+// invalid, the old one stays in force. Only discovery's address can change while the service runs. Other
+// changes are logged and take effect at the next start.
 void Service::reload_config() {
     try {
         const StartupConfig next = read_config_();
@@ -96,14 +98,16 @@
                  changes_for_next_start(next).c_str());
         discovery_.change_address(next.discovery);
     } catch (const std::exception& e) {
-        log_line("SIGHUP: %s; the configuration stands", e.what());
+        log_line("SIGHUP: the new configuration is invalid, the old one stays in force: %s", e.what());
     }
 }
 
 std::string Service::changes_for_next_start(const StartupConfig& next) const {
     std::string changes;
     const auto add = [&changes](bool changed, const char* what) {
-        if (changed) changes.append(changes.empty() ? "; only at the next start: " : ", ").append(what);
+        if (changed)
+            changes.append(changes.empty() ? "; these changes take effect at the next start: " : ", ")
+                .append(what);
     };
     add(next.name != startup_.name, "name");
     add(next.listen != startup_.listen, "listen");
@@ -120,11 +124,11 @@
 
 bool Service::turn() {
     set_timer();
-    // Guards against taking a client's time to begin when its request is read, where it has waited for
-    // longer.
+    // Guards against counting a client's time only from when its request is read if the request has waited
+    // since before that.
     clock_.awake_by = timer_at_;
     io_.run_one();
-    // After a stall much is ready and due at once: what came in is taken in before timeouts are judged.
+    // After a stall many handlers are ready and many timers due. Received data is processed before timeouts.
     for (int i = 0; i < max_handlers_per_turn && io_.poll_one() > 0; ++i) {
     }
     clock_.due.fire_due(clock_.now());
@@ -161,19 +165,19 @@
 void Service::begin_stop() {
     if (stop_began_ > 0) return;
     stop_began_ = clock_.now();
-    log_line("stopping: %zu queries and shard requests in progress, %zu connections of clients",
+    log_line("stopping: %zu queries and shard requests in progress, %zu client connections open",
              dispatcher_.unfinished_count(), server_.open());
     dispatcher_.begin_stop();
     server_.begin_stop();
 }
 
-// Once no new connections come any more and none is open.
+// Returns true once no client connection is open and no more are expected.
 bool Service::may_exit() {
     const Nanos now = clock_.now();
     if (stop_began_ == 0 || now - stop_began_ < arrivals_after_stop) return false;
     server_.close_idle(now - arrivals_after_stop);
     if (server_.open() > 0) return false;
-    // Both at once.
+    // Both leave at the same time.
     const bool member_left = !membership_ || membership_->leave();
     const bool follower_left = !follower_ || follower_->leave();
     if (!member_left || !follower_left) return false;
--- a/src/service/service.hpp
+++ b/src/service/service.hpp
@@ -1,4 +1,4 @@
-// One query router on sockets: start, the event loop, and graceful shutdown.
+// Runs a query router on sockets: start, event loop and graceful shutdown.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,23 +18,24 @@
 
 namespace tealcart {
 
+// Owns all parts of the process and runs them in one thread.
 class Service {
   public:
-    // Listens from here on, as the configuration says; `read_config` is called again at each SIGHUP. Throws
-    // what it throws, and boost::system::system_error where the address can't be bound.
+    // Starts to listen at the configured address. `read_config` is called again at each SIGHUP. Throws the
+    // exceptions of `read_config`, and boost::system::system_error if the address can't be bound.
     Service(boost::asio::io_context& io, std::function<StartupConfig()> read_config);
 
-    // Serves until a SIGTERM or SIGINT, and all that is in progress then, is done with.
+    // Serves until SIGTERM or SIGINT, and then until all queries in progress have ended.
     void run();
-    // One turn of the loop: waits until something is ready or due, takes in all that is ready, then fires
-    // what is due, then runs a round if one is due. False once the service has stopped.
+    // Runs the event loop once: waits until a handler is ready or a timer is due, runs the ready handlers,
+    // then the due timers, then a round if one is due. Returns false once the service has stopped.
     bool turn();
-    // Begins a graceful shutdown; does nothing where one has begun.
+    // Begins a graceful shutdown. Does nothing if one has begun.
     void begin_stop();
 
     std::uint16_t port() const { return server_.port(); }
     const QueryDispatcher& dispatcher() const { return dispatcher_; }
-    const ConfigFollower* follower() const { return follower_.get(); }  // null: none
+    const ConfigFollower* follower() const { return follower_.get(); }  // null if there is none
 
   private:
     void start();
@@ -47,20 +48,21 @@
     void close_all();
 
     boost::asio::io_context& io_;
-    boost::asio::signal_set signals_;  // taken before the configuration is read, so that no SIGHUP is missed
+    boost::asio::signal_set
+        signals_;  // registered before the configuration is read, so that no SIGHUP is missed
     const std::function<StartupConfig()> read_config_;
     StartupConfig startup_;
     EventClock clock_;
     QueryDispatcher dispatcher_;
     HttpServer server_;
     NodeConnectionPool connections_;
-    std::unique_ptr<Membership> membership_;    // of a fleet, where the operators' file says so
-    std::unique_ptr<ConfigFollower> follower_;  // of its changes of configuration, the same
+    std::unique_ptr<Membership> membership_;    // null if the operators' file has no `member` block
+    std::unique_ptr<ConfigFollower> follower_;  // null if that block names no relays
     DiscoveryWatch discovery_;
     boost::asio::steady_timer timer_;
     Nanos timer_at_ = TimerQueue::never;
-    Nanos stop_began_ = 0;           // 0: it has not
-    Nanos first_list_deadline_ = 0;  // until then discovery's first list is waited for
+    Nanos stop_began_ = 0;           // 0 if the service is not stopping
+    Nanos first_list_deadline_ = 0;  // the service waits for discovery's first list until then
 };
 
 }  // namespace tealcart
--- a/src/service/startup_config.cpp
+++ b/src/service/startup_config.cpp
@@ -14,34 +14,36 @@
 
 using Json = nlohmann::json;
 
-const Json& required(const Json& in, const char* key) {
+const Json& required_member(const Json& in, const char* key) {
     const auto it = in.is_object() ? in.find(key) : in.end();
     if (!in.is_object() || it == in.end())
         throw ConfigError(std::string("the configuration lacks '") + key + "'");
     return *it;
 }
 
-std::string text(const Json& in, const char* key) {
-    const Json& value = required(in, key);
-    if (!value.is_string()) throw ConfigError(std::string("'") + key + "' in the configuration is no string");
+std::string required_text(const Json& in, const char* key) {
+    const Json& value = required_member(in, key);
+    if (!value.is_string())
+        throw ConfigError(std::string("'") + key + "' in the configuration is not a string");
     return value.get<std::string>();
 }
 
-HostPort address(const Json& in, const char* key) {
-    const auto found = parse_host_port(text(in, key));
+HostPort required_address(const Json& in, const char* key) {
+    const auto found = parse_host_port(required_text(in, key));
     if (!found)
-        throw ConfigError(std::string("'") + key + "' in the configuration is no address with a port");
+        throw ConfigError(std::string("'") + key +
+                          "' in the configuration is not an address with a port, such as 127.0.0.1:8080");
     return *found;
 }
 
-std::uint64_t hexadecimal(const Json& in, const char* key) {
-    const std::string digits = text(in, key);
+std::uint64_t required_hexadecimal(const Json& in, const char* key) {
+    const std::string digits = required_text(in, key);
     std::uint64_t number = 0;
     const char* const last = digits.data() + digits.size();
     const auto [end, failure] = std::from_chars(digits.data(), last, number, 16);
     if (failure != std::errc() || end != last)
         throw ConfigError(std::string("'") + key +
-                          "' in the configuration is no hexadecimal number of 64 bits");
+                          "' in the configuration is not a hexadecimal number of up to 64 bits");
     return number;
 }
 
@@ -49,9 +51,9 @@
 constexpr std::size_t max_memory_mb = 1 << 24, bytes_per_mb = 1'000'000;
 
 void read_limits(const Json& limits, StartupConfig& startup) {
-    const Json& sockets = required(limits, "sockets");
+    const Json& sockets = required_member(limits, "sockets");
     if (!sockets.is_number_unsigned() || sockets.get<std::uint64_t>() < min_sockets)
-        throw ConfigError("'limits.sockets' in the configuration is no number of at least 64");
+        throw ConfigError("'limits.sockets' in the configuration is not a whole number of at least 64");
     startup.max_descriptors = sockets.get<std::size_t>();
     if (const auto memory = limits.find("memory_mb"); memory != limits.end() && memory->is_number_unsigned())
         startup.memory_bytes = std::min(memory->get<std::size_t>(), max_memory_mb) * bytes_per_mb;
@@ -66,19 +68,19 @@
     startup.two_phase_configs.resize(startup.connection_config.query_classes.size());
     for (const QueryClassConfig& query_class : startup.config.query_classes)
         if (query_class.second_step_requests > 0)
-            throw ConfigError("a vertical has a second step, which is not served on sockets yet");
+            throw ConfigError("a vertical has a second step, which the service does not support");
 }
 
-EndpointList read_known(const Json& known, const StartupConfig& startup) {
+EndpointList read_cached_endpoints(const Json& known, const StartupConfig& startup) {
     const std::string stated = known.dump();
     if (stated.size() > startup.endpoint_list_limit.bytes) {
-        log_line("'known' in the configuration, %zu bytes, is over its bound of %zu: %s; it is left out",
-                 stated.size(), startup.endpoint_list_limit.bytes,
-                 startup.endpoint_list_limit.reason.c_str());
+        log_line(
+            "'known' in the configuration has %zu bytes, over the limit of %zu bytes (%s); it is ignored",
+            stated.size(), startup.endpoint_list_limit.bytes, startup.endpoint_list_limit.reason.c_str());
         return {};
     }
     auto list = read_endpoint_list(stated, static_cast<std::uint32_t>(startup.config.places));
-    if (!list) throw ConfigError("'known' in the configuration is no list of data nodes");
+    if (!list) throw ConfigError("'known' in the configuration is not a list of data nodes");
     return std::move(*list);
 }
 
@@ -88,22 +90,23 @@
     const Json in = Json::parse(configuration, nullptr, false);
     if (in.is_discarded()) throw ConfigError("the configuration is not JSON");
     StartupConfig startup;
-    startup.name = text(in, "name");
-    startup.listen = address(in, "listen");
-    startup.discovery = address(in, "discovery");
-    startup.seed = hexadecimal(in, "seed");
-    read_limits(required(in, "limits"), startup);
-    read_settings(required(in, "settings"), startup);
+    startup.name = required_text(in, "name");
+    startup.listen = required_address(in, "listen");
+    startup.discovery = required_address(in, "discovery");
+    startup.seed = required_hexadecimal(in, "seed");
+    read_limits(required_member(in, "limits"), startup);
+    read_settings(required_member(in, "settings"), startup);
     if (const auto known = in.find("known"); known != in.end() && !known->is_null())
-        startup.cached_endpoints = read_known(*known, startup);
+        startup.cached_endpoints = read_cached_endpoints(*known, startup);
     startup.cached_endpoints.full = true;
     return startup;
 }
 
 StartupConfig read_startup_config_file(const std::string& path) {
-    if (path.empty()) throw ConfigError("ROUTER_CONFIG is not set");
+    if (path.empty())
+        throw ConfigError("no configuration is given: set ROUTER_CONFIG or --config to its path");
     std::ifstream file(path);
-    if (!file) throw ConfigError("the configuration " + path + " can't be read");
+    if (!file) throw ConfigError("failed to read the configuration " + path);
     return read_startup_config({std::istreambuf_iterator<char>(file), {}});
 }
 
--- a/src/service/two_phase_coordinator.cpp
+++ b/src/service/two_phase_coordinator.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 bool may_be_used(const StartupConfig& startup) {
-    // With relays a later version of the configuration may bring two phases.
+    // If there are relays, a later version of the configuration may turn two phases on.
     return !startup.operator_config.member.relays.empty() ||
            std::any_of(startup.two_phase_configs.begin(), startup.two_phase_configs.end(),
                        [](const TwoPhaseConfig& config) { return config.enabled; });
@@ -43,12 +43,12 @@
 void TwoPhaseCoordinator::begin(Handle handle, QueryBody body, Nanos began) {
     Query& query = *queries_.find(handle);
     auto text = std::make_shared<QueryText>(*query.text);
-    text->find = write_find(body.find);
+    text->criteria = write_search_criteria(body.criteria);
     query.text = std::move(text);
     std::vector<double> weights;
     for (const QueryShardRequest& section : body.shard_requests) weights.push_back(section.weight);
     query.two_phase = std::make_unique<TwoPhaseQuery>(
-        std::move(body.find), by_query_class_[query.query_class], max_attempts_, weights);
+        std::move(body.criteria), by_query_class_[query.query_class], max_attempts_, weights);
     TwoPhaseQuery& two_phase = *query.two_phase;
     two_phase.sections = std::move(body.shard_requests);
     const Nanos now = clock_.now(), objective = began + latency_objective_[query.query_class];
@@ -69,12 +69,12 @@
     begin_leg(handle, leg);
 }
 
-// The module hears of the leg with the next round.
+// The router learns of the leg in the next round.
 void TwoPhaseCoordinator::begin_leg(Handle handle, const Leg& leg) {
     Query& query = *queries_.find(handle);
     TwoPhaseQuery& two_phase = *query.two_phase;
     if (leg.kind == Leg::end) return respond(query);
-    if (two_phase.leg++ > 0) queries_.renew_id(handle);
+    if (two_phase.leg++ > 0) queries_.assign_new_id(handle);
     query.announced = false;
     two_phase.first_phase_until = leg.until;
     two_phase.leg_begins = query.shard_requests.size();
@@ -112,7 +112,7 @@
     TwoPhaseQuery& two_phase = *query.two_phase;
     const Nanos now = clock_.now();
     two_phase.retry_after = retry_after;
-    // Nothing of an ended leg is sent. The count keeps the query while its attempts end.
+    // Unsent attempts of an ended leg are withdrawn. The increment keeps the query alive while they end.
     ++query.in_flight;
     attempts_.withdraw_unsent(query, two_phase.leg_begins);
     --query.in_flight;
@@ -127,7 +127,8 @@
     if (was_first) counters_.pruned += two_phase.machine.pruned_by_summary();
     if (two_phase.machine.rechecked() && !had_recheck) {
         ++counters_.rechecked;
-        log_about(LogLevel::info, query.text->id, "pruned sections are queried after all");
+        log_about(LogLevel::info, query.text->id,
+                  "pruned sections are queried after all, since their pruning could not be confirmed");
     }
     begin_leg(handle, leg);
 }
@@ -153,8 +154,8 @@
     completion_.respond_with_results(query.id, body.finish(stated));
 }
 
-// An answer counts for the attempt that is in flight for this shard request, in this leg, on this connection.
-// What comes for a leg that has ended still tells of versions.
+// An answer belongs to the attempt that is in flight for its shard request and leg on the same connection. An
+// answer to an ended leg still provides the section's version.
 bool TwoPhaseCoordinator::on_answer(Handle connection, const PhaseAnswer& answer) {
     const Handle handle = queries_.find_by_request_id(answer.id.query);
     Query* query = queries_.find(handle);
@@ -208,14 +209,15 @@
     const bool is_first =
         !shard_request.answered && !query.ended && shard_request.leg == query.two_phase->leg;
     attempts_.end(attempt, Outcome::ok, answer.value);
-    // The end of its last attempt may have released an ended query, and the value may have been refused.
+    // The end of its last attempt may have released an ended query, and the value may have been rejected as
+    // too long.
     if (!is_first || queries_.find(handle) == nullptr || !query.shard_requests[index].answered) return;
     if (machine.on_rows(section, answer.version, answer.ranks) ==
         TwoPhaseStateMachine::RowCheck::contradictory)
         distrust_sections(query);
 }
 
-// Nodes whose summary was found wrong are not believed for a while.
+// The summaries of nodes that gave a wrong summary are not used for a while.
 void TwoPhaseCoordinator::distrust_sections(const Query& query) {
     const Nanos now = clock_.now();
     for (const std::uint32_t node : query.two_phase->machine.take_contradicted_nodes()) {
--- a/src/service/two_phase_coordinator.hpp
+++ b/src/service/two_phase_coordinator.hpp
@@ -1,5 +1,5 @@
-// Queries in two phases, between their state machine (src/phases) and the decision module: each leg is handed
-// to the module as a query of its own, and what the module decides of it is handed back.
+// Connects two-phase queries, whose state machine is in src/phases, with the QueryRouter. Each leg is passed
+// to the router as a separate query, and the router's decision on it is passed back to the state machine.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace tealcart {
 
-// What came of queries in two phases since the start.
+// Statistics of two-phase queries since the start.
 struct TwoPhaseCounters {
     std::uint64_t queries = 0, first_phases = 0, within_budget = 0;
     std::uint64_t sections = 0, pruned_from_memory = 0, pruned = 0;
@@ -28,31 +28,32 @@
     Nanos worst_overrun = 0;
 };
 
+// Runs the legs of two-phase queries.
 class TwoPhaseCoordinator {
   public:
     TwoPhaseCoordinator(EventClock& clock, QueryTable& queries, EventQueue& events,
                         AttemptDispatcher& attempts, QueryCompletion& completion,
                         const StartupConfig& startup);
 
-    // From here on queries begin by these, one for each query class; those in progress keep theirs.
+    // Sets the configurations, one for each query class, for queries that begin from now on.
     void set_config(std::vector<TwoPhaseConfig> by_query_class);
     const TwoPhaseConfig& config(std::size_t query_class) const { return by_query_class_[query_class]; }
-    // Whether a query that looks for this is to be answered in two phases.
-    bool applies(std::uint16_t query_class, const SearchCriteria& find) const {
-        return find.rows > 0 && find.rows <= config(query_class).max_rows;
+    // Returns whether a query with these criteria is answered in two phases.
+    bool applies(std::uint16_t query_class, const SearchCriteria& criteria) const {
+        return criteria.rows > 0 && criteria.rows <= config(query_class).max_rows;
     }
 
-    // Begins a query that is in the table; `began` is when its request began to come in.
+    // Begins a query of the table. `began` is the arrival time of its request's first byte.
     void begin(Handle handle, QueryBody body, Nanos began);
-    // The module has decided on the current leg of this query.
+    // Ends the current leg of a query with the router's decision.
     void end_leg(std::uint32_t id, LegDecision verdict, Nanos retry_after);
 
-    // The type of the frame that an attempt of a query in two phases goes into; 0 where the node would not
-    // understand it.
+    // Returns the frame type for an attempt of a two-phase query, or 0 if the node does not support the
+    // frame.
     char frame_type(const ShardRequest& shard_request, std::uint32_t node) const;
-    // An answer in two phases came. Returns false if no attempt that is in flight there awaits it.
+    // Processes a two-phase answer. Returns false if it belongs to no attempt in flight on the connection.
     bool on_answer(Handle connection, const PhaseAnswer& answer);
-    // Returns whether the node is now taken for one without the two-phase capability.
+    // A node refused two-phase frames. Returns whether it is now considered to lack the two-phase capability.
     bool on_refused(std::uint32_t node);
     void on_endpoints(const NodeTable::Changes& changes, ListKind kind);
 
@@ -65,7 +66,7 @@
     void add_section(Handle handle, const Leg& leg, const LegShardRequest& stated);
     void respond(const Query& query);
     bool audited(double share);
-    // An answer to one attempt: a section's summary, or its rows.
+    // Process the answer to an attempt, which is a section's summary or its rows.
     void process_summary(const ShardRequest& shard_request, Handle attempt, Query& query,
                          const PhaseAnswer& answer);
     void process_rows(Handle query, std::size_t shard_request, Handle attempt, const PhaseAnswer& answer);
@@ -79,9 +80,10 @@
     const int max_attempts_;
     std::vector<Nanos> latency_objective_;  // by query class
     std::vector<TwoPhaseConfig> by_query_class_;
-    // Some query class is in two phases, or may come to be: the nodes' capability is kept.
+    // Whether some query class uses two phases or may do so later, so that the nodes' capability must be
+    // tracked.
     const bool may_be_used_;
-    bool remembers_sections_;  // some query class that is in two phases does
+    bool remembers_sections_;  // whether some two-phase query class remembers summaries
     TwoPhaseCapability capability_;
     SectionFilterCache section_filter_cache_;
     TwoPhaseCounters counters_;
--- a/src/service/version.hpp
+++ b/src/service/version.hpp
@@ -1,4 +1,4 @@
-// The program's version, as it is told.
+// The version of the programs.
 #pragma once
 
 namespace tealcart {
--- a/src/testing/client.cpp
+++ b/src/testing/client.cpp
@@ -14,7 +14,7 @@
         body["segments"].push_back(
             {{"segment", query.shards[i]},
              {"boost", query.weights.empty() ? 1.0 / static_cast<double>(count) : query.weights[i]}});
-    body["text"] = std::to_string(query.find.rows) + "\n" + write_find(query.find);
+    body["text"] = std::to_string(query.find.rows) + "\n" + write_search_criteria(query.find);
     if (query.two_phase) {
         Json& find = body["find"] = {{"rows", query.find.rows}, {"terms", query.find.terms}};
         find["ranges"] = Json::array();
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -132,7 +132,8 @@
     int rows = 0;
     const auto [at, ec] = std::from_chars(text.data(), text.data() + std::min(end, text.size()), rows);
     if (ec == std::errc() && end != text.npos && at == text.data() + end)
-        if (auto read = read_find(text.substr(end + 1))) criteria = std::move(*read), criteria.rows = rows;
+        if (auto read = read_search_criteria(text.substr(end + 1)))
+            criteria = std::move(*read), criteria.rows = rows;
     return criteria;
 }
 
@@ -184,9 +185,10 @@
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;) {
         const auto line = read_phase_request_line(rest.substr(0, end));
         rest.remove_prefix(end + 1);
-        if (!line || line->text > rest.size() || line->find > rest.size() - line->text) return false;
-        auto criteria = read_find(rest.substr(line->text, line->find));
-        rest.remove_prefix(line->text + line->find);
+        if (!line || line->text_size > rest.size() || line->criteria_size > rest.size() - line->text_size)
+            return false;
+        auto criteria = read_search_criteria(rest.substr(line->text_size, line->criteria_size));
+        rest.remove_prefix(line->text_size + line->criteria_size);
         if (!criteria || line->id.shard >= script_.shards) return false;
         criteria->rows = line->rows;
         const std::uint32_t shard = line->id.shard;
--- a/src/wire/change_messages.cpp
+++ b/src/wire/change_messages.cpp
@@ -25,13 +25,14 @@
 
 std::string dump(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
-// Invalid UTF-8 is replaced by a character of three bytes, so the text is cut to `max_why` after that.
-std::string cut(const std::string& why) {
+// Truncates the text to `max_why` bytes. Invalid UTF-8 is replaced first, since each replacement character
+// has three bytes.
+std::string truncated(const std::string& why) {
     std::string text = Json::parse(dump(Json(why.substr(0, max_why)))).get<std::string>();
     if (text.size() <= max_why) return text;
     std::size_t end = max_why;
     while (end > 0 && (static_cast<unsigned char>(text[end]) & 0xc0) == 0x80)
-        --end;  // not within a character
+        --end;  // moves out of a multi-byte character
     return text.substr(0, end);
 }
 
@@ -40,7 +41,7 @@
     if (report.lease_grace > 0) out["serve_on_ms"] = report.lease_grace / millisecond;
     if (report.applied_version > 0) out["acts_on"] = report.applied_version;
     if (report.refused_version > 0) out["refused"] = report.refused_version;
-    if (!report.refusal_reason.empty()) out["why"] = cut(report.refusal_reason);
+    if (!report.refusal_reason.empty()) out["why"] = truncated(report.refusal_reason);
     return out;
 }
 
@@ -88,7 +89,7 @@
     in.text("pages_after", to.after, max_key, "'pages_after' is no key");
 }
 
-// False for what is no object of texts by key, or exceeds a bound.
+// Returns false if the value is not an object of strings or exceeds a limit.
 bool read_entries(const Json* entries, std::map<std::string, std::string>& to) {
     if (entries == nullptr) return true;
     if (!entries->is_object() || entries->size() > max_entries) return false;
--- a/src/wire/change_watch.cpp
+++ b/src/wire/change_watch.cpp
@@ -17,18 +17,19 @@
     return true;
 }
 
-// Moved out first: another answer may be read while this one is acted on.
+// The answer is moved out first, since another one may be read while it is applied.
 void ChangeWatch::on_answer(Nanos sent) {
     const ChangesAnswer answer = std::exchange(answer_, {});
     observer_.on_changes(sent, answer);
 }
 
 void ChangeWatch::on_unreachable(const char* reason) {
-    log_line("no %s answers for changes (%s); the last version stands", server_kind_.c_str(), reason);
+    log_line("no %s answers for changes (%s); the last configuration version stays in force",
+             server_kind_.c_str(), reason);
 }
 
 void ChangeWatch::on_reachable_again() {
-    log_line("a %s answers for changes again, version %llu", server_kind_.c_str(),
+    log_line("a %s answers for changes again; it has configuration version %llu", server_kind_.c_str(),
              static_cast<unsigned long long>(answer_.version));
 }
 
--- a/src/wire/change_watch.hpp
+++ b/src/wire/change_watch.hpp
@@ -1,5 +1,5 @@
-// Watches the versions of a fleet's configuration by long polls: a follower's to the relays, or a relay's to
-// the fleet managers.
+// Watches the versions of a fleet's configuration with long polls. A follower polls the relays, and a relay
+// polls the fleet managers.
 #pragma once
 
 #include <string>
@@ -11,33 +11,35 @@
 
 namespace tealcart {
 
+// Provides the calls of a ChangeWatch and receives their answers.
 class ChangeObserver {
   public:
     virtual ~ChangeObserver() = default;
-    // The call to send now: write_follower_call or write_relay_call, and its `wait`.
+    // Returns the call to send next: the body from write_follower_call or write_relay_call, and its `wait`.
     virtual LongPollObserver::Call next_call() = 0;
-    // The call that was sent at `sent` was answered. ChangeWatch::next is to be called once the answer has
-    // been acted on.
+    // The call that was sent at `sent` was answered. Call ChangeWatch::next once the answer has been applied.
     virtual void on_changes(Nanos sent, const ChangesAnswer& answer) = 0;
-    // A later incarnation of the caller's name is known. The call is retried by itself.
+    // A later incarnation of the caller's name is known. The watch retries the call.
     virtual void on_superseded(std::uint64_t last_incarnation) = 0;
 };
 
+// A long poll whose answers are versions of the configuration.
 class ChangeWatch final : private LongPollObserver {
   public:
-    // `path`: follower_path or relay_path. `server_kind`: "relay" or "steward", for the log. Begins at the
-    // address of index `first`, so that followers spread over the relays; `jitter_seed`: of its backoffs.
+    // `path` is follower_path or relay_path. `server_kind` is "relay" or "steward" and goes into log lines.
+    // The first call goes to the address with index `first`, so that followers spread over the relays.
+    // `jitter_seed` seeds the jitter of the backoffs.
     ChangeWatch(boost::asio::io_context& io, EventClock& time, ChangeObserver& observer,
                 std::string_view path, std::string_view server_kind, std::vector<HostPort> addresses,
                 std::size_t first, std::uint64_t jitter_seed);
 
-    // As those of LongPoll.
+    // See the methods of LongPoll.
     void start() { poll_.start(); }
     void stop() { poll_.stop(); }
     void next() { poll_.next(); }
     void call_now() { poll_.call_now(); }
     void fail_over(const char* reason) { poll_.fail_over(reason); }
-    // Only while a call is out does call_now send no more than one call.
+    // Returns whether a call awaits its answer. Only then does call_now send no more than one call.
     bool call_in_flight() const { return poll_.call_in_flight(); }
     const HostPort& address() const { return poll_.address(); }
 
@@ -52,7 +54,7 @@
     ChangeObserver& observer_;
     const std::string server_kind_;
     LongPoll poll_;
-    ChangesAnswer answer_;  // that was read last
+    ChangesAnswer answer_;  // the one read last
 };
 
 }  // namespace tealcart
--- a/src/wire/discovery_watch.cpp
+++ b/src/wire/discovery_watch.cpp
@@ -14,20 +14,21 @@
 using boost::system::error_code;
 
 constexpr Nanos millisecond = 1'000'000;
-// A change that a silent connection kept from us counts as known 6 s after discovery had it: the longest poll
-// and its slack, then two connections that fail in turn (one, where lists are polled), stay under that. The
-// first poll after a failure is short, to show that its connection is alive.
+// The router is expected to know a change 6 s after discovery has it, even if a silent connection delayed it.
+// The longest poll with its slack, followed by two failing connections (one if lists are polled), takes less
+// than that. The first poll after a failure is short, to show that its connection is alive.
 constexpr Nanos max_poll_wait = 2500 * millisecond;
 constexpr Nanos first_poll_wait = 100 * millisecond;
-constexpr Nanos poll_slack = 500 * millisecond;  // behind its wait, before its connection is given up
+constexpr Nanos poll_slack = 500 * millisecond;  // beyond the poll's wait, before its connection is closed
 constexpr Nanos connect_timeout = 1000 * millisecond;
-constexpr Nanos first_backoff = 100 * millisecond;  // doubled for each failure in a row; half of it is jitter
-// Where lists are pushed, the agent on this machine answers at once and at no cost. Where they are polled,
-// one discovery serves the polls of all routers in turn, rejects what would wait for longer than 2 s, and
-// pays for each rejection: a poll given up in that queue is served all the same, for nobody.
+constexpr Nanos first_backoff =
+    100 * millisecond;  // doubled for each consecutive failure; half of it is jitter
+// In push mode the agent on this machine answers at once and at no cost. In poll mode one discovery service
+// handles the polls of all routers in sequence, rejects those that would wait for longer than 2 s, and spends
+// time on each rejection. A poll that its router abandons in that queue is still processed, to no benefit.
 constexpr Nanos push_first_answer = 1000 * millisecond, poll_first_answer = 2500 * millisecond;
 constexpr Nanos push_max_backoff = 400 * millisecond, poll_max_backoff = 1600 * millisecond;
-// After an early answer without changes; 200 ms would end the watch.
+// Pause after an early answer without changes. A pause of 200 ms would end the watch.
 constexpr Nanos idle_pause = 100 * millisecond;
 enum Due : std::uint64_t { silence, reconnect, next_poll };
 
@@ -59,7 +60,7 @@
     close(former_);
 }
 
-// Generations of the new address need not be those of the old one: so its full list is polled first.
+// The new address may count generations differently from the old one, so its full list is polled first.
 void DiscoveryWatch::change_address(HostPort address) {
     if (address == address_) return;
     address_ = std::move(address);
@@ -76,7 +77,7 @@
     connection_ = std::make_shared<Connection>(io_, limit_.bytes);
     error_code failure;
     const auto host = boost::asio::ip::make_address(address_.host, failure);
-    if (failure) return fail("its address is no number");
+    if (failure) return fail("its address is not an IP address");
     clock_.due.move(timer_, clock_.now() + connect_timeout, *this, Handle{}, silence);
     connection_->socket.async_connect({host, address_.port},
                                       [this, connection = connection_](const error_code& result) {
@@ -126,42 +127,45 @@
     if (connection == connection_) fail(reason);
 }
 
-// An answer without a length ends with its stream, where that ends cleanly: a reset is no end.
+// A response without a stated length ends with its stream, but only if the stream ends cleanly. A reset does
+// not complete it.
 void DiscoveryWatch::parse_answer(const ConnectionPtr& connection, bool ended) {
     ResponseReader& reader = connection->reader;
-    const ParseStatus reading = ended ? reader.end() : reader.feed(connection->received);
-    if (reading == ParseStatus::incomplete) return ended ? lose(connection, "End of file") : read(connection);
-    const auto list = reading == ParseStatus::complete && reader.status() == 200
+    const ParseStatus parse_status = ended ? reader.end() : reader.feed(connection->received);
+    if (parse_status == ParseStatus::incomplete)
+        return ended ? lose(connection, "End of file") : read(connection);
+    const auto list = parse_status == ParseStatus::complete && reader.status() == 200
                           ? read_endpoint_list(reader.body(), places_)
                           : std::nullopt;
-    if (connection == former_) {  // its last list, while the new address has not answered
+    if (connection == former_) {  // the old address' last list counts until the new address has answered
         if (list) observer_.on_endpoint_list(*list);
         return close(former_);
     }
-    if (const char* reason = reason_unusable(reader, reading, list.has_value())) return fail(reason);
+    if (const char* reason = reason_unusable(reader, parse_status, list.has_value())) return fail(reason);
     apply_answer(connection, *list);
 }
 
-// Null where the answer holds a list. The last good list stands until a full one comes.
-const char* DiscoveryWatch::reason_unusable(const ResponseReader& reader, ParseStatus reading,
+// Returns null if the response holds a list. Otherwise the last good list stays in force until a full one
+// arrives.
+const char* DiscoveryWatch::reason_unusable(const ResponseReader& reader, ParseStatus parse_status,
                                             bool has_list) {
-    if (reading == ParseStatus::malformed && reader.too_long()) {
+    if (parse_status == ParseStatus::malformed && reader.too_long()) {
         needs_full_list_ = true;
         log_too_long(reader);
         return "its list is too long";
     }
-    if (reading == ParseStatus::malformed) return "its answer can't be read";
-    if (reader.status() != 200) return "its answer is not 200";
+    if (parse_status == ParseStatus::malformed) return "its response is malformed";
+    if (reader.status() != 200) return "its response status is not 200";
     if (has_list) return nullptr;
     needs_full_list_ = true;
-    return "its list can't be read";
+    return "its list is malformed";
 }
 
 void DiscoveryWatch::apply_answer(const ConnectionPtr& connection, const EndpointList& list) {
     const auto generation = static_cast<unsigned long long>(list.generation);
     if (list.left_out > 0)
-        log_line("discovery: %d entries of list %llu can't be used", list.left_out, generation);
-    if (failure_logged_) log_line("discovery answers again, list %llu", generation);
+        log_line("discovery: %d unusable entries of list %llu are skipped", list.left_out, generation);
+    if (failure_logged_) log_line("discovery answers again with list %llu", generation);
     failure_logged_ = too_long_logged_ = false;
     needs_full_list_ = false;
     has_list_ = healthy_ = true;
@@ -173,7 +177,7 @@
     connection->reader.next();
     connection->poll_in_flight = false;
     if (!keep_alive) return connect();
-    // One that answers at once and without changes, time after time, is not polled without a pause.
+    // A pause keeps a server that answers at once and without changes from being polled in a busy loop.
     if (list.nodes.empty() && clock_.now() - polled_at_ < poll_wait_ / 2)
         return clock_.due.move(timer_, clock_.now() + idle_pause, *this, Handle{}, next_poll);
     poll();
@@ -182,13 +186,14 @@
 void DiscoveryWatch::log_too_long(const ResponseReader& reader) {
     if (std::exchange(too_long_logged_, true)) return;
     const bool stated = reader.stated_length() > 0;
-    log_line("discovery: a list of %s%llu bytes is over its bound of %zu: %s", stated ? "" : "over ",
+    log_line("discovery: a list of %s%llu bytes exceeds the limit of %zu bytes (%s)", stated ? "" : "over ",
              static_cast<unsigned long long>(stated ? reader.stated_length() : limit_.bytes), limit_.bytes,
              limit_.reason.c_str());
 }
 
 void DiscoveryWatch::fail(const char* reason) {
-    if (!failure_logged_) log_line("discovery: %s; the last list stands", reason);
+    if (!failure_logged_)
+        log_line("discovery poll failed: %s; the last endpoint list stays in force", reason);
     failure_logged_ = true;
     healthy_ = false;
     clock_.due.drop(timer_);
@@ -202,7 +207,7 @@
     timer_ = TimerQueue::none;
     if (what == reconnect) return connect();
     if (what == next_poll) return poll();
-    fail("silent for longer than a poll may wait");
+    fail("it was silent for longer than a poll may wait");
 }
 
 }  // namespace tealcart
--- a/src/wire/endpoint_list_codec.cpp
+++ b/src/wire/endpoint_list_codec.cpp
@@ -11,16 +11,16 @@
 
 using Json = nlohmann::json;
 
-constexpr double max_start_ms = 9e12;  // since the Unix epoch; a later start would not fit into nanoseconds
+constexpr double max_start_ms = 9e12;  // since the Unix epoch; a later time would overflow in nanoseconds
 constexpr Nanos millisecond = 1'000'000;
 
-// A list's text as it is parsed, entry by entry, with no tree of it: of a key that comes twice the last value
-// counts, and what is of no use is passed over.
+// Parses a list entry by entry from SAX events, without building a tree of the document. If a key occurs
+// twice, its last value counts. Unknown keys are ignored.
 class EndpointListParser final : public nlohmann::json_sax<Json> {
   public:
     explicit EndpointListParser(std::uint32_t places) : places_(places) {}
 
-    // After a text that is JSON.
+    // Returns the list. Must be called only after the whole text was parsed as JSON.
     std::optional<EndpointList> list() {
         if (!has_generation_ || !has_full_ || !has_instances_) return std::nullopt;
         return EndpointList{generation_, full_, std::move(nodes_), left_out_};
@@ -28,7 +28,9 @@
 
     bool null() override { return put({}); }
     bool boolean(bool value) override { return put({Value::flag, value, 0, 0, nullptr}); }
-    bool number_integer(number_integer_t) override { return put({}); }  // below 0: others come unsigned
+    bool number_integer(number_integer_t) override {
+        return put({});
+    }  // negative: other integers arrive as unsigned
     bool number_unsigned(number_unsigned_t value) override {
         return put({Value::integer, false, value, static_cast<double>(value), nullptr});
     }
@@ -36,7 +38,7 @@
         return put({Value::fraction, false, 0, value, nullptr});
     }
     bool string(string_t& value) override { return put({Value::text, false, 0, 0, &value}); }
-    bool binary(binary_t&) override { return false; }  // not in JSON
+    bool binary(binary_t&) override { return false; }  // JSON has no binary values
     bool key(string_t& name) override {
         if (depth_ == 1) key_ = find(list_keys, name);
         if (in_entry_ && depth_ == 3) key_ = find(entry_keys, name);
@@ -62,7 +64,7 @@
         return true;
     }
     bool start_array(std::size_t) override {
-        if (depth_ == 0) return false;  // no object: no list
+        if (depth_ == 0) return false;  // the list must be an object
         put({});
         in_list_ = in_list_ || (depth_ == 1 && key_ == instances);
         has_instances_ = has_instances_ || (depth_ == 1 && key_ == instances);
@@ -83,7 +85,7 @@
         enum Type { nothing, flag, integer, fraction, text } type = nothing;
         bool truth = false;
         std::uint64_t count = 0;
-        double number = 0;  // finite: the parser takes no other
+        double number = 0;  // finite, since the parser accepts no other
         std::string* characters = nullptr;
     };
     struct Named {
@@ -111,7 +113,7 @@
         return other;
     }
 
-    // A value: what came before for its key counts no more.
+    // Stores a value, which replaces an earlier one of the same key.
     bool put(const Value& value) {
         if (depth_ == 1)
             put_in_list(value);
@@ -184,8 +186,8 @@
     Entry entry_;
     std::size_t depth_ = 0;
     Key key_ = other;
-    bool has_instances_ = false, in_list_ = false, in_entry_ = false;
-    // has_instances_: 'instances' is there, as an array
+    bool has_instances_ = false;  // 'instances' was present and an array
+    bool in_list_ = false, in_entry_ = false;
 };
 
 }  // namespace
--- a/src/wire/endpoint_list_codec.hpp
+++ b/src/wire/endpoint_list_codec.hpp
@@ -1,4 +1,4 @@
-// Discovery's JSON lists of data nodes. Pure functions on bytes.
+// Parses discovery's JSON lists of data nodes. Pure functions without I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,9 @@
 
 namespace tealcart {
 
-// Reads a list; none if it can't be read as one. Entries that can't be used are left out and counted: those
-// without an id or lifecycle, at a place that is not below `places`, or not removed and without an address.
+// Parses a list; returns nullopt if the body is not one. Unusable entries are skipped and counted: those
+// without an id or a lifecycle, those whose place is not below `places`, and those that are not removed but
+// lack an address.
 std::optional<EndpointList> read_endpoint_list(std::string_view body, std::uint32_t places);
 
 }  // namespace tealcart
--- a/src/wire/event_loop.hpp
+++ b/src/wire/event_loop.hpp
@@ -1,4 +1,4 @@
-// One turn of a process's event loop: handlers of the io_context, then timers that are due.
+// A process's event loop over an io_context and the timers of an EventClock.
 #pragma once
 
 #include <algorithm>
@@ -9,12 +9,13 @@
 
 namespace tealcart {
 
+// Runs ready handlers first and then due timers.
 class EventLoop {
   public:
     EventLoop(boost::asio::io_context& io, EventClock& time) : io_(io), time_(time), timer_(io) {}
 
-    // Waits until a handler is ready, or `wake_at` at the latest; runs what is ready, a bounded number of
-    // handlers, and the timers of the clock that are due.
+    // Waits until a handler is ready, but no longer than until `wake_at`. Then runs a limited number of ready
+    // handlers and all due timers of the clock.
     void run_once(Nanos wake_at) {
         set_timer(std::max(wake_at, time_.now()));
         io_.run_one();
@@ -26,7 +27,8 @@
   private:
     static constexpr int max_handlers = 4096;
 
-    // Set anew only for an earlier time: a timer that is postponed would wake the loop for nothing.
+    // Resets the timer only to an earlier time. Postponing it would cancel the wait, which wakes the loop
+    // without need.
     void set_timer(Nanos at) {
         if (timer_at_ != TimerQueue::never && timer_at_ <= at) return;
         timer_at_ = at;
--- a/src/wire/frame_queue.cpp
+++ b/src/wire/frame_queue.cpp
@@ -13,7 +13,7 @@
 
 using Buffers = std::vector<boost::asio::const_buffer>;
 
-// The line that stands before an attempt's text.
+// Encodes the line that precedes an attempt's text.
 std::string encode_line(const AttemptMessage& message, Nanos time_left) {
     const QueryText& query = *message.query;
     std::string line;
@@ -26,7 +26,7 @@
                                         message.rows,
                                         message.wants_filter,
                                         query.text.size(),
-                                        query.find.size()});
+                                        query.criteria.size()});
     return line;
 }
 
@@ -76,10 +76,10 @@
     std::vector<std::string> lines;
     std::size_t length = 0;
     for (const AttemptMessage& message : frame.messages) {
-        // An attempt is never sent without time to run in.
+        // An attempt is always sent with at least 1 ms to run.
         lines.push_back(encode_line(message, std::max<Nanos>(message.deadline - now, millisecond)));
         length += lines.back().size() + message.query->text.size();
-        if (two_phase) length += message.query->find.size();
+        if (two_phase) length += message.query->criteria.size();
     }
     std::string& head = batch_bytes_.emplace_back();
     append_frame_header(head, frame.messages.front().frame_type, length);
@@ -88,7 +88,7 @@
         append(buffers, batch_bytes_.emplace_back(std::move(lines[i])));
         const QueryText& query = *batch_texts_.emplace_back(frame.messages[i].query);
         append(buffers, query.text);
-        if (two_phase) append(buffers, query.find);
+        if (two_phase) append(buffers, query.criteria);
     }
     batch_ends_.emplace_back(frame.number, batch_size_);
 }
--- a/src/wire/frame_queue.hpp
+++ b/src/wire/frame_queue.hpp
@@ -1,4 +1,4 @@
-// The outgoing frames of one connection to a data node, gathered into batches of one write each.
+// The outgoing frames of one connection to a data node, written in batches.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -14,26 +14,28 @@
 
 namespace tealcart {
 
+// Queues frames until they are encoded into a batch, which is one write on the socket.
 class FrameQueue {
   public:
-    // A frame of attempts. Numbers are above 0, and each is given to one frame only.
+    // Queues a frame of attempts. Frame numbers are above 0 and unique.
     void push_attempts(std::uint64_t number, std::vector<AttemptMessage> messages);
-    // A frame without attempts.
+    // Queues a frame without attempts, for example a cancellation.
     void push_control(char type, std::string_view rest);
 
-    // Removes one attempt that no batch has taken yet; false if there is none.
+    // Removes an attempt that is not yet part of a batch. Returns false if it is not queued.
     bool withdraw(Handle attempt);
-    // Removes all attempts for which `matches(message)` holds, and returns them.
+    // Removes all queued attempts for which `matches(message)` holds, and returns their handles.
     template <typename Predicate>
     std::vector<Handle> remove_if(Predicate matches);
 
-    // Moves frames from the queue into the next batch, at most 64, and encodes them. The buffers stay valid
-    // until `finish_batch`. The queue must not be empty, and the batch before must be finished.
+    // Moves at most 64 frames from the queue into the next batch and encodes them. The buffers stay valid
+    // until `finish_batch`. The queue must not be empty, and the previous batch must be finished.
     std::vector<boost::asio::const_buffer> begin_batch(Nanos now);
     void finish_batch();
     bool batch_has_attempts() const { return !batch_ends_.empty(); }
 
-    // Whether a frame of attempts has been written, given how many bytes of the current batch were.
+    // Returns whether a frame of attempts has been written, given the number of bytes of the current batch
+    // that have been written.
     bool was_written(std::uint64_t frame, std::size_t batch_bytes_written) const;
 
     bool empty() const { return frames_.empty(); }
@@ -44,14 +46,15 @@
     struct Frame {
         std::uint64_t number = 0;  // 0 for frames without attempts
         std::vector<AttemptMessage> messages;
-        std::string bytes;  // of a frame without attempts
+        std::string bytes;  // the encoded frame, if it has no attempts
     };
 
     void append(std::vector<boost::asio::const_buffer>& buffers, std::string_view bytes);
     void encode_attempts(const Frame& frame, Nanos now, std::vector<boost::asio::const_buffer>& buffers);
 
     std::deque<Frame> frames_;
-    // Of the current batch: where each frame of attempts ends in it, and the bytes that its buffers refer to.
+    // The current batch: the number and end offset of each frame of attempts, and the bytes that the buffers
+    // refer to.
     std::vector<std::pair<std::uint64_t, std::size_t>> batch_ends_;
     std::size_t batch_size_ = 0;  // in bytes
     std::deque<std::string> batch_bytes_;
--- a/src/wire/http.cpp
+++ b/src/wire/http.cpp
@@ -16,7 +16,7 @@
 
 std::string to_string(string_view text) { return {text.data(), text.size()}; }
 
-// Beast parses a head in place once it is complete and reports its fields; the body is gathered here.
+// Collects the body. Beast parses the head in place once it is complete, and reports its fields.
 template <bool is_request>
 class MessageParser : public http::basic_parser<is_request> {
   public:
@@ -57,7 +57,8 @@
     void on_request_impl(http::verb, string_view, string_view, int, error_code&) override {}
     void on_response_impl(int code, string_view, int, error_code&) override { status = code; }
     void on_field_impl(http::field name, string_view, string_view value, error_code& ec) override {
-        // Any other coding than one chunked would leave the body's end open to dispute.
+        // With any transfer coding other than a single "chunked", peers could disagree about the end of the
+        // body.
         if (name == http::field::transfer_encoding &&
             (std::exchange(has_coding_, true) || !iequals(value, "chunked")))
             ec = http::error::bad_transfer_encoding;
@@ -81,10 +82,11 @@
     void on_finish_impl(error_code&) override {}
 
   private:
-    bool has_coding_ = false, has_length_ = false;  // the body's coding, and its length, have been stated
+    bool has_coding_ = false, has_length_ = false;  // a header stated the body's coding or length
 };
 
-// A field that goes on in the next line reads differently elsewhere, and could hide what follows.
+// Returns whether a header field continues in the next line. Other parsers read such a field differently, so
+// it could hide the lines that follow it.
 bool is_folded(std::string_view in) {
     const std::string_view head = in.substr(0, in.find("\r\n\r\n"));
     return head.find("\n ") != head.npos || head.find("\n\t") != head.npos;
@@ -109,8 +111,8 @@
     void on_field_impl(http::field name, string_view text, string_view value, error_code& ec) override {
         MessageParser::on_field_impl(name, text, value, ec);
         if (name == http::field::expect) expects_continue = iequals(value, "100-continue");
-        if (is_header_done()) return;  // trailers behind the body don't count
-        // Stated twice, nobody could tell which holds.
+        if (is_header_done()) return;  // ignores trailers after the body
+        // A repeated header is rejected, since it is undefined which value holds.
         const auto once = [&](std::string& to) {
             if (!to.empty()) ec = http::error::bad_field;
             to = to_string(value);
--- a/src/wire/http.hpp
+++ b/src/wire/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 as clients and discovery speak it: messages in from bytes, heads out to bytes. No sockets.
+// Parses and writes the HTTP/1.1 messages that are exchanged with clients and discovery. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,47 +8,46 @@
 
 namespace tealcart {
 
-// In bytes, by the protocol's page.
+// Limits of the protocol with clients.
 constexpr std::size_t max_head_bytes = 8UL * 1024;
 constexpr std::size_t max_body_bytes = 64UL * 1024;
 
-// What reading a message came to: more bytes are needed, it is complete, or it is malformed.
+// The state of a message after some bytes were parsed. An incomplete one needs more bytes.
 enum class ParseStatus : std::uint8_t { incomplete, complete, malformed };
 
 // A complete HTTP request.
 struct Request {
-    std::string method, path;  // the path without its query
-    std::string id, deadline,
-        key;             // the headers X-Request-Id, X-Deadline-Ms and Idempotency-Key; empty: none
+    std::string method, path;  // the path without its query string
+    // The headers X-Request-Id, X-Deadline-Ms and Idempotency-Key, empty if absent.
+    std::string id, deadline, key;
     bool retry = false;  // X-Retry: 1
     bool keep_alive = true;
     std::string body;
-    std::string query = {};  // what stands behind the path's '?'
+    std::string query = {};  // the query string, without its '?'
 };
 
-// Traffic of a watch since its start: polls sent, and bytes over its connections as they are read and
-// written.
+// The traffic of a watch since its start: polls sent, and bytes received and sent over its connections.
 struct TrafficCounters {
     std::uint64_t requests = 0, bytes_received = 0, bytes_sent = 0;
 };
 
-// Reads requests one after the other; bodies are accepted up to `max_size` bytes.
+// Parses consecutive requests of a connection. Accepts bodies of up to `max_size` bytes.
 class RequestReader {
   public:
     explicit RequestReader(std::size_t max_size = max_body_bytes);
     ~RequestReader();
 
-    // Reads what it can from the front of `in`, and removes it. With `done`, the rest belongs to the next
-    // request.
+    // Parses bytes from the front of `in` and removes them. Once a request is complete, the remaining bytes
+    // belong to the next one.
     ParseStatus feed(std::string& in);
-    // The status that a malformed request is answered with; the connection is to be closed then.
+    // Returns the status for the response to a malformed request. The connection must be closed after it.
     int error_status() const;
-    // True once for a request whose client expects "100 Continue" before it sends the body.
+    // Returns true once for a request whose client expects "100 Continue" before it sends the body.
     bool expects_continue();
-    // Whether any byte of the current request has been read.
+    // Returns whether any byte of the current request has been parsed.
     bool begun() const;
     Request& request();
-    // Begins with the next request, once one is done.
+    // Starts the next request, after a complete one.
     void next();
 
   private:
@@ -57,19 +56,21 @@
     std::size_t max_size_;
 };
 
-// Reads responses one after the other; bodies are accepted up to `max_size` bytes.
+// Parses consecutive responses of a connection. Accepts bodies of up to `max_size` bytes.
 class ResponseReader {
   public:
     explicit ResponseReader(std::size_t max_size);
     ~ResponseReader();
 
-    // As RequestReader::feed.
+    // See RequestReader::feed.
     ParseStatus feed(std::string& in);
-    // The stream has ended cleanly, and all of it has been fed: `done` if that is where the response ends.
+    // Must be called when the stream has ended cleanly and all of it was fed. Returns `complete` if the
+    // response ends with the stream.
     ParseStatus end();
     int status() const;
     bool keep_alive() const;
-    // With `bad`: the body is longer than `max_size`; its length as stated, 0 where none was.
+    // For a malformed response: whether its body is longer than `max_size`, and its stated length, 0 if none
+    // was stated.
     bool too_long() const;
     std::uint64_t stated_length() const;
     const std::string& body() const;
@@ -85,9 +86,9 @@
 struct ResponseHead {
     int status = 200;
     std::size_t length = 0;
-    std::int64_t retry_after_ms = 0;  // 0 for none
+    std::int64_t retry_after_ms = 0;  // 0 for no header
     bool close = false;
-    std::string_view allow = {};  // the method that would be accepted, with 405
+    std::string_view allow = {};  // with 405: the allowed method
 };
 
 std::string write_response_head(const ResponseHead& head);
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -13,15 +13,15 @@
 using boost::system::error_code;
 
 constexpr Nanos millisecond = 1'000'000;
-// By the platform's page a connection without a request may be closed after 2 s, and whoever sends what is no
-// request is owed an error or the end within 3 s of connecting, of which a quarter of a second is left for
-// the way.
+// The platform's protocol allows a connection without a request to be closed after 2 s. It requires that a
+// client without a valid request gets an error or the end of the connection within 3 s of connecting; a
+// quarter of a second of that is reserved for the network.
 constexpr Nanos idle_timeout = 2000 * millisecond;
 constexpr Nanos request_timeout = 2750 * millisecond;
-constexpr Nanos linger_timeout = 1000 * millisecond;     // for the client to take its last response
+constexpr Nanos linger_timeout = 1000 * millisecond;     // for the client to read its last response
 constexpr Nanos accept_retry_pause = 100 * millisecond;  // after a failed accept
 constexpr std::size_t max_unread =
-    max_head_bytes + max_body_bytes;  // of further requests, while one is in progress
+    max_head_bytes + max_body_bytes;  // of further requests while one is in progress
 constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
 
 boost::asio::const_buffer buffer_of(std::string_view text) { return {text.data(), text.size()}; }
@@ -53,8 +53,8 @@
     });
 }
 
-// Where no more connections may be held and none can be evicted, clients wait in the backlog for one that is
-// released.
+// If the connection limit is reached and no connection can be evicted, clients wait in the backlog until one
+// is released.
 void HttpServer::on_acceptable() {
     if (connections_.size() >= max_connections_ && !evict_one()) return retry_accept_later();
     tcp::socket socket(io_);
@@ -64,7 +64,7 @@
         add_connection(std::move(socket));
     } else if (failure != boost::asio::error::connection_aborted &&
                failure != boost::asio::error::would_block) {
-        log_line("a connection can't be accepted: %s", failure.message().c_str());
+        log_line("failed to accept a client connection: %s", failure.message().c_str());
         evict_one();
         return retry_accept_later();
     }
@@ -78,17 +78,17 @@
 void HttpServer::add_connection(tcp::socket socket) {
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    socket.non_blocking(true, ignored);  // for the last reads before it is closed
+    socket.non_blocking(true, ignored);  // needed for the last reads before it is closed
     const Handle handle = connections_.emplace(std::move(socket), max_request_body_);
     connections_.find(handle)->idle_since = clock_.earliest();  // it may have waited in the backlog
     await_request(handle);
     read(handle);
 }
 
-// Makes room for a client that waits: ends the connection that would be missed least, of those that only
-// linger, then of idle ones, then of those in the middle of a request; the longest first. One from which more
-// has come in is not ended. Guards against clients that connect by the hundreds and say nothing, or little:
-// those that come to ask need not wait until the others' time is up.
+// Closes the least valuable connection to make room for a waiting client: first lingering connections, then
+// idle ones, then those with an incomplete request, and the oldest of each kind first. A connection with
+// unread bytes is kept. Guards against clients that open hundreds of connections and send little or nothing:
+// other clients then need not wait for the timeouts of these connections.
 bool HttpServer::evict_one() {
     enum Rank : std::uint8_t { lingering, idle, in_request, never };
     using Candidate = std::pair<Rank, Nanos>;
@@ -112,20 +112,21 @@
     return true;
 }
 
-// Guards against clients that connect, or send one request, and keep their connection without a word.
+// Starts the idle timeout. Guards against clients that connect, or send one request, and then keep a silent
+// connection open.
 void HttpServer::await_request(Handle handle) {
     Connection& connection = *connections_.find(handle);
     clock_.due.move(connection.timer, connection.idle_since + idle_timeout, *this, handle);
 }
 
-// Nothing of a next request has come in.
+// Returns whether no byte of a next request has arrived.
 bool HttpServer::is_idle(const Connection& connection) const {
     error_code ignored;
     return connection.state == State::reading && !connection.reader.begun() &&
            connection.socket.available(ignored) == 0;
 }
 
-// Reads all the time, so that a client that leaves is seen.
+// Reads in every state, so that the server notices when a client disconnects.
 void HttpServer::read(Handle handle) {
     Connection& connection = *connections_.find(handle);
     if (connection.read_pending || connection.peer_ended || connection.state == State::closed) return;
@@ -148,14 +149,15 @@
     if (connection.state == State::reading) parse(handle);
     if (failure && connection.state == State::waiting) handler_.on_client_disconnected(handle);
     if (failure && connection.state != State::writing) close(handle);
-    connection.read_pending = false;  // only now, so that it is not released while it is worked on
+    connection.read_pending =
+        false;  // cleared only now, so that the connection is not released while it is in use
     if (connection.state == State::closed) return release_if_ended(handle);
     read(handle);
 }
 
-// Keeps what belongs to this request and, up to a bound, to further ones; what goes beyond that is discarded,
-// and the response that is owed is the last. Guards against working for a client that sent much at once and
-// left, whose end stands behind all that it sent.
+// Keeps the bytes of this request and, up to a limit, of further ones. Bytes over the limit are discarded,
+// and the pending response becomes the last one. Guards against working for a client that sent much at once
+// and then disconnected: its disconnect is only seen after all bytes have been read.
 void HttpServer::keep_received(Handle handle, Connection& connection, std::size_t size) {
     const bool in_progress = connection.state == State::waiting || connection.state == State::writing;
     if (in_progress && connection.unread.size() + size > max_unread)
@@ -163,7 +165,7 @@
     else if (connection.state != State::lingering)
         connection.unread.append(connection.buffer.data(), size);
     if (connection.state != State::lingering) return;
-    // Guards against reading at full speed what nobody wants.
+    // Guards against reading an endless stream of unwanted bytes.
     connection.discarded += size;
     if (connection.discarded > max_unread) close(handle);
 }
@@ -171,10 +173,10 @@
 void HttpServer::parse(Handle handle) {
     Connection& connection = *connections_.find(handle);
     const bool had_begun = connection.reader.begun();
-    const ParseStatus reading = connection.reader.feed(connection.unread);
+    const ParseStatus status = connection.reader.feed(connection.unread);
     if (!had_begun && connection.reader.begun()) note_request_began(handle, connection);
     if (connection.unread.empty()) connection.next_request_began = 0;
-    if (reading == ParseStatus::incomplete) {
+    if (status == ParseStatus::incomplete) {
         if (connection.reader.expects_continue() && !connection.write_pending) {
             connection.writes_continue = true;
             write(handle);
@@ -183,7 +185,7 @@
     }
     clock_.due.drop(connection.timer);
     connection.state = State::waiting;
-    if (reading == ParseStatus::malformed) {
+    if (status == ParseStatus::malformed) {
         connection.is_last = true;
         return answer(handle, {connection.reader.error_status(), {}, 0});
     }
@@ -192,7 +194,7 @@
 }
 
 void HttpServer::note_request_began(Handle handle, Connection& connection) {
-    // Its client may have waited through a stall, or while the request before it was in progress.
+    // The request may have waited while this process stalled or while the previous request was in progress.
     connection.request_began = connection.next_request_began > 0
                                    ? connection.next_request_began
                                    : std::max(connection.idle_since, clock_.earliest());
@@ -235,7 +237,7 @@
     if (connection.state == State::closed) return release_if_ended(handle);
     const bool wrote_continue = std::exchange(connection.writes_continue, false);
     if (connection.state != State::writing) return;
-    if (wrote_continue) return write(handle);  // a response came meanwhile
+    if (wrote_continue) return write(handle);  // the handler has answered in the meantime
     on_response_written(handle);
 }
 
@@ -253,12 +255,14 @@
     await_request(handle);
     if (!connection.unread.empty()) parse(handle);
     read(handle);
-    if (connection.state == State::reading) accept();  // an idle one can be evicted for one that waits
+    if (connection.state == State::reading)
+        accept();  // an idle connection can be evicted for a waiting client
 }
 
-// The lingering close: our side ends now, the connection once the client has ended its own, or some time
-// later. What still comes is read and discarded; a request that crossed the end its client sends again.
-// Closing with bytes unread would reset the connection and could destroy a response under way.
+// Performs a lingering close: shuts down the sending side now, and closes the connection once the client has
+// closed its side or a timeout has passed. Received bytes are discarded until then; a client whose request
+// crossed the shutdown sends it again. Closing with unread bytes would reset the connection and could destroy
+// a response in transit.
 void HttpServer::half_close(Handle handle) {
     Connection& connection = *connections_.find(handle);
     error_code failure;
@@ -279,10 +283,11 @@
     connection.timer = TimerQueue::none;
     if (connection.state != State::reading) return close(handle);
     if (!connection.reader.begun()) {
-        if (is_idle(connection)) half_close(handle);  // else its request is about to be read, with a timer
+        if (is_idle(connection))
+            half_close(handle);  // otherwise a request is about to be read, which sets a timer
         return;
     }
-    connection.state = State::waiting;  // the request did not become complete in time
+    connection.state = State::waiting;  // the request was not complete in time
     connection.is_last = true;
     answer(handle, {408, {}, 0});
 }
@@ -323,7 +328,8 @@
     clock_.due.drop(connection->timer);
     error_code failure;
     connection->socket.shutdown(tcp::socket::shutdown_send, failure);
-    for (std::size_t left = max_unread; !failure && left > 0;)  // unread bytes would make it a reset
+    for (std::size_t left = max_unread;
+         !failure && left > 0;)  // closing with unread bytes would send a reset
         left -=
             std::min(left, connection->socket.read_some(boost::asio::buffer(connection->buffer), failure));
     connection->socket.close(failure);
--- a/src/wire/http_server.hpp
+++ b/src/wire/http_server.hpp
@@ -1,4 +1,4 @@
-// The HTTP server for clients: requests in, responses out, one at a time on each connection.
+// The HTTP server for clients. Each connection has one request in progress at a time.
 #pragma once
 
 #include <array>
@@ -12,63 +12,65 @@
 
 namespace tealcart {
 
-// What a client is answered.
+// A response to a client.
 struct Response {
     int status = 200;
     std::string body;
-    Nanos retry_after = 0;        // in nanoseconds; 0 for none
-    std::string_view allow = {};  // the method that would be accepted, with 405
+    Nanos retry_after = 0;        // 0 for no Retry-After header
+    std::string_view allow = {};  // with 405: the allowed method
 };
 
-// What the server hands requests to. Each request is answered exactly once by ResponseWriter::answer, at once
-// or later, unless its client is disconnected before.
+// Handles the requests of an HttpServer. It answers each request exactly once with ResponseWriter::answer, at
+// once or later, unless the client disconnects first.
 class RequestHandler {
   public:
     virtual ~RequestHandler() = default;
-    // `began` is when the request began to come in. The request may be moved from.
+    // `began` is the time at which the first byte of the request arrived. The request may be moved from.
     virtual void on_request(Handle client, Request& request, Nanos began) = 0;
-    // The client of a request that is not answered yet has closed its side.
+    // The client of an unanswered request has closed its side of the connection.
     virtual void on_client_disconnected(Handle client) = 0;
 };
 
-// Where responses go.
+// Accepts the responses to requests.
 class ResponseWriter {
   public:
     virtual ~ResponseWriter() = default;
-    // Does nothing for a client that is disconnected.
+    // Does nothing if the client has disconnected.
     virtual void answer(Handle client, Response answer) = 0;
 };
 
-// Owns the connections; each is released in `release_if_ended`, once it is closed and no read or write on it
-// is under way.
+// Owns the connections. `release_if_ended` releases a connection once it is closed and no read or write is in
+// progress on it.
 class HttpServer final : public ResponseWriter, public DueHandler {
   public:
-    // At most `max_connections` at a time; a client that does not take its response within `write_timeout` is
-    // disconnected. Bodies of requests are accepted up to `max_request_body` bytes.
+    // Serves at most `max_connections` connections at a time and request bodies of up to `max_request_body`
+    // bytes. A client that does not read its response within `write_timeout` is disconnected.
     HttpServer(boost::asio::io_context& io, EventClock& clock, RequestHandler& handler,
                std::size_t max_connections, Nanos write_timeout,
                std::size_t max_request_body = max_body_bytes);
 
-    // Throws boost::system::system_error where the address can't be bound.
+    // Throws boost::system::system_error if the address can't be bound.
     void listen(const std::string& host, std::uint16_t port);
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
     void answer(Handle handle, Response answer) override;
 
-    // From now on responses close their connection, and idle ones are half-closed.
+    // From now on each response closes its connection. Half-closes the idle connections.
     void begin_stop();
-    // Half-closes connections that have been idle since then, but for those whose next request has come in.
+    // Half-closes connections that have been idle since then, except those that have received bytes of a next
+    // request.
     void close_idle(Nanos since);
-    // Closes the listening socket, if no client waits in its backlog; false if one did.
+    // Accepts a client that waits in the backlog and returns false. If none waits, closes the listening
+    // socket and returns true.
     bool end_listening();
     void close_all();
 
-    // Connections, lingering ones included.
+    // Returns the number of connections, including lingering ones.
     std::size_t open() const { return connections_.size(); }
     void on_due(Handle handle, std::uint64_t what) override;
 
   private:
-    // reading a request, waiting for the handler's response, writing it, or half-closed.
+    // A connection reads a request, waits for the handler's response, writes it, or lingers half-closed.
     enum class State : std::uint8_t { reading, waiting, writing, lingering, closed };
     struct Connection {
         Connection(boost::asio::ip::tcp::socket accepted, std::size_t max_request_body)
@@ -76,19 +78,19 @@
 
         boost::asio::ip::tcp::socket socket;
         State state = State::reading;
-        bool is_last = false;  // no further request is served
+        bool is_last = false;  // no further request is served on it
         bool peer_ended = false;
         bool read_pending = false, write_pending = false;
         RequestReader reader;
-        std::string unread;  // received, not yet taken by the reader
+        std::string unread;  // received, but not yet parsed
         std::array<char, 4096> buffer;
-        std::string head, body;        // of the response, while it is written
-        bool served = false;           // at least one request
+        std::string head, body;        // of the response that is being written
+        bool served = false;           // at least one request was served
         bool writes_continue = false;  // "100 Continue" is being written
-        std::size_t discarded = 0;     // bytes, while lingering
+        std::size_t discarded = 0;     // bytes received while lingering
         Nanos idle_since = 0;
         Nanos request_began = 0;
-        Nanos next_request_began = 0;  // while one is in progress; 0 where nothing of a next one has come
+        Nanos next_request_began = 0;  // while one is in progress; 0 if no byte of a next one has arrived
         TimerQueue::Ticket timer = TimerQueue::none;
     };
 
--- a/src/wire/json_members.hpp
+++ b/src/wire/json_members.hpp
@@ -1,4 +1,4 @@
-// Typed access to the members of a JSON object that a peer sent. Nothing here throws.
+// Typed access to the members of a JSON object that a peer sent. These functions don't throw.
 #pragma once
 
 #include <cmath>
@@ -9,7 +9,7 @@
 
 namespace tealcart {
 
-// Null where it is no object, or lacks the member.
+// Returns null if the value is not an object or lacks the member.
 inline const nlohmann::json* json_member(const nlohmann::json& object, const char* key) {
     if (!object.is_object()) return nullptr;
     const auto found = object.find(key);
@@ -22,7 +22,7 @@
     return value->get<std::string>();
 }
 
-// A number that is finite and not below 0.
+// Returns the member if it is a finite number of at least 0.
 inline std::optional<double> json_amount(const nlohmann::json& object, const char* key) {
     const nlohmann::json* value = json_member(object, key);
     if (value == nullptr || !value->is_number()) return std::nullopt;
@@ -31,7 +31,7 @@
     return number;
 }
 
-// A whole number from 0 to one less than `limit`.
+// Returns the member if it is a whole number from 0 to `limit` - 1.
 inline std::optional<std::uint32_t> json_index(const nlohmann::json& object, const char* key,
                                                std::uint32_t limit) {
     const nlohmann::json* value = json_member(object, key);
--- a/src/wire/long_poll.cpp
+++ b/src/wire/long_poll.cpp
@@ -13,12 +13,12 @@
 using boost::system::error_code;
 
 constexpr Nanos millisecond = 1'000'000;
-constexpr Nanos answer_slack = 1000 * millisecond;  // that an answer may be late beyond its call's wait
+constexpr Nanos answer_slack = 1000 * millisecond;  // by which an answer may exceed its call's wait
 constexpr Nanos connect_timeout = 500 * millisecond;
-constexpr Nanos min_backoff = 50 * millisecond;  // doubled with each failure in a row ...
+constexpr Nanos min_backoff = 50 * millisecond;  // doubled with each consecutive failure
 constexpr Nanos max_backoff = 1600 * millisecond;
-constexpr int max_doublings = 6;           // ... for so many failures
-constexpr int max_conflict_doublings = 5;  // after answers that a later incarnation is known
+constexpr int max_doublings = 6;           // limits the backoff's doubling
+constexpr int max_conflict_doublings = 5;  // after answers with status 409
 enum Due : std::uint64_t { timed_out, retry };
 
 std::string request_of(const std::string& path, const std::string& host, const std::string& body) {
@@ -54,7 +54,7 @@
     connection_ = std::make_shared<Connection>(io_, limit_.bytes);
     error_code ec;
     const auto host = boost::asio::ip::make_address(address().host, ec);
-    if (ec) return fail("its address is no number");
+    if (ec) return fail("its address is not an IP address");
     time_.due.move(due_, time_.now() + connect_timeout, *this, Handle{}, timed_out);
     const auto on_connect = [this, connection = connection_](const error_code& failed) {
         if (connection != connection_) return;
@@ -71,7 +71,7 @@
     connection_->out = request_of(path_, address().host, call.body);
     ++traffic_.requests;
     traffic_.bytes_sent += connection_->out.size();
-    sent_at_ = time_.now();  // before it is written: the lease counts from here
+    sent_at_ = time_.now();  // taken before the write, since the lease counts from here
     time_.due.move(due_, sent_at_ + call.wait + answer_slack, *this, Handle{}, timed_out);
     boost::asio::async_write(connection_->socket, boost::asio::buffer(connection_->out),
                              [this, connection = connection_](const error_code& failed, std::size_t) {
@@ -93,9 +93,9 @@
 
 void LongPoll::on_bytes(const ConnectionPtr& connection) {
     ResponseReader& reader = connection->reader;
-    const ParseStatus reading = reader.feed(connection->in);
-    if (reading == ParseStatus::incomplete) return read(connection);
-    if (reading == ParseStatus::malformed) return on_malformed(reader);
+    const ParseStatus status = reader.feed(connection->in);
+    if (status == ParseStatus::incomplete) return read(connection);
+    if (status == ParseStatus::malformed) return on_malformed(reader);
     switch (reader.status()) {
         case 200:
             return on_complete(reader);
@@ -104,40 +104,41 @@
         case 421:
             return on_not_leader(reader.body());
         default:
-            return fail("it can't agree now");
+            return fail("it answered with an error status");
     }
 }
 
 void LongPoll::on_malformed(const ResponseReader& reader) {
-    if (!reader.too_long()) return fail("its answer can't be read");
+    if (!reader.too_long()) return fail("its answer is malformed HTTP");
     const bool stated = reader.stated_length() > 0;
     if (!std::exchange(limit_logged_, true))
-        log_line("%s: an answer of %s%llu bytes is over its bound of %zu: %s", path_.c_str(),
+        log_line("%s: an answer of %s%llu bytes exceeds the limit of %zu bytes (%s)", path_.c_str(),
                  stated ? "" : "over ",
                  static_cast<unsigned long long>(stated ? reader.stated_length() : limit_.bytes),
                  limit_.bytes, limit_.reason.c_str());
     fail("its answer is too long");
 }
 
-// A leader is followed only to an address that the configuration names.
+// The redirect to a leader is followed only if the configuration names the leader's address.
 void LongPoll::on_not_leader(std::string_view body) {
     const auto leader = read_not_leader(body);
     const auto address = leader ? parse_host_port(*leader) : std::nullopt;
     const auto known = std::find(addresses_.begin(), addresses_.end(), address.value_or(HostPort{}));
-    if (!address || known == addresses_.end()) return fail("it does not lead, and names nobody known");
+    if (!address || known == addresses_.end())
+        return fail("it is not the leader and names no known address of one");
     const Nanos pause = failures_++ == 0 ? 0 : min_backoff;
     go_to(static_cast<std::size_t>(known - addresses_.begin()), pause);
 }
 
 void LongPoll::on_conflict(std::string_view body) {
     const auto last_incarnation = read_superseded(body);
-    if (!last_incarnation) return fail("its answer can't be read");
+    if (!last_incarnation) return fail("its answer with status 409 is malformed");
     observer_.on_superseded(*last_incarnation);
     go_to(address_index_, min_backoff << std::min(failures_++, max_conflict_doublings));
 }
 
 void LongPoll::on_complete(ResponseReader& reader) {
-    if (!observer_.read(reader.body())) return fail("its answer can't be read");
+    if (!observer_.read(reader.body())) return fail("the body of its answer is malformed");
     if (std::exchange(unreachable_, false)) observer_.on_reachable_again();
     failures_ = 0;
     limit_logged_ = false;
@@ -161,7 +162,7 @@
 Nanos LongPoll::backoff() {
     const Nanos pause = std::min(max_backoff, min_backoff << std::min(failures_, max_doublings));
     if (random_ == 0) return pause;
-    // A linear congruential generator, by Knuth's constants.
+    // A linear congruential generator with Knuth's constants.
     random_ = random_ * 6364136223846793005u + 1442695040888963407u;
     return pause / 2 + static_cast<Nanos>((random_ >> 33) % static_cast<std::uint64_t>(pause));
 }
@@ -184,7 +185,7 @@
 void LongPoll::on_due(Handle, std::uint64_t what) {
     due_ = TimerQueue::none;
     if (what == retry) return connect();
-    fail("silent for longer than a call may wait");
+    fail("it was silent for longer than a call may wait");
 }
 
 }  // namespace tealcart
--- a/src/wire/long_poll.hpp
+++ b/src/wire/long_poll.hpp
@@ -1,6 +1,6 @@
-// A client of long polls: POST calls one after the other on a kept connection, each of which the server may
-// hold back until there is news. A call that fails, or is silent for longer than it may wait, is retried at
-// the next of the addresses after a backoff.
+// A client for long polls: it sends consecutive POST calls on a persistent connection, and the server may
+// delay each answer until there is news. A call that fails, or stays unanswered for longer than it may wait,
+// is retried at the next address after a backoff.
 #pragma once
 
 #include <array>
@@ -18,47 +18,49 @@
 
 namespace tealcart {
 
-// What is said in a call, and what is made of its answer.
+// Provides the calls of a LongPoll and processes their answers.
 class LongPollObserver {
   public:
+    // A call's body and its wait.
     struct Call {
         std::string body;
-        Nanos wait = 0;  // the server may hold the answer back for so long
+        Nanos wait = 0;  // how long the server may delay the answer
     };
 
     virtual ~LongPollObserver() = default;
-    // The call to send now.
+    // Returns the call to send next.
     virtual Call next_call() = 0;
-    // Reads the body of an answer with status 200; false where it is malformed.
+    // Reads the body of an answer with status 200. Returns false if it is malformed.
     virtual bool read(std::string_view body) = 0;
-    // What was read last is the answer to the call that was sent at `sent`. LongPoll::next is to be called
-    // once it has been acted on.
+    // The body that was read last is the answer to the call sent at `sent`. Call LongPoll::next once the
+    // answer has been applied.
     virtual void on_answer(Nanos sent) = 0;
-    // A later incarnation of the caller's name is known. The call is retried by itself.
+    // A later incarnation of the caller's name is known. LongPoll retries the call.
     virtual void on_superseded(std::uint64_t last_incarnation) = 0;
-    // Called once after all addresses have failed in a row, and with the first answer after that, before
-    // `on_answer`.
+    // on_unreachable is called once after all addresses have failed in a row. on_reachable_again is called
+    // with the first answer after that, before `on_answer`.
     virtual void on_unreachable(const char* reason) = 0;
     virtual void on_reachable_again() = 0;
 };
 
+// Sends the calls of its observer, one at a time.
 class LongPoll final : public DueHandler {
   public:
-    // Begins at the address of index `first`. `jitter_seed`: of the backoffs, which are then 0.5 to 1.5 times
-    // as long; 0: none. An answer over `bound` is not read, which is logged once.
+    // Starts at the address with index `first`. A `jitter_seed` other than 0 multiplies each backoff by a
+    // random factor from 0.5 to 1.5. An answer over `limit` is not read, which is logged once.
     LongPoll(boost::asio::io_context& io, EventClock& time, LongPollObserver& observer, std::string_view path,
              std::vector<HostPort> addresses, std::size_t first = 0, std::uint64_t jitter_seed = 0,
              ResponseSizeLimit limit = {});
 
     void start() { connect(); }
     void stop();
-    // Sends the next call, after an answer.
+    // Sends the next call. Must be called after each answer.
     void next();
-    // Drops a call that is out, and sends a new one at once.
+    // Abandons a call in flight and sends a new one at once.
     void call_now() { go_to(address_index_, 0); }
-    // In place of `next`: the answers are of no use, the next of the addresses is called.
+    // Called instead of `next` if the answers of this server are not usable: continues with the next address.
     void fail_over(const char* reason) { fail(reason); }
-    // A call is out, and its answer is awaited.
+    // Returns whether a call awaits its answer.
     bool call_in_flight() const { return connection_ && sent_at_ > 0 && !next_pending_; }
     const HostPort& address() const { return addresses_[address_index_]; }
     const TrafficCounters& traffic() const { return traffic_; }
@@ -95,10 +97,10 @@
     const std::vector<HostPort> addresses_;
     const ResponseSizeLimit limit_;
     std::size_t address_index_ = 0;
-    std::uint64_t random_ = 0;   // state of the jitter; 0: there is none
-    int failures_ = 0;           // calls in a row
-    Nanos sent_at_ = 0;          // 0: nothing was sent on this connection
-    bool next_pending_ = false;  // an answer was handed on, and `next` was not called yet
+    std::uint64_t random_ = 0;   // state of the jitter's generator; 0 for no jitter
+    int failures_ = 0;           // failed calls in a row
+    Nanos sent_at_ = 0;          // 0 if no call was sent on this connection
+    bool next_pending_ = false;  // an answer was passed on, and `next` has not been called yet
     bool unreachable_ = false, limit_logged_ = false;
     TrafficCounters traffic_;
     ConnectionPtr connection_;
--- a/src/wire/manager_watch.cpp
+++ b/src/wire/manager_watch.cpp
@@ -20,18 +20,18 @@
     return true;
 }
 
-// Moved out first: another answer may be read while this one is acted on.
+// The answer is moved out first, since another one may be read while it is applied.
 void ManagerWatch::on_answer(Nanos sent) {
     const MemberAnswer answer = std::exchange(answer_, {});
     observer_.on_grant(sent, answer);
 }
 
 void ManagerWatch::on_unreachable(const char* reason) {
-    log_line("no steward answers (%s); what was agreed stands", reason);
+    log_line("no fleet manager answers (%s); the last agreed generation stays in force", reason);
 }
 
 void ManagerWatch::on_reachable_again() {
-    log_line("the stewards answer again, generation %llu",
+    log_line("the fleet managers answer again; the generation is %llu",
              static_cast<unsigned long long>(answer_.generation));
 }
 
--- a/src/wire/manager_watch.hpp
+++ b/src/wire/manager_watch.hpp
@@ -1,4 +1,4 @@
-// Watches the generations of agreed drains by long polls to the fleet managers, each of which renews the
+// Watches the generations of agreed drains with long polls to the fleet managers. Each poll renews the
 // member's lease.
 #pragma once
 
@@ -11,24 +11,26 @@
 
 namespace tealcart {
 
+// Provides the calls of a ManagerWatch and receives their answers.
 class ManagerObserver {
   public:
     virtual ~ManagerObserver() = default;
-    // The call to send now.
+    // Returns the call to send next.
     virtual MemberCall member_call() = 0;
-    // The call that was sent at `sent` was answered with a lease. ManagerWatch::next is to be called once the
-    // answer has been acted on.
+    // The call that was sent at `sent` was answered with a lease. Call ManagerWatch::next once the answer has
+    // been applied.
     virtual void on_grant(Nanos sent, const MemberAnswer& answer) = 0;
-    // A later incarnation of the member's name is known. The call is retried by itself.
+    // A later incarnation of the member's name is known. The watch retries the call.
     virtual void on_superseded(std::uint64_t last_incarnation) = 0;
 };
 
+// A long poll whose answers are generations of agreed drains.
 class ManagerWatch final : private LongPollObserver {
   public:
     ManagerWatch(boost::asio::io_context& io, EventClock& time, ManagerObserver& observer,
                  std::vector<HostPort> managers, ResponseSizeLimit limit = {});
 
-    // As those of LongPoll.
+    // See the methods of LongPoll.
     void start() { poll_.start(); }
     void stop() { poll_.stop(); }
     void next() { poll_.next(); }
@@ -45,7 +47,7 @@
 
     ManagerObserver& observer_;
     LongPoll poll_;
-    MemberAnswer answer_;  // that was read last
+    MemberAnswer answer_;  // the one read last
 };
 
 }  // namespace tealcart
--- a/src/wire/message_error.hpp
+++ b/src/wire/message_error.hpp
@@ -1,4 +1,4 @@
-// The outcome of reading a message: the message, or which of its fields is malformed.
+// The result of reading a message: the message, or an error that names the malformed field.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 namespace tealcart {
 
-// Why a body is not the message that it should be.
+// Describes why a body is not a valid message.
 struct MessageError {
-    std::string field;   // the JSON member at fault; empty: the body as such
-    std::string reason;  // one sentence, as it is answered to the caller with status 400
+    std::string field;   // the malformed JSON member; empty if the body as a whole is malformed
+    std::string reason;  // the sentence that is sent to the caller with status 400
 };
 
 // Either a message or the first error found while reading it.
@@ -21,12 +21,12 @@
     ReadResult(MessageError error) : value_(std::in_place_index<1>, std::move(error)) {}
 
     explicit operator bool() const { return value_.index() == 0; }
-    // Only where there is a message; throws std::bad_variant_access otherwise.
+    // Throws std::bad_variant_access if there is no message.
     Message& operator*() { return std::get<0>(value_); }
     const Message& operator*() const { return std::get<0>(value_); }
     Message* operator->() { return &std::get<0>(value_); }
     const Message* operator->() const { return &std::get<0>(value_); }
-    // Only where there is none; throws std::bad_variant_access otherwise.
+    // Throws std::bad_variant_access if there is a message.
     const MessageError& error() const { return std::get<1>(value_); }
 
   private:
--- a/src/wire/node_connection.cpp
+++ b/src/wire/node_connection.cpp
@@ -9,8 +9,8 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t max_completed = 1024;
-constexpr int leg_shift = 24;  // legs fill the topmost byte of a request's hash
+constexpr std::size_t max_completed = 1024;  // ended shard requests that are kept
+constexpr int leg_shift = 24;                // the leg is added in the top byte of the hash
 
 }  // namespace
 
--- a/src/wire/node_connection.hpp
+++ b/src/wire/node_connection.hpp
@@ -1,5 +1,5 @@
-// One connection to a data node: its socket, the frames that wait to be written, the attempts in flight on it
-// and the bytes of a frame that is not complete yet. NodeConnectionPool owns it and decides what happens.
+// A connection to a data node: its socket, the frames that wait to be written, the attempts in flight and the
+// bytes of an incomplete frame. The NodeConnectionPool owns connections and decides what to do on them.
 #pragma once
 
 #include <array>
@@ -19,8 +19,10 @@
 
 namespace tealcart {
 
+// The state of one connection; contains no policy.
 class NodeConnection {
   public:
+    // An attempt without an outcome, and the frame that carries it.
     struct InFlightAttempt {
         Handle attempt;
         std::uint64_t frame = 0;
@@ -32,12 +34,12 @@
 
     std::uint32_t node() const { return node_; }
     const std::string& address() const { return address_; }
-    // Frames in two phases have connections of their own: a node without that capability may close one on
-    // them, and no other attempt is to be lost with it.
+    // Two-phase frames have separate connections: a node without the two-phase capability may close a
+    // connection on which it receives one, and no other attempt should be lost with it.
     bool two_phase() const { return two_phase_; }
 
-    // The socket's operations; each completion handler calls `operation_ended` once. The object must not be
-    // released before all have ended.
+    // The socket's operations. Each completion handler calls `operation_ended` once. The object must not be
+    // released before all operations have ended.
     boost::system::error_code open(const boost::asio::ip::address& host);
     template <typename Handler>
     void async_connect(const boost::asio::ip::tcp::endpoint& endpoint, Handler&& handler) {
@@ -59,7 +61,8 @@
     bool is_open() const { return socket_.is_open(); }
     bool may_be_released() const { return closed_ && operations_ == 0; }
 
-    // Its states. It is connected until it is closed; a retired one takes no further attempts.
+    // The connection's states. A connected one stays so until it is closed; a retired one takes no further
+    // attempts.
     void set_connected() { connected_ = true; }
     bool connected() const { return connected_; }
     void retire() { retired_ = true; }
@@ -68,23 +71,26 @@
     bool closed() const { return closed_; }
     void set_write_ended() { writing_ = false; }
     bool writing() const { return writing_; }
-    // An answer in two phases has come on it.
+    // Whether a two-phase answer has arrived on the connection.
     void set_two_phase_answered() { two_phase_answered_ = true; }
     bool two_phase_answered() const { return two_phase_answered_; }
 
-    // Whether it takes one more frame of attempts, however many shard requests that holds, where so many
-    // frames may be in flight. A connection on which a frame is incomplete takes no more: it may never end.
+    // Returns whether the connection takes one more frame of attempts, given the limit of frames in flight.
+    // The number of shard requests in the frame doesn't count. A connection with an incomplete incoming frame
+    // takes no more, since that frame may never be completed.
     bool has_capacity(std::size_t max_frames) const;
 
-    // A hash by which an answer is told to belong to a shard request that was sent here.
+    // Returns a hash that matches an answer with a shard request that was sent on this connection.
     static std::uint32_t request_hash(std::string_view query, std::uint32_t shard, std::uint32_t leg);
     void add_in_flight(std::uint64_t frame, const AttemptMessage& message);
-    // Ends one attempt; its shard request is remembered, since late answers and those of a hedge may follow.
+    // Removes an attempt that has ended. Its shard request is kept, since late answers or those to a hedge
+    // may follow.
     void complete(Handle attempt);
     const std::vector<InFlightAttempt>& in_flight() const { return in_flight_; }
     std::vector<InFlightAttempt> take_in_flight() { return std::exchange(in_flight_, {}); }
     bool was_completed(std::uint32_t request_hash) const;
-    // Whether an attempt's frame was handed to the system, given how much of the current write was, in bytes.
+    // Returns whether an attempt's frame was passed to the operating system, given the number of bytes of the
+    // current write that were.
     bool was_written(const InFlightAttempt& attempt, std::size_t bytes_written = SIZE_MAX) const {
         return queue_.was_written(attempt.frame, bytes_written);
     }
@@ -94,14 +100,14 @@
     SilenceDetector& silence() { return silence_; }
     const SilenceDetector& silence() const { return silence_; }
 
-    // Received bytes that no complete frame has been read from.
+    // The received bytes after the last complete frame.
     void append_received(std::size_t size) { received_.append(read_buffer_.data(), size); }
     std::string take_received() { return std::exchange(received_, {}); }
     void keep_received(std::string_view bytes) { received_ = bytes; }
     bool has_incomplete_frame() const { return !received_.empty(); }
 
-    // While connecting: the connect timeout; while idle: when it is closed; with an incomplete frame: when
-    // that is given up.
+    // The connect timeout while connecting, the idle timeout while idle, or the timeout of an incomplete
+    // frame.
     TimerQueue::Ticket& timer() { return timer_; }
 
   private:
@@ -109,12 +115,12 @@
     const std::string address_;
     const bool two_phase_;
     boost::asio::ip::tcp::socket socket_;
-    int operations_ = 0;  // under way on the socket
+    int operations_ = 0;  // in progress on the socket
     bool connected_ = false, retired_ = false, closed_ = false, writing_ = false;
     bool two_phase_answered_ = false;
     FrameQueue queue_;
-    std::vector<InFlightAttempt> in_flight_;  // in the order of sending: those of one frame stand together
-    std::vector<std::uint32_t> completed_;    // hashes of the last shard requests whose attempts have ended
+    std::vector<InFlightAttempt> in_flight_;  // in sending order, so attempts of one frame are adjacent
+    std::vector<std::uint32_t> completed_;    // hashes of the most recently ended shard requests
     std::size_t completed_count_ = 0;
     SilenceDetector silence_;
     std::string received_;
--- a/src/wire/node_connection_pool.cpp
+++ b/src/wire/node_connection_pool.cpp
@@ -12,11 +12,11 @@
 using boost::system::error_code;
 
 constexpr std::size_t max_queued_frames = 4096;
-constexpr int max_silent_connections = 2;  // of a node: where two are silent, a third would be too
+constexpr int max_silent_connections = 2;  // per node: if two are silent, a third would be too
 constexpr Nanos millisecond = 1'000'000;
 constexpr char cancel_frame = 'A', probe_frame = 'G';
 
-// Closed before the far side does, by a tenth of its time.
+// Idle connections are closed before the data node closes them, with a margin of a tenth of its timeout.
 Nanos own_idle_timeout(const ConnectionConfig& config) { return config.idle_close - config.idle_close / 10; }
 
 }  // namespace
@@ -36,7 +36,7 @@
     Handle chosen = choose(node, two_phase, avoid);
     if (connections_.find(chosen) == nullptr) chosen = add_connection(node, address, two_phase);
     NodeConnection& connection = *connections_.find(chosen);
-    if (connection.connected()) clock_.due.drop(connection.timer());  // not idle any more
+    if (connection.connected()) clock_.due.drop(connection.timer());  // it is no longer idle
     ++last_frame_;
     for (const AttemptMessage& message : messages) connection.add_in_flight(last_frame_, message);
     connection.queue().push_attempts(last_frame_, std::move(messages));
@@ -44,12 +44,14 @@
     const bool others_were_waiting = waiting_.size() > 1;
     open_waiting();
     if (!waiting_.empty() && !others_were_waiting)
-        log_line("%zu connections to data nodes are open: attempts wait for one", open_sockets_);
+        log_line("the limit of %zu open connections to data nodes is reached; attempts wait for a connection",
+                 open_sockets_);
     return chosen;
 }
 
-// A connection that has capacity: a connected one, else one that is being opened. A silent one is taken only
-// where no further connection would help. Finds nothing where a new one is needed.
+// Returns a connection with capacity, preferably a connected one, otherwise one that is being opened. A
+// silent connection is chosen only if a further connection would not help. Returns no handle if a new one is
+// needed.
 Handle NodeConnectionPool::choose(std::uint32_t node, bool two_phase, std::span<const Handle> avoid) {
     Handle chosen, silent_choice;
     int silent_connections = 0;
@@ -58,7 +60,7 @@
         if (connection.two_phase() != two_phase) continue;
         const bool silent = is_silent(connection);
         silent_connections += silent;
-        if (silent) probe_is_pending(handle);  // sends the probe where it is due
+        if (silent) probe_is_pending(handle);  // sends the probe if it is due
         if (!connection.has_capacity(max_frames_per_connection_)) continue;
         if (std::find(avoid.begin(), avoid.end(), handle) != avoid.end()) continue;
         (silent ? silent_choice : chosen) = handle;
@@ -77,8 +79,8 @@
     return connection.silence().is_silent(clock_.now(), connect_timeout_);
 }
 
-// Sends a probe where one is due and the settings allow it. Returns true while its answer may still come.
-// Guards against taking heavy shard requests for a broken connection.
+// Sends a probe if one is due and the settings allow it. Returns true while its answer may still arrive.
+// Guards against treating a connection as broken because its shard requests take long.
 bool NodeConnectionPool::probe_is_pending(Handle handle) {
     if (!probing_) return false;
     SilenceDetector& silence = connections_.find(handle)->silence();
@@ -89,21 +91,21 @@
     return true;
 }
 
-// The node has just answered on another connection: what is in flight on silent ones is cancelled, to be sent
-// again.
+// Closes the silent connections of a node that has just answered on another one. Their attempts are cancelled
+// and can be retried.
 void NodeConnectionPool::close_silent(std::uint32_t node) {
     for (const Handle handle : connections_of(node)) {
         const NodeConnection* connection = connections_.find(handle);
         if (connection == nullptr || !is_silent(*connection) || probe_is_pending(handle)) continue;
-        log_line("data node %u answers, but not on a connection silent for %lld ms: that is closed", node,
-                 static_cast<long long>(connection->silence().silence(clock_.now()) / millisecond));
+        log_line("data node %u answers, but one of its connections has been silent for %lld ms and is closed",
+                 node, static_cast<long long>(connection->silence().silence(clock_.now()) / millisecond));
         close(handle, Outcome::cancelled);
     }
 }
 
-// The connection is opened once a file descriptor is free for it, in the order of asking. Until then its
-// frames wait as on one that is connecting. Guards against blaming nodes, and using up attempts, where the
-// router itself is out of descriptors.
+// Adds a connection that is opened once a file descriptor is free, in request order. Until then its frames
+// wait as on a connection that is connecting. Guards against blaming nodes, and using up attempts, when the
+// router itself has no free descriptors.
 Handle NodeConnectionPool::add_connection(std::uint32_t node, const std::string& address, bool two_phase) {
     const Handle handle = connections_.emplace(io_, node, address, two_phase);
     by_node_[node].push_back(handle);
@@ -112,7 +114,7 @@
 }
 
 void NodeConnectionPool::open_waiting() {
-    if (opening_suspended_) return;  // what is closed below leaves its descriptor to this loop
+    if (opening_suspended_) return;  // the loop below already uses descriptors that closing frees
     opening_suspended_ = true;
     while (!waiting_.empty()) {
         if (open_sockets_ >= max_open_) close_one_idle();
@@ -140,7 +142,7 @@
     if (failure) return false;
     failure = connection.open(host);
     if (failure) {
-        log_line("no socket for a data node: %s", failure.message().c_str());
+        log_line("failed to open a socket for a data node: %s", failure.message().c_str());
         return false;
     }
     ++open_sockets_;
@@ -168,7 +170,7 @@
         if (!connection.closed() && failure)
             close(handle, receiver_.two_phase_refused(connection) ? Outcome::not_sent : Outcome::reset);
         if (!connection.closed()) on_received(handle, connection, size);
-        connection.operation_ended();  // only now, so that it is not released while it is worked on
+        connection.operation_ended();  // only now, so that the connection is not released while it is in use
         if (connection.closed()) return release_if_ended(handle);
         read(handle);
     });
@@ -177,7 +179,7 @@
 void NodeConnectionPool::on_received(Handle handle, NodeConnection& connection, std::size_t size) {
     connection.append_received(size);
     connection.silence().on_received(clock_.now());
-    switch (receiver_.process(handle, connection)) {
+    switch (receiver_.read_frames(handle, connection)) {
         case FrameReceiver::Result::ok:
             return watch_incomplete_frame(handle, connection);
         case FrameReceiver::Result::closed:
@@ -191,8 +193,8 @@
     }
 }
 
-// With no attempt in flight, part of a frame belongs to nothing that was sent; else the frame must be
-// complete within the time that a connection has to be made.
+// Without an attempt in flight, an incomplete frame belongs to nothing that was sent. Otherwise the frame
+// must be complete within the connect timeout.
 void NodeConnectionPool::watch_incomplete_frame(Handle handle, NodeConnection& connection) {
     if (connection.in_flight().empty()) {
         if (connection.has_incomplete_frame()) fail_malformed(handle, false);
@@ -244,7 +246,7 @@
     const NodeConnection* connection = connections_.find(handle);
     if (connection == nullptr || connection->closed()) return;
     if (connection->queue().size() >= max_queued_frames)
-        return close(handle, Outcome::reset);  // it has taken nothing for long
+        return close(handle, Outcome::reset);  // the node has read nothing for a long time
     std::string id;
     if (connection->two_phase())
         write_phase_request_id(id, {query.id, shard, leg});
@@ -265,7 +267,7 @@
     close_if_unused(handle);
 }
 
-// A connection without attempts in flight is kept for a while, where it is of use.
+// Closes a connection without attempts in flight, or starts its idle timeout if it can still be used.
 void NodeConnectionPool::close_if_unused(Handle handle) {
     NodeConnection& connection = *connections_.find(handle);
     if (connection.closed() || !connection.in_flight().empty()) return;
@@ -290,7 +292,7 @@
         FrameReceiver::log_malformed(connection.node());
         return fail_malformed(handle, false);
     }
-    close(handle, Outcome::connect_failed);  // it is idle, or was not made in time
+    close(handle, Outcome::connect_failed);  // it was idle, or did not connect in time
 }
 
 void NodeConnectionPool::retire(std::uint32_t node, bool discard) {
@@ -298,7 +300,7 @@
         NodeConnection& connection = *connections_.find(handle);
         connection.retire();
         if (discard) discard_unsent(connection, [](const AttemptMessage&) { return true; });
-        if (connections_.find(handle) == nullptr) continue;  // it was waiting, and for nothing now
+        if (connections_.find(handle) == nullptr) continue;  // it was waiting for a descriptor and was closed
         if (connection.closed() || !connection.in_flight().empty()) continue;
         if (connection.connected())
             close_if_unused(handle);
@@ -312,9 +314,9 @@
     connections_.for_each([this](Handle handle, NodeConnection&) { close(handle, Outcome::reset); });
 }
 
-// Ends a connection that brought what can't be read. That was the answer to one attempt: to the oldest that
-// was written, unless one has been reported. The others are cancelled, since nothing more comes here. Guards
-// against blaming a node many times for one malformed answer.
+// Closes a connection on which malformed data arrived. The data counts as the answer to one attempt: the
+// oldest written one, unless an attempt has already been reported. The others are cancelled, since no more
+// answers arrive here. Guards against blaming a node many times for one malformed answer.
 void NodeConnectionPool::fail_malformed(Handle handle, bool attempt_reported) {
     const NodeConnection& connection = *connections_.find(handle);
     const auto& in_flight = connection.in_flight();
@@ -325,8 +327,8 @@
     close(handle, Outcome::cancelled);
 }
 
-// Ends a connection and all attempts in flight on it. What was written may have run, and ends with `outcome`;
-// what was not never has.
+// Closes a connection and ends all attempts in flight on it. Written attempts may have run and end with
+// `outcome`; unwritten ones have not run.
 void NodeConnectionPool::close(Handle handle, Outcome outcome, std::size_t bytes_written) {
     NodeConnection* connection = connections_.find(handle);
     if (connection == nullptr || connection->closed()) return;
--- a/src/wire/node_connection_pool.hpp
+++ b/src/wire/node_connection_pool.hpp
@@ -1,4 +1,5 @@
-// The connections to all data nodes: opened at need, shared by attempts, closed before the far side would.
+// The connections to all data nodes. They are opened on demand, shared by attempts, and closed before the
+// data node would close them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,11 +19,12 @@
 
 namespace tealcart {
 
-// Owns the connections; each is released in `release_if_ended`, once it is closed and no operation on its
-// socket is under way. Handles of released connections find nothing.
+// Owns the connections. `release_if_ended` releases a connection once it is closed and no operation on its
+// socket is in progress. Lookups with the handle of a released connection find nothing.
 class NodeConnectionPool final : public AttemptSender, public DueHandler {
   public:
-    // At most `max_open` sockets at a time; what needs more waits. All references must outlive the pool.
+    // Opens at most `max_open` sockets at a time; further connections wait. All references must outlive the
+    // pool.
     NodeConnectionPool(boost::asio::io_context& io, EventClock& clock, const ConnectionConfig& config,
                        ConnectionObserver& observer, std::size_t max_open);
 
@@ -33,10 +35,10 @@
                      std::uint8_t leg) override;
     void complete(Handle connection, Handle attempt) override;
     void retire(std::uint32_t node, bool discard_unsent) override;
-    // Closes all connections; the pool opens none from then on.
+    // Closes all connections. The pool opens no connection after that.
     void close_all();
 
-    // Sockets that are open, and connections that wait for a file descriptor.
+    // The numbers of open sockets and of connections that wait for a file descriptor.
     std::size_t open() const { return open_sockets_; }
     std::size_t waiting() const { return waiting_.size(); }
     void on_due(Handle connection, std::uint64_t what) override;
@@ -82,10 +84,10 @@
     ConnectionObserver& observer_;
     FrameReceiver receiver_;
     SlotMap<NodeConnection> connections_;
-    std::unordered_map<std::uint32_t, std::vector<Handle>> by_node_;  // of nodes that have any
-    std::deque<Handle> waiting_;  // for a file descriptor, in the order of asking; each carries an attempt
+    std::unordered_map<std::uint32_t, std::vector<Handle>> by_node_;  // only nodes with connections
+    std::deque<Handle> waiting_;  // for a file descriptor, in request order; each has an attempt
     std::size_t open_sockets_ = 0;
-    bool opening_suspended_ = false;  // while waiting ones are being opened, and after close_all
+    bool opening_suspended_ = false;  // while waiting connections are opened, and after close_all
     std::uint64_t last_frame_ = 0;
 };
 
--- a/src/wire/node_frames.cpp
+++ b/src/wire/node_frames.cpp
@@ -39,16 +39,16 @@
     const auto end = rest.find('\n');
     if (end == std::string_view::npos) return std::nullopt;
     std::string_view line = rest.substr(0, end);
-    const auto word = [&line] {
+    const auto next_word = [&line] {
         const auto space = line.find(' ');
         const std::string_view taken = line.substr(0, space);
         line.remove_prefix(space == std::string_view::npos ? line.size() : space + 1);
         return taken;
     };
-    // Of score and report nothing is used: outcomes tell more.
-    const std::string_view id = word(), how = word(), score = word();
+    // The score and the load report are not used, since the outcomes are more informative.
+    const std::string_view id = next_word(), status = next_word(), score = next_word();
     const auto dot = id.rfind('.');
-    if (dot == std::string_view::npos || dot == 0 || how.empty()) return std::nullopt;
+    if (dot == std::string_view::npos || dot == 0 || status.empty()) return std::nullopt;
     NodeAnswer answer;
     answer.query = id.substr(0, dot);
     const std::string_view shard = id.substr(dot + 1);
@@ -57,9 +57,9 @@
     const bool scored =
         !score.empty() && score.find_first_not_of("0123456789") == score.npos && !line.empty();
     answer.value = rest.substr(end + 1);
-    if (how == "OK") answer.outcome = Outcome::ok;
-    if (how == "REJECTED") answer.outcome = Outcome::overloaded;
-    answer.malformed = !scored || (how != "OK" && how != "REJECTED" && how != "ERROR") ||
+    if (status == "OK") answer.outcome = Outcome::ok;
+    if (status == "REJECTED") answer.outcome = Outcome::overloaded;
+    answer.malformed = !scored || (status != "OK" && status != "REJECTED" && status != "ERROR") ||
                        (answer.outcome == Outcome::ok && !is_utf8(answer.value));
     if (answer.malformed) answer.outcome = Outcome::error;
     return answer;
--- a/src/wire/node_frames.hpp
+++ b/src/wire/node_frames.hpp
@@ -1,4 +1,4 @@
-// The frames that query routers and data nodes exchange. Pure functions on bytes.
+// Encodes and decodes the frames between query routers and data nodes. Pure functions without I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +10,47 @@
 
 namespace tealcart {
 
-// The longest frame accepted from a data node, in bytes: a value that no response could hold is not worth its
-// memory.
+// The longest frame accepted from a data node. A longer value would not fit into a response to a client, so
+// it is not worth its memory.
 constexpr std::size_t max_frame_bytes = 65UL * 1024;
 
-// A frame as read from a data node.
+// A frame received from a data node.
 struct Frame {
-    char type = 0;  // its type
+    char type = 0;  // a letter
     std::string_view payload;
 };
 
-// What reading a frame came to: more bytes are needed, one was read, or the length can't be one.
+// The result of reading a frame. A frame is malformed if its stated length is impossible.
 enum class FrameStatus : std::uint8_t { incomplete, complete, malformed };
 
-// Reads one frame from the front of `in`; the frame refers to its bytes.
+// Removes one frame from the front of `in`. The frame refers to the bytes of `in`.
 FrameStatus take_frame(std::string_view& in, Frame& frame);
 
-// Appends a frame's length and type; so many bytes must follow.
+// Appends a frame's length and type. The caller must append `payload` bytes after them.
 void append_frame_header(std::string& out, char type, std::size_t payload);
 
-// The line of a shard request in a frame of attempts.
+// The line of a shard request in a frame of attempts. The query's text follows it.
 struct ShardRequestLine {
-    std::string_view query;  // its id
+    std::string_view query;  // the query's id
     std::uint32_t shard = 0;
-    std::int64_t wait_ms = 0;  // for how long the answer is waited for
-    std::string_view key;      // empty for none
-    std::size_t length = 0;    // of the query's text, which follows the line, in bytes
+    std::int64_t wait_ms = 0;  // how long the router waits for the answer
+    std::string_view key;      // the idempotency key; empty for none
+    std::size_t length = 0;    // of the query's text in bytes
 };
 void write_shard_request_line(std::string& out, const ShardRequestLine& line);
 void write_shard_request_id(std::string& out, std::string_view query, std::uint32_t shard);
 
-// An answer of a data node to one shard request.
+// A data node's answer to a shard request.
 struct NodeAnswer {
     std::string_view query;
     std::uint32_t shard = 0;
     Outcome outcome = Outcome::error;
     std::string_view value;
-    bool malformed = false;  // whose shard request it is can be told, but not how that ended
+    bool malformed = false;  // the shard request is known, but not its outcome
 };
 
-// None if the line can't be read. An end that is not known counts as an error: the shard request may have
-// run. Of the load report nothing is asked.
+// Returns nullopt if the line is malformed. An unknown outcome counts as an error, since the shard request
+// may have run. The load report may have any content.
 std::optional<NodeAnswer> read_node_answer(std::string_view payload);
 
 }  // namespace tealcart
--- a/src/wire/phase_frames.cpp
+++ b/src/wire/phase_frames.cpp
@@ -29,7 +29,7 @@
     return read_number(text, number) && std::isfinite(number);
 }
 
-// Of a list of options `a=1,b=2`, the value of one; none where the list lacks it.
+// Returns the value of an option in a list `a=1,b=2`, or nullopt if the list lacks it.
 std::optional<std::string_view> find_option(std::string_view list, char letter) {
     while (!list.empty()) {
         const std::string_view item = list.substr(0, list.find(','));
@@ -42,7 +42,7 @@
 template <typename Number>
 bool read_option(std::string_view list, char letter, Number& number) {
     const auto text = find_option(list, letter);
-    return !text || read_number(*text, number);  // what is absent keeps its default
+    return !text || read_number(*text, number);  // an absent option keeps its default
 }
 
 std::string to_text(double number) {
@@ -50,7 +50,7 @@
     return {text, std::to_chars(text, text + sizeof text, number).ptr};
 }
 
-// Eight bytes, least significant first.
+// Appends eight bytes in little-endian order.
 void append_double(std::string& out, double number) {
     auto bits = std::bit_cast<std::uint64_t>(number);
     for (int i = 0; i < 8; ++i, bits >>= 8) out += static_cast<char>(bits & 0xff);
@@ -103,21 +103,21 @@
     return true;
 }
 
-// The body of an S: ranks, then the filter.
-bool read_word(std::string_view list, std::string_view body, SectionSummary& word) {
+// Reads the payload after the line of a frame of type S: ranks, then the filter.
+bool read_summary(std::string_view list, std::string_view body, SectionSummary& summary) {
     std::size_t ranks = 0, filter = 0, extents = 0;
     std::int64_t lease_us = 0;
-    word.no_matches = !find_option(list, 'u');
-    if (!read_option(list, 'u', word.max_rank) || !std::isfinite(word.max_rank)) return false;
+    summary.no_matches = !find_option(list, 'u');
+    if (!read_option(list, 'u', summary.max_rank) || !std::isfinite(summary.max_rank)) return false;
     if (!read_option(list, 's', ranks) || !read_option(list, 'l', lease_us) ||
         !read_option(list, 'f', filter) || !read_option(list, 'z', extents))
         return false;
-    if (lease_us < 0 || lease_us > 3'600'000'000 || (word.no_matches && ranks > 0)) return false;
-    word.lease = lease_us * 1000;
-    word.has_filter = find_option(list, 'f') || find_option(list, 'z');
-    if (!read_ranks(body, ranks, word.top_ranks) || !read_filter(body, filter, extents, word.filter))
+    if (lease_us < 0 || lease_us > 3'600'000'000 || (summary.no_matches && ranks > 0)) return false;
+    summary.lease = lease_us * 1000;
+    summary.has_filter = find_option(list, 'f') || find_option(list, 'z');
+    if (!read_ranks(body, ranks, summary.top_ranks) || !read_filter(body, filter, extents, summary.filter))
         return false;
-    if (!word.top_ranks.empty() && word.top_ranks.front() > word.max_rank) return false;
+    if (!summary.top_ranks.empty() && summary.top_ranks.front() > summary.max_rank) return false;
     return body.empty();
 }
 
@@ -150,7 +150,10 @@
     write_phase_request_id(out, line.id);
     out.append(" d=").append(std::to_string(line.wait_ms)).append(",n=").append(std::to_string(line.rows));
     if (line.wants_filter) out.append(",m=1");
-    out.append(1, ' ').append(std::to_string(line.text)).append(1, ' ').append(std::to_string(line.find));
+    out.append(1, ' ')
+        .append(std::to_string(line.text_size))
+        .append(1, ' ')
+        .append(std::to_string(line.criteria_size));
     out += '\n';
 }
 
@@ -160,8 +163,8 @@
     PhaseRequestLine read;
     int filter = 0;
     if (!id || !read_option(list, 'd', read.wait_ms) || !read_option(list, 'n', read.rows) ||
-        !read_option(list, 'm', filter) || !read_number(next_token(line), read.text) ||
-        !read_number(line, read.find))
+        !read_option(list, 'm', filter) || !read_number(next_token(line), read.text_size) ||
+        !read_number(line, read.criteria_size))
         return std::nullopt;
     if (read.rows < 1 || read.rows > max_summary_ranks || read.wait_ms < 0) return std::nullopt;
     read.id = *id;
@@ -169,11 +172,11 @@
     return read;
 }
 
-// One line a condition: `t TERM`, or `r FROM TO FIELD`.
-std::string write_find(const SearchCriteria& find) {
+// Writes one line for each condition: `t TERM` or `r FROM TO FIELD`.
+std::string write_search_criteria(const SearchCriteria& criteria) {
     std::string out;
-    for (const std::string& term : find.terms) out.append("t ").append(term).append("\n");
-    for (const FieldRange& r : find.ranges)
+    for (const std::string& term : criteria.terms) out.append("t ").append(term).append("\n");
+    for (const FieldRange& r : criteria.ranges)
         out.append("r ")
             .append(to_text(r.from))
             .append(" ")
@@ -184,8 +187,8 @@
     return out;
 }
 
-std::optional<SearchCriteria> read_find(std::string_view bytes) {
-    SearchCriteria find;
+std::optional<SearchCriteria> read_search_criteria(std::string_view bytes) {
+    SearchCriteria criteria;
     while (!bytes.empty()) {
         const auto end = bytes.find('\n');
         if (end == std::string_view::npos) return std::nullopt;
@@ -194,18 +197,18 @@
         const std::string_view kind = next_token(line);
         FieldRange range;
         if (kind == "t" && !line.empty() && line.size() <= max_term) {
-            find.terms.emplace_back(line);
+            criteria.terms.emplace_back(line);
         } else if (kind == "r" && read_finite(next_token(line), range.from) &&
                    read_finite(next_token(line), range.to) && !line.empty() && line.size() <= max_name) {
             range.field = line;
-            find.ranges.push_back(std::move(range));
+            criteria.ranges.push_back(std::move(range));
         } else {
             return std::nullopt;
         }
-        if (find.terms.size() > max_find_conditions || find.ranges.size() > max_find_conditions)
+        if (criteria.terms.size() > max_find_conditions || criteria.ranges.size() > max_find_conditions)
             return std::nullopt;
     }
-    return find;
+    return criteria;
 }
 
 std::optional<PhaseAnswer> read_phase_answer(char letter, std::string_view rest) {
@@ -224,7 +227,7 @@
     std::size_t ranks = 0;
     bool good = status == "OK" && read_number(version, answer.version);
     if (letter == summary_frame) {
-        good = good && read_word(list, body, answer.summary);
+        good = good && read_summary(list, body, answer.summary);
         answer.summary.version = answer.version;
     } else {
         good =
@@ -236,29 +239,29 @@
     return answer;
 }
 
-void write_summary_frame(std::string& out, const PhaseRequestId& id, const SectionSummary& word) {
+void write_summary_frame(std::string& out, const PhaseRequestId& id, const SectionSummary& summary) {
     std::string rest;
     write_phase_request_id(rest, id);
     rest.append(" OK ")
-        .append(std::to_string(word.version))
+        .append(std::to_string(summary.version))
         .append(" l=")
-        .append(std::to_string(word.lease / 1000));
-    if (!word.no_matches)
+        .append(std::to_string(summary.lease / 1000));
+    if (!summary.no_matches)
         rest.append(",u=")
-            .append(to_text(word.max_rank))
+            .append(to_text(summary.max_rank))
             .append(",s=")
-            .append(std::to_string(word.top_ranks.size()));
-    if (word.has_filter)
+            .append(std::to_string(summary.top_ranks.size()));
+    if (summary.has_filter)
         rest.append(",f=")
-            .append(std::to_string(word.filter.terms.size()))
+            .append(std::to_string(summary.filter.terms.size()))
             .append(",z=")
-            .append(std::to_string(word.filter.extents.size()));
+            .append(std::to_string(summary.filter.extents.size()));
     rest += '\n';
-    if (!word.no_matches)
-        for (const double rank : word.top_ranks) append_double(rest, rank);
-    if (word.has_filter) {
-        rest.append(reinterpret_cast<const char*>(word.filter.terms.data()), word.filter.terms.size());
-        for (const SectionFilter::Extent& extent : word.filter.extents) {
+    if (!summary.no_matches)
+        for (const double rank : summary.top_ranks) append_double(rest, rank);
+    if (summary.has_filter) {
+        rest.append(reinterpret_cast<const char*>(summary.filter.terms.data()), summary.filter.terms.size());
+        for (const SectionFilter::Extent& extent : summary.filter.extents) {
             append_name(rest, extent.field);
             append_double(rest, extent.min);
             append_double(rest, extent.max);
--- a/src/wire/phase_frames.hpp
+++ b/src/wire/phase_frames.hpp
@@ -1,6 +1,6 @@
-// The frames of queries in two phases, beside those of the platform: docs/wire-two-phase.md. Their shard
-// requests carry the leg that they belong to, so that what comes late for one leg can't be taken for
-// another's. Pure functions on bytes.
+// Encodes and decodes the frames of two-phase queries, an extension of the platform's protocol that
+// docs/wire-two-phase.md describes. Their shard requests state the leg that they belong to, so that a late
+// answer to one leg is not taken for an answer to another. Pure functions without I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,13 @@
 
 namespace tealcart {
 
-// Letters: P asks for a summary, F for rows, U cancels an attempt; S brings a summary, W rows.
+// Frame types: P requests a summary, F requests rows, U cancels an attempt, S contains a summary, W contains
+// rows.
 constexpr char summary_request_frame = 'P', rows_request_frame = 'F', phase_cancel_frame = 'U',
                summary_frame = 'S', rows_frame = 'W';
-constexpr int max_find_conditions = 16;  // terms, and ranges, that a query may look for
+constexpr int max_find_conditions = 16;  // limit for the terms and for the ranges of a query
 
+// Identifies a shard request of one leg of a query.
 struct PhaseRequestId {
     std::string_view query;
     std::uint32_t shard = 0;
@@ -30,41 +32,43 @@
 void write_phase_request_id(std::string& out, const PhaseRequestId& id);
 std::optional<PhaseRequestId> read_phase_request_id(std::string_view text);
 
-// A line of P or F; so many bytes of text follow it, then so many of the find.
+// The line of a shard request in a frame of type P or F. The query's text and its encoded search criteria
+// follow it.
 struct PhaseRequestLine {
     PhaseRequestId id;
     std::int64_t wait_ms = 0;
     int rows = 0;
-    bool wants_filter = false;  // P: the section's filter is welcome
-    std::size_t text = 0, find = 0;
+    bool wants_filter = false;  // P: the router can use the section's filter
+    std::size_t text_size = 0, criteria_size = 0;
 };
 void write_phase_request_line(std::string& out, const PhaseRequestLine& line);
 std::optional<PhaseRequestLine> read_phase_request_line(std::string_view line);
 
-// The find's own bytes, as a client states it and a data node reads it.
-std::string write_find(const SearchCriteria& find);
-std::optional<SearchCriteria> read_find(std::string_view bytes);
+// Encodes and decodes the search criteria of a query, as they are sent to data nodes.
+std::string write_search_criteria(const SearchCriteria& criteria);
+std::optional<SearchCriteria> read_search_criteria(std::string_view bytes);
 
-// What a data node says to a P or F.
+// A data node's answer to a frame of type P or F.
 struct PhaseAnswer {
     PhaseRequestId id;
     Outcome outcome = Outcome::error;
-    bool malformed = false;  // whose shard request it is can be told, but not what was said
-    SectionSummary summary;  // of S
+    bool malformed = false;  // the shard request is known, but the rest can't be decoded
+    SectionSummary summary;  // in a frame of type S
     std::uint64_t version = 0;
-    std::vector<double> ranks;  // of W: its rows', highest first
-    std::string_view value;     // of W
+    std::vector<double> ranks;  // W: the ranks of the rows, highest first
+    std::string_view value;     // W: the rows
 };
 
-// What follows a letter S or W; none if whose shard request it is can't be told. Summaries that contradict
-// themselves (a row above the bound, ranks out of order, no numbers) are malformed.
+// Decodes the payload of a frame of type S or W. Returns nullopt if it does not identify a shard request. A
+// summary is malformed if it contradicts itself: a row above the upper bound, unordered ranks, or values that
+// are not finite.
 std::optional<PhaseAnswer> read_phase_answer(char letter, std::string_view rest);
 
-// The same, written; for whoever holds sections.
-void write_summary_frame(std::string& out, const PhaseRequestId& id, const SectionSummary& word);
+// Encode the answers of a data node.
+void write_summary_frame(std::string& out, const PhaseRequestId& id, const SectionSummary& summary);
 void write_rows_frame(std::string& out, const PhaseRequestId& id, std::uint64_t version,
                       const std::vector<double>& ranks, std::string_view value);
-// How a shard request ended that brings nothing: "REJECTED" or "ERROR".
+// Encodes the answer to a shard request that has no result: `end` is "REJECTED" or "ERROR".
 void write_phase_failure_frame(std::string& out, char letter, const PhaseRequestId& id, std::string_view end);
 
 }  // namespace tealcart
--- a/src/wire/query_body.cpp
+++ b/src/wire/query_body.cpp
@@ -15,32 +15,32 @@
 using Error = std::optional<QueryBodyError>;
 
 constexpr double weight_sum_tolerance = 1e-4;  // stated weights are rounded
-constexpr std::size_t max_conditions = 16;     // terms, and ranges, of a find
+constexpr std::size_t max_conditions = 16;     // limit for the terms and for the ranges of 'find'
 constexpr std::size_t max_term = 256, max_field = 64;
 constexpr std::uint32_t rows_limit = 1 << 20;
 constexpr double max_cost_us = 1e12, nanos_per_us = 1e3;
-constexpr double open_end = 1.7e308;  // of a range: the largest that frames carry
+constexpr double open_end = 1.7e308;  // the end of an open range: the largest value that frames can contain
 
-// A term or a field's name as frames carry it.
+// Returns whether frames can contain the text as a term or a field's name.
 bool is_name(const std::string& text, std::size_t max_size) {
     return !text.empty() && text.size() <= max_size && std::none_of(text.begin(), text.end(), [](char c) {
         return static_cast<unsigned char>(c) < 0x20;
     });
 }
 
-Error read_terms(const Json& terms, SearchCriteria& find) {
+Error read_terms(const Json& terms, SearchCriteria& criteria) {
     if (!terms.is_array() || terms.size() > max_conditions)
         return QueryBodyError{"terms", "'terms' of 'find' is no list of at most 16"};
     for (const Json& term : terms) {
         if (!term.is_string()) return QueryBodyError{"terms", "a term of 'find' is no string"};
-        find.terms.push_back(term.get<std::string>());
-        if (!is_name(find.terms.back(), max_term))
+        criteria.terms.push_back(term.get<std::string>());
+        if (!is_name(criteria.terms.back(), max_term))
             return QueryBodyError{"terms", "a term of 'find' is empty, too long or holds control characters"};
     }
     return std::nullopt;
 }
 
-// One end of a range, which is open where it is not stated.
+// Reads one end of a range. A range is open at an end that is not stated.
 Error read_range_end(const Json& range, const char* key, double& end) {
     const Json* value = json_member(range, key);
     if (value != nullptr && !value->is_number())
@@ -50,7 +50,7 @@
     return std::nullopt;
 }
 
-Error read_ranges(const Json& ranges, SearchCriteria& find) {
+Error read_ranges(const Json& ranges, SearchCriteria& criteria) {
     if (!ranges.is_array() || ranges.size() > max_conditions)
         return QueryBodyError{"ranges", "'ranges' of 'find' is no list of at most 16"};
     for (const Json& stated : ranges) {
@@ -59,18 +59,18 @@
             return QueryBodyError{"field", "a range of 'find' names no field"};
         if (Error error = read_range_end(stated, "from", range.from)) return error;
         if (Error error = read_range_end(stated, "to", range.to)) return error;
-        find.ranges.push_back(std::move(range));
+        criteria.ranges.push_back(std::move(range));
     }
     return std::nullopt;
 }
 
-Error read_find(const Json& stated, SearchCriteria& find) {
+Error parse_criteria(const Json& stated, SearchCriteria& criteria) {
     const auto rows = json_index(stated, "rows", rows_limit);
     if (!rows || *rows == 0) return QueryBodyError{"rows", "'rows' of 'find' is missing or no count"};
-    find.rows = static_cast<int>(*rows);
+    criteria.rows = static_cast<int>(*rows);
     if (const Json* terms = json_member(stated, "terms"))
-        if (Error error = read_terms(*terms, find)) return error;
-    if (const Json* ranges = json_member(stated, "ranges")) return read_ranges(*ranges, find);
+        if (Error error = read_terms(*terms, criteria)) return error;
+    if (const Json* ranges = json_member(stated, "ranges")) return read_ranges(*ranges, criteria);
     return std::nullopt;
 }
 
@@ -111,7 +111,7 @@
 }  // namespace
 
 std::variant<QueryBody, QueryBodyError> read_query(std::string_view body, std::uint32_t shards,
-                                                   bool with_find) {
+                                                   bool with_criteria) {
     const Json in = Json::parse(body, nullptr, false);
     if (in.is_discarded()) return QueryBodyError{{}, "the body is not JSON"};
     auto text = json_text(in, "text");
@@ -119,8 +119,8 @@
     std::variant<QueryBody, QueryBodyError> result;
     auto& query = std::get<QueryBody>(result);
     query.text = std::move(*text);
-    if (const Json* find = with_find ? json_member(in, "find") : nullptr)
-        if (const Error error = read_find(*find, query.find)) return *error;
+    if (const Json* criteria = with_criteria ? json_member(in, "find") : nullptr)
+        if (const Error error = parse_criteria(*criteria, query.criteria)) return *error;
     if (const Error error = read_segments(in, shards, query)) return *error;
     return result;
 }
--- a/src/wire/query_body.hpp
+++ b/src/wire/query_body.hpp
@@ -1,4 +1,4 @@
-// The JSON body of a client's query. Pure functions on bytes.
+// Parses the JSON body of a client's query. Pure functions without I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,29 @@
 
 namespace tealcart {
 
-// One shard that a client's query names.
+// A shard that a client's query names.
 struct QueryShardRequest {
     std::uint32_t shard = 0;
-    double weight = 0;  // of 1 over all shard requests
-    Nanos hint = 0;     // the client's guess of its cost, 0 for none
+    double weight = 0;  // share of the query's total weight, which is 1
+    Nanos hint = 0;     // the client's estimate of the cost; 0 for none
 };
 
 // The body of a client's query.
 struct QueryBody {
     std::vector<QueryShardRequest> shard_requests;
     std::string text;
-    SearchCriteria find;  // without rows where it is not asked for, or not read
+    SearchCriteria criteria;  // has 0 rows if it is absent or was not read
 };
 
-// Why a body was not accepted.
+// Describes why a body was rejected.
 struct QueryBodyError {
-    std::string_view member;   // the JSON member that is wrong; empty where it is the whole body
-    std::string_view message;  // for the client
+    std::string_view member;   // the invalid JSON member; empty if the body as a whole is invalid
+    std::string_view message;  // sent to the client
 };
 
-// Reads a query over so many shards. What the query is to find is read only with `with_find`, and of no
-// matter else.
+// Parses a query of a deployment with `shards` shards. The member 'find' is read only if `with_criteria` is
+// set, and may otherwise have any content.
 std::variant<QueryBody, QueryBodyError> read_query(std::string_view body, std::uint32_t shards,
-                                                   bool with_find = false);
+                                                   bool with_criteria = false);
 
 }  // namespace tealcart
--- a/src/wire/response_body.cpp
+++ b/src/wire/response_body.cpp
@@ -28,7 +28,7 @@
 QueryResponseBody::QueryResponseBody(bool complete)
     : out_(complete ? R"({"all_in":true,"matches":[)" : R"({"all_in":false,"matches":[)") {}
 
-// The value's bytes as they are, escaped as far as JSON needs it.
+// Keeps the value's bytes as they are and escapes only what JSON requires.
 void QueryResponseBody::add(std::uint32_t shard, std::string_view value) {
     if (!first_) out_ += ',';
     first_ = false;
--- a/src/wire/response_body.hpp
+++ b/src/wire/response_body.hpp
@@ -1,4 +1,4 @@
-// The JSON bodies of responses to clients. Pure functions on bytes.
+// Writes the JSON bodies of responses to clients. Pure functions without I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,17 @@
 
 namespace tealcart {
 
-// What an answer in two phases states of its sections beside the values.
+// How much of a two-phase query its response covers; it is stated beside the values.
 struct SectionCoverage {
     struct Count {
         std::uint32_t sections = 0;
-        double weight = 0;  // of 1 over the whole query
+        double weight = 0;  // share of the query's total weight, which is 1
     };
     Count answered, pruned, missing;
     std::vector<std::uint32_t> missing_shards;
 };
 
-// Writes an answer value by value; `finish` ends it.
+// Builds the body of a query's response value by value. `finish` completes it and returns it.
 class QueryResponseBody {
   public:
     explicit QueryResponseBody(bool complete);
@@ -34,10 +34,12 @@
     bool first_ = true;
 };
 
-// Whether a value can be handed on: JSON carries no other text.
+// Returns whether a value is valid UTF-8. Only such a value can be sent to a client, since JSON has no other
+// strings.
 bool is_utf8(std::string_view text);
 
-// The body of an error response. The message must need no escaping.
+// Returns the body of an error response. The message is not escaped, so it must not contain characters that
+// JSON escapes.
 std::string write_error(std::string_view message);
 
 }  // namespace tealcart
--- a/src/wire/response_size_limit.cpp
+++ b/src/wire/response_size_limit.cpp
@@ -5,15 +5,17 @@
 namespace tealcart {
 namespace {
 
-// An entry with names of 128 bytes, 21 bytes of address, numbers as long as they get, and each field indented
-// on a line of its own.
+// The longest entry: names of 128 bytes, an address of 21 bytes, numbers of full length, and each field
+// indented on its own line.
 constexpr std::size_t max_entry_bytes = 1024;
-// A name of 128 bytes with its kind, indented.
+// An indented name of 128 bytes with its kind.
 constexpr std::size_t max_name_bytes = 256;
-// The text stands in memory beside what is read from it, and beside what stood before.
+// Only a fourth of the memory may go to the text, since the result of parsing it and the previous list are in
+// memory at the same time.
 constexpr std::size_t memory_share = 4;
 
-// A place has as many nodes as a shard has replicas, and each may still drain beside the one that follows it.
+// A place has as many nodes as a shard has replicas. The factor 2 allows for a node that drains while its
+// replacement is already listed.
 std::size_t max_nodes(const RouterConfig& config) {
     return 2 * static_cast<std::size_t>(config.places) * static_cast<std::size_t>(config.replicas_per_shard);
 }
@@ -25,7 +27,7 @@
     if (std::min(wanted, available) <= ResponseSizeLimit::min_bytes) return {};
     if (available < wanted) return {available, "a quarter of limits.memory_mb"};
     return {wanted, "2 x " + std::to_string(config.places) + " places x " +
-                        std::to_string(config.replicas_per_shard) + " holders of a shard, " +
+                        std::to_string(config.replicas_per_shard) + " replicas of a shard, " +
                         std::to_string(bytes_per_item) + " bytes each"};
 }
 
