--- a/src/wire/response_size_limit.hpp
+++ b/src/wire/response_size_limit.hpp
@@ -1,5 +1,5 @@
-// How long the answers of discovery and of the fleet managers may be, by the size of the deployment as its
-// settings state it. No memory is reserved for them.
+// Limits for the size of the responses of discovery and of the fleet managers. They follow from the size of
+// the deployment that the settings state. No memory is reserved for the responses.
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,17 @@
 
 namespace tealcart {
 
+// The largest response body that is accepted.
 struct ResponseSizeLimit {
-    static constexpr std::size_t min_bytes = 8UL * 1024 * 1024;  // whatever the settings state
+    static constexpr std::size_t min_bytes = 8UL * 1024 * 1024;  // independent of the settings
     std::size_t bytes = min_bytes;
-    std::string reason = "the least bound";  // where it comes from, for the log
+    std::string reason = "the minimum limit";  // how the limit was derived, for the log
 };
 
-// Of an endpoint list. `memory` is what the process may have, in bytes; 0 for no bound of its own.
+// Returns the limit for an endpoint list. `memory` is the memory limit of the process in bytes; 0 means that
+// there is none.
 ResponseSizeLimit endpoint_list_size_limit(const RouterConfig& config, std::size_t memory);
-// Of a fleet manager's answer, which names every node that is out, and every router.
+// Returns the limit for a fleet manager's response, which names every node and router that is out.
 ResponseSizeLimit manager_response_size_limit(const RouterConfig& config, std::size_t memory);
 
 }  // namespace tealcart
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -427,7 +427,7 @@
         w.run_for(std::chrono::milliseconds(1000));
         CHECK(relay.calls.size() - before <= 6);
         CHECK(w.follower().applied_version() == 1);
-        CHECK(w.follower().refused() == 0);
+        CHECK(w.follower().refused_version() == 0);
         relay.spoils_pages = false;
         w.until([&] { return relay.heard(2); });
     }
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,5 +1,5 @@
-// What the tests share: a small deployment, scripted rounds of a QueryRouter and its recorded decisions, and
-// fakes on loopback for clients, data nodes and discovery.
+// Shared helpers of the tests: a small deployment, scripted rounds of a QueryRouter with recorded decisions,
+// and fake clients and servers on loopback.
 #pragma once
 
 #include <array>
@@ -17,15 +17,18 @@
 
 constexpr Nanos ms = 1'000'000;
 
-std::size_t allocated_bytes();  // by all that was made with new and not yet deleted
+// Returns the size of all memory that was allocated with new and not yet deleted.
+std::size_t allocated_bytes();
 
+// A decision of the router; fields that its kind does not use are 0.
 struct Decision {
     enum Kind { send_attempt, cancel, answer, reject, fail_query, set_timer, watch_endpoints, log } kind;
     std::uint32_t id = 0, node = 0;
     bool complete = false;
-    Nanos wait = 0;  // patience, advice or a timer's time
+    Nanos wait = 0;  // an attempt's wait, a rejection's retry-after time or a timer's wait
 };
 
+// Records the decisions of a round.
 class RecordedDecisions final : public DecisionSink {
   public:
     std::vector<Decision> made;
@@ -57,8 +60,10 @@
     }
 };
 
+// Plays events to the router.
 using EventScript = std::function<void(RoundEventHandler&)>;
 
+// The events of a round, given by a function.
 class ScriptedEvents final : public RoundEvents {
   public:
     explicit ScriptedEvents(EventScript script) : script_(std::move(script)) {}
@@ -68,6 +73,7 @@
     EventScript script_;
 };
 
+// Runs one round of the router with these events and returns its decisions.
 inline RecordedDecisions play(QueryRouter& router, Nanos now, const EventScript& script) {
     ScriptedEvents events(script);
     RecordedDecisions decisions;
@@ -75,7 +81,7 @@
     return decisions;
 }
 
-// Query class 0 may be answered in part, query class 1 needs every shard request. Shard s has replicas at
+// Query class 0 allows partial answers, query class 1 needs every shard request. Shard s has replicas at
 // places s, s + 1 and s + 2.
 inline RouterConfig small_config(Effect effect = Effect::idempotent, int places = 4) {
     RouterConfig config;
@@ -97,7 +103,7 @@
     return config;
 }
 
-// One node at each place, its id 100 + place.
+// Returns a list with one node at each place, whose id is 100 + place.
 inline std::vector<Endpoint> small_endpoint_list(int places = 4) {
     std::vector<Endpoint> list;
     for (int p = 0; p < places; ++p)
@@ -105,8 +111,8 @@
     return list;
 }
 
-// A query with shard requests of these weights at shards `first`, `first` + 1, ...; shard request ids follow
-// the query's.
+// Plays the arrival of a query with shard requests of these weights at shards `first`, `first` + 1, ... The
+// shard requests' ids follow the query's id.
 inline void deliver_query(RoundEventHandler& h, std::uint32_t id, std::uint16_t query_class,
                           Nanos deadline_at, const std::vector<double>& weights, std::uint32_t shards = 4,
                           std::uint32_t first = 0, bool again = false) {
@@ -115,8 +121,8 @@
         h.on_shard_request({id + 1 + i, id, (first + i) % shards, weights[i], 0});
 }
 
-// Settings as they are stated, of two places and four shards; query class "part" may be answered in part,
-// "keyed" is idempotent_with_key and needs every shard request.
+// The settings of a deployment with two places and four shards. Query class "part" allows partial answers;
+// "keyed" is idempotent with a key and needs every shard request.
 inline const std::string settings_text =
     R"({"extra": {"places": 2, "ranges": 4, "width": 2, "floor_by_class": [0.5, 1.0],
  "complete_from": [1.0, 1.0], "parts_a_call": 2},
@@ -127,7 +133,8 @@
  {"name": "part", "promise": 2000.0, "deadline": 4000.0, "semantics": "repeatable", "late_worth": 0.5},
  {"name": "keyed", "promise": 2000.0, "deadline": 4000.0, "repeat_window": 3000.0, "semantics": "by_key"}]})";
 
-// One connection of a stand-in: all that came in, and whether and how the far side has ended it.
+// A connection of a fake client or server: the received bytes, and whether and how the other side has closed
+// it.
 class TestConnection : public std::enable_shared_from_this<TestConnection> {
   public:
     using OnChange = std::function<void(TestConnection&)>;
@@ -148,7 +155,7 @@
         boost::system::error_code ec;
         boost::asio::write(socket, boost::asio::buffer(bytes), ec);
     }
-    // Ends the connection with a reset, as the death of a process does.
+    // Closes the connection with a reset, as the crash of a process does.
     void reset() {
         boost::system::error_code ec;
         socket.set_option(boost::asio::socket_base::linger(true, 0), ec);
@@ -157,14 +164,15 @@
 
     Socket socket;
     std::string received;
-    bool ended = false, broken = false;  // broken: by a reset, or the like
+    bool ended = false, broken = false;  // broken: closed by an error such as a reset
 
   private:
     OnChange on_change_;
     std::array<char, 4096> buffer_;
 };
 
-// A listening stand-in on a free port of loopback; `seen` is called whenever one of its connections has news.
+// A fake server that listens on a free loopback port. `on_change` is called when one of its connections has
+// received bytes or has ended.
 class FakeServer {
   public:
     FakeServer(boost::asio::io_context& io, TestConnection::OnChange on_change)
@@ -189,6 +197,7 @@
     TestConnection::OnChange on_change_;
 };
 
+// Connects a fake client to a port of loopback.
 inline std::shared_ptr<TestConnection> connect_to(boost::asio::io_context& io, std::uint16_t port) {
     boost::asio::ip::tcp::socket socket(io);
     socket.connect({boost::asio::ip::address_v4::loopback(), port});
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -11,7 +11,7 @@
 
 #include "helpers.hpp"
 
-// What the tests hold is counted, so that one can tell whether anything grows.
+// Counts the allocated bytes, so that tests can check that memory use does not grow.
 namespace {
 std::atomic<std::size_t> held = 0;
 }
@@ -37,8 +37,9 @@
 void operator delete(void* at, std::size_t) noexcept { operator delete(at); }
 void operator delete(void* at, const std::nothrow_t&) noexcept { operator delete(at); }
 
-// A test named in KNOWN-RED.txt (its form is scripts/known-red's to check) is passed over while it fails.
-// Once it passes, the run fails until its line is taken out, unless its cause begins with "flaky:".
+// A failing test that KNOWN-RED.txt names does not fail the run. Once it passes, the run fails until its line
+// is removed from the file, unless its cause begins with "flaky:". scripts/known-red checks the file's
+// format.
 namespace {
 
 std::set<std::string> failed, passed;
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -449,15 +449,15 @@
 TEST_CASE("two-phase frames are parsed as written, and truncated or altered ones are detected") {
     const PhaseRequestId id{"q.1", 12, 2};
     const SearchCriteria find{{"a b", "c"}, {{"expiry", -1.5, 3}}, 4};
-    REQUIRE(read_find(write_find(find)));
-    CHECK(read_find(write_find(find))->terms == find.terms);
-    CHECK(read_find(write_find(find))->ranges[0].from == -1.5);
+    REQUIRE(read_search_criteria(write_search_criteria(find)));
+    CHECK(read_search_criteria(write_search_criteria(find))->terms == find.terms);
+    CHECK(read_search_criteria(write_search_criteria(find))->ranges[0].from == -1.5);
     std::string line;
     write_phase_request_line(line, {id, 30, 4, true, 5, 6});
     const auto read = read_phase_request_line(std::string_view(line).substr(0, line.size() - 1));
     REQUIRE(read);
-    CHECK(
-        (read->id == id && read->wait_ms == 30 && read->rows == 4 && read->wants_filter && read->find == 6));
+    CHECK((read->id == id && read->wait_ms == 30 && read->rows == 4 && read->wants_filter &&
+           read->criteria_size == 6));
 
     SectionSummary summary{7, false, 9.5, {9, 8.25}, 40 * ms, true, {make_filter(3, 8), {{"e", 1, 2}}}};
     std::string bytes;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,5 @@
-// What is spoken: HTTP, bodies, lists and frames, on bytes alone; whole, byte by byte, cut off and malformed.
+// Tests the parsers and writers of HTTP messages, bodies, endpoint lists and frames on bytes, without
+// sockets. Input is complete, in pieces, truncated or malformed.
 #include <catch2/catch.hpp>
 
 #include "config/host_port.hpp"
@@ -25,7 +26,7 @@
     return reader.feed(bytes) == ParseStatus::malformed ? reader.error_status() : 0;
 }
 
-std::string wrong_with(const std::string& body) {
+std::string error_of(const std::string& body) {
     const auto read = read_query(body, 4);
     const auto* wrong = std::get_if<QueryBodyError>(&read);
     return wrong != nullptr ? std::string(wrong->message) : std::string();
@@ -33,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("requests are read the same in pieces of any size, one after the other") {
+TEST_CASE("consecutive requests that arrive in pieces of any size are parsed completely") {
     const auto piece = GENERATE(range<std::size_t>(1, 9), std::size_t{1000});
     const std::string all = chunked + with_length;
     RequestReader reader;
@@ -53,7 +54,7 @@
     CHECK(read[0].path == "/part/x");
     CHECK(read[0].query == "y=1");
     CHECK(read[1].query.empty());
-    CHECK(read[0].id == "a1");  // what comes behind the body counts nothing
+    CHECK(read[0].id == "a1");  // a trailer after the body is ignored
     CHECK(read[0].deadline == "480");
     CHECK(read[0].retry);
     CHECK(read[0].keep_alive);
@@ -64,13 +65,13 @@
     CHECK_FALSE(reader.begun());
 }
 
-TEST_CASE("malformed requests are told apart") {
+TEST_CASE("a malformed request gives the error status for its kind of error") {
     const std::string post = "POST /part HTTP/1.1\r\n";
     CHECK(status_of("nonsense\r\n\r\n") == 400);
     CHECK(status_of("POST /part HTTP/1.1\nA: b\n\n") == 400);
     for (const char* rest :
          {"no colon\r\n\r\n", "Content-Length: -1\r\n\r\n", "Content-Length: 1\r\nContent-Length: 2\r\n\r\n",
-          // Two ways to state the length could hide a second request in the first.
+          // A request that states its length in two ways could hide a second request.
           "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
           "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", "Transfer-Encoding: gzip\r\n\r\n",
           "Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
@@ -78,8 +79,8 @@
           "Content-Length: 1, 1\r\n\r\nx", "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx",
           "Content-Length: 99999999999999999999\r\n\r\n", "Content-Length : 1\r\n\r\nx",
           "Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n",
-          // Folded lines and bare line feeds read differently elsewhere; of what is said twice, nobody knows
-          // which.
+          // Other parsers read folded lines and bare line feeds differently, and of a repeated header it is
+          // undefined which value holds.
           "A: b\r\n Content-Length: 1\r\n\r\n", "A: b\nContent-Length: 1\r\n\r\n",
           "X-Request-Id: a\r\nX-Request-Id: b\r\n\r\n"}) {
         INFO(rest);
@@ -91,7 +92,7 @@
     CHECK(status_of(post + "Content-Length: 65536\r\n\r\n" + std::string(65536, 'x')) == 0);
 }
 
-TEST_CASE("a client that waits to be told to go on is owed it once, before its body") {
+TEST_CASE("a client that expects 100 Continue is due one exactly once, before its body") {
     RequestReader reader;
     std::string in = "POST /part HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
     CHECK(reader.feed(in) == ParseStatus::incomplete);
@@ -102,7 +103,7 @@
     CHECK_FALSE(reader.expects_continue());
 }
 
-TEST_CASE("answers' heads, and discovery's answers") {
+TEST_CASE("a response head is written with its headers, and a response is parsed from it") {
     const std::string head = write_response_head({503, 2, 1250, true});
     CHECK(head.find("HTTP/1.1 503 Service Unavailable\r\n") == 0);
     CHECK(head.find("Content-Length: 2\r\n") != std::string::npos);
@@ -122,7 +123,7 @@
     CHECK(small.feed(in) == ParseStatus::malformed);
 }
 
-TEST_CASE("text is told from what is none") {
+TEST_CASE("only valid UTF-8 is accepted as text") {
     for (const char* good : {"", "a\x01", "\xc3\xa9", "\xe2\x82\xac", "\xf0\x9f\x99\x82", "\xef\xbf\xbf"})
         CHECK(is_utf8(good));
     for (const char* bad : {"\xff", "\xc3", "\xc3(", "\x80", "\xc0\xaf", "\xe0\x80\xaf", "\xed\xa0\x80",
@@ -130,7 +131,7 @@
         CHECK_FALSE(is_utf8(bad));
 }
 
-TEST_CASE("a query's body is read, its weights made to sum to 1") {
+TEST_CASE("a valid query body is parsed and its weights are normalized to a sum of 1") {
     const auto read = read_query(
         R"({"segments":[{"segment":3,"boost":0.75,"work":9000,"affinity":"00ff"},{"segment":0,"boost":0.249998}],"text":"c4\n"})",
         4);
@@ -145,7 +146,7 @@
     CHECK(q.shard_requests[1].hint == 0);
 }
 
-TEST_CASE("a body that is no query's is told what is wrong, and nothing throws") {
+TEST_CASE("an invalid query body gives an error message and no exception") {
     for (const char* body :
          {"",
           "{",
@@ -172,12 +173,12 @@
           R"({"segments":[{"segment":1,"boost":1,"affinity":7}],"text":"x"})",
           "{\"text\":\"\xff\"}"}) {
         INFO(body);
-        CHECK_FALSE(wrong_with(body).empty());
+        CHECK_FALSE(error_of(body).empty());
     }
-    CHECK_FALSE(wrong_with(std::string(60000, '[')).empty());
+    CHECK_FALSE(error_of(std::string(60000, '[')).empty());
 }
 
-TEST_CASE("an answer holds its values as they are, escaped as JSON needs") {
+TEST_CASE("a response body contains its values unchanged apart from JSON escapes") {
     QueryResponseBody body(false);
     body.add(3, "a\"\\\n\x01");
     body.add(0, "\xc3\xa9\xff");
@@ -187,7 +188,7 @@
     CHECK(QueryResponseBody(true).finish() == R"({"all_in":true,"matches":[]})");
 }
 
-TEST_CASE("a list is read; entries that can't be used are left out; what is no list is none") {
+TEST_CASE("an endpoint list is parsed without its unusable entries, and a malformed list is rejected") {
     const std::string entry = R"({"instanceId":"s1","hostPort":"127.0.0.1:9","zone":"a","machineType":"m",)";
     const auto list = read_endpoint_list(
         R"({"generation":43,"reset":false,"instances":[)" + entry +
@@ -213,7 +214,7 @@
     CHECK_FALSE(parse_host_port("127.0.0.1:70000"));
 }
 
-TEST_CASE("frames are written as the page shows and taken from pieces of any size") {
+TEST_CASE("frames are written as the protocol defines and read from pieces of any size") {
     std::string line;
     write_shard_request_line(line, {"9b1f", 3, 240, "5c0f", 8});
     CHECK(line == "9b1f.3 3 d=240,k=5c0f 8\n");
@@ -230,7 +231,7 @@
     const auto piece = GENERATE(range<std::size_t>(1, 7), std::size_t{200});
     std::string in;
     std::vector<Outcome> ends;
-    int spoilt = 0;
+    int malformed = 0;
     for (std::size_t at = 0; at < bytes.size(); at += piece) {
         in += bytes.substr(at, piece);
         std::string_view rest = in;
@@ -241,15 +242,15 @@
             CHECK(answer->shard == ends.size() + 1);
             CHECK(answer->value == (ends.empty() ? "v" : ""));
             ends.push_back(answer->outcome);
-            spoilt += answer->malformed;
+            malformed += answer->malformed;
         }
         in.erase(0, in.size() - rest.size());
     }
     CHECK(ends == std::vector{Outcome::ok, Outcome::overloaded, Outcome::error, Outcome::error});
-    CHECK(spoilt == 1);  // an end that nobody knows
+    CHECK(malformed == 1);  // the unknown outcome ODD
 }
 
-TEST_CASE("frames that lie about their length and lines that can't be read are found") {
+TEST_CASE("a frame with an impossible length and a malformed answer line are rejected") {
     Frame frame;
     std::string_view in("\0\0\0\0Y", 5);
     CHECK(take_frame(in, frame) == FrameStatus::malformed);
