--- a/measure/fleet_cost.cpp
+++ b/measure/fleet_cost.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using namespace tealcart::fleet;
-using tealcart::fleet_manager::ManagerFigures;
+using tealcart::fleet_manager::ManagerStatus;
 
 constexpr Nanos second = 1'000'000'000;
 constexpr int width = 3, zones = 12, words = 6;
@@ -140,7 +140,7 @@
     Fleet fleet(run.range(0), run.range(1), 20);
     std::size_t bytes = 0;
     for (auto _ : run)
-        bytes = tealcart::fleet_manager::write_status(fleet.state, ManagerFigures{}, all).size();
+        bytes = tealcart::fleet_manager::write_status(fleet.state, ManagerStatus{}, all).size();
     run.counters["MB"] = static_cast<double>(bytes) / 1e6;
 }
 void status_of_all(benchmark::State& run) { status(run, true); }
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -145,7 +145,7 @@
     BlockReader in(block, errors);
     in.expect_no_label();
     LogConfig config;
-    config.form = static_cast<LogForm>(in.choice("format", 0, {"text", "json"}));
+    config.format = static_cast<LogFormat>(in.choice("format", 0, {"text", "json"}));
     config.level = static_cast<LogLevel>(in.choice("level", 1, {"debug", "info", "warn", "error"}));
     in.reject_unknown();
     return config;
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -121,12 +121,12 @@
     return dump({{"effects", list}});
 }
 
-std::string write_changes(const changes::ChangeState& state, const ChangeFigures& figures) {
+std::string write_changes(const changes::ChangeState& state, const ManagerChangeStatus& manager) {
     const Nanos held_for = std::max<Nanos>(0, state.hold_until() - state.now());
-    return dump({{"fleet", figures.fleet},
-                 {"steward", figures.id},
-                 {"leader", figures.leader},
-                 {"leader_at", figures.leader_address},
+    return dump({{"fleet", manager.fleet},
+                 {"steward", manager.id},
+                 {"leader", manager.leader},
+                 {"leader_at", manager.leader_address},
                  {"version", state.version()},
                  {"digest", state.digest()},
                  {"in_force", state.applied_everywhere()},
@@ -135,7 +135,7 @@
                  {"halted_version", state.halted_version()},
                  {"held_for_ms", held_for / millisecond},
                  {"members", state.members()},
-                 {"relays_waiting", figures.waiting},
+                 {"relays_waiting", manager.waiting},
                  {"reach", write_rollout(state.progress(state.version(), max_named))},
                  {"history", write_history(state)},
                  {"keys", write_keys(state)}});
@@ -147,8 +147,8 @@
     return dump({{"version", state.version()}, {"key", key}, {"value", entry->second}});
 }
 
-void add_document_news(const changes::ChangeState& state, const WatchPosition& position,
-                       ChangesAnswer& answer) {
+void add_document_update(const changes::ChangeState& state, const WatchPosition& position,
+                         ChangesAnswer& answer) {
     answer.version = state.version();
     if (position.known_version >= state.version()) return;
     if (!position.wants_pages) {
--- a/src/fleet_manager/change_requests.hpp
+++ b/src/fleet_manager/change_requests.hpp
@@ -31,18 +31,18 @@
 const char* name_of(changes::EffectCode code);
 
 // What the page says of the fleet manager that serves it.
-struct ChangeFigures {
+struct ManagerChangeStatus {
     std::uint64_t id = 0, leader = 0;  // leader: 0 for none
     std::string fleet, leader_address;
     std::size_t waiting = 0;  // calls of relays
 };
 // How far the latest version has been rolled out, and the versions before it: GET /fleet/changes.
-std::string write_changes(const changes::ChangeState& state, const ChangeFigures& figures);
+std::string write_changes(const changes::ChangeState& state, const ManagerChangeStatus& manager);
 // One entry at the latest version; nothing where there is none.
 std::optional<std::string> write_entry(const changes::ChangeState& state, const std::string& key);
 
 // Adds what a relay with this copy lacks: a delta, or a page where a delta would be too long.
-void add_document_news(const changes::ChangeState& state, const WatchPosition& position,
-                       ChangesAnswer& answer);
+void add_document_update(const changes::ChangeState& state, const WatchPosition& position,
+                         ChangesAnswer& answer);
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/command_main.cpp
+++ b/src/fleet_manager/command_main.cpp
@@ -42,7 +42,7 @@
             ->delimiter(',');
         sub->add_option("--file", client_.file, "or the stewards' file")->envname("TEALCART_FLEET_FILE");
         sub->add_option("--asker", client_.asker, "who asks, as it is shown");
-        sub->add_option("--within", client_.within_s, "seconds to try for")->check(CLI::Range(0.1, 3600.0));
+        sub->add_option("--within", client_.timeout_s, "seconds to try for")->check(CLI::Range(0.1, 3600.0));
         sub->callback([this, command = std::move(command)] { command_ = command; });
         return sub;
     }
--- a/src/fleet_manager/config_command.cpp
+++ b/src/fleet_manager/config_command.cpp
@@ -37,7 +37,7 @@
     std::string printed;
     while (true) {
         const Json state = fetch_state(managers, changes_path);
-        if (is_leaders(state) && number_of(state, "version") >= version) {
+        if (is_leader_state(state) && number_of(state, "version") >= version) {
             if (const std::string current = state["reach"].dump() + state["halted"].dump();
                 current != printed) {
                 print_rollout(state);
@@ -75,10 +75,10 @@
 // Sends the call and prints its effects.
 int run(const ClientOptions& client, const ConfigOptions& options, const std::string& path, Json call) {
     const std::vector<HostPort> managers = client.manager_addresses();
-    const std::string id = client.id_or_new();
+    const std::string id = client.call_id();
     call["id"] = id;
     call["asker"] = client.asker;
-    const Reply reply = query_managers(managers, path, body_text(call), client.within());
+    const Reply reply = query_managers(managers, path, body_text(call), client.timeout());
     const Json body = body_of(reply);
     if (!body.is_object()) return report_failure(reply, id);
     if (client.json) std::printf("%s\n", reply.body.c_str());
@@ -104,7 +104,7 @@
 int show_entry(const ClientOptions& client, const std::string& key) {
     const Json call = {{"id", new_call_id()}, {"key", key}};
     const Reply reply =
-        query_managers(client.manager_addresses(), "/fleet/entry", call.dump(), client.within());
+        query_managers(client.manager_addresses(), "/fleet/entry", call.dump(), client.timeout());
     const Json body = body_of(reply);
     if (!body.is_object()) return report_failure(reply, "-");
     if (client.json) return std::printf("%s\n", reply.body.c_str()) < 0;
--- a/src/fleet_manager/data_directory.cpp
+++ b/src/fleet_manager/data_directory.cpp
@@ -12,42 +12,42 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr int marker_form = 1;
+constexpr int marker_format = 1;
 
-std::string marker_of(const std::string& directory) { return directory + "/steward.json"; }
+std::string marker_path(const std::string& directory) { return directory + "/steward.json"; }
 
-[[noreturn]] void fail(const std::string& directory, const std::string& what) {
-    throw std::runtime_error("the steward's folder " + directory + " " + what);
+[[noreturn]] void fail(const std::string& directory, const std::string& problem) {
+    throw std::runtime_error("the steward's folder " + directory + " " + problem);
 }
 
 }  // namespace
 
 void remove_marker(const std::string& directory) {
     std::error_code ignored;
-    std::filesystem::remove(marker_of(directory), ignored);
+    std::filesystem::remove(marker_path(directory), ignored);
 }
 
 void create_data_directory(const std::string& directory, const std::string& fleet, std::uint64_t id) {
     std::error_code ec;
     std::filesystem::create_directories(directory, ec);
     if (ec) fail(directory, "can't be made: " + ec.message());
-    if (std::filesystem::exists(marker_of(directory))) fail(directory, "is a steward's already");
-    std::ofstream out(marker_of(directory));
-    out << Json{{"form", marker_form}, {"fleet", fleet}, {"id", id}}.dump() << '\n';
+    if (std::filesystem::exists(marker_path(directory))) fail(directory, "is a steward's already");
+    std::ofstream out(marker_path(directory));
+    out << Json{{"form", marker_format}, {"fleet", fleet}, {"id", id}}.dump() << '\n';
     if (!out.flush()) fail(directory, "can't be written");
 }
 
 void check_data_directory(const std::string& directory, const std::string& fleet, std::uint64_t id) {
-    std::ifstream in(marker_of(directory));
+    std::ifstream in(marker_path(directory));
     if (!in) fail(directory, "is no steward's: 'tealcart steward init' makes one");
     const std::string text{std::istreambuf_iterator<char>(in), {}};
     const Json marker = Json::parse(text, nullptr, false);
     if (!marker.is_object() || !marker.contains("form") || !marker.contains("fleet") ||
         !marker.contains("id"))
         fail(directory, "has a mark that can't be read");
-    if (marker["form"] != marker_form)
+    if (marker["form"] != marker_format)
         fail(directory,
-             "is of form " + marker["form"].dump() + ", this program reads " + std::to_string(marker_form));
+             "is of form " + marker["form"].dump() + ", this program reads " + std::to_string(marker_format));
     if (marker["fleet"] != fleet || marker["id"] != id)
         fail(directory, "is that of steward " + marker["id"].dump() + " of " + marker["fleet"].dump());
     if (::access(directory.c_str(), W_OK) != 0) fail(directory, "can't be written");
--- a/src/fleet_manager/drain_command.cpp
+++ b/src/fleet_manager/drain_command.cpp
@@ -54,7 +54,7 @@
     std::string printed;
     while (true) {
         const Json state = fetch_state(managers, "/fleet/status");
-        if (is_leaders(state)) {
+        if (is_leader_state(state)) {
             const std::vector<Json> requests = requests_in(state, ids);
             if (const std::string current = Json(requests).dump(); current != printed && !requests.empty()) {
                 for (const Json& request : requests) print_request(request);
@@ -81,9 +81,9 @@
 // Sends the call and prints its effects.
 int run(const ClientOptions& client, const DrainOptions& options, const std::string& path) {
     const std::vector<HostPort> managers = client.manager_addresses();
-    const std::string id = client.id_or_new();
+    const std::string id = client.call_id();
     const Reply reply =
-        query_managers(managers, path, write_call(client, options, id).dump(), client.within());
+        query_managers(managers, path, write_call(client, options, id).dump(), client.timeout());
     const Json body = body_of(reply);
     if (!body.is_object()) return report_failure(reply, id);
     int status = exit_ok;
--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -14,14 +14,14 @@
 void EndpointView::on_endpoints(const EndpointList& list, Nanos now) {
     if (list.full) {
         nodes_.clear();
-        warm_at_.clear();
+        warm_up_ends_.clear();
         compare_all();
     }
-    heard_at_ = now;
+    last_answer_at_ = now;
     for (const ListedEndpoint& node : list.nodes) {
-        compare_later(node.id);
+        mark_for_comparison(node.id);
         if (const auto it = nodes_.find(node.id); it != nodes_.end())
-            warm_at_.erase({it->second.started_at + slow_start_, node.id});
+            warm_up_ends_.erase({it->second.started_at + slow_start_, node.id});
         if (node.lifecycle == Lifecycle::removed)
             nodes_.erase(node.id);
         else
@@ -30,7 +30,7 @@
 }
 
 // A fleet manager that does not lead compares nothing: the set must not grow by names removed long ago.
-void EndpointView::compare_later(const std::string& name) {
+void EndpointView::mark_for_comparison(const std::string& name) {
     if (compare_all_) return;
     to_compare_.insert(name);
     if (to_compare_.size() > nodes_.size() + max_removed_names) compare_all_ = true;
@@ -38,16 +38,18 @@
 
 void EndpointView::on_committed(const fleet::EndpointsObserved& observed) {
     if (observed.full) return compare_all();
-    for (const auto& [name, node] : observed.nodes) compare_later(name);
-    for (const std::string& name : observed.removed) compare_later(name);
+    for (const auto& [name, node] : observed.nodes) mark_for_comparison(name);
+    for (const std::string& name : observed.removed) mark_for_comparison(name);
 }
 
-bool EndpointView::stale(Nanos now) const { return heard_at_ > 0 && now - heard_at_ > stale_after; }
+bool EndpointView::stale(Nanos now) const {
+    return last_answer_at_ > 0 && now - last_answer_at_ > stale_after;
+}
 
 // Shard s lies at places (s + j) mod places_, for j below the width.
 std::vector<std::uint32_t> EndpointView::shards_at(int place) const {
     std::vector<std::uint32_t> shards;
-    for (int j = 0; j < std::min(width_, places_); ++j) {
+    for (int j = 0; j < std::min(replicas_per_shard_, places_); ++j) {
         const int first = ((place - j) % places_ + places_) % places_;
         for (int shard = first; shard < shards_; shard += places_)
             shards.push_back(static_cast<std::uint32_t>(shard));
@@ -69,8 +71,8 @@
 }
 
 void EndpointView::collect_nodes_to_compare(const fleet::FleetState& state, Nanos now) {
-    if (stale(now) != was_stale_) {
-        was_stale_ = !was_stale_;
+    if (stale(now) != discovery_was_stale_) {
+        discovery_was_stale_ = !discovery_was_stale_;
         compare_all();
     }
     if (std::exchange(compare_all_, false)) {
@@ -78,38 +80,38 @@
         for (const auto& [name, listed] : nodes_) to_compare_.insert(name);
         for (const auto& [name, node] : state.nodes()) to_compare_.insert(name);
     }
-    while (!warm_at_.empty() && warm_at_.begin()->first <= now)
-        to_compare_.insert(std::move(warm_at_.extract(warm_at_.begin()).value().second));
+    while (!warm_up_ends_.empty() && warm_up_ends_.begin()->first <= now)
+        to_compare_.insert(std::move(warm_up_ends_.extract(warm_up_ends_.begin()).value().second));
 }
 
 bool EndpointView::compare(const std::string& name, const fleet::FleetState& state, Nanos now,
-                           fleet::EndpointsObserved& news) {
+                           fleet::EndpointsObserved& observed) {
     const auto agreed = state.nodes().find(name);
     const auto listed = nodes_.find(name);
     if (listed == nodes_.end()) {
         if (agreed == state.nodes().end() || agreed->second.health == fleet::Health::gone) return false;
-        news.removed.insert(name);
+        observed.removed.insert(name);
         return true;
     }
     fleet::Node node = node_of(listed->second, now);
-    if (node.health == fleet::Health::cold) warm_at_.emplace(node.started_at + slow_start_, name);
+    if (node.health == fleet::Health::cold) warm_up_ends_.emplace(node.started_at + slow_start_, name);
     if (agreed != state.nodes().end() && agreed->second == node) return false;
-    news.nodes.emplace(name, std::move(node));
+    observed.nodes.emplace(name, std::move(node));
     return true;
 }
 
 std::optional<fleet::EndpointsObserved> EndpointView::differences(const fleet::FleetState& state, Nanos now) {
-    compared_ = 0;
-    if (heard_at_ == 0) return std::nullopt;
+    compared_count_ = 0;
+    if (last_answer_at_ == 0) return std::nullopt;
     collect_nodes_to_compare(state, now);
-    fleet::EndpointsObserved news{{}, false, {}};
+    fleet::EndpointsObserved observed{{}, false, {}};
     for (auto it = to_compare_.begin(); it != to_compare_.end();) {
-        ++compared_;
+        ++compared_count_;
         // What differs is compared again: its proposal may not come to be committed.
-        it = compare(*it, state, now, news) ? std::next(it) : to_compare_.erase(it);
+        it = compare(*it, state, now, observed) ? std::next(it) : to_compare_.erase(it);
     }
-    if (news.nodes.empty() && news.removed.empty()) return std::nullopt;
-    return news;
+    if (observed.nodes.empty() && observed.removed.empty()) return std::nullopt;
+    return observed;
 }
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/endpoint_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -20,7 +20,7 @@
 
     // Of the deployment's configuration it needs where shards lie and how long a node is warming up.
     explicit EndpointView(const RouterConfig& config)
-        : places_(config.places), width_(config.replicas_per_shard), shards_(config.shards),
+        : places_(config.places), replicas_per_shard_(config.replicas_per_shard), shards_(config.shards),
           slow_start_(config.slow_start_duration) {}
 
     // Discovery has answered with this list, or with these changes of it.
@@ -34,28 +34,28 @@
     // The agreed state was replaced, or this fleet manager begins or ends to lead.
     void compare_all() { compare_all_ = true; }
     // Nodes that the last call of `differences` compared.
-    std::size_t compared() const { return compared_; }
+    std::size_t compared_count() const { return compared_count_; }
     // Discovery has been silent for longer than `stale_after`.
     bool stale(Nanos now) const;
 
   private:
-    // Adds to `news` what differs of this node; false where nothing does.
+    // Adds to `observed` what differs of this node; false where nothing does.
     bool compare(const std::string& name, const fleet::FleetState& state, Nanos now,
-                 fleet::EndpointsObserved& news);
+                 fleet::EndpointsObserved& observed);
     void collect_nodes_to_compare(const fleet::FleetState& state, Nanos now);
     fleet::Node node_of(const ListedEndpoint& listed, Nanos now) const;
     std::vector<std::uint32_t> shards_at(int place) const;
     fleet::Health health_of(const ListedEndpoint& listed, Nanos now) const;
-    void compare_later(const std::string& name);
+    void mark_for_comparison(const std::string& name);
 
-    const int places_, width_, shards_;
+    const int places_, replicas_per_shard_, shards_;
     const Nanos slow_start_;
     std::map<std::string, ListedEndpoint> nodes_;  // as discovery lists them
-    Nanos heard_at_ = 0;                           // 0: never
+    Nanos last_answer_at_ = 0;                     // 0: never
     std::set<std::string> to_compare_;
-    std::set<std::pair<Nanos, std::string>> warm_at_;  // when a node that is agreed to be cold is warm
-    bool compare_all_ = true, was_stale_ = false;
-    std::size_t compared_ = 0;
+    std::set<std::pair<Nanos, std::string>> warm_up_ends_;  // when a node that is agreed to be cold is warm
+    bool compare_all_ = true, discovery_was_stale_ = false;
+    std::size_t compared_count_ = 0;
 };
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -54,7 +54,7 @@
         const Nanos sleep = std::min(max_sleep, leader_duties_.tick_interval());
         turn_.run_once(std::min(time_.due.next(), time_.now() + sleep));
         leader_duties_.run();
-        max_sleep = raft_.turn();
+        max_sleep = raft_.run_ready_events();
         members_.answer_waiting();
         relays_.answer_waiting();
     }
@@ -103,20 +103,20 @@
 }
 
 void FleetManager::show_status(Handle client, const Request& request) {
-    ManagerFigures figures;
-    figures.id = id_;
-    figures.leader = raft_.leader();
-    figures.applied = raft_.applied();
-    figures.fleet = config_.fleet;
-    figures.leader_address = responder_.leader_address();
-    figures.discovery_silent = endpoints_.stale(time_.now()) ? EndpointView::stale_after : 0;
-    responder_.ok(client, write_status(state_.fleet(), figures, request.query == "all=1"));
+    ManagerStatus status;
+    status.id = id_;
+    status.leader = raft_.leader();
+    status.applied = raft_.applied();
+    status.fleet = config_.fleet;
+    status.leader_address = responder_.leader_address();
+    status.discovery_silent = endpoints_.stale(time_.now()) ? EndpointView::stale_after : 0;
+    responder_.ok(client, write_status(state_.fleet(), status, request.query == "all=1"));
 }
 
 void FleetManager::show_changes(Handle client, const Request&) {
-    const ChangeFigures figures{id_, raft_.leader(), config_.fleet, responder_.leader_address(),
-                                relays_.waiting()};
-    responder_.ok(client, write_changes(state_.changes(), figures));
+    const ManagerChangeStatus status{id_, raft_.leader(), config_.fleet, responder_.leader_address(),
+                                     relays_.waiting()};
+    responder_.ok(client, write_changes(state_.changes(), status));
 }
 
 void FleetManager::on_member(Handle client, const Request& request) {
--- a/src/fleet_manager/log_entries.cpp
+++ b/src/fleet_manager/log_entries.cpp
@@ -8,26 +8,27 @@
 namespace {
 
 // The fleet's own entries and snapshots are CBOR maps, which begin with 0xa0 to 0xbf; these can't.
-constexpr std::uint8_t changes_mark = 0x01;
-constexpr std::uint8_t snapshot_mark[] = {0x02, 't', 'c'};
-constexpr std::uint8_t snapshot_form = 1;
-constexpr std::size_t head = sizeof snapshot_mark + 1 + 8;  // then the length of the fleet's shard request
+constexpr std::uint8_t change_marker = 0x01;
+constexpr std::uint8_t snapshot_marker[] = {0x02, 't', 'c'};
+constexpr std::uint8_t snapshot_format = 1;
+constexpr std::size_t header_bytes =
+    sizeof snapshot_marker + 1 + 8;  // marker, format, length of the fleet part
 
 }  // namespace
 
-Bytes entry_of_changes(Bytes command) {
-    command.insert(command.begin(), changes_mark);
+Bytes write_change_entry(Bytes command) {
+    command.insert(command.begin(), change_marker);
     return command;
 }
 
 Entry read_entry(const std::uint8_t* bytes, std::size_t size) {
-    if (size > 0 && bytes[0] == changes_mark) return {true, bytes + 1, size - 1};
+    if (size > 0 && bytes[0] == change_marker) return {true, bytes + 1, size - 1};
     return {false, bytes, size};
 }
 
 Bytes write_snapshot(const Snapshot& s) {
-    Bytes out(std::begin(snapshot_mark), std::end(snapshot_mark));
-    out.push_back(snapshot_form);
+    Bytes out(std::begin(snapshot_marker), std::end(snapshot_marker));
+    out.push_back(snapshot_format);
     for (unsigned shift = 0; shift < 64; shift += 8)
         out.push_back(static_cast<std::uint8_t>(std::uint64_t{s.fleet.size()} >> shift));
     out.insert(out.end(), s.fleet.begin(), s.fleet.end());
@@ -36,18 +37,18 @@
 }
 
 Snapshot read_snapshot(const Bytes& in) {
-    if (in.size() < sizeof snapshot_mark ||
-        !std::equal(std::begin(snapshot_mark), std::end(snapshot_mark), in.begin()))
+    if (in.size() < sizeof snapshot_marker ||
+        !std::equal(std::begin(snapshot_marker), std::end(snapshot_marker), in.begin()))
         return {in, std::nullopt};
-    if (in.size() < head) throw std::runtime_error("a stewards' snapshot that is cut off");
-    if (const int form = in[sizeof snapshot_mark]; form != snapshot_form)
+    if (in.size() < header_bytes) throw std::runtime_error("a stewards' snapshot that is cut off");
+    if (const int form = in[sizeof snapshot_marker]; form != snapshot_format)
         throw std::runtime_error("a stewards' snapshot of form " + std::to_string(form) +
-                                 ", this program reads " + std::to_string(snapshot_form));
+                                 ", this program reads " + std::to_string(snapshot_format));
     std::uint64_t length = 0;
-    for (unsigned i = 0; i < 8; ++i) length |= std::uint64_t{in[sizeof snapshot_mark + 1 + i]} << 8 * i;
-    if (length > in.size() - head) throw std::runtime_error("a stewards' snapshot that is cut off");
-    const auto split = in.begin() + static_cast<std::ptrdiff_t>(head + length);
-    Snapshot s{{in.begin() + head, split}, std::nullopt};
+    for (unsigned i = 0; i < 8; ++i) length |= std::uint64_t{in[sizeof snapshot_marker + 1 + i]} << 8 * i;
+    if (length > in.size() - header_bytes) throw std::runtime_error("a stewards' snapshot that is cut off");
+    const auto split = in.begin() + static_cast<std::ptrdiff_t>(header_bytes + length);
+    Snapshot s{{in.begin() + header_bytes, split}, std::nullopt};
     if (split != in.end()) s.changes = Bytes(split, in.end());
     return s;
 }
--- a/src/fleet_manager/log_entries.hpp
+++ b/src/fleet_manager/log_entries.hpp
@@ -12,10 +12,10 @@
 using Bytes = std::vector<std::uint8_t>;
 
 // A command of the changes' state as an entry; one of the fleet's is an entry as it stands.
-Bytes entry_of_changes(Bytes command);
+Bytes write_change_entry(Bytes command);
 // The command's bytes in an entry.
 struct Entry {
-    bool of_changes = false;
+    bool is_change = false;
     const std::uint8_t* bytes = nullptr;
     std::size_t size = 0;
 };
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -55,7 +55,7 @@
     std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is reported like a full disk
     const FleetManagerConfig config = read_fleet_manager_file(options.file);
     const ManagerAddresses& self = self_of(config, options.id);
-    start_log(config.log);
+    configure_log(config.log);
     const StartupConfig startup = read_startup_config_file(options.startup_config);
     check_data_directory(self.data_directory, config.fleet, options.id);
     boost::asio::io_context io(1);
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -65,8 +65,8 @@
 }  // namespace
 
 Reply query_manager(boost::asio::io_context& io, const HostPort& address, const std::string& path,
-                    const std::string& body, milliseconds within) {
-    const auto deadline = Clock::now() + within;
+                    const std::string& body, milliseconds timeout) {
+    const auto deadline = Clock::now() + timeout;
     error_code ec;
     const auto host = boost::asio::ip::make_address(address.host, ec);
     if (ec) return {};
@@ -85,8 +85,8 @@
 }
 
 Reply query_managers(const std::vector<HostPort>& managers, const std::string& path, const std::string& body,
-                     milliseconds within) {
-    const auto deadline = Clock::now() + within;
+                     milliseconds timeout) {
+    const auto deadline = Clock::now() + timeout;
     boost::asio::io_context io(1);
     Reply last;
     std::optional<HostPort> leader;  // as a follower named it, among `managers` or not
--- a/src/fleet_manager/manager_client.hpp
+++ b/src/fleet_manager/manager_client.hpp
@@ -19,13 +19,13 @@
 };
 
 // Calls one fleet manager after the other, and the leader that one names, until one of them gives a final
-// answer: 200, or 400 to 409. Others are retried, for `within` at most. An empty body is a GET.
+// answer: 200, or 400 to 409. Others are retried, for `timeout` at most. An empty body is a GET.
 Reply query_managers(const std::vector<HostPort>& managers, const std::string& path, const std::string& body,
-                     std::chrono::milliseconds within);
+                     std::chrono::milliseconds timeout);
 
 // One call to one address, without a retry; status 0 where it does not answer in time. Other handlers of the
 // io_context are run meanwhile.
 Reply query_manager(boost::asio::io_context& io, const HostPort& address, const std::string& path,
-                    const std::string& body, std::chrono::milliseconds within);
+                    const std::string& body, std::chrono::milliseconds timeout);
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/member_service.cpp
+++ b/src/fleet_manager/member_service.cpp
@@ -76,7 +76,7 @@
     const std::uint64_t generation = state_.fleet().generation();
     std::string body;  // the same for all
     for (auto it = waiting_.begin(); it != waiting_.end();) {
-        const Waiting& waiting = it->second;
+        const WaitingCall& waiting = it->second;
         // A member may know a later generation, from a leader that was ahead: it waits like one that is up to
         // date.
         if (generation <= waiting.known_generation && now < waiting.until) {
--- a/src/fleet_manager/member_service.hpp
+++ b/src/fleet_manager/member_service.hpp
@@ -27,7 +27,7 @@
 
   private:
     // A call whose report is in the log, and which waits for a later generation.
-    struct Waiting {
+    struct WaitingCall {
         Handle client;
         std::uint64_t known_generation = 0;
         Nanos until = 0;
@@ -50,7 +50,7 @@
     const ReplicatedState& state_;
     Proposer& proposer_;
     Responder& responder_;
-    std::map<std::uint32_t, Waiting> waiting_;  // by the client's slot
+    std::map<std::uint32_t, WaitingCall> waiting_;  // by the client's slot
     Batch batch_;
     TimerQueue::Ticket batch_due_ = TimerQueue::none;
 };
--- a/src/fleet_manager/operator_client.cpp
+++ b/src/fleet_manager/operator_client.cpp
@@ -19,11 +19,11 @@
 
 }  // namespace
 
-std::chrono::milliseconds ClientOptions::within() const {
-    return std::chrono::milliseconds(static_cast<long long>(within_s * 1000));
+std::chrono::milliseconds ClientOptions::timeout() const {
+    return std::chrono::milliseconds(static_cast<long long>(timeout_s * 1000));
 }
 
-std::string ClientOptions::id_or_new() const { return id.empty() ? new_call_id() : id; }
+std::string ClientOptions::call_id() const { return id.empty() ? new_call_id() : id; }
 
 std::vector<HostPort> ClientOptions::manager_addresses() const {
     std::vector<HostPort> addresses;
@@ -70,7 +70,7 @@
     for (const HostPort& manager : managers) {
         Json state = fetch_state_of(io, manager, path);
         if (!state.is_object()) continue;
-        if (is_leaders(state)) return state;
+        if (is_leader_state(state)) return state;
         found = std::move(state);
     }
     if (!found.is_object()) return found;
@@ -82,7 +82,7 @@
     return found;
 }
 
-bool is_leaders(const Json& state) {
+bool is_leader_state(const Json& state) {
     return state.is_object() && state.value("leader", Json()) == state.value("steward", Json());
 }
 
--- a/src/fleet_manager/operator_client.hpp
+++ b/src/fleet_manager/operator_client.hpp
@@ -22,11 +22,11 @@
     std::string file;                   // or the fleet managers' file, which names them
     std::string asker;                  // who asks, as it is shown
     std::string id;                     // of the call; empty: a new one
-    double within_s = 10;               // to retry for
+    double timeout_s = 10;              // to retry for
     bool json = false;                  // print answers as they are
 
-    std::chrono::milliseconds within() const;
-    std::string id_or_new() const;
+    std::chrono::milliseconds timeout() const;
+    std::string call_id() const;
     // Throws ConfigError where none are named, or a name is no address.
     std::vector<HostPort> manager_addresses() const;
 };
@@ -43,7 +43,7 @@
 // answers.
 nlohmann::ordered_json fetch_state(const std::vector<HostPort>& managers, const std::string& path);
 // Whether the state is that of the leader.
-bool is_leaders(const nlohmann::ordered_json& state);
+bool is_leader_state(const nlohmann::ordered_json& state);
 
 // A number of the state, for printf; 0 where it is missing.
 unsigned long long number_of(const nlohmann::ordered_json& object, const char* key);
--- a/src/fleet_manager/operator_service.cpp
+++ b/src/fleet_manager/operator_service.cpp
@@ -94,7 +94,7 @@
 }
 
 std::uint64_t OperatorService::manager_to_change(Handle client, const OperatorCall& call) {
-    if (changing_managers_) {
+    if (group_change_in_progress_) {
         responder_.error(client, 409, "another change of the stewards is under way");
         return 0;
     }
@@ -103,10 +103,10 @@
     return id;
 }
 
-RaftNode::Changed OperatorService::begin_manager_change(Handle client) {
-    changing_managers_ = true;
+RaftNode::ChangeCallback OperatorService::begin_manager_change(Handle client) {
+    group_change_in_progress_ = true;
     return [this, client](const std::string& error) {
-        changing_managers_ = false;
+        group_change_in_progress_ = false;
         if (!error.empty()) return responder_.error(client, 409, error);
         responder_.ok(client, "{}");
     };
--- a/src/fleet_manager/operator_service.hpp
+++ b/src/fleet_manager/operator_service.hpp
@@ -38,7 +38,7 @@
     // The id of the fleet manager that the call names; 0 after an error was answered.
     std::uint64_t manager_to_change(Handle client, const OperatorCall& call);
     // Runs one change of the group at a time, and answers once it has ended.
-    RaftNode::Changed begin_manager_change(Handle client);
+    RaftNode::ChangeCallback begin_manager_change(Handle client);
     void propose(Handle client, std::vector<fleet::Command> commands);
 
     const FleetManagerConfig& config_;
@@ -46,7 +46,7 @@
     const ReplicatedState& state_;
     Proposer& proposer_;
     Responder& responder_;
-    bool changing_managers_ = false;
+    bool group_change_in_progress_ = false;
 };
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/proposer.cpp
+++ b/src/fleet_manager/proposer.cpp
@@ -35,7 +35,7 @@
     const auto on_applied = [this, outcome = std::move(outcome)](bool applied) {
         outcome(applied, applied ? state_.change_effects() : changes::Effects{});
     };
-    if (!raft_.propose(entry_of_changes(changes::write_command(command)), on_applied)) on_applied(false);
+    if (!raft_.propose(write_change_entry(changes::write_command(command)), on_applied)) on_applied(false);
 }
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -11,33 +11,34 @@
 namespace tealcart::fleet_manager {
 namespace {
 
-constexpr Nanos ms = 1'000'000;
-constexpr std::size_t segment = 1 << 20;               // bytes of a file of the log
-constexpr unsigned snapshot_after = 4096, keep = 512;  // entries
-constexpr unsigned connect_again_ms = 100;
-constexpr Nanos max_sleep = 50 * ms;
+constexpr Nanos millisecond = 1'000'000;
+constexpr std::size_t segment_bytes = 1 << 20;                         // bytes of a file of the log
+constexpr unsigned snapshot_threshold = 4096, trailing_entries = 512;  // entries
+constexpr unsigned connect_retry_ms = 100;
+constexpr Nanos max_sleep = 50 * millisecond;
 
 // The library counts in words of eight bytes: an entry of any other length makes its segment, read again,
 // look corrupt, and shifts what follows it in a message. So what is written begins with its length and is
 // filled up.
-constexpr std::size_t word = 8;
+constexpr std::size_t word_bytes = 8;
 
 raft_buffer buffer_of(const std::vector<std::uint8_t>& bytes) {
     const std::uint64_t size = bytes.size();
-    const std::size_t whole = word + (bytes.size() + word - 1) / word * word;
-    raft_buffer buf{raft_malloc(whole), whole};
+    const std::size_t padded_size = word_bytes + (bytes.size() + word_bytes - 1) / word_bytes * word_bytes;
+    raft_buffer buf{raft_malloc(padded_size), padded_size};
     if (buf.base == nullptr) throw std::bad_alloc();
-    std::memset(buf.base, 0, whole);
-    std::memcpy(buf.base, &size, word);
-    std::memcpy(static_cast<std::uint8_t*>(buf.base) + word, bytes.data(), bytes.size());
+    std::memset(buf.base, 0, padded_size);
+    std::memcpy(buf.base, &size, word_bytes);
+    std::memcpy(static_cast<std::uint8_t*>(buf.base) + word_bytes, bytes.data(), bytes.size());
     return buf;
 }
 
 std::span<const std::uint8_t> bytes_of(const raft_buffer& buf) {
     std::uint64_t size = 0;
-    if (buf.len >= word) std::memcpy(&size, buf.base, word);
-    if (buf.len < word || size > buf.len - word) throw std::runtime_error("an entry of the log is cut short");
-    return {static_cast<const std::uint8_t*>(buf.base) + word, size};
+    if (buf.len >= word_bytes) std::memcpy(&size, buf.base, word_bytes);
+    if (buf.len < word_bytes || size > buf.len - word_bytes)
+        throw std::runtime_error("an entry of the log is cut short");
+    return {static_cast<const std::uint8_t*>(buf.base) + word_bytes, size};
 }
 
 [[noreturn]] void fail(const std::string& directory, const std::string& what) {
@@ -48,14 +49,14 @@
 
 struct RaftNode::Proposal {
     struct raft_apply request {};
-    Done done;
+    ProposalCallback done;
 };
 
 struct RaftNode::Change {
     raft_change request{};
     RaftNode* node = nullptr;
     std::uint64_t promote = 0;  // added: to be a voter next
-    Changed changed;
+    ChangeCallback changed;
 };
 
 RaftNode::RaftNode(boost::asio::io_context& io, const RaftConfig& config, StateMachine& machine)
@@ -63,7 +64,7 @@
     open(config);
 }
 
-// What the library calls back into this holds no exception: it is kept until `turn` throws it.
+// What the library calls back into this holds no exception: it is kept until `run_ready_events` throws it.
 void RaftNode::open(const RaftConfig& config) {
     if (const int rv = uv_loop_init(&loop_); rv != 0)
         throw std::runtime_error(std::string("the log's loop: ") + uv_strerror(rv));
@@ -73,23 +74,23 @@
         fail(config.data_directory, "it can't listen at " + config.bind);
     if (const int rv = raft_uv_init(&raft_io_, &loop_, config.data_directory.c_str(), &transport_); rv != 0)
         fail(config.data_directory, raft_io_.errmsg[0] != 0 ? raft_io_.errmsg : raft_strerror(rv));
-    raft_uv_set_segment_size(&raft_io_, segment);
+    raft_uv_set_segment_size(&raft_io_, segment_bytes);
     // What can't be read is told, and not set aside: a manager that forgot what it agreed to would break the
     // log.
     raft_uv_set_auto_recovery(&raft_io_, false);
-    raft_uv_set_connect_retry_delay(&raft_io_, connect_again_ms);
+    raft_uv_set_connect_retry_delay(&raft_io_, connect_retry_ms);
     fsm_.version = 1;
     fsm_.data = this;
     fsm_.apply = [](raft_fsm* fsm, const raft_buffer* buf, void**) {
         auto& self = *static_cast<RaftNode*>(fsm->data);
         try {
             const auto bytes = bytes_of(*buf);
-            if (self.broken_.empty()) self.machine_.apply(bytes.data(), bytes.size());
+            if (self.failure_.empty()) self.machine_.apply(bytes.data(), bytes.size());
         } catch (const std::exception& e) {
-            self.broken_ = e.what();
+            self.failure_ = e.what();
         }
         // Nothing is applied past what can't be read: the next would be taken for another state.
-        return self.broken_.empty() ? 0 : RAFT_MALFORMED;
+        return self.failure_.empty() ? 0 : RAFT_MALFORMED;
     };
     fsm_.snapshot = [](raft_fsm* fsm, raft_buffer* bufs[], unsigned* n) -> int {
         *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
@@ -104,7 +105,7 @@
             const auto bytes = bytes_of(*buf);
             self.machine_.load({bytes.begin(), bytes.end()});
         } catch (const std::exception& e) {
-            self.broken_ = e.what();
+            self.failure_ = e.what();
             return RAFT_MALFORMED;
         }
         raft_free(buf->base);
@@ -114,24 +115,25 @@
         fail(config.data_directory, raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_) : raft_strerror(rv));
     raft_.data = this;
     append_ = std::exchange(raft_io_.append, append);
-    raft_set_election_timeout(&raft_, static_cast<unsigned>(config.election / ms));
-    raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(std::max<Nanos>(20, config.election / ms / 10)));
-    raft_set_snapshot_threshold(&raft_, snapshot_after);
-    raft_set_snapshot_trailing(&raft_, keep);
+    raft_set_election_timeout(&raft_, static_cast<unsigned>(config.election / millisecond));
+    raft_set_heartbeat_timeout(
+        &raft_, static_cast<unsigned>(std::max<Nanos>(20, config.election / millisecond / 10)));
+    raft_set_snapshot_threshold(&raft_, snapshot_threshold);
+    raft_set_snapshot_trailing(&raft_, trailing_entries);
     raft_set_pre_vote(&raft_, true);
 }
 
 // A node whose entries can't be written stays in the group without a word and holds nothing: as one of three
 // it would be counted on. So what the library is told of each write is looked at on its way.
 int RaftNode::append(raft_io* io, raft_io_append* request, const raft_entry entries[], unsigned n,
-                     raft_io_append_cb told) {
+                     raft_io_append_cb callback) {
     static std::unordered_map<raft_io_append*, RaftNode*> nodes;  // whose write it is
     auto& self = *static_cast<RaftNode*>(static_cast<raft*>(io->data)->data);
     static const auto fail = [](RaftNode& node, int status) {
-        if (status != 0 && status != RAFT_CANCELED && node.broken_.empty())
-            node.broken_ = std::string("the log can't be written: ") + raft_strerror(status);
+        if (status != 0 && status != RAFT_CANCELED && node.failure_.empty())
+            node.failure_ = std::string("the log can't be written: ") + raft_strerror(status);
     };
-    self.appending_[request] = told;
+    self.appending_[request] = callback;
     nodes[request] = &self;
     const int rv = self.append_(io, request, entries, n, [](raft_io_append* ended, int status) {
         RaftNode& node = *nodes.at(ended);
@@ -151,7 +153,7 @@
 }
 
 void RaftNode::bootstrap(const RaftConfig& config, const std::vector<RaftServer>& servers) {
-    struct Nothing final : StateMachine {
+    struct EmptyStateMachine final : StateMachine {
         void apply(const std::uint8_t*, std::size_t) override {}
         std::vector<std::uint8_t> save() const override { return {}; }
         void load(const std::vector<std::uint8_t>&) override {}
@@ -165,50 +167,50 @@
         if (rv == 0) rv = raft_configuration_add(&all, s.id, s.address.c_str(), RAFT_VOTER);
     if (rv == 0) rv = raft_bootstrap(&node.raft_, &all);
     raft_configuration_close(&all);
-    const std::string wrong = rv == RAFT_CANTBOOTSTRAP ? "it holds a log already" : raft_strerror(rv);
+    const std::string error = rv == RAFT_CANTBOOTSTRAP ? "it holds a log already" : raft_strerror(rv);
     node.close();
-    if (rv != 0) fail(config.data_directory, wrong);
+    if (rv != 0) fail(config.data_directory, error);
 }
 
 RaftNode::~RaftNode() { close(); }
 
 void RaftNode::start() {
     if (const int rv = raft_start(&raft_); rv != 0) {
-        const std::string why = !broken_.empty()              ? broken_
+        const std::string why = !failure_.empty()             ? failure_
                                 : raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_)
                                                               : raft_strerror(rv);
         throw std::runtime_error("the steward's log can't be read: " + why);
     }
     started_ = true;
     backend_ = std::make_unique<boost::asio::posix::stream_descriptor>(io_, ::dup(uv_backend_fd(&loop_)));
-    turn();
+    run_ready_events();
 }
 
-Nanos RaftNode::turn() {
+Nanos RaftNode::run_ready_events() {
     if (closed_) return max_sleep;
     uv_run(&loop_, UV_RUN_NOWAIT);
-    if (!broken_.empty()) throw std::runtime_error(broken_);
+    if (!failure_.empty()) throw std::runtime_error(failure_);
     if (started_ && raft_state(&raft_) == RAFT_UNAVAILABLE)
         throw std::runtime_error(std::string("the log can't be written: ") + raft_errmsg(&raft_));
-    if (!std::exchange(waits_, true))
+    if (!std::exchange(wait_pending_, true))
         backend_->async_wait(boost::asio::posix::stream_descriptor::wait_read,
-                             [this](const boost::system::error_code&) { waits_ = false; });
+                             [this](const boost::system::error_code&) { wait_pending_ = false; });
     const int next = uv_backend_timeout(&loop_);
-    return next < 0 ? max_sleep : std::min(max_sleep, next * ms);
+    return next < 0 ? max_sleep : std::min(max_sleep, next * millisecond);
 }
 
 void RaftNode::close() {
     if (std::exchange(closed_, true)) return;
     if (backend_) backend_->close();
-    raft_close(&raft_, [](raft* r) { static_cast<RaftNode*>(r->data)->ended_ = true; });
-    while (!ended_) uv_run(&loop_, UV_RUN_ONCE);
+    raft_close(&raft_, [](raft* r) { static_cast<RaftNode*>(r->data)->raft_closed_ = true; });
+    while (!raft_closed_) uv_run(&loop_, UV_RUN_ONCE);
     raft_uv_close(&raft_io_);
     raft_uv_tcp_close(&transport_);
     // What the transport closed may need another turn.
     for (int i = 0; i < 1000 && uv_loop_close(&loop_) == UV_EBUSY; ++i) uv_run(&loop_, UV_RUN_NOWAIT);
 }
 
-bool RaftNode::propose(const std::vector<std::uint8_t>& bytes, Done done) {
+bool RaftNode::propose(const std::vector<std::uint8_t>& bytes, ProposalCallback done) {
     if (!leads()) return false;
     auto proposal = std::make_unique<Proposal>();
     proposal->done = std::move(done);
@@ -245,7 +247,7 @@
     return all;
 }
 
-void RaftNode::add(const RaftServer& server, Changed changed) {
+void RaftNode::add(const RaftServer& server, ChangeCallback changed) {
     auto change = std::make_unique<Change>();
     change->node = this;
     change->promote = server.id;
@@ -269,7 +271,7 @@
     static_cast<void>(change.release());  // owned by the library until its callback
 }
 
-void RaftNode::remove(std::uint64_t id, Changed changed) {
+void RaftNode::remove(std::uint64_t id, ChangeCallback changed) {
     auto change = std::make_unique<Change>();
     change->changed = std::move(changed);
     change->request.data = change.get();
--- a/src/fleet_manager/raft_node.hpp
+++ b/src/fleet_manager/raft_node.hpp
@@ -2,7 +2,7 @@
 // are bytes, applied to a state machine in the one order that all nodes agree on.
 //
 // libuv's loop has no thread of its own: its backend is one descriptor, which the io_context waits on, and
-// `turn` lets the loop do what is ready. So a manager is one thread, as the query router is.
+// `run_ready_events` lets the loop do what is ready. So a manager is one thread, as the query router is.
 #pragma once
 
 #include <uv.h>
@@ -57,29 +57,29 @@
     void start();
     // To be called after each turn of the io_context, and after as long as it says at the latest. Throws
     // std::runtime_error once the node can't go on.
-    Nanos turn();
+    Nanos run_ready_events();
     // Ends what is out; the io_context is run meanwhile.
     void close();
 
     // Called once: true after the entry was applied here, false where it may or may not be committed later.
-    using Done = std::function<void(bool applied)>;
+    using ProposalCallback = std::function<void(bool applied)>;
     // False, and `done` is never called, where this node does not lead.
-    bool propose(const std::vector<std::uint8_t>& bytes, Done done);
+    bool propose(const std::vector<std::uint8_t>& bytes, ProposalCallback done);
     bool leads() const;
     std::uint64_t leader() const;  // 0: none is known
     std::uint64_t applied() const;
     std::vector<RaftServer> servers() const;
     // Called once with why the change failed, or empty. One change at a time.
-    using Changed = std::function<void(std::string error)>;
-    void add(const RaftServer& server, Changed changed);
-    void remove(std::uint64_t id, Changed changed);
+    using ChangeCallback = std::function<void(std::string error)>;
+    void add(const RaftServer& server, ChangeCallback changed);
+    void remove(std::uint64_t id, ChangeCallback changed);
 
   private:
     struct Proposal;
     struct Change;
 
     static int append(raft_io* io, raft_io_append* request, const raft_entry entries[], unsigned n,
-                      raft_io_append_cb told);
+                      raft_io_append_cb callback);
     void open(const RaftConfig& config);
 
     boost::asio::io_context& io_;
@@ -89,12 +89,12 @@
     raft_io raft_io_{};
     raft_fsm fsm_{};
     raft raft_{};
-    std::string broken_;                          // what ended it
+    std::string failure_;                         // what ended it
     decltype(raft_io::append) append_ = nullptr;  // the library's
     std::unordered_map<raft_io_append*, raft_io_append_cb> appending_;
-    bool started_ = false, closed_ = false, ended_ = false;
+    bool started_ = false, closed_ = false, raft_closed_ = false;
     std::unique_ptr<boost::asio::posix::stream_descriptor> backend_;
-    bool waits_ = false;
+    bool wait_pending_ = false;
 };
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/relay_service.cpp
+++ b/src/fleet_manager/relay_service.cpp
@@ -82,12 +82,12 @@
     responder_.ok(client, write_changes_answer(answer));
 }
 
-void RelayService::answer(const Waiting& waiting) {
+void RelayService::answer(const WaitingCall& waiting) {
     ChangesAnswer answer;
     answer.lease = state_.changes().limits().lease;
     answer.acknowledged_report = waiting.report_number;
     answer.drift = state_.changes().limits().drift;
-    add_document_news(state_.changes(), waiting.position, answer);
+    add_document_update(state_.changes(), waiting.position, answer);
     responder_.ok(waiting.client, write_changes_answer(answer));
 }
 
@@ -100,7 +100,7 @@
             ++it;
             continue;
         }
-        const Waiting waiting = std::move(it->second);
+        const WaitingCall waiting = std::move(it->second);
         it = waiting_.erase(it);
         answer(waiting);
     }
--- a/src/fleet_manager/relay_service.hpp
+++ b/src/fleet_manager/relay_service.hpp
@@ -28,7 +28,7 @@
 
   private:
     // A call whose report was applied, and which waits for a later version.
-    struct Waiting {
+    struct WaitingCall {
         Handle client;
         WatchPosition position;
         std::uint64_t report_number = 0;
@@ -45,13 +45,13 @@
     void on_report_committed(Handle client, const RelayCall& call, const changes::Effects& effects);
     // The relay is to send a full report next.
     void ask_for_full_report(Handle client);
-    void answer(const Waiting& waiting);
+    void answer(const WaitingCall& waiting);
 
     EventClock& time_;
     const ReplicatedState& state_;
     Proposer& proposer_;
     Responder& responder_;
-    std::map<std::uint32_t, Waiting> waiting_;  // by the client's slot
+    std::map<std::uint32_t, WaitingCall> waiting_;  // by the client's slot
     Batch batch_;
     TimerQueue::Ticket batch_due_ = TimerQueue::none;
 };
--- a/src/fleet_manager/replicated_state.cpp
+++ b/src/fleet_manager/replicated_state.cpp
@@ -29,7 +29,7 @@
 
 void ReplicatedState::apply(const std::uint8_t* bytes, std::size_t size) {
     const Entry entry = read_entry(bytes, size);
-    if (entry.of_changes)
+    if (entry.is_change)
         apply_to_changes(changes::read_command(entry.bytes, entry.size));
     else
         apply_to_fleet(fleet::read_command(entry.bytes, entry.size));
--- a/src/fleet_manager/status_page.cpp
+++ b/src/fleet_manager/status_page.cpp
@@ -101,22 +101,22 @@
 
 }  // namespace
 
-std::string write_status(const fleet::FleetState& state, const ManagerFigures& figures, bool all) {
+std::string write_status(const fleet::FleetState& state, const ManagerStatus& manager, bool all) {
     const fleet::MemberCounts& member_counts = state.member_counts();
     const fleet::NodeCounts& node_counts = state.node_counts();
     Listing members = write_listing(state, state.members(), all);
     Listing nodes = write_listing(state, state.nodes(), all);
     const Nanos held_for = std::max<Nanos>(0, state.hold_until() - state.now());
-    const Json out = {{"fleet", figures.fleet},
-                      {"steward", figures.id},
-                      {"leader", figures.leader},
-                      {"leader_at", figures.leader_address},
-                      {"applied", figures.applied},
+    const Json out = {{"fleet", manager.fleet},
+                      {"steward", manager.id},
+                      {"leader", manager.leader},
+                      {"leader_at", manager.leader_address},
+                      {"applied", manager.applied},
                       {"generation", state.generation()},
                       {"halted", state.halted()},
                       {"halted_for", state.halt_reason()},
                       {"held_for_ms", held_for / millisecond},
-                      {"discovery_silent_ms", figures.discovery_silent / millisecond},
+                      {"discovery_silent_ms", manager.discovery_silent / millisecond},
                       {"members_listed", std::move(members.summary)},
                       {"nodes_listed", std::move(nodes.summary)},
                       {"routers_counted", write_counts(member_counts.routers, member_counts.router_zones)},
--- a/src/fleet_manager/status_page.hpp
+++ b/src/fleet_manager/status_page.hpp
@@ -9,7 +9,7 @@
 namespace tealcart::fleet_manager {
 
 // What the page says of the fleet manager that serves it.
-struct ManagerFigures {
+struct ManagerStatus {
     std::uint64_t id = 0, leader = 0, applied = 0;  // leader: 0 for none; applied: entries of the log
     std::string fleet, leader_address;
     Nanos discovery_silent = 0;  // 0: discovery answers
@@ -21,6 +21,6 @@
 constexpr std::size_t max_exceptions = 1000;  // listed at most
 
 // `all`: each data node and member is listed.
-std::string write_status(const fleet::FleetState& state, const ManagerFigures& figures, bool all);
+std::string write_status(const fleet::FleetState& state, const ManagerStatus& manager, bool all);
 
 }  // namespace tealcart::fleet_manager
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -17,7 +17,7 @@
 constexpr spdlog::level::level_enum levels[] = {spdlog::level::debug, spdlog::level::info,
                                                 spdlog::level::warn, spdlog::level::err};
 
-LogForm form = LogForm::text;
+LogFormat log_format = LogFormat::text;
 
 // One thread writes, so no lock is needed, and each line goes out at once.
 spdlog::logger& logger() {
@@ -31,37 +31,37 @@
     return *made;
 }
 
-void write(LogLevel level, std::string_view query, std::string_view words) {
+void write(LogLevel level, std::string_view query, std::string_view text) {
     const auto at = static_cast<std::size_t>(level);
-    if (form == LogForm::text) {
-        if (query.empty()) return logger().log(levels[at], "{}", words);
-        return logger().log(levels[at], "{} query={}", words, query);
+    if (log_format == LogFormat::text) {
+        if (query.empty()) return logger().log(levels[at], "{}", text);
+        return logger().log(levels[at], "{} query={}", text, query);
     }
     using namespace std::chrono;
     nlohmann::ordered_json line;
     line["at_ms"] = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
     line["level"] = level_names[at];
     if (!query.empty()) line["query"] = query;
-    line["line"] = words;
+    line["line"] = text;
     const auto replace = nlohmann::ordered_json::error_handler_t::replace;
     logger().log(levels[at], "{}", line.dump(-1, ' ', true, replace));
 }
 
 void log_rated(LogLevel level, std::string_view query, const char* format, std::va_list arguments) {
     if (!logger().should_log(levels[static_cast<std::size_t>(level)])) return;
-    static double left = burst;
-    static long unwritten = 0;
+    static double tokens = burst;
+    static long dropped = 0;
     static auto last = std::chrono::steady_clock::now();
     const auto now = std::chrono::steady_clock::now();
-    left = std::min(burst, left + std::chrono::duration<double>(now - last).count() * lines_a_second);
+    tokens = std::min(burst, tokens + std::chrono::duration<double>(now - last).count() * lines_a_second);
     last = now;
-    if (left < 1) {
-        ++unwritten;
+    if (tokens < 1) {
+        ++dropped;
         return;
     }
-    left -= 1;
-    if (unwritten > 0) write(LogLevel::info, {}, std::to_string(unwritten) + " lines left out");
-    unwritten = 0;
+    tokens -= 1;
+    if (dropped > 0) write(LogLevel::info, {}, std::to_string(dropped) + " lines left out");
+    dropped = 0;
     char line[512];
     std::vsnprintf(line, sizeof line, format, arguments);
     for (char* c = line; *c != 0; ++c)  // what a peer sent may be in it
@@ -71,8 +71,8 @@
 
 }  // namespace
 
-void start_log(const LogConfig& config) {
-    form = config.form;
+void configure_log(const LogConfig& config) {
+    log_format = config.format;
     logger().set_level(levels[static_cast<std::size_t>(config.level)]);
 }
 
@@ -83,7 +83,7 @@
     va_end(arguments);
 }
 
-void log_about(LogLevel level, std::string_view query, const char* format, ...) {
+void log_query(LogLevel level, std::string_view query, const char* format, ...) {
     std::va_list arguments;
     va_start(arguments, format);
     log_rated(level, query, format, arguments);
--- a/src/log/log_config.hpp
+++ b/src/log/log_config.hpp
@@ -6,14 +6,14 @@
 namespace tealcart {
 
 // The format of a log line: plain text, or one JSON object with time, level and query id.
-enum class LogForm : std::uint8_t { text, json };
+enum class LogFormat : std::uint8_t { text, json };
 
 // Severity of a log line, lowest first.
 enum class LogLevel : std::uint8_t { debug, info, warn, error };
 
 // The `log` block of an operator's file.
 struct LogConfig {
-    LogForm form = LogForm::text;
+    LogFormat format = LogFormat::text;
     LogLevel level = LogLevel::info;
 };
 
--- a/src/members/config_overlay.cpp
+++ b/src/members/config_overlay.cpp
@@ -29,7 +29,7 @@
 
 std::variant<ConfigOverlay::Settings, ConfigOverlay::Rejection> ConfigOverlay::read(
     const changes::Document& document) const {
-    Settings settings = started_;
+    Settings settings = startup_settings_;
     std::string reason;
     const auto reject = [&reason](std::string mistakes) {
         std::replace(mistakes.begin(), mistakes.end(), '\n', ';');
--- a/src/members/config_overlay.hpp
+++ b/src/members/config_overlay.hpp
@@ -31,8 +31,8 @@
     // `started`: what the file states. Documents are checked against the deployment, `config` and
     // `query_classes`.
     ConfigOverlay(Settings started, RouterConfig config, std::vector<std::string> query_classes)
-        : started_(std::move(started)), config_(std::move(config)), query_classes_(std::move(query_classes)) {
-    }
+        : startup_settings_(std::move(started)), config_(std::move(config)),
+          query_classes_(std::move(query_classes)) {}
 
     // The settings by this document, or every mistake in it.
     std::variant<Settings, Rejection> read(const changes::Document& document) const;
@@ -45,7 +45,7 @@
     // Throws HclErrors.
     void apply(const std::string& key, const std::string& value, Settings& settings) const;
 
-    const Settings started_;
+    const Settings startup_settings_;
     const RouterConfig config_;
     const std::vector<std::string> query_classes_;
     std::map<std::string, std::uint64_t> digests_;  // of the entries that the router acts on
--- a/src/members/endpoint_overlay.cpp
+++ b/src/members/endpoint_overlay.cpp
@@ -7,22 +7,22 @@
 
 namespace tealcart {
 
-ListedEndpoint EndpointOverlay::overlaid(ListedEndpoint node) const {
+ListedEndpoint EndpointOverlay::with_drain(ListedEndpoint node) const {
     if (node.lifecycle == Lifecycle::ready && is_drained(node.id)) node.lifecycle = Lifecycle::draining;
     return node;
 }
 
-EndpointList EndpointOverlay::apply_discovered(const EndpointList& news) {
-    if (news.full) nodes_.clear();
-    generation_ = news.generation;
-    EndpointList list = news;
+EndpointList EndpointOverlay::apply_discovered(const EndpointList& discovered) {
+    if (discovered.full) nodes_.clear();
+    generation_ = discovered.generation;
+    EndpointList list = discovered;
     for (ListedEndpoint& node : list.nodes) {
-        ++looked_at_;
+        ++examined_count_;
         if (node.lifecycle == Lifecycle::removed)
             nodes_.erase(node.id);
         else
             nodes_[node.id] = node;
-        node = overlaid(std::move(node));
+        node = with_drain(std::move(node));
     }
     return list;
 }
@@ -34,10 +34,10 @@
     drained_ = std::move(drained);
     EndpointList list{generation_, false, {}, 0};
     for (const std::string& name : changed) {
-        ++looked_at_;
+        ++examined_count_;
         const auto node = nodes_.find(name);
         if (!fenced_ && node != nodes_.end() && node->second.lifecycle == Lifecycle::ready)
-            list.nodes.push_back(overlaid(node->second));
+            list.nodes.push_back(with_drain(node->second));
     }
     return list;
 }
@@ -46,9 +46,9 @@
     EndpointList list{generation_, false, {}, 0};
     if (std::exchange(fenced_, fenced) == fenced) return list;
     for (const auto& [name, node] : nodes_) {
-        ++looked_at_;
+        ++examined_count_;
         if (node.lifecycle == Lifecycle::ready && !drained_.contains(name))
-            list.nodes.push_back(overlaid(node));
+            list.nodes.push_back(with_drain(node));
     }
     return list;
 }
--- a/src/members/endpoint_overlay.hpp
+++ b/src/members/endpoint_overlay.hpp
@@ -14,7 +14,7 @@
 class EndpointOverlay {
   public:
     // News of discovery, as they are to reach the module.
-    EndpointList apply_discovered(const EndpointList& news);
+    EndpointList apply_discovered(const EndpointList& discovered);
     // Exactly these nodes are drained by agreement from now on. What changes for the module: no entries where
     // nothing does. Looks only at nodes whose drain begins or ends.
     EndpointList apply_drains(std::set<std::string> drained);
@@ -23,15 +23,15 @@
 
     bool is_drained(const std::string& node) const { return fenced_ || drained_.contains(node); }
     const std::set<std::string>& drained() const { return drained_; }
-    std::uint64_t looked_at() const { return looked_at_; }  // entries and nodes, since the start
+    std::uint64_t examined_count() const { return examined_count_; }  // entries and nodes, since the start
 
   private:
-    ListedEndpoint overlaid(ListedEndpoint node) const;
+    ListedEndpoint with_drain(ListedEndpoint node) const;
 
     std::map<std::string, ListedEndpoint> nodes_;  // as discovery lists them, without removed ones
     std::set<std::string> drained_;
     std::uint64_t generation_ = 0;  // discovery's
-    std::uint64_t looked_at_ = 0;
+    std::uint64_t examined_count_ = 0;
     bool fenced_ = false;
 };
 
--- a/src/members/member_lease.cpp
+++ b/src/members/member_lease.cpp
@@ -63,7 +63,7 @@
     return next;
 }
 
-Nanos MemberLease::wait(bool in_flight) const {
+Nanos MemberLease::long_poll_wait(bool in_flight) const {
     if (in_flight) return in_flight_wait;
     return lease_ > 0 ? lease_ / calls_per_lease : first_wait;
 }
--- a/src/members/member_lease.hpp
+++ b/src/members/member_lease.hpp
@@ -41,7 +41,7 @@
 
     // For how long the managers may hold back the answer to the next renewal: not long while there is work in
     // flight that they wait for.
-    Nanos wait(bool in_flight) const;
+    Nanos long_poll_wait(bool in_flight) const;
     std::uint64_t incarnation() const { return incarnation_; }
     Nanos lease_until() const { return lease_until_; }  // 0: there was none yet
 
--- a/src/members/outcome_stats.cpp
+++ b/src/members/outcome_stats.cpp
@@ -16,7 +16,7 @@
 
 void OutcomeStats::record_query(Nanos now, bool failed) {
     const std::int64_t number = now / second;
-    Second& current = seconds_[static_cast<std::size_t>(number) % seconds_.size()];
+    SecondCounts& current = seconds_[static_cast<std::size_t>(number) % seconds_.size()];
     if (current.number != number) current = {number, {}};
     ++current.counts.queries;
     current.counts.failed += failed;
@@ -33,7 +33,7 @@
 
 OutcomeStats::Counts OutcomeStats::counts(Nanos now) const {
     Counts sum;
-    for (const Second& past : seconds_) {
+    for (const SecondCounts& past : seconds_) {
         const std::int64_t age = now / second - past.number;
         if (past.number < 0 || age >= static_cast<std::int64_t>(seconds_.size())) continue;
         sum.queries += past.counts.queries;
--- a/src/members/outcome_stats.hpp
+++ b/src/members/outcome_stats.hpp
@@ -28,7 +28,7 @@
     std::set<std::uint32_t> unresponsive(Nanos now) const;
 
   private:
-    struct Second {
+    struct SecondCounts {
         std::int64_t number = -1;  // since the epoch
         Counts counts;
     };
@@ -38,7 +38,7 @@
         Nanos first = 0, last = 0;
     };
 
-    std::array<Second, 10> seconds_;  // a ring, by the second's number
+    std::array<SecondCounts, 10> seconds_;  // a ring, by the second's number
     std::unordered_map<std::uint32_t, Failures> failures_;
 };
 
--- a/src/relay/document_source.cpp
+++ b/src/relay/document_source.cpp
@@ -16,7 +16,7 @@
     : pages_a_second_(pages_a_second), burst_(std::max(1.0, pages_a_second)), available_(burst_),
       refilled_at_(now) {}
 
-bool PageLimiter::take(Nanos now) {
+bool PageLimiter::try_acquire(Nanos now) {
     const double since_refill = static_cast<double>(now - refilled_at_) / 1e9;
     available_ = std::min(burst_, available_ + since_refill * pages_a_second_);
     refilled_at_ = now;
@@ -58,7 +58,7 @@
     if (position.known_version >= copy_.version()) return answer;
     if (!position.wants_pages) answer.delta = delta_since(position.known_version);
     if (answer.delta) return answer;
-    if (!page_limiter_.take(now)) return std::nullopt;
+    if (!page_limiter_.try_acquire(now)) return std::nullopt;
     answer.page = page_of(copy_, position.wants_pages ? position.after : "", page_bytes_);
     return answer;
 }
--- a/src/relay/document_source.hpp
+++ b/src/relay/document_source.hpp
@@ -19,7 +19,7 @@
     PageLimiter(double pages_a_second, Nanos now);
 
     // Takes one page out of the bucket; false where there is none.
-    bool take(Nanos now);
+    bool try_acquire(Nanos now);
 
   private:
     const double pages_a_second_, burst_;
--- a/src/relay/follower_service.cpp
+++ b/src/relay/follower_service.cpp
@@ -15,24 +15,24 @@
     const auto last = last_reports_.find(report.name);
     if (last != last_reports_.end() && last->second.incarnation > report.incarnation)
         return server_.answer(client, {409, write_superseded(last->second.incarnation), 0});
-    if (call->leaving) return on_farewell(client, report);
+    if (call->leaving) return on_leave(client, report);
     const Nanos now = time_.now();
     if (!reports_.record_report(now, report)) return error(client, 503, "it has as many followers as it may");
-    record(report);
+    update_last_report(report);
     const bool lacks_lease = reports_.grant_lease(now, report.name) == 0;
     end_earlier_call(report.name);
     waiting_[client.slot] = {client, report.name, call->position, now + call->position.wait, lacks_lease};
     leases_changed_ = true;
 }
 
-void FollowerService::on_farewell(Handle client, const changes::MemberReport& report) {
+void FollowerService::on_leave(Handle client, const changes::MemberReport& report) {
     reports_.record_leave(report.name, report.incarnation);
     last_reports_.erase(report.name);
     on_new_report_();
     answer(client, documents_.empty_answer());
 }
 
-void FollowerService::record(const changes::MemberReport& report) {
+void FollowerService::update_last_report(const changes::MemberReport& report) {
     const LastReport current{report.incarnation, report.applied_version, report.refused_version};
     const LastReport last = std::exchange(last_reports_[report.name], current);
     if (current.incarnation != last.incarnation || current.applied_version > last.applied_version ||
@@ -48,7 +48,7 @@
     waiting_.erase(earlier);
 }
 
-bool FollowerService::is_due(const Waiting& waiting, Nanos now, bool leases_changed) {
+bool FollowerService::is_due(const WaitingCall& waiting, Nanos now, bool leases_changed) {
     if (now >= waiting.until || waiting.position.known_version < documents_.copy().version()) return true;
     return leases_changed && waiting.lacks_lease && reports_.grant_lease(now, waiting.name) > 0;
 }
@@ -57,7 +57,7 @@
     const Nanos now = time_.now();
     const bool leases_changed = std::exchange(leases_changed_, false);
     for (auto it = waiting_.begin(); it != waiting_.end();) {
-        const Waiting& waiting = it->second;
+        const WaitingCall& waiting = it->second;
         if (!is_due(waiting, now, leases_changed)) {
             ++it;
             continue;
--- a/src/relay/follower_service.hpp
+++ b/src/relay/follower_service.hpp
@@ -41,7 +41,7 @@
 
   private:
     // A follower's call that is not answered yet.
-    struct Waiting {
+    struct WaitingCall {
         Handle client;
         std::string name;
         WatchPosition position;
@@ -52,11 +52,11 @@
         std::uint64_t incarnation = 0, applied_version = 0, refused = 0;
     };
 
-    void on_farewell(Handle client, const changes::MemberReport& report);
-    void record(const changes::MemberReport& report);
+    void on_leave(Handle client, const changes::MemberReport& report);
+    void update_last_report(const changes::MemberReport& report);
     // A follower has one call at a time: an earlier one, on another connection, is ended.
     void end_earlier_call(const std::string& name);
-    bool is_due(const Waiting& waiting, Nanos now, bool leases_changed);
+    bool is_due(const WaitingCall& waiting, Nanos now, bool leases_changed);
     void answer(Handle client, const ChangesAnswer& answer);
     void error(Handle client, int status, std::string_view reason);
 
@@ -65,7 +65,7 @@
     changes::ReportAggregator& reports_;
     DocumentSource& documents_;
     const std::function<void()> on_new_report_;
-    std::map<std::uint32_t, Waiting> waiting_;        // by the client's slot
+    std::map<std::uint32_t, WaitingCall> waiting_;    // by the client's slot
     std::map<std::string, LastReport> last_reports_;  // by name, of the followers that `reports_` knows
     bool leases_changed_ = false;                     // since `answer_waiting` was last called
 };
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -18,7 +18,7 @@
 int serve(const std::string& path) {
     std::signal(SIGPIPE, SIG_IGN);
     const RelayConfig config = read_relay_file(path);
-    start_log(config.log);
+    configure_log(config.log);
     boost::asio::io_context io(1);
     std::random_device random;
     Relay relay(io, config, random() | 1u);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -51,7 +51,7 @@
 }
 
 void Relay::run() {
-    while (!stopping_ && superseded_by_.empty()) {
+    while (!stopping_ && superseded_reason_.empty()) {
         turn_.run_once(std::min({time_.due.next(), time_.now() + max_sleep, followers_.next_deadline()}));
         observe_lease();
         followers_.answer_waiting();
@@ -59,7 +59,7 @@
     log_line("stopping");
     managers_.stop();
     server_.close_all();
-    if (!superseded_by_.empty()) throw std::runtime_error(superseded_by_);
+    if (!superseded_reason_.empty()) throw std::runtime_error(superseded_reason_);
 }
 
 void Relay::on_request(Handle client, Request& request, Nanos) {
@@ -137,8 +137,8 @@
     // Followers that are told of a version now will soon report that they act on it.
     const changes::DocumentCopy& copy = documents_.copy();
     const Nanos pause = copy.needs_pages() ? page_call_interval : call_interval;
-    const Nanos gather = copy.version() > version_before ? gather_window : 0;
-    const Nanos at = std::max(time_.now() + gather, called_at_ + pause);
+    const Nanos gather_delay = copy.version() > version_before ? gather_window : 0;
+    const Nanos at = std::max(time_.now() + gather_delay, called_at_ + pause);
     time_.due.move(report_due_, at, *this, Handle{}, 0);
 }
 
@@ -160,7 +160,7 @@
 
 void Relay::on_superseded(std::uint64_t last_incarnation) {
     if (had_lease_) {
-        superseded_by_ = "another process goes by the name of relay " + config_.name;
+        superseded_reason_ = "another process goes by the name of relay " + config_.name;
         return;
     }
     // An earlier process of this name had a clock that was ahead.
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -59,7 +59,7 @@
     Nanos drift_ = 0, lease_ = 0;          // as the fleet managers stated them last
     Nanos called_at_ = 0;                  // when the last call to them was made
     bool stopping_ = false;
-    std::string superseded_by_;  // why it can't go on; empty: it can
+    std::string superseded_reason_;  // why it can't go on; empty: it can
     bool managers_answered_ = false;
     bool has_lease_ = false, had_lease_ = false;
     bool wrong_digest_logged_ = false;  // since the last version
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -73,7 +73,7 @@
     call.zone = config_.zone;
     call.leaving = leaving_;
     call.position = {copy_.version(), copy_.digest(), copy_.needs_pages(), copy_.next_page_after(), 0};
-    if (!leaving_) call.position.wait = lease_.wait(false);
+    if (!leaving_) call.position.wait = lease_.long_poll_wait(false);
     wait_ = call.position.wait;
     return {write_follower_call(call), wait_};
 }
@@ -81,7 +81,7 @@
 void ConfigFollower::refuse(std::string reason) {
     refused_version_ = copy_.version();
     refusal_reason_ = std::move(reason);
-    log_about(LogLevel::warn, {}, "configuration version %llu is refused, %llu stands: %s",
+    log_query(LogLevel::warn, {}, "configuration version %llu is refused, %llu stands: %s",
               printable(refused_version_), printable(accepted_version_), refusal_reason_.c_str());
 }
 
@@ -98,10 +98,10 @@
     // The change is logged under the more verbose one of the old and the new log level.
     const bool less_verbose = settings.log.level > log_.level;
     log_ = settings.log;
-    if (!less_verbose) start_log(log_);
+    if (!less_verbose) configure_log(log_);
     log_line("configuration version %llu: %zu entries, %zu changed", printable(accepted_version_),
              copy_.document().size(), overlay_.on_applied(copy_.document()));
-    if (less_verbose) start_log(log_);
+    if (less_verbose) configure_log(log_);
     dispatcher_.set_two_phase_config(std::move(settings.phases));
 }
 
@@ -117,7 +117,7 @@
     const bool further = before != position();
     if (result == ApplyResult::applied) apply_copy();
     if (result == ApplyResult::corrupt)
-        log_about(LogLevel::warn, {},
+        log_query(LogLevel::warn, {},
                   "the configuration from relay %s:%u does not match its digest; version %llu stays in force",
                   relays_.address().host.c_str(), relays_.address().port, printable(accepted_version_));
     return further;
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -94,7 +94,7 @@
     call.applied_generation = applied_generation_;
     call.known_generation = known_generation_;
     call.in_flight = targets_in_flight();
-    call.wait = lease_.wait(!call.in_flight.empty() || applied_generation_ < known_generation_);
+    call.wait = lease_.long_poll_wait(!call.in_flight.empty() || applied_generation_ < known_generation_);
     call.unresponsive_nodes = unresponsive_nodes();
     const OutcomeStats::Counts counts = outcomes_.counts(time_.now());
     call.queries = counts.queries;
--- a/src/service/query_completion.cpp
+++ b/src/service/query_completion.cpp
@@ -15,7 +15,7 @@
 
 void QueryCompletion::respond_with_results(std::uint32_t id, std::string body) {
     if (body.size() > max_body_bytes) {
-        log_about(LogLevel::warn, queries_.find_active(id)->text->id,
+        log_query(LogLevel::warn, queries_.find_active(id)->text->id,
                   "the response of %zu bytes is longer than the protocol allows", body.size());
         return respond(id, {500, write_error("the answer is too long"), 0});
     }
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -61,7 +61,7 @@
 }
 
 void Service::start() {
-    start_log(startup_.operator_config.log);
+    configure_log(startup_.operator_config.log);
     dispatcher_.connect(server_, connections_);
     dispatcher_.apply_list(startup_.cached_endpoints, ListKind::cached);
     if (membership_) membership_->apply_cached_list(startup_.cached_endpoints);
--- a/src/service/two_phase_coordinator.cpp
+++ b/src/service/two_phase_coordinator.cpp
@@ -127,7 +127,7 @@
     if (was_first) counters_.pruned += two_phase.machine.pruned_by_summary();
     if (two_phase.machine.rechecked() && !had_recheck) {
         ++counters_.rechecked;
-        log_about(LogLevel::info, query.text->id,
+        log_query(LogLevel::info, query.text->id,
                   "pruned sections are queried after all, since their pruning could not be confirmed");
     }
     begin_leg(handle, leg);
@@ -201,7 +201,7 @@
     TwoPhaseStateMachine& machine = query.two_phase->machine;
     if (machine.is_stale(section, answer.version)) {
         ++counters_.stale_rows;
-        log_about(LogLevel::info, query.text->id,
+        log_query(LogLevel::info, query.text->id,
                   "data node %u holds an older version of shard %u than its summary stated",
                   attempts_.find(attempt)->node, shard_request.shard);
         return attempts_.end(attempt, Outcome::error);
@@ -223,7 +223,7 @@
     for (const std::uint32_t node : query.two_phase->machine.take_contradicted_nodes()) {
         ++counters_.wrong_summaries;
         if (capability_.trusted(node, now))
-            log_about(LogLevel::warn, query.text->id,
+            log_query(LogLevel::warn, query.text->id,
                       "data node %u gave a wrong summary; its summaries are not used for a while", node);
         capability_.distrust(node, now);
         section_filter_cache_.evict_node(node);
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -226,7 +226,7 @@
         Renew renew{"r" + std::to_string(i), incarnation, {member.applied_generation, {}, {}, 0, 0}};
         for (const auto& [node, calls] : member.in_flight)
             if (calls > 0 && member.out.contains(node)) renew.report.in_flight.insert({false, node});
-        const Nanos wait = member.lease->wait(!renew.report.in_flight.empty());
+        const Nanos wait = member.lease->long_poll_wait(!renew.report.in_flight.empty());
         Join join{renew.name,
                   Role::router,
                   i % 2 == 0 ? "a" : "b",
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -162,7 +162,7 @@
       reader_(io, time_, *this, config_.discovery, Discovery::push, config_.places, config_.first_router,
               endpoint_list_size_limit(router_config_of(config_), router_memory)),
       control_(io) {
-    start_log({LogForm::text, LogLevel::error});
+    configure_log({LogFormat::text, LogLevel::error});
     routers_.resize(config_.count);
     start(0, config_.count);
     reader_.start(0);
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -86,7 +86,7 @@
     FollowerCall call;
     call.report = {config_.name, lease_.incarnation(), config_.lease_grace, copy_.version(), 0, ""};
     call.zone = config_.zone;
-    wait_ = lease_.wait(false);
+    wait_ = lease_.long_poll_wait(false);
     call.position = {copy_.version(), copy_.digest(), copy_.needs_pages(), copy_.next_page_after(), wait_};
     return {write_follower_call(call), wait_};
 }
@@ -144,7 +144,7 @@
 
 FollowerProcess::FollowerProcess(boost::asio::io_context& io, FollowerConfig config)
     : io_(io), config_(std::move(config)), control_(io) {
-    start_log({LogForm::text, LogLevel::error});
+    configure_log({LogFormat::text, LogLevel::error});
     for (std::size_t i = 0; i < config_.count; ++i)
         followers_.push_back(
             std::make_unique<HollowFollower>(io_, time_, config_, config_.first_router + i, applied_times_));
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -40,7 +40,7 @@
     if (!control.on)
         throw ConfigError("the operators' file " + file +
                           " has no 'control' block, which the control service needs");
-    start_log(read.operator_config.log);
+    configure_log(read.operator_config.log);
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     const auto epoch = std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -48,7 +48,7 @@
     CHECK(settings_of(c, {}).phases[0].first_phase_share == 0.4);
     const auto with = settings_of(c, {{"log", "format = \"json\""}, {"two_phase.part", "share = 0.5\n"}});
     CHECK(with.log.level == LogLevel::info);  // the whole block is replaced
-    CHECK(with.log.form == LogForm::json);
+    CHECK(with.log.format == LogFormat::json);
     CHECK(with.phases[0].enabled);
     CHECK(with.phases[0].first_phase_share == 0.5);
     CHECK(with.phases[0].response_reserve == TwoPhaseConfig().response_reserve);
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -330,9 +330,9 @@
             counts.push_back(nodes.examined() - before);
         };
         const auto count = [&](auto change) {
-            const std::uint64_t before = list.looked_at();
+            const std::uint64_t before = list.examined_count();
             change();
-            of_agreed.push_back(list.looked_at() - before);
+            of_agreed.push_back(list.examined_count() - before);
         };
         nodes.apply(everything(most));
         list.apply_discovered(everything(most));
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -121,8 +121,8 @@
     CHECK(lease.next_change(114 * second) == INT64_MAX);
     lease.renewed(120 * second, 10 * second);
     CHECK(lease.serving_state(121 * second) == ServingState::leased);
-    CHECK(lease.wait(false) == 2 * second);
-    CHECK(lease.wait(true) < second / 10);
+    CHECK(lease.long_poll_wait(false) == 2 * second);
+    CHECK(lease.long_poll_wait(true) < second / 10);
 }
 
 TEST_CASE("one that no steward ever answered counts from its start; spans without end don't overflow") {
@@ -414,7 +414,7 @@
         list.nodes.push_back(listed("n" + std::to_string(n), Lifecycle::ready, n % 100));
     const auto agree = [&] {
         if (auto news = view.differences(state, now)) state.apply({"", now, *news}), view.on_committed(*news);
-        return view.compared();
+        return view.compared_count();
     };
     view.on_endpoints(list, now);
     CHECK(agree() == 1000);
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -53,7 +53,7 @@
     CHECK(config.max_followers == 7);
     CHECK(config.page_bytes == 8192);
     CHECK(config.pages_a_second == 0.5);
-    CHECK(config.log.form == LogForm::json);
+    CHECK(config.log.format == LogFormat::json);
     CHECK(wrong_relay("") == "relay.hcl:1:1: there is no 'relay' block");
     CHECK(wrong_relay("relay \"r1\" {\n zone = \"a\"\n bind = \"x\"\n stewards = [\"127.0.0.1:1\", "
                       "\"127.0.0.1:1\"]\n pages = 3\n most_followers = 0\n}") ==
@@ -88,15 +88,15 @@
 TEST_CASE("entries of the log are told apart, and those from before there were changes are the fleet's") {
     const auto fleet = fleet::write_command({"x", 1, fleet::Tick{}});
     const auto old = fleet_manager::read_entry(fleet.data(), fleet.size());
-    CHECK_FALSE(old.of_changes);
+    CHECK_FALSE(old.is_change);
     CHECK(fleet::read_command(old.bytes, old.size).id == "x");
-    const auto entry = fleet_manager::entry_of_changes(changes::write_command({"y", 2, changes::Resume{}}));
+    const auto entry = fleet_manager::write_change_entry(changes::write_command({"y", 2, changes::Resume{}}));
     const auto read = fleet_manager::read_entry(entry.data(), entry.size());
-    CHECK(read.of_changes);
+    CHECK(read.is_change);
     CHECK(changes::read_command(read.bytes, read.size).id == "y");
     // A program from before there were changes ends with one line.
     CHECK_THROWS_AS(fleet::read_command(entry.data(), entry.size()), std::runtime_error);
-    CHECK_FALSE(fleet_manager::read_entry(nullptr, 0).of_changes);
+    CHECK_FALSE(fleet_manager::read_entry(nullptr, 0).is_change);
 }
 
 TEST_CASE("a snapshot holds both states; an old one is the fleet's alone, another form is refused") {
