--- a/src/fleet_manager/batching.hpp
+++ b/src/fleet_manager/batching.hpp
@@ -1,4 +1,5 @@
-// How reports that come in together share an entry of the replicated log.
+// Limits for batching: reports that arrive within a short window are committed as one entry of the replicated
+// log.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +8,7 @@
 
 namespace tealcart::fleet_manager {
 
-constexpr Nanos batch_window = 5'000'000;      // ns that a report waits for others
-constexpr std::size_t max_batch_calls = 2000;  // in one entry
+constexpr Nanos batch_window = 5'000'000;      // ns that a report waits for others to join its batch
+constexpr std::size_t max_batch_calls = 2000;  // reports in one log entry
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -11,12 +11,12 @@
 using OrderedJson = nlohmann::ordered_json;
 
 constexpr Nanos millisecond = 1'000'000;
-constexpr std::size_t max_history = 20, max_named = 20, max_keys = 10'000;  // of a status page
+constexpr std::size_t max_history = 20, max_named = 20, max_keys = 10'000;  // listed on a status page
 constexpr std::size_t max_key = 1024;                                       // bytes
-// To relays, bytes of keys and values.
+// Limits of an answer to a relay, in bytes of keys and values.
 constexpr std::size_t max_delta = 256 * 1024, max_page = 64 * 1024;
 
-bool is_no_control_character(char c) { return static_cast<unsigned char>(c) >= ' '; }
+bool is_not_control_character(char c) { return static_cast<unsigned char>(c) >= ' '; }
 
 bool is_key(const std::string& text) { return !text.empty() && text.size() <= max_key; }
 
@@ -31,25 +31,25 @@
     return json.dump(-1, ' ', false, OrderedJson::error_handler_t::replace);
 }
 
-void read_entries(JsonFields& in, std::map<std::string, std::string>& to) {
+void read_entries(JsonFields& in, std::map<std::string, std::string>& entries_by_key) {
     constexpr const char* reason = "'set' is no object of texts by key";
     const Json* entries = in.find("set");
     if (entries == nullptr) return;
     if (!entries->is_object()) return in.fail("set", reason);
     for (const auto& [key, value] : entries->items()) {
         if (!is_key(key) || !value.is_string()) return in.fail("set", reason);
-        to[key] = value.get<std::string>();
+        entries_by_key[key] = value.get<std::string>();
     }
 }
 
-void read_removed(JsonFields& in, std::set<std::string>& to) {
+void read_removed(JsonFields& in, std::set<std::string>& removed) {
     constexpr const char* reason = "'removed' is no list of keys";
     const Json* keys = in.find("removed");
     if (keys == nullptr) return;
     if (!keys->is_array()) return in.fail("removed", reason);
     for (const Json& key : *keys) {
         if (!key.is_string() || !is_key(key.get<std::string>())) return in.fail("removed", reason);
-        to.insert(key.get<std::string>());
+        removed.insert(key.get<std::string>());
     }
 }
 
@@ -91,15 +91,15 @@
     const Json json = Json::parse(body, nullptr, false);
     JsonFields in(json, JsonFields::Nulls::values);
     ChangeRequest request;
-    in.text("id", request.id, max_name_bytes, "'id' is missing or malformed", is_no_control_character);
+    in.text("id", request.id, max_name_bytes, "'id' is missing or malformed", is_not_control_character);
     if (request.id.empty()) in.fail("id", "'id' is missing or malformed");
-    in.text("asker", request.asker, max_name_bytes, "'asker' is malformed", is_no_control_character);
-    in.text("key", request.key, max_key, "'key' is malformed", is_no_control_character);
+    in.text("asker", request.asker, max_name_bytes, "'asker' is malformed", is_not_control_character);
+    in.text("key", request.key, max_key, "'key' is malformed", is_not_control_character);
     read_entries(in, request.set);
     read_removed(in, request.removed);
     if (const Json* based_on = in.find("based_on"); based_on != nullptr && !based_on->is_null())
         in.number("based_on", request.based_on.emplace(), "'based_on' is no version");
-    in.number("to", request.to, "'to' is no version");
+    in.number("to", request.rollback_version, "'to' is no version");
     return std::move(in).result(std::move(request));
 }
 
--- a/src/fleet_manager/change_service.cpp
+++ b/src/fleet_manager/change_service.cpp
@@ -32,7 +32,8 @@
 void ChangeService::roll_back(Handle client, const std::string& body) {
     auto request = accept(client, body);
     if (!request) return;
-    propose(client, {std::move(request->id), 0, changes::Rollback{std::move(request->asker), request->to}});
+    propose(client, {std::move(request->id), 0,
+                     changes::Rollback{std::move(request->asker), request->rollback_version}});
 }
 
 void ChangeService::resume(Handle client, const std::string& body) {
--- a/src/fleet_manager/change_service.hpp
+++ b/src/fleet_manager/change_service.hpp
@@ -1,5 +1,5 @@
-// Serves what operators ask of the fleet's configuration: versions to publish, a rollback, the way on after a
-// halt, and single entries.
+// Serves operators' requests about the fleet's configuration: publish a version, roll back, resume after a
+// halt, and show one entry.
 #pragma once
 
 #include <string>
@@ -11,6 +11,7 @@
 
 namespace tealcart::fleet_manager {
 
+// Handles the HTTP requests of the `config` commands.
 class ChangeService {
   public:
     ChangeService(const FleetManagerConfig& config, const ReplicatedState& state, Proposer& proposer,
@@ -22,11 +23,11 @@
     void resume(Handle client, const std::string& body);
     void show_entry(Handle client, const std::string& body);
 
-    // 404 where the operators' file has no `changes` block.
+    // Answers 404, as the operators' file has no `changes` block.
     void not_configured(Handle client);
 
   private:
-    // The call, where it can be served here; else it has been answered.
+    // Returns the request if this fleet manager can serve it; otherwise answers it with an error.
     std::optional<ChangeRequest> accept(Handle client, const std::string& body);
     void propose(Handle client, changes::Command command);
 
--- a/src/fleet_manager/command_main.cpp
+++ b/src/fleet_manager/command_main.cpp
@@ -1,5 +1,5 @@
-// The operators' commands: drain, undrain, halt, resume, fleet and config. Each call has an id, so that its
-// retries, at whichever fleet manager, are one call.
+// The operators' commands: drain, undrain, halt, resume, fleet and config. Each request carries an id, so
+// that retries at any fleet manager take effect once.
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
@@ -16,7 +16,7 @@
 using namespace tealcart;
 using namespace tealcart::fleet_manager;
 
-// The command line: options are parsed into these, and the chosen command reads them.
+// Defines the commands and their options, and runs the command that was given.
 class CommandLine {
   public:
     CommandLine() {
@@ -37,95 +37,106 @@
   private:
     CLI::App* add(CLI::App& group, const char* name, const char* description, std::function<int()> command) {
         CLI::App* sub = group.add_subcommand(name, description);
-        sub->add_option("--stewards", client_.managers, "their addresses, with commas")
+        sub->add_option("--stewards", client_.managers,
+                        "addresses of the fleet managers, separated by commas")
             ->envname("TEALCART_STEWARDS")
             ->delimiter(',');
-        sub->add_option("--file", client_.file, "or the stewards' file")->envname("TEALCART_FLEET_FILE");
-        sub->add_option("--asker", client_.asker, "who asks, as it is shown");
-        sub->add_option("--within", client_.timeout_s, "seconds to try for")->check(CLI::Range(0.1, 3600.0));
+        sub->add_option("--file", client_.file, "the fleet managers' file (HCL), which names their addresses")
+            ->envname("TEALCART_FLEET_FILE");
+        sub->add_option("--asker", client_.asker,
+                        "the operator's name, as it is shown in the state and the history");
+        sub->add_option("--within", client_.timeout_s, "seconds to retry for")
+            ->check(CLI::Range(0.1, 3600.0));
         sub->callback([this, command = std::move(command)] { command_ = command; });
         return sub;
     }
 
     void add_target_options(CLI::App* sub) {
-        sub->add_option("NODE", drain_.nodes, "data nodes");
-        sub->add_option("--zone", drain_.zone, "all data nodes of a zone");
-        sub->add_option("--router", drain_.routers, "query routers");
-        sub->add_option("--id", client_.id, "the call's id: the same again is one call");
-        sub->add_flag("--wait", drain_.wait, "show what it waits for until it is done");
-        sub->add_flag("--json", client_.json, "what came of it, as JSON");
+        sub->add_option("NODE", drain_.nodes, "the data nodes to select");
+        sub->add_option("--zone", drain_.zone, "select all data nodes of a zone");
+        sub->add_option("--router", drain_.routers, "the query routers to select");
+        sub->add_option("--id", client_.id, "id of the request; a retry with the same id takes effect once");
+        sub->add_flag("--wait", drain_.wait,
+                      "wait until the requests are done, and print what they wait for");
+        sub->add_flag("--json", client_.json, "print the answer as JSON");
     }
 
     void add_drain_commands() {
-        add_target_options(add(app_, "drain", "ask for data nodes or query routers to be let out",
+        add_target_options(add(app_, "drain", "request that data nodes or query routers are drained",
                                [this] { return drain(client_, drain_); }));
-        add_target_options(add(app_, "undrain",
-                               "let them back; also what has not been granted yet is taken back",
-                               [this] { return undrain(client_, drain_); }));
-        add(app_, "halt", "grant nothing more; what is out may come back",
+        add_target_options(
+            add(app_, "undrain",
+                "return drained targets to service, and cancel requests that are not granted yet",
+                [this] { return undrain(client_, drain_); }));
+        add(app_, "halt", "stop granting requests; drained targets may still return",
             [this] { return halt(client_, drain_); })
-            ->add_option("WHY", drain_.reason, "the reason, as it is shown")
+            ->add_option("WHY", drain_.reason, "the reason, as it is shown in the state")
             ->required();
-        add(app_, "resume", "grant again", [this] { return resume(client_, drain_); });
+        add(app_, "resume", "grant requests again after a halt", [this] { return resume(client_, drain_); });
     }
 
     void add_fleet_commands() {
         CLI::App& fleet = *app_.add_subcommand("fleet", "the fleet's state and its members");
         fleet.require_subcommand(1);
-        CLI::App* status = add(fleet, "status", "what is agreed, who is out, and what holds requests back",
-                               [this] { return show_status(client_, all_); });
-        status->add_flag("--json", client_.json, "as JSON");
-        status->add_flag("--all", all_, "list all, also of a great fleet");
-        add(fleet, "forget", "a router that is lost and will not come back counts no more",
+        CLI::App* status =
+            add(fleet, "status", "show the agreed state, what is drained, and what blocks requests",
+                [this] { return show_status(client_, all_); });
+        status->add_flag("--json", client_.json, "print as JSON");
+        status->add_flag("--all", all_, "list every member and data node, even in a large fleet");
+        add(fleet, "forget", "stop counting a lost member that will not come back",
             [this] { return forget_member(client_, drain_); })
-            ->add_option("NAME", drain_.member, "the member")
+            ->add_option("NAME", drain_.member, "the member's name")
             ->required();
-        CLI::App* adding = add(fleet, "steward-add", "a steward joins; see docs/fleet.md for the order",
-                               [this] { return add_manager(client_, manager_id_, manager_address_); });
-        adding->add_option("ID", manager_id_, "its id")->required();
-        adding->add_option("ADDRESS", manager_address_, "its 'raft' address")->required();
-        add(fleet, "steward-remove", "a steward is taken out",
+        CLI::App* adding =
+            add(fleet, "steward-add", "add a fleet manager to the group; see docs/fleet.md for the steps",
+                [this] { return add_manager(client_, manager_id_, manager_address_); });
+        adding->add_option("ID", manager_id_, "id of the fleet manager")->required();
+        adding
+            ->add_option("ADDRESS", manager_address_,
+                         "its address for the replicated log, 'raft' in the file")
+            ->required();
+        add(fleet, "steward-remove", "remove a fleet manager from the group",
             [this] { return remove_manager(client_, manager_id_); })
-            ->add_option("ID", manager_id_, "its id")
+            ->add_option("ID", manager_id_, "id of the fleet manager")
             ->required();
     }
 
     void add_publishing_options(CLI::App* sub) {
-        sub->add_option("--id", client_.id, "the call's id: the same again is one call");
-        sub->add_flag("--wait", config_.wait, "show how far it has come until it is in force");
-        sub->add_flag("--json", client_.json, "what came of it, as JSON");
+        sub->add_option("--id", client_.id, "id of the request; a retry with the same id takes effect once");
+        sub->add_flag("--wait", config_.wait, "wait until the version is in force, and print its rollout");
+        sub->add_flag("--json", client_.json, "print the answer as JSON");
     }
 
     void add_config_commands() {
         CLI::App& config =
-            *app_.add_subcommand("config", "a fleet's changes of configuration; docs/changes.md");
+            *app_.add_subcommand("config", "publish and show the fleet's configuration; see docs/changes.md");
         config.require_subcommand(1);
-        CLI::App* set = add(config, "set", "publish entries, as one version",
+        CLI::App* set = add(config, "set", "publish entries as one version",
                             [this] { return set_entries(client_, config_); });
         add_publishing_options(set);
-        set->add_option("KEY=FILE", config_.entries, "an entry, and the file with its text");
-        set->add_option("--remove", config_.removed, "an entry that goes");
-        set->add_option("--based-on", config_.based_on, "refuse it where another version is the latest");
-        CLI::App* show = add(config, "show", "the latest version and how far it has come, or one entry",
+        set->add_option("KEY=FILE", config_.entries, "the key of an entry, and the file that holds its text");
+        set->add_option("--remove", config_.removed, "the key of an entry to remove");
+        set->add_option("--based-on", config_.based_on, "publish only if this is the latest version");
+        CLI::App* show = add(config, "show", "show the latest version and its rollout, or one entry",
                              [this] { return show_changes(client_, config_); });
-        show->add_option("KEY", config_.key, "the entry");
-        show->add_flag("--json", client_.json, "as JSON");
-        CLI::App* back = add(config, "back", "a further version with the content of an earlier one",
+        show->add_option("KEY", config_.key, "the key of the entry to show");
+        show->add_flag("--json", client_.json, "print as JSON");
+        CLI::App* back = add(config, "back", "publish a new version with the content of an earlier one",
                              [this] { return roll_back(client_, config_); });
         add_publishing_options(back);
-        back->add_option("VERSION", config_.version, "the earlier one")->required();
-        add(config, "resume", "publish again after a halt by refusals",
+        back->add_option("VERSION", config_.version, "the earlier version")->required();
+        add(config, "resume", "allow publishing again after refusals halted it",
             [this] { return resume_publishing(client_, config_); });
     }
 
-    CLI::App app_{"what operators ask of a fleet's stewards; docs/fleet.md"};
+    CLI::App app_{"operators' commands for a fleet; see docs/fleet.md"};
     ClientOptions client_;
     DrainOptions drain_;
     ConfigOptions config_;
     std::uint64_t manager_id_ = 0;
-    std::string manager_address_;  // for the replicated log
+    std::string manager_address_;  // where the other fleet managers reach it
     bool all_ = false;
-    std::function<int()> command_;  // that was chosen
+    std::function<int()> command_;  // set when the command line is parsed
 };
 
 }  // namespace
--- a/src/fleet_manager/config_command.cpp
+++ b/src/fleet_manager/config_command.cpp
@@ -23,16 +23,16 @@
 
 void print_rollout(const Json& state) {
     const Json& rollout = state["reach"];
-    std::printf("version %llu: in force at %llu of %llu members that live\n", number_of(state, "version"),
+    std::printf("version %llu: in force at %llu of %llu live members\n", number_of(state, "version"),
                 number_of(rollout, "acting"), number_of(rollout, "live"));
     print_names(rollout, "behind", "behind");
     print_names(rollout, "refusing", "refuses it");
-    print_names(rollout, "unheard", "unheard, may go by an older version");
+    print_names(rollout, "unheard", "unacknowledged, may act on an older version");
     if (state["halted"]) std::printf("  HALTED: %s\n", text_of(state, "halted_for").c_str());
 }
 
-// Until every live member acts on the version, or publishing was halted for it, which ends only by another
-// command.
+// Polls until every live member acts on the version, or publishing has been halted because of it: a halt ends
+// only by another command.
 int wait_for_version(const std::vector<HostPort>& managers, std::uint64_t version) {
     std::string printed;
     while (true) {
@@ -58,11 +58,11 @@
     try {
         return call.dump();
     } catch (const Json::exception&) {
-        throw ConfigError("what is to be set is no text in UTF-8");
+        throw ConfigError("a value to set is not valid UTF-8 text");
     }
 }
 
-// The effects of the call itself; others concern members, and are printed by `config show`.
+// Prints only effects of the request itself; effects on members are printed by `config show`.
 void print_effect(const Json& effect) {
     const std::string what = text_of(effect, "what");
     if (what != "published" && what != "refused" && what != "resumed") return;
@@ -72,7 +72,7 @@
     std::printf("\n");
 }
 
-// Sends the call and prints its effects.
+// Sends the request and prints its effects. Returns the exit status.
 int run(const ClientOptions& client, const ConfigOptions& options, const std::string& path, Json call) {
     const std::vector<HostPort> managers = client.manager_addresses();
     const std::string id = client.call_id();
@@ -97,7 +97,7 @@
 std::string read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("the file " + path + " can't be read");
+    if (!file) throw ConfigError("cannot read the file " + path);
     return text;
 }
 
@@ -113,11 +113,11 @@
 }
 
 void print_changes(const Json& state) {
-    if (number_of(state, "leader") == 0) std::printf("NO STEWARD LEADS: nothing is published\n");
+    if (number_of(state, "leader") == 0) std::printf("NO FLEET MANAGER LEADS: nothing can be published\n");
     print_rollout(state);
     std::printf("in force everywhere: version %llu\n", number_of(state, "in_force"));
     if (number_of(state, "held_for_ms") > 0)
-        std::printf("agreement was interrupted: nothing is told to be in force for another %.1f s\n",
+        std::printf("agreement was interrupted: no version is reported in force for another %.1f s\n",
                     state["held_for_ms"].get<double>() / 1000);
     std::printf("\nversions\n");
     for (const Json& version : state["history"])
@@ -134,14 +134,14 @@
 
 int set_entries(const ClientOptions& client, const ConfigOptions& options) {
     if (options.entries.empty() && options.removed.empty()) {
-        std::fprintf(stderr, "tealcart: name KEY=FILE or --remove KEY\n");
+        std::fprintf(stderr, "tealcart: nothing to publish: expected KEY=FILE or --remove KEY\n");
         return exit_usage;
     }
     Json call = {{"set", Json::object()}};
     for (const std::string& entry : options.entries) {
         const auto separator = entry.find('=');
         if (separator == 0 || separator == entry.npos) {
-            std::fprintf(stderr, "tealcart: '%s' is no KEY=FILE\n", entry.c_str());
+            std::fprintf(stderr, "tealcart: the argument '%s' is not of the form KEY=FILE\n", entry.c_str());
             return exit_usage;
         }
         call["set"][entry.substr(0, separator)] = read_file(entry.substr(separator + 1));
@@ -156,7 +156,7 @@
     const std::vector<HostPort> managers = client.manager_addresses();
     const Json state = fetch_state(managers, changes_path);
     if (!state.is_object()) {
-        // Asked once more for the reason, such as fleet managers without changes.
+        // One more request, for the error to report, such as a file without a `changes` block.
         constexpr auto timeout = std::chrono::milliseconds(1000);
         return report_failure(query_managers(managers, changes_path, "", timeout), "-");
     }
--- a/src/fleet_manager/data_directory.cpp
+++ b/src/fleet_manager/data_directory.cpp
@@ -17,7 +17,7 @@
 std::string marker_path(const std::string& directory) { return directory + "/steward.json"; }
 
 [[noreturn]] void fail(const std::string& directory, const std::string& problem) {
-    throw std::runtime_error("the steward's folder " + directory + " " + problem);
+    throw std::runtime_error("the data directory " + directory + " " + problem);
 }
 
 }  // namespace
@@ -30,27 +30,29 @@
 void create_data_directory(const std::string& directory, const std::string& fleet, std::uint64_t id) {
     std::error_code ec;
     std::filesystem::create_directories(directory, ec);
-    if (ec) fail(directory, "can't be made: " + ec.message());
-    if (std::filesystem::exists(marker_path(directory))) fail(directory, "is a steward's already");
+    if (ec) fail(directory, "cannot be created: " + ec.message());
+    if (std::filesystem::exists(marker_path(directory)))
+        fail(directory, "already belongs to a fleet manager");
     std::ofstream out(marker_path(directory));
     out << Json{{"form", marker_format}, {"fleet", fleet}, {"id", id}}.dump() << '\n';
-    if (!out.flush()) fail(directory, "can't be written");
+    if (!out.flush()) fail(directory, "cannot be written");
 }
 
 void check_data_directory(const std::string& directory, const std::string& fleet, std::uint64_t id) {
     std::ifstream in(marker_path(directory));
-    if (!in) fail(directory, "is no steward's: 'tealcart steward init' makes one");
+    if (!in) fail(directory, "has no steward.json; 'tealcart fleet-manager init' creates one");
     const std::string text{std::istreambuf_iterator<char>(in), {}};
     const Json marker = Json::parse(text, nullptr, false);
     if (!marker.is_object() || !marker.contains("form") || !marker.contains("fleet") ||
         !marker.contains("id"))
-        fail(directory, "has a mark that can't be read");
+        fail(directory, "has a steward.json that cannot be read");
     if (marker["form"] != marker_format)
-        fail(directory,
-             "is of form " + marker["form"].dump() + ", this program reads " + std::to_string(marker_format));
+        fail(directory, "has data of form " + marker["form"].dump() + "; this program reads form " +
+                            std::to_string(marker_format));
     if (marker["fleet"] != fleet || marker["id"] != id)
-        fail(directory, "is that of steward " + marker["id"].dump() + " of " + marker["fleet"].dump());
-    if (::access(directory.c_str(), W_OK) != 0) fail(directory, "can't be written");
+        fail(directory,
+             "belongs to fleet manager " + marker["id"].dump() + " of the fleet " + marker["fleet"].dump());
+    if (::access(directory.c_str(), W_OK) != 0) fail(directory, "cannot be written");
 }
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/data_directory.hpp
+++ b/src/fleet_manager/data_directory.hpp
@@ -1,5 +1,5 @@
-// The marker of a data directory, which states whose it is: a fleet manager is never started on the directory
-// of another, or on none by mistake.
+// The marker file of a data directory, which states the owner. It prevents a fleet manager from starting on
+// the directory of another one, or on an empty directory by mistake.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,13 @@
 
 namespace tealcart::fleet_manager {
 
-// Creates the directory where there is none, and its marker. Throws std::runtime_error in one line where it
-// has a marker already, or can't be written.
+// Creates the marker, and the directory if it does not exist. Throws std::runtime_error with a one-line
+// message if there is a marker already, or the directory cannot be written.
 void create_data_directory(const std::string& directory, const std::string& fleet, std::uint64_t id);
-// Throws std::runtime_error in one line where the directory is not this fleet manager's.
+// Throws std::runtime_error with a one-line message if the directory does not belong to this fleet manager.
 void check_data_directory(const std::string& directory, const std::string& fleet, std::uint64_t id);
 
-// So that `create_data_directory` can be tried again after a later step failed.
+// Allows `create_data_directory` to be tried again after a later step has failed.
 void remove_marker(const std::string& directory);
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/drain_command.cpp
+++ b/src/fleet_manager/drain_command.cpp
@@ -40,7 +40,7 @@
     std::printf("\n");
 }
 
-// Those of the requests that are still in the state.
+// Returns those of the requests that are still in the state.
 std::vector<Json> requests_in(const Json& state, const RequestIds& ids) {
     std::vector<Json> found;
     for (const Json& request : state["requests"])
@@ -49,7 +49,7 @@
     return found;
 }
 
-// Until none of the requests is open, printing them as they change. Ctrl-C leaves them as they are.
+// Polls until none of the requests is open, and prints them as they change. Ctrl-C leaves the requests open.
 int wait_until(const std::vector<HostPort>& managers, const RequestIds& ids, WaitFor wait_for) {
     std::string printed;
     while (true) {
@@ -70,7 +70,7 @@
     }
 }
 
-// Adds the requests that return: an answer names those only that ended at once.
+// Adds the requests whose targets are returning: the answer names only requests that ended at once.
 void add_returning_requests(const std::vector<HostPort>& managers, RequestIds& ids) {
     const Json state = fetch_state(managers, "/fleet/status");
     if (!state.is_object()) return;
@@ -78,7 +78,7 @@
         if (request["stage"] == "returning") ids.push_back(number_of(request, "request"));
 }
 
-// Sends the call and prints its effects.
+// Sends the request and prints its effects. Returns the exit status.
 int run(const ClientOptions& client, const DrainOptions& options, const std::string& path) {
     const std::vector<HostPort> managers = client.manager_addresses();
     const std::string id = client.call_id();
@@ -103,7 +103,7 @@
 
 int run_on_targets(const ClientOptions& client, const DrainOptions& options, const std::string& path) {
     if (options.names_targets()) return run(client, options, path);
-    std::fprintf(stderr, "tealcart: name data nodes, --zone or --router\n");
+    std::fprintf(stderr, "tealcart: no target given: expected data nodes, --zone or --router\n");
     return exit_usage;
 }
 
@@ -112,7 +112,8 @@
 void print_request(const Json& request) {
     std::string note = text_of(request, "held_by");
     if (!request["waits_for"].empty()) note = "waits for " + joined(request["waits_for"]);
-    if (!request["unheard"].empty()) note = "may go by an older word: " + joined(request["unheard"]);
+    if (!request["unheard"].empty())
+        note = "unacknowledged, may act on an older generation: " + joined(request["unheard"]);
     const Json& target = request["target"];
     std::printf("%6llu  %-6s %-16s %-10s fence %-6llu %s\n", number_of(request, "request"),
                 target[0].get<std::string>().c_str(), target[1].get<std::string>().c_str(),
--- a/src/fleet_manager/endpoint_view.cpp
+++ b/src/fleet_manager/endpoint_view.cpp
@@ -6,7 +6,7 @@
 namespace tealcart::fleet_manager {
 namespace {
 
-// Names that may wait to be compared beyond those that are listed; more of them, and all are compared.
+// Limit of names that wait for comparison beyond the listed ones; past it, all nodes are compared.
 constexpr std::size_t max_removed_names = 1000;
 
 }  // namespace
@@ -29,7 +29,8 @@
     }
 }
 
-// A fleet manager that does not lead compares nothing: the set must not grow by names removed long ago.
+// A fleet manager that does not lead compares nothing, so the set has to be bounded: otherwise names that
+// were removed long ago would pile up in it.
 void EndpointView::mark_for_comparison(const std::string& name) {
     if (compare_all_) return;
     to_compare_.insert(name);
@@ -46,7 +47,7 @@
     return last_answer_at_ > 0 && now - last_answer_at_ > stale_after;
 }
 
-// Shard s lies at places (s + j) mod places_, for j below the width.
+// Shard s lies at places (s + j) mod places_, for j below replicas_per_shard_.
 std::vector<std::uint32_t> EndpointView::shards_at(int place) const {
     std::vector<std::uint32_t> shards;
     for (int j = 0; j < std::min(replicas_per_shard_, places_); ++j) {
@@ -107,7 +108,7 @@
     fleet::EndpointsObserved observed{{}, false, {}};
     for (auto it = to_compare_.begin(); it != to_compare_.end();) {
         ++compared_count_;
-        // What differs is compared again: its proposal may not come to be committed.
+        // A node that differs stays in the set, as its proposal may never be committed.
         it = compare(*it, state, now, observed) ? std::next(it) : to_compare_.erase(it);
     }
     if (observed.nodes.empty() && observed.removed.empty()) return std::nullopt;
--- a/src/fleet_manager/endpoint_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -1,5 +1,5 @@
-// The data nodes as discovery lists them to this fleet manager, compared with the agreed ones: what differs
-// is to be committed by the leader. No I/O.
+// Compares the data nodes that discovery lists with those of the agreed state; the leader commits the
+// differences. No I/O.
 #pragma once
 
 #include <map>
@@ -12,34 +12,35 @@
 
 namespace tealcart::fleet_manager {
 
+// This fleet manager's view of the data nodes, as discovery lists them.
 class EndpointView {
   public:
-    // Silence of discovery after which nothing is known of any node, in ns: a poll waits for 20 s at most,
-    // and is retried when its answer is a second late.
+    // After discovery has been silent for this long (ns), the health of every node is unknown. A poll waits
+    // for at most 20 s and is retried when its answer is a second late, so 45 s covers two polls.
     static constexpr Nanos stale_after = 45'000'000'000;
 
-    // Of the deployment's configuration it needs where shards lie and how long a node is warming up.
+    // Uses the shard layout and the slow start duration of the deployment's configuration.
     explicit EndpointView(const RouterConfig& config)
         : places_(config.places), replicas_per_shard_(config.replicas_per_shard), shards_(config.shards),
           slow_start_(config.slow_start_duration) {}
 
-    // Discovery has answered with this list, or with these changes of it.
+    // Applies an answer of discovery: the full list, or changes of it.
     void on_endpoints(const EndpointList& list, Nanos now);
-    // These were committed, whoever proposed them.
+    // Marks nodes for comparison whose observation was committed, by whichever fleet manager proposed it.
     void on_committed(const fleet::EndpointsObserved& observed);
-    // What differs from the agreed state now; nothing before discovery has answered once. Compares the nodes
-    // that discovery or the log has named since they last were the same, and those that are warm now; all of
-    // them after `compare_all`.
+    // Returns the differences from the agreed state; nullopt if there are none, or before discovery's first
+    // answer. Compares the nodes that discovery or the log has named since they last matched, and those whose
+    // slow start has ended; after `compare_all`, it compares all nodes.
     std::optional<fleet::EndpointsObserved> differences(const fleet::FleetState& state, Nanos now);
-    // The agreed state was replaced, or this fleet manager begins or ends to lead.
+    // To be called when the agreed state is replaced, or this fleet manager gains or loses leadership.
     void compare_all() { compare_all_ = true; }
-    // Nodes that the last call of `differences` compared.
+    // The number of nodes that the last call of `differences` compared.
     std::size_t compared_count() const { return compared_count_; }
-    // Discovery has been silent for longer than `stale_after`.
+    // Whether discovery has been silent for longer than `stale_after`.
     bool stale(Nanos now) const;
 
   private:
-    // Adds to `observed` what differs of this node; false where nothing does.
+    // Adds this node to `observed` if it differs from the agreed state; returns whether it does.
     bool compare(const std::string& name, const fleet::FleetState& state, Nanos now,
                  fleet::EndpointsObserved& observed);
     void collect_nodes_to_compare(const fleet::FleetState& state, Nanos now);
@@ -50,10 +51,11 @@
 
     const int places_, replicas_per_shard_, shards_;
     const Nanos slow_start_;
-    std::map<std::string, ListedEndpoint> nodes_;  // as discovery lists them
-    Nanos last_answer_at_ = 0;                     // 0: never
+    std::map<std::string, ListedEndpoint> nodes_;  // by name, as discovery lists them
+    Nanos last_answer_at_ = 0;                     // 0: discovery has not answered yet
     std::set<std::string> to_compare_;
-    std::set<std::pair<Nanos, std::string>> warm_up_ends_;  // when a node that is agreed to be cold is warm
+    std::set<std::pair<Nanos, std::string>>
+        warm_up_ends_;  // when a node with agreed health `cold` ends its slow start
     bool compare_all_ = true, discovery_was_stale_ = false;
     std::size_t compared_count_ = 0;
 };
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -11,8 +11,8 @@
 
 constexpr Nanos second = 1'000'000'000;
 constexpr std::size_t max_clients = 20'000;
-constexpr std::size_t max_change_body = 2 * 1024 * 1024;  // bytes; of a full relay report, of a publication
-constexpr Nanos client_stall = 5 * second;                // until a client that does not read is closed
+constexpr std::size_t max_change_body = 2 * 1024 * 1024;  // bytes of a full relay report or a publication
+constexpr Nanos client_stall = 5 * second;  // a client that reads nothing for this long is closed
 constexpr std::string_view operations_prefix = "/fleet/";
 
 RaftConfig raft_config(const FleetManagerConfig& config, std::uint64_t id) {
@@ -39,11 +39,11 @@
     const ManagerAddresses& self = config_.managers.at(id);
     raft_.start();
     server_.listen(self.http_bind.host, self.http_bind.port);
-    discovery_.start(0);  // its view begins with nothing, whatever the configuration knows
+    discovery_.start(0);  // from generation 0: the view starts empty, whatever list the configuration has
     signals_.async_wait([this](const boost::system::error_code& ec, int) {
         if (!ec) stopping_ = true;
     });
-    log_line("steward %llu of %s: members and operators at %s:%u, generation %llu",
+    log_line("steward %llu of fleet %s serves members and operators at %s:%u; generation %llu",
              static_cast<unsigned long long>(id), config_.fleet.c_str(), self.http.host.c_str(),
              server_.port(), static_cast<unsigned long long>(state_.fleet().generation()));
 }
@@ -58,7 +58,7 @@
         members_.answer_waiting();
         relays_.answer_waiting();
     }
-    log_line("stopping");
+    log_line("stopping the fleet manager");
     server_.close_all();
     discovery_.stop();
     raft_.close();
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -1,5 +1,5 @@
-// One fleet manager: HTTP/1.1 for members, relays and operators, the replicated log behind it, and the state
-// that the group agrees on. The leader proposes; every fleet manager applies.
+// One fleet manager: serves members, relays and operators over HTTP/1.1, and replicates the state that the
+// group agrees on. The leader proposes commands, and every fleet manager applies them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,16 +23,17 @@
 
 namespace tealcart::fleet_manager {
 
+// Wires the services of a fleet manager together and runs them in one event loop.
 class FleetManager final : private RequestHandler, private EndpointListObserver {
   public:
-    // Listens, and takes part in the group, from here on. `clock_error` is added to the clock that commands
-    // carry: for tests of clocks that run apart. Throws std::runtime_error where the log can't be read, and
-    // boost::system::system_error where the address can't be had.
+    // Starts to listen and joins the group. `clock_error` is added to the time that commands carry, for tests
+    // of clock skew. Throws std::runtime_error if the log cannot be read, and boost::system::system_error if
+    // the address cannot be bound.
     FleetManager(boost::asio::io_context& io, const FleetManagerConfig& config, std::uint64_t id,
                  const StartupConfig& startup, Nanos clock_error);
-    ~FleetManager() override { raft_.close(); }  // ends the proposals that refer to the services
+    ~FleetManager() override { raft_.close(); }  // ends proposals, whose callbacks use the services
 
-    // Until SIGTERM; throws std::runtime_error once the log can't be kept.
+    // Runs until SIGTERM or SIGINT. Throws std::runtime_error when the log can no longer be written.
     void run();
 
   private:
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -15,7 +15,8 @@
 constexpr Nanos min_lease = 500 * millisecond, year = 365 * 24 * hour;
 constexpr std::int64_t unlimited = 1'000'000'000;
 constexpr std::size_t max_name_length = 128;
-constexpr const char* short_lease = "'lease' is under two of 'election': no leader could be found within one";
+constexpr const char* short_lease =
+    "'lease' must be at least twice 'election', so that a leader can be elected within one lease";
 
 using Errors = std::vector<HclError>;
 
@@ -24,27 +25,28 @@
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
-// The id of a block `steward "ID"`; 0 where it is none.
+// Reads the id of a block `steward "ID"`; 0 if it is not a valid id.
 std::uint64_t read_id(const HclBlock& block, BlockReader& in) {
-    const std::string label = in.label("the steward's id");
+    const std::string label = in.label("the fleet manager's id");
     const char* const end = label.data() + label.size();
     std::uint64_t id = 0;
     const auto [parsed_to, error] = std::from_chars(label.data(), end, id);
     if (error != std::errc() || parsed_to != end || id == 0)
-        in.add_error(block.position, "a steward's id is a whole number above 0");
+        in.add_error(block.position, "the label of a 'steward' block must be an id: a whole number above 0");
     return id;
 }
 
+// An address of the file, as text and parsed.
 struct Address {
     std::string text;
-    HostPort at;  // port 0: not stated, or malformed
+    HostPort at;  // port 0: missing or malformed
 };
 
 Address read_address(const HclBlock& block, BlockReader& in, const char* name, bool required) {
     const std::string text = in.string(name, "");
     const auto at = parse_host_port(text);
     if (!at && (required || !text.empty()))
-        in.add_error(block.position, std::string("'") + name + "' is no address with a port");
+        in.add_error(block.position, std::string("'") + name + "' must be an address with a port");
     return {text, at.value_or(HostPort{})};
 }
 
@@ -58,20 +60,21 @@
     self.http_bind = read_address(block, in, "http_bind", false).at;
     if (self.http_bind.port == 0) self.http_bind = self.http;
     self.data_directory = in.string("folder", "");
-    if (self.data_directory.empty()) in.add_error(block.position, "'folder' is not stated");
+    if (self.data_directory.empty())
+        in.add_error(block.position, "'folder' is missing: expected the path of the data directory");
     for (const auto& [other_id, other] : config.managers) {
         const bool same_directory =
             other.data_directory == self.data_directory && !self.data_directory.empty();
         if (other.raft == self.raft || other.http == self.http || same_directory)
-            in.add_error(block.position,
-                         "it has an address or folder of steward " + std::to_string(other_id));
+            in.add_error(block.position, "an address or the folder is the same as that of steward " +
+                                             std::to_string(other_id));
     }
     in.reject_unknown();
     if (!config.managers.emplace(id, std::move(self)).second)
-        in.add_error(block.position, "a second steward " + std::to_string(id));
+        in.add_error(block.position, "a second 'steward' block with the id " + std::to_string(id));
 }
 
-// Limits of one kind: `PREFIXmost` and `PREFIXshare`.
+// Reads the limits of one group of targets: `PREFIXmost` and `PREFIXshare`.
 fleet::Limit read_limit(BlockReader& in, const std::string& prefix) {
     fleet::Limit limit;
     const std::int64_t most = in.integer(prefix + "most", unlimited, 0, unlimited);
@@ -130,12 +133,12 @@
     in.reject_unknown();
 }
 
-// What stands in the block itself; its inner blocks are read by `read_fleet`.
+// Reads the attributes of the block; `read_fleet` reads its inner blocks.
 void read_fleet_values(const HclBlock& block, BlockReader& in, FleetManagerConfig& config) {
     fleet::Budgets& budgets = config.budgets;
     config.fleet = in.label("the fleet's name");
     if (!is_name(config.fleet))
-        in.add_error(block.position, "the fleet's name has blanks or over 128 letters");
+        in.add_error(block.position, "the fleet's name must have 1 to 128 characters and no blanks");
     config.election = in.duration("election", config.election, 100 * millisecond, 60 * second);
     budgets.lease = in.duration("lease", budgets.lease, min_lease, hour);
     budgets.drift = in.duration("drift", budgets.drift, 0, hour);
@@ -149,7 +152,7 @@
     BlockReader in(block, errors);
     read_fleet_values(block, in, config);
     for (const HclBlock* manager : in.blocks("steward")) read_manager(*manager, errors, config);
-    if (config.managers.empty()) in.add_error(block.position, "it names no 'steward'");
+    if (config.managers.empty()) in.add_error(block.position, "the 'fleet' block has no 'steward' block");
     if (const HclBlock* nodes = in.single_block("data_nodes"))
         read_data_nodes(*nodes, errors, config.budgets);
     if (const HclBlock* routers = in.single_block("routers")) read_routers(*routers, errors, config.budgets);
@@ -173,7 +176,7 @@
     if (const HclBlock* fleet = in.single_block("fleet"))
         read_fleet(*fleet, errors, config);
     else
-        in.add_error(root.position, "there is no 'fleet' block");
+        in.add_error(root.position, "the 'fleet' block is missing");
     in.reject_unknown();
     throw_if_any(source, std::move(errors));
     return config;
@@ -182,7 +185,7 @@
 FleetManagerConfig read_fleet_manager_file(const std::string& path) {
     std::ifstream file(path);
     std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("the stewards' file " + path + " can't be read");
+    if (!file) throw ConfigError("cannot read the fleet managers' file " + path);
     return read_fleet_manager_config(text, path);
 }
 
--- a/src/fleet_manager/fleet_manager_config.hpp
+++ b/src/fleet_manager/fleet_manager_config.hpp
@@ -1,5 +1,5 @@
-// The file that operators write for the fleet managers (deploy/fleet.hcl shows it): the group's addresses,
-// and the budgets of the fleet. docs/fleet.md lists its blocks.
+// Reads the operators' file of the fleet managers: the group's addresses and the fleet's budgets.
+// deploy/fleet.hcl is an example, and docs/fleet.md lists the blocks.
 #pragma once
 
 #include <map>
@@ -13,28 +13,28 @@
 
 namespace tealcart::fleet_manager {
 
-// Where a fleet manager listens, and where it stores its data.
+// The addresses of a fleet manager, and where it stores its data.
 struct ManagerAddresses {
     std::string raft;          // where the other fleet managers reach it
-    std::string bind;          // where it listens for them; empty: the same
-    HostPort http, http_bind;  // where members and operators reach it; where it listens for them
+    std::string bind;          // where it listens for them; empty: at `raft`
+    HostPort http, http_bind;  // where members and operators reach it, and where it listens for them
     std::string data_directory;
 };
 
-// The fleet managers' file.
+// The contents of the fleet managers' file.
 struct FleetManagerConfig {
-    std::string source, fleet;     // fleet: its name
-    Nanos election = 600'000'000;  // ns without the leader's heartbeat until an election
+    std::string source, fleet;     // fleet: the fleet's name
+    Nanos election = 600'000'000;  // ns without a heartbeat after which an election starts
     std::map<std::uint64_t, ManagerAddresses> managers;  // by id
     fleet::Budgets budgets;
-    bool takes_changes = false;  // there is a `changes` block: without one, no changes are committed
+    bool takes_changes = false;  // whether there is a `changes` block; without one, no changes are committed
     changes::Limits changes;
     LogConfig log;
 };
 
-// Throws HclErrors with every mistake.
+// Throws HclErrors with all mistakes of the text.
 FleetManagerConfig read_fleet_manager_config(std::string_view text, std::string_view source);
 FleetManagerConfig read_fleet_manager_file(
-    const std::string& path);  // and ConfigError where it can't be read
+    const std::string& path);  // also throws ConfigError if it cannot be read
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/leader_duties.cpp
+++ b/src/fleet_manager/leader_duties.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Nanos millisecond = 1'000'000;
-constexpr Nanos compare_interval = 100 * millisecond;  // of discovery's endpoints with the agreed ones
+constexpr Nanos compare_interval = 100 * millisecond;  // of discovery's endpoints with the agreed nodes
 constexpr Nanos max_tick_interval = 250 * millisecond;
 constexpr int min_ticks_per_lease = 20;
 
@@ -39,7 +39,8 @@
         proposer_.propose({{"", 0, fleet::Tick{}}}, ignore_fleet_outcome);
 }
 
-// Logs who leads; a leader compares all endpoints anew, as it may have missed news of them.
+// Logs a change of the leader. All endpoints are compared again when this fleet manager gains or loses
+// leadership, as it may have missed changes in between.
 void LeaderDuties::on_leadership() {
     const std::uint64_t leader = raft_.leader();
     if (std::exchange(leader_, leader) != leader)
--- a/src/fleet_manager/log_entries.cpp
+++ b/src/fleet_manager/log_entries.cpp
@@ -7,7 +7,8 @@
 namespace tealcart::fleet_manager {
 namespace {
 
-// The fleet's own entries and snapshots are CBOR maps, which begin with 0xa0 to 0xbf; these can't.
+// Entries and snapshots of the fleet state are CBOR maps, whose first byte is 0xa0 to 0xbf. Markers below
+// that range cannot be mistaken for them.
 constexpr std::uint8_t change_marker = 0x01;
 constexpr std::uint8_t snapshot_marker[] = {0x02, 't', 'c'};
 constexpr std::uint8_t snapshot_format = 1;
@@ -40,13 +41,14 @@
     if (in.size() < sizeof snapshot_marker ||
         !std::equal(std::begin(snapshot_marker), std::end(snapshot_marker), in.begin()))
         return {in, std::nullopt};
-    if (in.size() < header_bytes) throw std::runtime_error("a stewards' snapshot that is cut off");
+    if (in.size() < header_bytes) throw std::runtime_error("the snapshot of the replicated log is truncated");
     if (const int form = in[sizeof snapshot_marker]; form != snapshot_format)
-        throw std::runtime_error("a stewards' snapshot of form " + std::to_string(form) +
-                                 ", this program reads " + std::to_string(snapshot_format));
+        throw std::runtime_error("the snapshot of the replicated log has form " + std::to_string(form) +
+                                 "; this program reads form " + std::to_string(snapshot_format));
     std::uint64_t length = 0;
     for (unsigned i = 0; i < 8; ++i) length |= std::uint64_t{in[sizeof snapshot_marker + 1 + i]} << 8 * i;
-    if (length > in.size() - header_bytes) throw std::runtime_error("a stewards' snapshot that is cut off");
+    if (length > in.size() - header_bytes)
+        throw std::runtime_error("the snapshot of the replicated log is truncated");
     const auto split = in.begin() + static_cast<std::ptrdiff_t>(header_bytes + length);
     Snapshot s{{in.begin() + header_bytes, split}, std::nullopt};
     if (split != in.end()) s.changes = Bytes(split, in.end());
--- a/src/fleet_manager/log_entries.hpp
+++ b/src/fleet_manager/log_entries.hpp
@@ -1,6 +1,6 @@
-// What the managers' log carries: commands of the fleet's state and of the changes' state, told apart by
-// their first byte, and snapshots of both. Entries and snapshots from before there were changes are read as
-// the fleet's. Pure functions on bytes.
+// The contents of the fleet managers' replicated log: commands of the fleet state and of the change state,
+// distinguished by their first byte, and snapshots of both. Entries and snapshots of programs that had no
+// change state are read as those of the fleet state. Pure functions on bytes.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,10 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-// A command of the changes' state as an entry; one of the fleet's is an entry as it stands.
+// Marks a command of the change state as a log entry. A command of the fleet state is an entry without a
+// marker.
 Bytes write_change_entry(Bytes command);
-// The command's bytes in an entry.
+// The command in an entry, and which state it belongs to. `bytes` points into the entry.
 struct Entry {
     bool is_change = false;
     const std::uint8_t* bytes = nullptr;
@@ -21,12 +22,13 @@
 };
 Entry read_entry(const std::uint8_t* bytes, std::size_t size);
 
+// A snapshot of both states.
 struct Snapshot {
     Bytes fleet;
-    std::optional<Bytes> changes;  // none: from before there were any
+    std::optional<Bytes> changes;  // nullopt: written by a program without a change state
 };
 Bytes write_snapshot(const Snapshot& snapshot);
-// Throws std::runtime_error on another form and on noise; what is in the two parts is for their readers.
+// Throws std::runtime_error on an unknown form and on truncated bytes. The states check their own parts.
 Snapshot read_snapshot(const Bytes& bytes);
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -1,5 +1,5 @@
-// The fleet managers' program: `init` creates the data directory of one, `serve` runs one, `check` reads the
-// operators' file.
+// The program of a fleet manager: `init` creates its data directory, `serve` runs it, and `check` validates
+// the operators' file.
 
 #include <CLI/CLI.hpp>
 #include <csignal>
@@ -17,18 +17,19 @@
 constexpr Nanos millisecond = 1'000'000;
 enum ExitStatus : int { exit_ok = 0, exit_failed = 1, exit_usage = 2 };
 
+// The options of the command line.
 struct Options {
-    std::string file;            // the fleet managers' (HCL)
-    std::string startup_config;  // the platform's (JSON)
-    std::uint64_t id = 0;        // which fleet manager of the file
-    bool join = false;           // of a group that runs already
+    std::string file;            // path of the fleet managers' file (HCL)
+    std::string startup_config;  // path of the platform's configuration (JSON)
+    std::uint64_t id = 0;        // id of this fleet manager in the file
+    bool join = false;           // join a group that is running already
     std::int64_t clock_error_ms = 0;
 };
 
 const ManagerAddresses& self_of(const FleetManagerConfig& config, std::uint64_t id) {
     const auto self = config.managers.find(id);
     if (self == config.managers.end())
-        throw ConfigError(config.source + " names no steward " + std::to_string(id));
+        throw ConfigError(config.source + " has no 'steward' block with the id " + std::to_string(id));
     return self->second;
 }
 
@@ -45,14 +46,16 @@
         remove_marker(self.data_directory);
         throw;
     }
-    std::printf("%s is steward %llu's of %s\n", self.data_directory.c_str(),
-                static_cast<unsigned long long>(options.id), config.fleet.c_str());
+    std::printf("created the data directory %s of fleet manager %llu of the fleet %s\n",
+                self.data_directory.c_str(), static_cast<unsigned long long>(options.id),
+                config.fleet.c_str());
     return exit_ok;
 }
 
 int serve(const Options& options) {
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is reported like a full disk
+    std::signal(SIGXFSZ,
+                SIG_IGN);  // a file size limit is then reported as an error of the write, like a full disk
     const FleetManagerConfig config = read_fleet_manager_file(options.file);
     const ManagerAddresses& self = self_of(config, options.id);
     configure_log(config.log);
@@ -66,14 +69,14 @@
 
 int check(const Options& options) {
     const FleetManagerConfig config = read_fleet_manager_file(options.file);
-    std::printf("%s: %zu stewards of %s\n", options.file.c_str(), config.managers.size(),
+    std::printf("%s: %zu fleet managers of the fleet %s\n", options.file.c_str(), config.managers.size(),
                 config.fleet.c_str());
     return exit_ok;
 }
 
 CLI::App* add_command(CLI::App& app, const char* name, const char* description, Options& options) {
     CLI::App* command = app.add_subcommand(name, description);
-    command->add_option("--file", options.file, "the stewards' file (HCL)")
+    command->add_option("--file", options.file, "the fleet managers' file (HCL)")
         ->envname("TEALCART_FLEET_FILE")
         ->required();
     return command;
@@ -82,22 +85,25 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("tealcart-fleet-manager: keeps what a fleet has agreed on; docs/fleet.md");
+    CLI::App app("tealcart-fleet-manager: replicates the state that a fleet agrees on; see docs/fleet.md");
     app.name("tealcart fleet-manager");
     Options options;
-    CLI::App* const init_command = add_command(app, "init", "make a steward's folder, once", options);
-    init_command->add_option("--id", options.id, "which steward of the file")->required();
+    CLI::App* const init_command =
+        add_command(app, "init", "create the data directory of a fleet manager, once", options);
+    init_command->add_option("--id", options.id, "id of the fleet manager in the file")->required();
     init_command->add_flag("--join", options.join,
-                           "it joins stewards that are there already; see docs/fleet.md");
-    CLI::App* const serve_command = add_command(app, "serve", "run a steward", options);
-    serve_command->add_option("--id", options.id, "which steward of the file")->required();
+                           "join fleet managers that are running already; see docs/fleet.md");
+    CLI::App* const serve_command = add_command(app, "serve", "run a fleet manager", options);
+    serve_command->add_option("--id", options.id, "id of the fleet manager in the file")->required();
     serve_command->add_option("--config", options.startup_config, "the platform's configuration (JSON)")
         ->envname("ROUTER_CONFIG")
         ->required();
     serve_command
-        ->add_option("--test-clock-error-ms", options.clock_error_ms, "for tests: its clock is off by this")
+        ->add_option("--test-clock-error-ms", options.clock_error_ms,
+                     "for tests: milliseconds to add to its clock")
         ->group("");
-    add_command(app, "check", "tell every mistake in the stewards' file, with line and column", options);
+    add_command(app, "check", "report every mistake in the fleet managers' file with line and column",
+                options);
     app.require_subcommand(1);
     try {
         app.parse(argc, argv);
@@ -111,7 +117,7 @@
     } catch (const HclErrors& error) {
         std::fprintf(stderr, "%s\n", error.what());
     } catch (const std::exception& error) {
-        std::fprintf(stderr, "tealcart steward: %s\n", error.what());
+        std::fprintf(stderr, "tealcart fleet-manager: %s\n", error.what());
     }
     return exit_failed;
 }
--- a/src/fleet_manager/manager_client.cpp
+++ b/src/fleet_manager/manager_client.cpp
@@ -21,6 +21,7 @@
 constexpr std::size_t max_answer = 64 * 1024 * 1024;  // bytes
 constexpr milliseconds attempt_timeout{1500}, retry_pause{50};
 
+// One request and its answer on one connection.
 struct Exchange {
     explicit Exchange(boost::asio::io_context& io) : socket(io), reader(max_answer) {}
 
@@ -59,7 +60,7 @@
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// The others mean that this fleet manager can't serve the call now; it or another may later.
+// Any other status means that this fleet manager cannot serve the request now; a retry may succeed.
 bool is_final(int status) { return status == 200 || (status >= 400 && status < 410); }
 
 }  // namespace
@@ -89,7 +90,7 @@
     const auto deadline = Clock::now() + timeout;
     boost::asio::io_context io(1);
     Reply last;
-    std::optional<HostPort> leader;  // as a follower named it, among `managers` or not
+    std::optional<HostPort> leader;  // as a follower named it; it may not be among `managers`
     for (std::size_t next = 0; Clock::now() < deadline;) {
         const auto left = std::chrono::duration_cast<milliseconds>(deadline - Clock::now());
         const HostPort address = leader ? *leader : managers[next];
--- a/src/fleet_manager/manager_client.hpp
+++ b/src/fleet_manager/manager_client.hpp
@@ -1,5 +1,5 @@
-// Calls to the fleet managers by HTTP/1.1, for commands: blocking, with retries. A call may be executed more
-// than once, so those that change something carry an id that makes them idempotent.
+// Blocking HTTP/1.1 requests to the fleet managers, with retries, for commands. A request may be executed
+// more than once, so requests that change something carry an id that makes them idempotent.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,19 +12,19 @@
 
 namespace tealcart::fleet_manager {
 
-// What a fleet manager answered.
+// The answer of a fleet manager.
 struct Reply {
-    int status = 0;  // of HTTP; 0: no fleet manager answered in time
+    int status = 0;  // HTTP status; 0: no fleet manager answered in time
     std::string body;
 };
 
-// Calls one fleet manager after the other, and the leader that one names, until one of them gives a final
-// answer: 200, or 400 to 409. Others are retried, for `timeout` at most. An empty body is a GET.
+// Tries the fleet managers in turn, and the leader that one of them names, until one gives a final answer:
+// 200, or 400 to 409. Any other answer is retried, for at most `timeout`. An empty body sends a GET.
 Reply query_managers(const std::vector<HostPort>& managers, const std::string& path, const std::string& body,
                      std::chrono::milliseconds timeout);
 
-// One call to one address, without a retry; status 0 where it does not answer in time. Other handlers of the
-// io_context are run meanwhile.
+// Sends one request to one address, without retries. Status 0 means that no answer came in time. Other
+// handlers of the io_context run meanwhile.
 Reply query_manager(boost::asio::io_context& io, const HostPort& address, const std::string& path,
                     const std::string& body, std::chrono::milliseconds timeout);
 
--- a/src/fleet_manager/member_service.cpp
+++ b/src/fleet_manager/member_service.cpp
@@ -74,11 +74,11 @@
 void MemberService::answer_waiting() {
     const Nanos now = time_.now();
     const std::uint64_t generation = state_.fleet().generation();
-    std::string body;  // the same for all
+    std::string body;  // written once, as it is the same for all
     for (auto it = waiting_.begin(); it != waiting_.end();) {
         const WaitingCall& waiting = it->second;
-        // A member may know a later generation, from a leader that was ahead: it waits like one that is up to
-        // date.
+        // A member may know a later generation from a leader that was ahead. It waits like a member that is
+        // up to date.
         if (generation <= waiting.known_generation && now < waiting.until) {
             ++it;
             continue;
--- a/src/fleet_manager/member_service.hpp
+++ b/src/fleet_manager/member_service.hpp
@@ -1,4 +1,5 @@
-// Serves the calls of members (query routers): long polls that renew leases and report what members act on.
+// Serves the calls of members (query routers): long polls that renew leases and report the applied
+// generation.
 #pragma once
 
 #include <map>
@@ -13,6 +14,7 @@
 
 namespace tealcart::fleet_manager {
 
+// Commits reports in batches and answers each call when there is a later generation.
 class MemberService final : private DueHandler {
   public:
     MemberService(EventClock& time, const ReplicatedState& state, Proposer& proposer, Responder& responder)
@@ -20,19 +22,19 @@
 
     void on_call(Handle client, const std::string& body);
     void on_client_disconnected(Handle client) { waiting_.erase(client.slot); }
-    // Answers the calls for which there is a later generation, or which have waited for as long as they may.
+    // Answers calls for which there is a later generation, and calls whose wait has ended.
     void answer_waiting();
 
     std::size_t waiting() const { return waiting_.size(); }
 
   private:
-    // A call whose report is in the log, and which waits for a later generation.
+    // A call whose report is committed, and which waits for a later generation.
     struct WaitingCall {
         Handle client;
         std::uint64_t known_generation = 0;
         Nanos until = 0;
     };
-    // Calls whose reports go into the log as one entry.
+    // Calls whose reports are committed as one log entry.
     struct Batch {
         fleet::ReportBatch reports;
         std::vector<std::pair<Handle, MemberCall>> calls;
@@ -41,7 +43,7 @@
     void on_due(Handle, std::uint64_t) override;
     void leave(Handle client, const MemberCall& call);
     bool is_joined(const fleet::Join& join) const;
-    // The latest known incarnation of the caller's name where it is a later one than the caller's; else 0.
+    // The known incarnation of the caller's name if it is later than the caller's own, otherwise 0.
     std::uint64_t later_incarnation(const MemberCall& call) const;
     void propose_batch();
     void on_batch_committed(const Batch& batch);
--- a/src/fleet_manager/operator_client.cpp
+++ b/src/fleet_manager/operator_client.cpp
@@ -10,9 +10,9 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr auto state_timeout = std::chrono::milliseconds(1000);  // of one fleet manager
+constexpr auto state_timeout = std::chrono::milliseconds(1000);  // per fleet manager
 
-// The state of one fleet manager; null where it does not answer with one.
+// The state as one fleet manager has it; null if it does not answer with one.
 Json fetch_state_of(boost::asio::io_context& io, const HostPort& manager, const std::string& path) {
     return body_of(query_manager(io, manager, path, "", state_timeout));
 }
@@ -29,13 +29,14 @@
     std::vector<HostPort> addresses;
     for (const std::string& text : managers) {
         const auto address = parse_host_port(text);
-        if (!address) throw ConfigError("'" + text + "' is no address with a port");
+        if (!address) throw ConfigError("the fleet manager '" + text + "' must be an address with a port");
         addresses.push_back(*address);
     }
     if (addresses.empty() && !file.empty())
         for (const auto& [manager_id, manager] : read_fleet_manager_file(file).managers)
             addresses.push_back(manager.http);
-    if (addresses.empty()) throw ConfigError("name the stewards: --stewards, TEALCART_STEWARDS or --file");
+    if (addresses.empty())
+        throw ConfigError("no fleet managers given: expected --stewards, TEALCART_STEWARDS or --file");
     return addresses;
 }
 
@@ -59,7 +60,8 @@
         std::fprintf(stderr, "tealcart: %s\n", reason.c_str());
         return exit_refused;
     }
-    std::fprintf(stderr, "tealcart: no steward could agree in time%s%s; ask again with --id %s\n",
+    std::fprintf(stderr,
+                 "tealcart: no fleet manager could commit the request in time%s%s; retry with --id %s\n",
                  reason.empty() ? "" : ": ", reason.c_str(), id.c_str());
     return exit_unreachable;
 }
@@ -74,7 +76,7 @@
         found = std::move(state);
     }
     if (!found.is_object()) return found;
-    // The leader may not be among those that were named.
+    // The leader may not be among the given addresses.
     if (const auto leader = parse_host_port(text_of(found, "leader_at"))) {
         Json state = fetch_state_of(io, *leader, path);
         if (state.is_object()) return state;
--- a/src/fleet_manager/operator_requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -8,34 +8,35 @@
 using Json = nlohmann::json;
 using OrderedJson = nlohmann::ordered_json;
 
-constexpr std::size_t max_reason_bytes = 512;  // of a halt
-constexpr std::size_t max_items = 1000;        // of targets, of requests
+constexpr std::size_t max_reason_bytes = 512;  // the reason of a halt
+constexpr std::size_t max_items = 1000;        // targets or requests in one call
 
 bool is_printable_ascii(char c) { return c >= ' ' && c < 0x7f; }
 
-bool read_target(const Json& item, fleet::Target& to) {
+bool read_target(const Json& item, fleet::Target& target) {
     if (!item.is_array() || item.size() != 2 || !item[0].is_string() || !item[1].is_string()) return false;
     const auto& kind = item[0].get_ref<const std::string&>();
     const auto& name = item[1].get_ref<const std::string&>();
     if ((kind != "node" && kind != "router") || name.size() > max_name_bytes) return false;
-    to = {kind == "router", name};
+    target = {kind == "router", name};
     return true;
 }
 
-bool read_number(const Json& item, std::uint64_t& to) {
+bool read_number(const Json& item, std::uint64_t& number) {
     if (!item.is_number_unsigned()) return false;
-    to = item.get<std::uint64_t>();
+    number = item.get<std::uint64_t>();
     return true;
 }
 
-// Fails by `list_reason` on what is no list of up to `max_items`, by `item_reason` on an item that is none.
+// Fails with `list_reason` if the value is not a list of at most `max_items`, and with `item_reason` if an
+// item is malformed.
 template <class Item, class ReadItem>
-void read_items(JsonFields& in, const char* key, std::vector<Item>& to, ReadItem read_item,
+void read_items(JsonFields& in, const char* key, std::vector<Item>& parsed, ReadItem read_item,
                 const char* list_reason, const char* item_reason) {
     const Json* items = in.find(key);
     if (items == nullptr) return;
     if (!items->is_array() || items->size() > max_items) return in.fail(key, list_reason);
-    in.list(key, to, read_item, item_reason);
+    in.list(key, parsed, read_item, item_reason);
 }
 
 }  // namespace
@@ -53,7 +54,7 @@
     in.text("id", call.id, max_name_bytes, "'id' is missing or malformed", is_printable_ascii);
     if (call.id.empty()) in.fail("id", "'id' is missing or malformed");
     in.text("asker", call.asker, max_name_bytes, "'asker' is malformed", is_printable_ascii);
-    in.text("why", call.why, max_reason_bytes, "'why' is malformed", is_printable_ascii);
+    in.text("why", call.reason, max_reason_bytes, "'why' is malformed", is_printable_ascii);
     in.text("zone", call.zone, max_name_bytes, "'zone' is malformed", is_printable_ascii);
     in.text("name", call.name, max_name_bytes, "'name' is malformed", is_printable_ascii);
     read_items(in, "targets", call.targets, read_target, "'targets' is no list of up to 1000",
--- a/src/fleet_manager/operator_requests.hpp
+++ b/src/fleet_manager/operator_requests.hpp
@@ -1,5 +1,5 @@
-// The bodies of operators' calls and their answers, and what a member's call means to the agreed state. Pure
-// functions.
+// Reads the bodies of operators' requests, writes their answers, and converts members' calls to commands of
+// the fleet state. Pure functions.
 #pragma once
 
 #include <string>
@@ -12,22 +12,22 @@
 
 namespace tealcart::fleet_manager {
 
-// A call that may be retried under the same id, at any fleet manager, and takes effect once. Each operation
-// needs some of the fields.
+// An idempotent request: retries with the same id, at any fleet manager, take effect once. Each operation
+// uses some of the fields.
 struct OperatorCall {
-    std::string id, asker, why;  // why: the reason of a halt
+    std::string id, asker, reason;  // reason: of a halt
     std::vector<fleet::Target> targets;
-    std::string zone;  // beside targets: all data nodes of this zone
+    std::string zone;  // selects all data nodes of this zone, in addition to `targets`
     std::vector<std::uint64_t> requests;
-    std::string name;  // of a member, or the address of a fleet manager
+    std::string name;  // name of a member, or address of a fleet manager
 };
 ReadResult<OperatorCall> read_operator_call(std::string_view body);
 std::string write_effects(const fleet::Effects& effects);
 
-// As answers and the log name it.
+// The name of the effect in answers and in the log.
 const char* name_of(fleet::EffectCode code);
 
-// A member's call as commands, and the answer to one.
+// Converts a member's call to commands, and the state to the answer of a call.
 fleet::Join join_of(const MemberCall& call);
 fleet::Renew renew_of(const MemberCall& call);
 MemberAnswer answer_of(const fleet::FleetState& state);
--- a/src/fleet_manager/operator_service.cpp
+++ b/src/fleet_manager/operator_service.cpp
@@ -6,14 +6,14 @@
 namespace tealcart::fleet_manager {
 namespace {
 
-// The id of a command that a call gives rise to: the same for the same call, so that a retry is one with it.
+// The id of a command that a request causes. It is derived from the request's id, so a retry is idempotent.
 std::string command_id(const OperatorCall& call, const std::string& part) { return call.id + "/" + part; }
 
 std::string command_id(const OperatorCall& call, const fleet::Target& target) {
     return command_id(call, (target.router ? "router/" : "node/") + target.name);
 }
 
-// Of calls that give rise to one command.
+// The command id of a request that causes exactly one command.
 std::string only_command_id(const OperatorCall& call) { return command_id(call, "0"); }
 
 }  // namespace
@@ -77,7 +77,7 @@
 }
 
 void OperatorService::halt(Handle client, const OperatorCall& call) {
-    const std::string reason = call.why.empty() ? "by " + call.asker : call.why;
+    const std::string reason = call.reason.empty() ? "by " + call.asker : call.reason;
     propose(client, {{only_command_id(call), 0, fleet::Halt{reason}}});
 }
 
@@ -86,7 +86,7 @@
 }
 
 void OperatorService::forget_member(Handle client, const OperatorCall& call) {
-    // The member may be known to both states; the answer is that of the fleet's.
+    // Both states may know the member; the answer reports the effects on the fleet state.
     if (config_.takes_changes)
         proposer_.propose(changes::Command{command_id(call, "changes"), 0, changes::Forget{call.name}},
                           [](bool, const changes::Effects&) {});
--- a/src/fleet_manager/operator_service.hpp
+++ b/src/fleet_manager/operator_service.hpp
@@ -1,4 +1,4 @@
-// Serves what operators ask of the fleet: drains and their return, halts, members to forget, and changes of
+// Serves operators' requests about the fleet: drains and returns, halts, forgetting members, and changes of
 // the group of fleet managers.
 #pragma once
 
@@ -12,13 +12,14 @@
 
 namespace tealcart::fleet_manager {
 
+// Handles the HTTP requests of the `drain`, `undrain`, `halt`, `resume` and `fleet` commands.
 class OperatorService {
   public:
     OperatorService(const FleetManagerConfig& config, RaftNode& raft, const ReplicatedState& state,
                     Proposer& proposer, Responder& responder)
         : config_(config), raft_(raft), state_(state), proposer_(proposer), responder_(responder) {}
 
-    // `operation`: what follows /fleet/ in the path.
+    // `operation` is the part of the path after /fleet/.
     void on_call(Handle client, std::string_view operation, const std::string& body);
 
   private:
@@ -33,11 +34,12 @@
     void add_manager(Handle client, const OperatorCall& call);
     void remove_manager(Handle client, const OperatorCall& call);
 
-    // The requests that the call names, by number, target or zone.
+    // The ids of the removal requests that the call selects by number, target or zone.
     std::vector<std::uint64_t> requests_of(const OperatorCall& call) const;
-    // The id of the fleet manager that the call names; 0 after an error was answered.
+    // The id of the fleet manager that the call names; 0 after answering with an error.
     std::uint64_t manager_to_change(Handle client, const OperatorCall& call);
-    // Runs one change of the group at a time, and answers once it has ended.
+    // Marks a change of the group as in progress, as only one may run at a time. The returned callback ends
+    // it and answers the client.
     RaftNode::ChangeCallback begin_manager_change(Handle client);
     void propose(Handle client, std::vector<fleet::Command> commands);
 
--- a/src/fleet_manager/proposer.hpp
+++ b/src/fleet_manager/proposer.hpp
@@ -1,5 +1,5 @@
-// Proposes commands to the replicated log, stamped with this fleet manager's clock, and reports what came of
-// them.
+// Proposes commands to the replicated log, with the time of this fleet manager's clock, and reports their
+// effects.
 #pragma once
 
 #include <functional>
@@ -11,19 +11,20 @@
 
 namespace tealcart::fleet_manager {
 
+// Proposes commands of both states.
 class Proposer {
   public:
-    // Called exactly once. Not committed: the commands may or may not be committed later, without effects
-    // here.
+    // Called exactly once. If not `committed`, the commands may still be committed later, but the effects are
+    // not reported here.
     using FleetOutcome = std::function<void(bool committed, fleet::Effects effects)>;
     using ChangeOutcome = std::function<void(bool committed, changes::Effects effects)>;
 
-    // `clock_error` is added to the clock that commands carry: for tests of clocks that run apart.
+    // `clock_error` is added to the time that commands carry, for tests of clock skew.
     Proposer(EventClock& time, RaftNode& raft, const ReplicatedState& state, Nanos clock_error)
         : time_(time), raft_(raft), state_(state), clock_error_(clock_error) {}
 
     bool leads() const { return raft_.leads(); }
-    // All of the commands in this order; `outcome` is called once the last one is applied.
+    // Proposes the commands in this order; `outcome` is called when the last one is applied.
     void propose(std::vector<fleet::Command> commands, FleetOutcome outcome);
     void propose(changes::Command command, ChangeOutcome outcome);
 
--- a/src/fleet_manager/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 constexpr Nanos millisecond = 1'000'000;
-constexpr std::size_t segment_bytes = 1 << 20;                         // bytes of a file of the log
-constexpr unsigned snapshot_threshold = 4096, trailing_entries = 512;  // entries
+constexpr std::size_t segment_bytes = 1 << 20;                         // size of a log file
+constexpr unsigned snapshot_threshold = 4096, trailing_entries = 512;  // log entries
 constexpr unsigned connect_retry_ms = 100;
 constexpr Nanos max_sleep = 50 * millisecond;
 
-// The library counts in words of eight bytes: an entry of any other length makes its segment, read again,
-// look corrupt, and shifts what follows it in a message. So what is written begins with its length and is
-// filled up.
+// libraft counts in words of eight bytes. An entry of any other length makes its segment look corrupt when it
+// is read again, and shifts the entries after it in a message. So each entry is written with a length prefix
+// and padded.
 constexpr std::size_t word_bytes = 8;
 
 raft_buffer buffer_of(const std::vector<std::uint8_t>& bytes) {
@@ -37,12 +37,12 @@
     std::uint64_t size = 0;
     if (buf.len >= word_bytes) std::memcpy(&size, buf.base, word_bytes);
     if (buf.len < word_bytes || size > buf.len - word_bytes)
-        throw std::runtime_error("an entry of the log is cut short");
+        throw std::runtime_error("an entry of the replicated log is truncated");
     return {static_cast<const std::uint8_t*>(buf.base) + word_bytes, size};
 }
 
-[[noreturn]] void fail(const std::string& directory, const std::string& what) {
-    throw std::runtime_error("the steward's folder " + directory + ": " + what);
+[[noreturn]] void fail(const std::string& directory, const std::string& problem) {
+    throw std::runtime_error("the data directory " + directory + ": " + problem);
 }
 
 }  // namespace
@@ -55,7 +55,7 @@
 struct RaftNode::Change {
     raft_change request{};
     RaftNode* node = nullptr;
-    std::uint64_t promote = 0;  // added: to be a voter next
+    std::uint64_t promote = 0;  // id of an added server that becomes a voter next
     ChangeCallback changed;
 };
 
@@ -64,19 +64,20 @@
     open(config);
 }
 
-// What the library calls back into this holds no exception: it is kept until `run_ready_events` throws it.
+// Callbacks of the C library must not throw, so their errors are stored until `run_ready_events` throws them.
 void RaftNode::open(const RaftConfig& config) {
     if (const int rv = uv_loop_init(&loop_); rv != 0)
-        throw std::runtime_error(std::string("the log's loop: ") + uv_strerror(rv));
+        throw std::runtime_error(std::string("cannot start the event loop of the replicated log: ") +
+                                 uv_strerror(rv));
     transport_.data = this;
     if (raft_uv_tcp_init(&transport_, &loop_) != 0) fail(config.data_directory, transport_.errmsg);
     if (!config.bind.empty() && raft_uv_tcp_set_bind_address(&transport_, config.bind.c_str()) != 0)
-        fail(config.data_directory, "it can't listen at " + config.bind);
+        fail(config.data_directory, "cannot listen at " + config.bind);
     if (const int rv = raft_uv_init(&raft_io_, &loop_, config.data_directory.c_str(), &transport_); rv != 0)
         fail(config.data_directory, raft_io_.errmsg[0] != 0 ? raft_io_.errmsg : raft_strerror(rv));
     raft_uv_set_segment_size(&raft_io_, segment_bytes);
-    // What can't be read is told, and not set aside: a manager that forgot what it agreed to would break the
-    // log.
+    // Unreadable files are an error and are not set aside: a fleet manager that forgot entries it had
+    // acknowledged would break the consensus.
     raft_uv_set_auto_recovery(&raft_io_, false);
     raft_uv_set_connect_retry_delay(&raft_io_, connect_retry_ms);
     fsm_.version = 1;
@@ -89,7 +90,8 @@
         } catch (const std::exception& e) {
             self.failure_ = e.what();
         }
-        // Nothing is applied past what can't be read: the next would be taken for another state.
+        // Nothing is applied after an unreadable entry, as later entries would then apply to a different
+        // state.
         return self.failure_.empty() ? 0 : RAFT_MALFORMED;
     };
     fsm_.snapshot = [](raft_fsm* fsm, raft_buffer* bufs[], unsigned* n) -> int {
@@ -123,15 +125,15 @@
     raft_set_pre_vote(&raft_, true);
 }
 
-// A node whose entries can't be written stays in the group without a word and holds nothing: as one of three
-// it would be counted on. So what the library is told of each write is looked at on its way.
+// Intercepts the result of each write to the log. With libraft alone, a node whose writes fail stays silently
+// in the group and stores nothing, while the others count on it as one of three replicas.
 int RaftNode::append(raft_io* io, raft_io_append* request, const raft_entry entries[], unsigned n,
                      raft_io_append_cb callback) {
-    static std::unordered_map<raft_io_append*, RaftNode*> nodes;  // whose write it is
+    static std::unordered_map<raft_io_append*, RaftNode*> nodes;  // the node of each pending write
     auto& self = *static_cast<RaftNode*>(static_cast<raft*>(io->data)->data);
     static const auto fail = [](RaftNode& node, int status) {
         if (status != 0 && status != RAFT_CANCELED && node.failure_.empty())
-            node.failure_ = std::string("the log can't be written: ") + raft_strerror(status);
+            node.failure_ = std::string("cannot write the replicated log: ") + raft_strerror(status);
     };
     self.appending_[request] = callback;
     nodes[request] = &self;
@@ -163,11 +165,11 @@
     raft_configuration all;
     raft_configuration_init(&all);
     int rv = 0;
-    for (const RaftServer& s : servers)
-        if (rv == 0) rv = raft_configuration_add(&all, s.id, s.address.c_str(), RAFT_VOTER);
+    for (const RaftServer& server : servers)
+        if (rv == 0) rv = raft_configuration_add(&all, server.id, server.address.c_str(), RAFT_VOTER);
     if (rv == 0) rv = raft_bootstrap(&node.raft_, &all);
     raft_configuration_close(&all);
-    const std::string error = rv == RAFT_CANTBOOTSTRAP ? "it holds a log already" : raft_strerror(rv);
+    const std::string error = rv == RAFT_CANTBOOTSTRAP ? "contains a log already" : raft_strerror(rv);
     node.close();
     if (rv != 0) fail(config.data_directory, error);
 }
@@ -176,10 +178,10 @@
 
 void RaftNode::start() {
     if (const int rv = raft_start(&raft_); rv != 0) {
-        const std::string why = !failure_.empty()             ? failure_
-                                : raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_)
-                                                              : raft_strerror(rv);
-        throw std::runtime_error("the steward's log can't be read: " + why);
+        const std::string reason = !failure_.empty()             ? failure_
+                                   : raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_)
+                                                                 : raft_strerror(rv);
+        throw std::runtime_error("cannot read the replicated log: " + reason);
     }
     started_ = true;
     backend_ = std::make_unique<boost::asio::posix::stream_descriptor>(io_, ::dup(uv_backend_fd(&loop_)));
@@ -191,7 +193,7 @@
     uv_run(&loop_, UV_RUN_NOWAIT);
     if (!failure_.empty()) throw std::runtime_error(failure_);
     if (started_ && raft_state(&raft_) == RAFT_UNAVAILABLE)
-        throw std::runtime_error(std::string("the log can't be written: ") + raft_errmsg(&raft_));
+        throw std::runtime_error(std::string("cannot write the replicated log: ") + raft_errmsg(&raft_));
     if (!std::exchange(wait_pending_, true))
         backend_->async_wait(boost::asio::posix::stream_descriptor::wait_read,
                              [this](const boost::system::error_code&) { wait_pending_ = false; });
@@ -206,7 +208,7 @@
     while (!raft_closed_) uv_run(&loop_, UV_RUN_ONCE);
     raft_uv_close(&raft_io_);
     raft_uv_tcp_close(&transport_);
-    // What the transport closed may need another turn.
+    // Handles that the transport closed may need further turns of the loop.
     for (int i = 0; i < 1000 && uv_loop_close(&loop_) == UV_EBUSY; ++i) uv_run(&loop_, UV_RUN_NOWAIT);
 }
 
@@ -253,7 +255,7 @@
     change->promote = server.id;
     change->changed = std::move(changed);
     change->request.data = change.get();
-    // First it takes the log; then it has a vote.
+    // The server first receives the log as a non-voter, and then becomes a voter.
     const int rv = raft_add(
         &raft_, &change->request, server.id, server.address.c_str(), [](raft_change* request, int status) {
             std::unique_ptr<Change> added(static_cast<Change*>(request->data));
--- a/src/fleet_manager/raft_node.hpp
+++ b/src/fleet_manager/raft_node.hpp
@@ -1,13 +1,13 @@
-// One node of the replicated log: libraft on its libuv backend, run inside an io_context. The log's entries
-// are bytes, applied to a state machine in the one order that all nodes agree on.
+// One node of the replicated log: libraft with its libuv backend, run inside an io_context. The entries are
+// bytes, applied to a state machine in the order that all nodes agree on.
 //
-// libuv's loop has no thread of its own: its backend is one descriptor, which the io_context waits on, and
-// `run_ready_events` lets the loop do what is ready. So a manager is one thread, as the query router is.
+// libuv's loop has no thread of its own: the io_context waits on the loop's backend descriptor, and
+// `run_ready_events` runs the loop's ready events. So a fleet manager has one thread, like a query router.
 #pragma once
 
 #include <uv.h>
 
-extern "C" {  // the library's headers don't say so themselves
+extern "C" {  // libraft's headers do not declare C linkage themselves
 #include <raft.h>
 #include <raft/uv.h>
 }
@@ -25,12 +25,13 @@
 
 namespace tealcart::fleet_manager {
 
+// A server of the group.
 struct RaftServer {
     std::uint64_t id = 0;
-    std::string address;  // where the others reach it
+    std::string address;  // where the other servers reach it
 };
 
-// What the log's entries are applied to. Throws std::runtime_error on what it can't read: the node then ends.
+// Applies the entries of the log. Unreadable bytes throw std::runtime_error, which ends the node.
 class StateMachine {
   public:
     virtual ~StateMachine() = default;
@@ -39,37 +40,39 @@
     virtual void load(const std::vector<std::uint8_t>& bytes) = 0;
 };
 
+// The settings of one node.
 struct RaftConfig {
     std::uint64_t id = 0;
-    std::string address, bind, data_directory;  // bind: where it listens, if that is another address
+    std::string address, bind, data_directory;  // bind: where it listens if not at `address`
     Nanos election = 600'000'000;
 };
 
+// A node that proposes entries while it leads, and applies all committed entries to its state machine.
 class RaftNode {
   public:
-    // Throws std::runtime_error, in one line, where the directory can't be used or holds what can't be read.
+    // Throws std::runtime_error with a one-line message if the data directory is unusable or unreadable.
     RaftNode(boost::asio::io_context& io, const RaftConfig& config, StateMachine& machine);
     ~RaftNode();
 
-    // An empty data directory becomes one of these servers.
+    // Initializes an empty data directory with a group of these servers.
     static void bootstrap(const RaftConfig& config, const std::vector<RaftServer>& servers);
 
     void start();
-    // To be called after each turn of the io_context, and after as long as it says at the latest. Throws
-    // std::runtime_error once the node can't go on.
+    // Runs the ready events of libuv's loop. To be called after each turn of the io_context, and again within
+    // the returned time. Throws std::runtime_error when the node cannot continue.
     Nanos run_ready_events();
-    // Ends what is out; the io_context is run meanwhile.
+    // Ends pending proposals and closes the log.
     void close();
 
-    // Called once: true after the entry was applied here, false where it may or may not be committed later.
+    // Called once: true after the entry was applied here, false if it may or may not be committed later.
     using ProposalCallback = std::function<void(bool applied)>;
-    // False, and `done` is never called, where this node does not lead.
+    // Returns false, and never calls `done`, if this node does not lead.
     bool propose(const std::vector<std::uint8_t>& bytes, ProposalCallback done);
     bool leads() const;
-    std::uint64_t leader() const;  // 0: none is known
-    std::uint64_t applied() const;
+    std::uint64_t leader() const;   // id of the leader; 0: unknown
+    std::uint64_t applied() const;  // index of the last applied entry
     std::vector<RaftServer> servers() const;
-    // Called once with why the change failed, or empty. One change at a time.
+    // Called once with the reason of a failure, or an empty text. Only one change may run at a time.
     using ChangeCallback = std::function<void(std::string error)>;
     void add(const RaftServer& server, ChangeCallback changed);
     void remove(std::uint64_t id, ChangeCallback changed);
@@ -89,8 +92,8 @@
     raft_io raft_io_{};
     raft_fsm fsm_{};
     raft raft_{};
-    std::string failure_;                         // what ended it
-    decltype(raft_io::append) append_ = nullptr;  // the library's
+    std::string failure_;                         // why the node cannot continue; empty: it can
+    decltype(raft_io::append) append_ = nullptr;  // libraft's own function
     std::unordered_map<raft_io_append*, raft_io_append_cb> appending_;
     bool started_ = false, closed_ = false, raft_closed_ = false;
     std::unique_ptr<boost::asio::posix::stream_descriptor> backend_;
--- a/src/fleet_manager/relay_service.cpp
+++ b/src/fleet_manager/relay_service.cpp
@@ -8,7 +8,7 @@
 namespace tealcart::fleet_manager {
 namespace {
 
-// Why a relay's report was not applied, where a full report would not help. Empty: for another reason.
+// Why the relay's report was not applied, if a full report would not help; empty otherwise.
 std::string permanent_refusal(const changes::Effects& effects, const std::string& relay) {
     using changes::StaleReason;
     for (const changes::Effect& effect : effects) {
@@ -70,7 +70,7 @@
     }
     if (const std::string reason = permanent_refusal(effects, report.relay); !reason.empty())
         return responder_.error(client, 503, reason);
-    // Its lease has expired, or it is unknown; an earlier full report may have been applied before that.
+    // The relay's lease has expired or it is unknown, even if an earlier full report was applied before that.
     ask_for_full_report(client);
 }
 
@@ -94,7 +94,7 @@
 void RelayService::answer_waiting() {
     const Nanos now = time_.now();
     for (auto it = waiting_.begin(); it != waiting_.end();) {
-        // A relay may know a later version, from a leader that was ahead: it waits like one that is up to
+        // A relay may know a later version from a leader that was ahead. It waits like a relay that is up to
         // date.
         if (state_.changes().version() <= it->second.position.known_version && now < it->second.until) {
             ++it;
--- a/src/fleet_manager/relay_service.hpp
+++ b/src/fleet_manager/relay_service.hpp
@@ -14,6 +14,7 @@
 
 namespace tealcart::fleet_manager {
 
+// Commits reports in batches and answers each call when there is a later version.
 class RelayService final : private DueHandler {
   public:
     RelayService(EventClock& time, const ReplicatedState& state, Proposer& proposer, Responder& responder)
@@ -21,7 +22,7 @@
 
     void on_call(Handle client, const std::string& body);
     void on_client_disconnected(Handle client) { waiting_.erase(client.slot); }
-    // Answers the calls for which there is a later version, or which have waited for as long as they may.
+    // Answers calls for which there is a later version, and calls whose wait has ended.
     void answer_waiting();
 
     std::size_t waiting() const { return waiting_.size(); }
@@ -34,7 +35,7 @@
         std::uint64_t report_number = 0;
         Nanos until = 0;
     };
-    // Calls whose reports go into the log as one entry.
+    // Calls whose reports are committed as one log entry.
     struct Batch {
         changes::ReportBatch reports;
         std::vector<std::pair<Handle, RelayCall>> calls;
@@ -43,7 +44,7 @@
     void on_due(Handle, std::uint64_t) override;
     void propose_batch();
     void on_report_committed(Handle client, const RelayCall& call, const changes::Effects& effects);
-    // The relay is to send a full report next.
+    // Answers that the relay's next report must be a full one.
     void ask_for_full_report(Handle client);
     void answer(const WaitingCall& waiting);
 
--- a/src/fleet_manager/replicated_state.cpp
+++ b/src/fleet_manager/replicated_state.cpp
@@ -48,7 +48,7 @@
 }
 
 std::vector<std::uint8_t> ReplicatedState::save() const {
-    // Programs from before there were changes can read a snapshot without any.
+    // Without changes, the snapshot is the fleet state alone, which programs without a change state can read.
     if (!config_.takes_changes && changes_.version() == 0) return fleet_.save();
     return write_snapshot({fleet_.save(), changes_.save()});
 }
--- a/src/fleet_manager/replicated_state.hpp
+++ b/src/fleet_manager/replicated_state.hpp
@@ -1,5 +1,5 @@
-// The state that all fleet managers agree on, as the replicated log's state machine: the fleet's drains and
-// members, and the changes of its configuration.
+// The replicated log's state machine: the state that all fleet managers agree on, which is the fleet's
+// members and drains, and the changes of its configuration.
 #pragma once
 
 #include "changes/change_state.hpp"
@@ -10,15 +10,16 @@
 
 namespace tealcart::fleet_manager {
 
+// Both states, and the effects of the last commands on them.
 class ReplicatedState final : public StateMachine {
   public:
-    // `endpoints` is notified of what the log says of data nodes.
+    // `endpoints` is notified of committed observations of data nodes.
     ReplicatedState(const FleetManagerConfig& config, EndpointView& endpoints)
         : config_(config), endpoints_(endpoints), fleet_(config.budgets), changes_(config.changes) {}
 
     const fleet::FleetState& fleet() const { return fleet_; }
     const changes::ChangeState& changes() const { return changes_; }
-    // Of the last entry of each kind that was applied.
+    // The effects of the last applied command on each state.
     const fleet::Effects& fleet_effects() const { return fleet_effects_; }
     const changes::Effects& change_effects() const { return change_effects_; }
 
--- a/src/fleet_manager/responder.hpp
+++ b/src/fleet_manager/responder.hpp
@@ -1,4 +1,4 @@
-// The answers that the fleet manager's endpoints have in common.
+// Answers that all HTTP endpoints of the fleet manager share.
 #pragma once
 
 #include <string>
@@ -11,6 +11,7 @@
 
 namespace tealcart::fleet_manager {
 
+// Writes answers to clients of the fleet manager.
 class Responder {
   public:
     Responder(ResponseWriter& server, const RaftNode& raft, const FleetManagerConfig& config,
@@ -22,21 +23,21 @@
     void error(Handle client, int status, std::string_view reason);
     void malformed(Handle client, const MessageError& error) { this->error(client, 400, error.reason); }
     void method_not_allowed(Handle client, std::string_view allowed);
-    // 503: the command may or may not be committed later; the caller is to retry it under the same id.
+    // 503: the command may or may not be committed later, so the caller has to retry it with the same id.
     void not_committed(Handle client);
-    // 421 with the leader's address, or 503 where none is known.
+    // 421 with the leader's address, or 503 if no leader is known.
     void not_leader(Handle client);
-    // 409: a later incarnation of the caller's name is known.
+    // 409: a later incarnation of the caller is known.
     void superseded(Handle client, std::uint64_t last_incarnation);
 
-    // The leader's host and port for HTTP; empty where none is known.
+    // The leader's HTTP address with port; empty if no leader is known.
     std::string leader_address() const;
 
   private:
     ResponseWriter& server_;
     const RaftNode& raft_;
     const FleetManagerConfig& config_;
-    const std::uint64_t id_;  // of this fleet manager
+    const std::uint64_t id_;  // id of this fleet manager
 };
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/status_command.cpp
+++ b/src/fleet_manager/status_command.cpp
@@ -11,17 +11,18 @@
 using Json = nlohmann::ordered_json;
 
 void print_agreement(const Json& state) {
-    std::printf("fleet %s, generation %llu, by steward %llu; ", text_of(state, "fleet").c_str(),
-                number_of(state, "generation"), number_of(state, "steward"));
+    std::printf("fleet %s, generation %llu, reported by fleet manager %llu; ",
+                text_of(state, "fleet").c_str(), number_of(state, "generation"), number_of(state, "steward"));
     if (number_of(state, "leader") == 0)
-        std::printf("NO STEWARD LEADS: nothing is granted\n");
+        std::printf("NO FLEET MANAGER LEADS: nothing can be granted\n");
     else
-        std::printf("steward %llu leads\n", number_of(state, "leader"));
+        std::printf("fleet manager %llu leads\n", number_of(state, "leader"));
     if (state["halted"]) std::printf("HALTED: %s\n", text_of(state, "halted_for").c_str());
     if (state["held_for_ms"] > 0)
         std::printf("agreement was interrupted: nothing is granted for another %.1f s\n",
                     state["held_for_ms"].get<double>() / 1000);
-    if (state["discovery_silent_ms"] > 0) std::printf("DISCOVERY IS SILENT: all data nodes count as out\n");
+    if (state["discovery_silent_ms"] > 0)
+        std::printf("DISCOVERY DOES NOT ANSWER: all data nodes count as out\n");
 }
 
 void print_totals(const Json& state) {
@@ -42,7 +43,7 @@
     std::set<std::string> zones;
     for (const Json* counted : {&nodes, &routers})
         for (const auto& [zone, counts] : (*counted)["zones"].items()) zones.insert(zone);
-    std::printf("\nby zone, out of all\n");
+    std::printf("\nby zone: out of all\n");
     for (const std::string& zone : zones)
         std::printf("  %-16s data nodes %llu of %llu, routers %llu of %llu\n", zone.c_str(),
                     zone_count(nodes, zone, "out"), zone_count(nodes, zone, "all"),
@@ -79,7 +80,7 @@
         std::printf("\nmembers\n");
     } else {
         print_zones(state);
-        std::printf("\nmembers that are out, lost, or do not act on generation %llu yet\n",
+        std::printf("\nmembers that are out, lost, or have not applied generation %llu yet\n",
                     number_of(state, "generation"));
     }
     for (const Json& member : state["members"]) print_member(member);
@@ -108,7 +109,8 @@
     if (!state.is_object()) return report_failure({}, "-");
     if (client.json) return print_json(state);
     if (!state.contains("nodes_counted")) {
-        std::fprintf(stderr, "tealcart: the steward is of an earlier version; --json shows what it says\n");
+        std::fprintf(stderr,
+                     "tealcart: the fleet manager runs an earlier version; --json prints its answer\n");
         return exit_unreachable;
     }
     print_agreement(state);
--- a/src/fleet_manager/status_command.hpp
+++ b/src/fleet_manager/status_command.hpp
@@ -1,4 +1,4 @@
-// The command fleet status, and those that change the group of fleet managers.
+// The commands `fleet status`, `fleet steward-add` and `fleet steward-remove`.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,11 @@
 
 namespace tealcart::fleet_manager {
 
-// Prints the agreed state. `all`: each member and data node, also of a large fleet. The status to exit with.
+// Prints the agreed state; `all` lists each member and data node, even in a large fleet. Returns the exit
+// status.
 int show_status(const ClientOptions& client, bool all);
 
-// The status to exit with. `raft_address`: where the others reach it.
+// Add and remove a fleet manager; `raft_address` is where the others reach it. Each returns the exit status.
 int add_manager(const ClientOptions& client, std::uint64_t id, const std::string& raft_address);
 int remove_manager(const ClientOptions& client, std::uint64_t id);
 
--- a/src/fleet_manager/status_page.cpp
+++ b/src/fleet_manager/status_page.cpp
@@ -70,7 +70,7 @@
             {"counts_as_out", state.is_out(false, name)}};
 }
 
-// The items of a list, and which of them these are.
+// The listed items, and a summary of which items are listed.
 struct Listing {
     Json items = Json::array();
     Json summary;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,23 +12,23 @@
 namespace tealcart {
 namespace {
 
-constexpr double lines_a_second = 20, burst = 200;
+constexpr double lines_per_second = 20, burst = 200;
 constexpr const char* level_names[] = {"debug", "info", "warn", "error"};
 constexpr spdlog::level::level_enum levels[] = {spdlog::level::debug, spdlog::level::info,
                                                 spdlog::level::warn, spdlog::level::err};
 
 LogFormat log_format = LogFormat::text;
 
-// One thread writes, so no lock is needed, and each line goes out at once.
+// Only one thread writes, so the sink needs no lock. Each line is flushed at once.
 spdlog::logger& logger() {
-    static const auto made = [] {
+    static const auto instance = [] {
         auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
         sink->set_pattern("%v");
         auto log = std::make_shared<spdlog::logger>("", std::move(sink));
         log->flush_on(spdlog::level::debug);
         return log;
     }();
-    return *made;
+    return *instance;
 }
 
 void write(LogLevel level, std::string_view query, std::string_view text) {
@@ -53,18 +53,18 @@
     static long dropped = 0;
     static auto last = std::chrono::steady_clock::now();
     const auto now = std::chrono::steady_clock::now();
-    tokens = std::min(burst, tokens + std::chrono::duration<double>(now - last).count() * lines_a_second);
+    tokens = std::min(burst, tokens + std::chrono::duration<double>(now - last).count() * lines_per_second);
     last = now;
     if (tokens < 1) {
         ++dropped;
         return;
     }
     tokens -= 1;
-    if (dropped > 0) write(LogLevel::info, {}, std::to_string(dropped) + " lines left out");
+    if (dropped > 0) write(LogLevel::info, {}, std::to_string(dropped) + " log lines dropped");
     dropped = 0;
     char line[512];
     std::vsnprintf(line, sizeof line, format, arguments);
-    for (char* c = line; *c != 0; ++c)  // what a peer sent may be in it
+    for (char* c = line; *c != 0; ++c)  // a line may contain control characters that a peer sent
         if (static_cast<unsigned char>(*c) < 0x20 || *c == 0x7f) *c = '?';
     write(level, query, line);
 }
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,4 +1,4 @@
-// The one place where log lines leave the service.
+// Writes log lines to standard error. All log lines of the programs go through these functions.
 #pragma once
 
 #include <string_view>
@@ -7,13 +7,14 @@
 
 namespace tealcart {
 
-// How lines are written from here on: as text, which is how it begins, or as JSON with time, level and query.
+// Sets the lowest level and the format of the lines: text, which is the default, or JSON with time, level and
+// query.
 void configure_log(const LogConfig& config);
 
-// One line on standard error, at level info. Over a burst of 200 lines, twenty a second at most are written;
-// how many were not is told with the next one that is.
+// Writes one line at level info. Beyond a burst of 200 lines, at most 20 lines a second are written; the
+// number of dropped lines is written before the next line.
 [[gnu::format(printf, 1, 2)]] void log_line(const char* format, ...);
-// The same at another level, for a line about a query: its id stands in the line. Empty for none.
+// Writes one line at the given level. `query` is the id of the query that the line is about; empty for none.
 [[gnu::format(printf, 3, 4)]] void log_query(LogLevel level, std::string_view query, const char* format, ...);
 
 }  // namespace tealcart
--- a/src/log/log_config.hpp
+++ b/src/log/log_config.hpp
@@ -1,4 +1,4 @@
-// How log lines are written: their format and the lowest level that is written at all.
+// Settings of the log: the format of lines and the lowest level that is written.
 #pragma once
 
 #include <cstdint>
--- a/src/members/member_host.hpp
+++ b/src/members/member_host.hpp
@@ -1,4 +1,4 @@
-// What membership needs of the router that it reports on: the query dispatcher, or a fake without queries.
+// The interface of the router that membership reports on: the query dispatcher, or a fake in tests.
 #pragma once
 
 #include <functional>
@@ -9,16 +9,16 @@
 
 namespace tealcart {
 
-// Which lease a serving state comes from: that of the agreed drains, or that of the configuration.
+// The lease that a serving state comes from: the one for agreed drains, or the one for the configuration.
 enum class ServingStateSource : std::uint8_t { agreement, configuration };
 
-// What a member of a fleet may do now, beside what the platform allows.
+// What the lease allows a member of the fleet; the platform's own limits apply as well.
 struct MemberServingState {
     bool ready = true, admits = true;
     Nanos attempts_until = TimerQueue::never;
 };
 
-// Notified of how queries and attempts end.
+// Receives the outcomes of queries and attempts.
 class OutcomeObserver {
   public:
     virtual ~OutcomeObserver() = default;
@@ -26,17 +26,17 @@
     virtual void on_attempt_end(std::uint32_t node, Outcome outcome) = 0;
 };
 
-// Takes the endpoint list as it is to reach the module.
+// Receives the endpoint list for the router's decisions and reports the router's work in progress.
 class MemberHost : public EndpointListObserver {
   public:
     virtual void observe_outcomes(OutcomeObserver* observer) = 0;
     virtual void set_serving_state(ServingStateSource source, const MemberServingState& serving_state) = 0;
-    // When the next round is due; TimerQueue::never while there are no events for one.
+    // When the next round is due; TimerQueue::never while no events wait for one.
     virtual Nanos next_round() const = 0;
-    virtual std::size_t unfinished_count() const = 0;  // queries and shard requests that have not ended
+    virtual std::size_t unfinished_count() const = 0;  // queries and shard requests in progress
     // Whether an attempt is in flight to a node whose name `matches`.
     virtual bool any_attempt_to(const std::function<bool(const std::string& name)>& matches) const = 0;
-    // Empty for a node that was removed.
+    // The name of the node; empty if it was removed.
     virtual const std::string& node_name(std::uint32_t node) const = 0;
 };
 
--- a/src/members/member_lease.cpp
+++ b/src/members/member_lease.cpp
@@ -28,7 +28,8 @@
         incarnation_ = std::max(incarnation_, last_incarnation) + 1;
 }
 
-// One that never heard a manager counts from its start: they may have registered it all the same.
+// Without any lease the grace period counts from the start: a fleet manager may have registered the member
+// even if its answer never arrived.
 Nanos MemberLease::grace_until() const {
     const Nanos from = lease_until_ > 0 ? lease_until_ : started_;
     return lease_grace_ > never - from ? never : from + lease_grace_;
--- a/src/members/member_lease.hpp
+++ b/src/members/member_lease.hpp
@@ -1,8 +1,7 @@
-// A member's side of its lease: what it may do at which time, by its own steady clock alone. No I/O.
+// A member's side of its lease: what it may do at a given time, by its own steady clock alone. No I/O.
 //
-// The lease counts from when the renewal that was answered was *sent*, so it ends here before the fleet
-// managers take it to have ended, as long as clocks run apart by less than the managers' `drift` in one
-// lease.
+// The lease starts when the renewal that was answered was *sent*. So it ends here before it ends for the
+// fleet managers, as long as clocks differ by less than the fleet managers' `drift` within one lease.
 #pragma once
 
 #include <cstdint>
@@ -11,48 +10,50 @@
 
 namespace tealcart {
 
-// What its lease allows a router.
+// The state of a router's lease.
 enum class ServingState : std::uint8_t {
     unregistered,   // no renewal has been answered yet
     leased,         // the lease holds
-    lease_expired,  // it acts on what it last knew
-    fenced          // that time is over too, or another process goes by its name: it sends no attempts
+    lease_expired,  // in the grace period: it acts on the state that it last knew
+    fenced          // the grace period is over, or another process uses its name: it sends no attempts
 };
 
+// The lease of one member, and what it allows.
 class MemberLease {
   public:
     MemberLease(const MemberConfig& config, Nanos started, std::uint64_t incarnation);
 
-    // A renewal that was sent at `sent` was granted for `lease`.
+    // Records that a renewal sent at `sent` was granted for `lease`.
     void renewed(Nanos sent, Nanos lease);
-    // The managers know a later incarnation of this name. Of one that had a lease, another process has taken
-    // the name, and it is fenced for good; else an earlier process had a clock that was ahead, and it takes a
-    // later incarnation.
+    // Records that the fleet managers know a later incarnation of this name. If this member ever had a lease,
+    // another process has taken over the name, and this one stays fenced. Otherwise an earlier process had a
+    // clock that was ahead, and this member takes a later incarnation.
     void superseded(std::uint64_t last_incarnation);
 
     ServingState serving_state(Nanos now) const;
-    // Whether a load balancer is to send it queries; whether it admits those that come.
+    // `ready`: whether a load balancer should send queries. `admits`: whether queries that arrive are
+    // accepted.
     bool ready(Nanos now) const;
     bool admits(Nanos now) const;
-    // No attempt is sent after this; INT64_MAX: no such time.
+    // The time after which no attempt is sent; INT64_MAX: unlimited.
     Nanos attempts_until(Nanos now) const;
-    // When the above may next change without a renewal; INT64_MAX: never.
+    // When the values above change next without a renewal; INT64_MAX: never.
     Nanos next_change(Nanos now) const;
 
-    // For how long the managers may hold back the answer to the next renewal: not long while there is work in
-    // flight that they wait for.
+    // How long the fleet managers may delay the answer to the next renewal. It is short while work is in
+    // flight, since a drain waits for the report that it has ended.
     Nanos long_poll_wait(bool in_flight) const;
     std::uint64_t incarnation() const { return incarnation_; }
-    Nanos lease_until() const { return lease_until_; }  // 0: there was none yet
+    Nanos lease_until() const { return lease_until_; }  // 0: no lease yet
 
   private:
-    // When it is fenced without a further renewal.
+    // When the member is fenced unless the lease is renewed.
     Nanos grace_until() const;
 
     const Nanos started_, lease_grace_, startup_wait_;
     const bool stop_after_grace_;
     std::uint64_t incarnation_;
-    Nanos lease_ = 0, lease_until_ = 0;  // 0: none yet
+    Nanos lease_ = 0, lease_until_ = 0;  // 0: no lease yet
     bool superseded_ = false;
 };
 
--- a/src/members/outcome_stats.cpp
+++ b/src/members/outcome_stats.cpp
@@ -4,9 +4,11 @@
 namespace {
 
 constexpr Nanos second = 1'000'000'000;
-constexpr int min_failures = 5;                 // in a row ...
-constexpr Nanos min_failing_time = 2 * second;  // ... over at least this time ...
-constexpr Nanos max_failure_age = 30 * second;  // ... and none longer ago
+// A node counts as unresponsive after this many consecutive failures ...
+constexpr int min_failures = 5;
+// ... over at least this time, the last of them no older than `max_failure_age`.
+constexpr Nanos min_failing_time = 2 * second;
+constexpr Nanos max_failure_age = 30 * second;
 
 bool is_no_response(Outcome outcome) {
     return outcome == Outcome::timeout || outcome == Outcome::connect_failed || outcome == Outcome::reset;
--- a/src/relay/delta_history.cpp
+++ b/src/relay/delta_history.cpp
@@ -6,7 +6,7 @@
 namespace tealcart::relay {
 namespace {
 
-// Adds what `next` changes, which begins where `merged` ends.
+// Applies `next`, which begins where `merged` ends, to `merged`.
 void merge(changes::Delta& merged, const changes::Delta& next) {
     for (const auto& [key, value] : next.set) {
         merged.removed.erase(key);
--- a/src/relay/delta_history.hpp
+++ b/src/relay/delta_history.hpp
@@ -1,5 +1,5 @@
 // The latest deltas that led to a relay's copy of the document, and pages of the copy for followers that are
-// further behind. No I/O.
+// too far behind for a delta. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,21 +11,23 @@
 
 namespace tealcart::relay {
 
-// Bytes of its keys and values.
+// The size of the delta's keys and values in bytes.
 std::size_t size_of(const changes::Delta& delta);
 
+// Keeps a bounded number of consecutive deltas.
 class DeltaHistory {
   public:
-    // Of more deltas or bytes, the oldest are dropped.
+    // The oldest deltas are dropped when there are more deltas or bytes than this.
     DeltaHistory(std::size_t max_deltas, std::size_t max_bytes)
         : max_deltas_(max_deltas), max_bytes_(max_bytes) {}
 
-    // The copy applied this delta, which begins at the end of the last one, or before.
+    // Adds a delta that the copy applied. It begins where the previous one ends, or earlier.
     void append(changes::Delta delta);
-    // The copy was replaced by pages, to which no delta leads.
+    // Drops all deltas, as the copy was replaced by pages.
     void clear();
-    // The merged deltas that lead a copy at this version to the last delta's; nothing where they are not all
-    // kept. It may begin earlier: a delta states what entries are, not how they differ.
+    // Merges the deltas that lead from this version to the latest one; nullopt if some of them are not kept.
+    // The result may begin earlier, which is safe as a delta states the values of entries and not their
+    // differences.
     std::optional<changes::Delta> since(std::uint64_t version) const;
 
   private:
@@ -34,7 +36,7 @@
     std::size_t bytes_ = 0;
 };
 
-// Entries after the key `after`, up to so many bytes of keys and values, but one at least.
+// A page of the entries after the key `after`: up to `max_bytes` of keys and values, but at least one entry.
 changes::Page page_of(const changes::DocumentCopy& copy, const std::string& after, std::size_t max_bytes);
 
 }  // namespace tealcart::relay
--- a/src/relay/follower_service.cpp
+++ b/src/relay/follower_service.cpp
@@ -62,7 +62,8 @@
             ++it;
             continue;
         }
-        // Where its page has to wait for those of others, its lease is renewed when its time is over.
+        // If the rate limit delays the page that it needs, the follower still gets its lease renewed when its
+        // wait ends.
         auto news = documents_.answer_for(waiting.position, now);
         if (!news && now < waiting.until) {
             ++it;
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -1,4 +1,4 @@
-// The relays' program: `serve` runs one, `check` reads its operators' file.
+// The program of a relay: `serve` runs it, and `check` validates its operators' file.
 
 #include <CLI/CLI.hpp>
 #include <csignal>
@@ -28,7 +28,7 @@
 
 int check(const std::string& path) {
     const RelayConfig config = read_relay_file(path);
-    std::printf("%s: relay %s of zone %s, %zu stewards\n", path.c_str(), config.name.c_str(),
+    std::printf("%s: relay %s of zone %s, %zu fleet managers\n", path.c_str(), config.name.c_str(),
                 config.zone.c_str(), config.managers.size());
     return exit_ok;
 }
@@ -42,11 +42,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("tealcart-relay: hands a fleet's changes on to its routers; docs/changes.md");
+    CLI::App app("tealcart-relay: distributes a fleet's configuration to its routers; see docs/changes.md");
     app.name("tealcart relay");
     std::string file;
     const CLI::App* const serve_command = add_command(app, "serve", "run a relay", file);
-    add_command(app, "check", "tell every mistake in the relay's file, with line and column", file);
+    add_command(app, "check", "report every mistake in the relay's file with line and column", file);
     app.require_subcommand(1);
     try {
         app.parse(argc, argv);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -13,16 +13,16 @@
 namespace {
 
 constexpr Nanos millisecond = 1'000'000, second = 1000 * millisecond;
-constexpr Nanos client_stall = 5 * second;  // until a client that does not read is closed
+constexpr Nanos client_stall = 5 * second;  // a client that reads nothing for this long is closed
 constexpr Nanos max_sleep = 250 * millisecond;
-// Followers' reports are gathered for so long, and no more than five calls a second go to the fleet managers
-// but those that ask for a further page.
+// Followers' reports are gathered for `gather_window`, and at most five calls a second go to the fleet
+// managers, except for calls that request a further page.
 constexpr Nanos gather_window = 30 * millisecond;
 constexpr Nanos call_interval = 200 * millisecond, page_call_interval = 20 * millisecond;
-constexpr Nanos first_wait = 200 * millisecond;  // that a call may be kept waiting without a lease
-constexpr Nanos min_wait = 50 * millisecond;     // with one: a tenth of it, and this at least
-constexpr std::size_t max_exceptions = 20;       // in a report
-constexpr std::size_t spare_clients = 64;        // for operators, and followers that connect anew
+constexpr Nanos first_wait = 200 * millisecond;  // long poll wait without a lease
+constexpr Nanos min_wait = 50 * millisecond;     // with a lease: a tenth of it, but at least this
+constexpr std::size_t max_exceptions = 20;       // listed in a report
+constexpr std::size_t spare_clients = 64;        // connections for operators and for followers that reconnect
 
 std::uint64_t start_time() {
     const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
@@ -56,7 +56,7 @@
         observe_lease();
         followers_.answer_waiting();
     }
-    log_line("stopping");
+    log_line("stopping the relay");
     managers_.stop();
     server_.close_all();
     if (!superseded_reason_.empty()) throw std::runtime_error(superseded_reason_);
@@ -134,7 +134,7 @@
     const std::uint64_t version_before = documents_.copy().version();
     apply(answer);
     observe_lease();
-    // Followers that are told of a version now will soon report that they act on it.
+    // Followers that receive a new version now will soon report that they act on it.
     const changes::DocumentCopy& copy = documents_.copy();
     const Nanos pause = copy.needs_pages() ? page_call_interval : call_interval;
     const Nanos gather_delay = copy.version() > version_before ? gather_window : 0;
@@ -145,12 +145,12 @@
 void Relay::apply(const ChangesAnswer& answer) {
     switch (documents_.apply(answer)) {
         case DocumentSource::Applied::new_version:
-            log_line("version %llu", printable(documents_.copy().version()));
+            log_line("applied version %llu", printable(documents_.copy().version()));
             wrong_digest_logged_ = false;
             break;
         case DocumentSource::Applied::wrong_digest:
             if (!std::exchange(wrong_digest_logged_, true))
-                log_line("what leads to version %llu has another digest than was told; asks for pages",
+                log_line("the delta or page for version %llu does not match its digest; requesting pages",
                          printable(answer.version));
             break;
         case DocumentSource::Applied::nothing:
@@ -160,17 +160,18 @@
 
 void Relay::on_superseded(std::uint64_t last_incarnation) {
     if (had_lease_) {
-        superseded_reason_ = "another process goes by the name of relay " + config_.name;
+        superseded_reason_ = "another process uses the name of relay " + config_.name;
         return;
     }
-    // An earlier process of this name had a clock that was ahead.
+    // An earlier process of this name had a clock that was ahead, so a later incarnation is needed.
     incarnation_ = std::max(incarnation_, last_incarnation) + 1;
     reports_ = changes::ReportAggregator(config_.name, config_.zone, incarnation_, config_.max_followers,
                                          max_exceptions);
     followers_.forget_all();
 }
 
-// While the watch is between two calls, or retries at another fleet manager, the next call has the report.
+// If the watch is between two calls, or is retrying at another fleet manager, the next call carries the
+// report.
 void Relay::schedule_report() {
     if (!managers_.call_in_flight() || report_due_ != TimerQueue::none) return;
     const Nanos at = std::max(time_.now() + gather_window, called_at_ + call_interval);
@@ -190,9 +191,9 @@
     if (std::exchange(has_lease_, has_lease) == has_lease) return;
     had_lease_ |= has_lease;
     if (has_lease)
-        log_line("the stewards know it: it grants leases");
+        log_line("has a lease of the fleet managers; granting leases to followers");
     else
-        log_line("its lease is over: it hands on version %llu and grants nothing",
+        log_line("its lease has expired; serving version %llu without granting leases",
                  printable(documents_.copy().version()));
 }
 
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -1,9 +1,9 @@
-// One relay: followers call it over HTTP/1.1, and it calls the fleet managers. It hands the document's
-// versions down, and aggregates its followers' reports into one for all. Nothing is kept on disk.
+// One relay: followers call it over HTTP/1.1, and it calls the fleet managers. It distributes the versions of
+// the document and aggregates its followers' reports into one. It stores nothing on disk.
 //
-// What it grants to a follower is what is left of its own lease when it answers, so that no follower's lease
-// outlives the relay's. Without the fleet managers it serves the version that it has, and grants less and
-// less.
+// It grants a follower the rest of its own lease at the time of the answer, so that no follower's lease
+// outlives the relay's. While it cannot reach the fleet managers, it serves the version that it has, with
+// shorter and shorter leases.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,12 +21,13 @@
 
 namespace tealcart::relay {
 
+// Connects the follower service, the copy of the document and the watch on the fleet managers.
 class Relay final : private RequestHandler, private ChangeObserver, private DueHandler {
   public:
-    // Listens from here on. Throws boost::system::system_error where the address can't be had.
+    // Starts to listen. Throws boost::system::system_error if the address cannot be bound.
     Relay(boost::asio::io_context& io, const RelayConfig& config, std::uint64_t seed);
 
-    // Until SIGTERM; throws std::runtime_error where another process goes by its name.
+    // Runs until SIGTERM or SIGINT. Throws std::runtime_error if another process uses the relay's name.
     void run();
 
   private:
@@ -40,7 +41,7 @@
     void show_ready(Handle client);
     void show_status(Handle client);
     void apply(const ChangesAnswer& answer);
-    // Has the next report sent soon, where no call is about to be sent anyway.
+    // Schedules the next report, unless a call is about to be sent anyway.
     void schedule_report();
     void observe_lease();
 
@@ -55,14 +56,14 @@
     FollowerService followers_;
     ChangeWatch managers_;
     TimerQueue::Ticket report_due_ = TimerQueue::none;
-    std::vector<std::string> exceptions_;  // names in the last report
-    Nanos drift_ = 0, lease_ = 0;          // as the fleet managers stated them last
-    Nanos called_at_ = 0;                  // when the last call to them was made
+    std::vector<std::string> exceptions_;  // names of the followers listed as exceptions in the last report
+    Nanos drift_ = 0, lease_ = 0;          // as the fleet managers last stated them
+    Nanos called_at_ = 0;                  // when the fleet managers were last called
     bool stopping_ = false;
-    std::string superseded_reason_;  // why it can't go on; empty: it can
+    std::string superseded_reason_;  // why the relay has to stop; empty: it does not
     bool managers_answered_ = false;
     bool has_lease_ = false, had_lease_ = false;
-    bool wrong_digest_logged_ = false;  // since the last version
+    bool wrong_digest_logged_ = false;  // since the last applied version
 };
 
 }  // namespace tealcart::relay
--- a/src/relay/relay_config.cpp
+++ b/src/relay/relay_config.cpp
@@ -21,24 +21,24 @@
     BlockReader in(block, errors);
     config.name = in.label("the relay's name");
     if (!config.name.empty() && !is_name(config.name))
-        in.add_error(block.position, "the relay's name has blanks or over 128 letters");
+        in.add_error(block.position, "the relay's name must have 1 to 128 characters and no blanks");
     config.zone = in.string("zone", "");
     if (!is_name(config.zone))
-        in.add_error(block.position, "'zone' is not stated, or no name of up to 128 letters without blanks");
+        in.add_error(block.position, "'zone' must be a name of 1 to 128 characters without blanks");
     if (const auto at = parse_host_port(in.string("bind", "")))
         config.bind = *at;
     else
-        in.add_error(block.position, "'bind' is no address with a port");
+        in.add_error(block.position, "'bind' must be an address with a port");
     for (const std::string& manager : in.strings("stewards")) {
         const auto at = parse_host_port(manager);
         if (!at)
-            in.add_error(block.position, "the steward '" + manager + "' is no address with a port");
+            in.add_error(block.position, "the steward '" + manager + "' must be an address with a port");
         else if (std::find(config.managers.begin(), config.managers.end(), *at) != config.managers.end())
-            in.add_error(block.position, "the steward '" + manager + "' stands there twice");
+            in.add_error(block.position, "the steward '" + manager + "' is listed twice");
         else
             config.managers.push_back(*at);
     }
-    if (config.managers.empty()) in.add_error(block.position, "'stewards' names none");
+    if (config.managers.empty()) in.add_error(block.position, "'stewards' must list at least one address");
     config.max_followers = static_cast<std::size_t>(
         in.integer("most_followers", static_cast<std::int64_t>(config.max_followers), 1, 5000));
     config.page_bytes = in.byte_size("page_bytes", config.page_bytes, 4 * 1024, 1024 * 1024);
@@ -58,7 +58,7 @@
     if (const HclBlock* relay = in.single_block("relay"))
         read_relay(*relay, errors, config);
     else
-        in.add_error(root.position, "there is no 'relay' block");
+        in.add_error(root.position, "the 'relay' block is missing");
     in.reject_unknown();
     throw_if_any(source, std::move(errors));
     return config;
@@ -67,7 +67,7 @@
 RelayConfig read_relay_file(const std::string& path) {
     std::ifstream file(path);
     std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("the relay's file " + path + " can't be read");
+    if (!file) throw ConfigError("cannot read the relay's file " + path);
     return read_relay_config(text, path);
 }
 
--- a/src/relay/relay_config.hpp
+++ b/src/relay/relay_config.hpp
@@ -1,4 +1,4 @@
-// The file that operators write for a relay (deploy/relay.hcl shows it). docs/changes.md lists its block.
+// Reads the operators' file of a relay. deploy/relay.hcl is an example, and docs/changes.md lists the block.
 #pragma once
 
 #include <string>
@@ -10,10 +10,11 @@
 
 namespace tealcart::relay {
 
+// The contents of a relay's file.
 struct RelayConfig {
     std::string source, name, zone;
     HostPort bind;                   // where followers reach it
-    std::vector<HostPort> managers;  // their `http` addresses
+    std::vector<HostPort> managers;  // the `http` addresses of the fleet managers
     std::size_t max_followers = 1000;
     std::size_t page_bytes =
         std::size_t{64} * 1024;  // of keys and values in a page, which has one entry at least
@@ -21,8 +22,8 @@
     LogConfig log;
 };
 
-// Throws HclErrors with every mistake.
+// Throws HclErrors with all mistakes of the text.
 RelayConfig read_relay_config(std::string_view text, std::string_view source);
-RelayConfig read_relay_file(const std::string& path);  // and ConfigError where it can't be read
+RelayConfig read_relay_file(const std::string& path);  // also throws ConfigError if it cannot be read
 
 }  // namespace tealcart::relay
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -1,5 +1,5 @@
-// A router's side of changes of configuration: what a version means and whether it is refused; and the whole
-// service on loopback against scripted relays.
+// A router that follows configuration changes: the settings that a version results in, its rejection, and the
+// whole service on loopback against scripted relays.
 #include <catch2/catch.hpp>
 #include <csignal>
 #include <filesystem>
@@ -19,7 +19,7 @@
 
 namespace {
 
-ConfigOverlay configuration_of(const std::string& file) {
+ConfigOverlay overlay_of(const std::string& file) {
     const OperatorConfig operators = read_operator_config(file, "f");
     const RouterConfig config = read_router_config(test::settings_text);
     const auto query_classes = read_connection_config(test::settings_text).query_classes;
@@ -27,79 +27,80 @@
         {operators.log, two_phase_by_query_class(operators, config, query_classes)}, config, query_classes};
 }
 
-ConfigOverlay::Settings settings_of(const ConfigOverlay& c, const Document& document) {
-    auto read = c.read(document);
-    if (const auto* refusal = std::get_if<ConfigOverlay::Rejection>(&read)) FAIL(refusal->reason);
+ConfigOverlay::Settings settings_of(const ConfigOverlay& overlay, const Document& document) {
+    auto read = overlay.read(document);
+    if (const auto* rejection = std::get_if<ConfigOverlay::Rejection>(&read)) FAIL(rejection->reason);
     return std::get<ConfigOverlay::Settings>(read);
 }
 
-std::string refusal_of(const ConfigOverlay& c, const Document& document) {
-    const auto read = c.read(document);
-    const auto* refusal = std::get_if<ConfigOverlay::Rejection>(&read);
-    return refusal == nullptr ? "none" : refusal->reason;
+std::string rejection_of(const ConfigOverlay& overlay, const Document& document) {
+    const auto read = overlay.read(document);
+    const auto* rejection = std::get_if<ConfigOverlay::Rejection>(&read);
+    return rejection == nullptr ? "none" : rejection->reason;
 }
 
 }  // namespace
 
-TEST_CASE("an entry replaces the file's block of its name, and without it that block holds again") {
-    const ConfigOverlay c =
-        configuration_of("log { level = \"warn\" }\ntwo_phase \"part\" {\n share = 0.4\n keep = \"7ms\"\n}");
-    CHECK(settings_of(c, {}).log.level == LogLevel::warn);
-    CHECK(settings_of(c, {}).phases[0].first_phase_share == 0.4);
-    const auto with = settings_of(c, {{"log", "format = \"json\""}, {"two_phase.part", "share = 0.5\n"}});
+TEST_CASE("an entry replaces the file's block of its name, and without the entry that block applies again") {
+    const ConfigOverlay overlay =
+        overlay_of("log { level = \"warn\" }\ntwo_phase \"part\" {\n share = 0.4\n keep = \"7ms\"\n}");
+    CHECK(settings_of(overlay, {}).log.level == LogLevel::warn);
+    CHECK(settings_of(overlay, {}).phases[0].first_phase_share == 0.4);
+    const auto with =
+        settings_of(overlay, {{"log", "format = \"json\""}, {"two_phase.part", "share = 0.5\n"}});
     CHECK(with.log.level == LogLevel::info);  // the whole block is replaced
     CHECK(with.log.format == LogFormat::json);
     CHECK(with.phases[0].enabled);
     CHECK(with.phases[0].first_phase_share == 0.5);
     CHECK(with.phases[0].response_reserve == TwoPhaseConfig().response_reserve);
     CHECK_FALSE(with.phases[1].enabled);
-    CHECK(settings_of(c, {}).phases[0].response_reserve == 7 * ms);
-    CHECK(settings_of(configuration_of(""), {{"two_phase.part", ""}}).phases[0].enabled);
+    CHECK(settings_of(overlay, {}).phases[0].response_reserve == 7 * ms);
+    CHECK(settings_of(overlay_of(""), {{"two_phase.part", ""}}).phases[0].enabled);
 }
 
-TEST_CASE(
-    "a document with any mistake is refused as a whole, every mistake named by entry, line and column") {
-    const ConfigOverlay c = configuration_of("");
+TEST_CASE("a document with mistakes is rejected as a whole, with entry, line and column of each") {
+    const ConfigOverlay overlay = overlay_of("");
     for (const char* block : {"member", "calls", "section_memory", "control"})
-        CHECK(refusal_of(c, {{block, "parts = 2"}}) ==
+        CHECK(rejection_of(overlay, {{block, "parts = 2"}}) ==
               "block " + std::string(block) + " holds at the start only");
-    CHECK(refusal_of(c, {{"calls.x", ""}}) == "block calls holds at the start only");
-    CHECK(refusal_of(c, {{"calls", "parts = 2"},
-                         {"log", "\n level = \"loud\""},
-                         {"two_phase.keyed", ""},
-                         {"two_phase.other", ""},
-                         {"two_phase.part", "share = 0.95\nleast = 5"}}) ==
+    CHECK(rejection_of(overlay, {{"calls.x", ""}}) == "block calls holds at the start only");
+    CHECK(rejection_of(overlay, {{"calls", "parts = 2"},
+                                 {"log", "\n level = \"loud\""},
+                                 {"two_phase.keyed", ""},
+                                 {"two_phase.other", ""},
+                                 {"two_phase.part", "share = 0.95\nleast = 5"}}) ==
           "block calls holds at the start only; "
           "log:2:10: 'level' is none of \"debug\", \"info\", \"warn\", \"error\"; "
           "two_phase.keyed:1:1: 'keyed' is not repeatable and can't be put in two phases; "
           "two_phase.other:1:1: the settings name no vertical 'other'; "
           "two_phase.part:1:9: 'share' is outside 0.01 to 0.9;"
           "two_phase.part:2:9: 'least' is a number, not a time such as \"250ms\"");
-    CHECK(refusal_of(c, {{"log.x", ""}}) == "log.x:1:1: a 'log' block has no label");
-    CHECK(refusal_of(c, {{"two_phase", ""}}) ==
+    CHECK(rejection_of(overlay, {{"log.x", ""}}) == "log.x:1:1: a 'log' block has no label");
+    CHECK(rejection_of(overlay, {{"two_phase", ""}}) ==
           "two_phase:1:1: a 'two_phase' block has one label, the vertical's name");
-    CHECK(refusal_of(c, {{"sharding", ""}}) == "sharding:1:1: a block 'sharding' is not known here");
-    CHECK(refusal_of(c, {{"", ""}}) != "none");
-    CHECK(refusal_of(c, {{"log", "level = "}}).rfind("log:1:", 0) == 0);
-    CHECK(refusal_of(c, {{"log", "level = \"info\" } two_phase \"part\" {"}}).rfind("log:1:", 0) == 0);
+    CHECK(rejection_of(overlay, {{"sharding", ""}}) == "sharding:1:1: a block 'sharding' is not known here");
+    CHECK(rejection_of(overlay, {{"", ""}}) != "none");
+    CHECK(rejection_of(overlay, {{"log", "level = "}}).rfind("log:1:", 0) == 0);
+    CHECK(rejection_of(overlay, {{"log", "level = \"info\" } two_phase \"part\" {"}}).rfind("log:1:", 0) ==
+          0);
     Document many;
     for (int i = 0; i < 1000; ++i) many["two_phase.v" + std::to_string(i)] = "";
-    CHECK(refusal_of(c, many).size() == ConfigOverlay::max_reason);
+    CHECK(rejection_of(overlay, many).size() == ConfigOverlay::max_reason);
 }
 
-TEST_CASE("how many entries changed is counted against the version that was acted on before") {
-    ConfigOverlay c = configuration_of("");
-    CHECK(c.on_applied({{"log", ""}, {"two_phase.part", ""}}) == 2);
-    CHECK(c.on_applied({{"log", ""}, {"two_phase.part", "share = 0.5"}}) == 1);
-    CHECK(c.on_applied({{"log", ""}, {"two_phase.part", "share = 0.5"}}) == 0);
-    CHECK(c.on_applied({}) == 2);
+TEST_CASE("changed entries are counted against the previously applied version") {
+    ConfigOverlay overlay = overlay_of("");
+    CHECK(overlay.on_applied({{"log", ""}, {"two_phase.part", ""}}) == 2);
+    CHECK(overlay.on_applied({{"log", ""}, {"two_phase.part", "share = 0.5"}}) == 1);
+    CHECK(overlay.on_applied({{"log", ""}, {"two_phase.part", "share = 0.5"}}) == 0);
+    CHECK(overlay.on_applied({}) == 2);
 }
 
 namespace {
 
-// A relay: holds calls until there is a later version or their wait is over, and keeps all it was told.
+// A relay that delays answers until there is a later version or the wait has ended, and records all calls.
 struct ScriptedRelay {
-    struct Held {
+    struct PendingCall {
         FollowerCall call;
         std::shared_ptr<TestConnection> peer;
         std::unique_ptr<boost::asio::steady_timer> timer;
@@ -107,7 +108,8 @@
 
     explicit ScriptedRelay(boost::asio::io_context& context)
         : io(context),
-          door(std::make_unique<test::FakeServer>(io, [this](TestConnection& peer) { on_bytes(peer); })) {}
+          listener(std::make_unique<test::FakeServer>(io, [this](TestConnection& peer) { on_bytes(peer); })) {
+    }
 
     void on_bytes(TestConnection& peer) {
         auto& reader = readers[&peer];
@@ -119,22 +121,22 @@
             REQUIRE(call);
             reader->next();
             calls.push_back(*call);
-            if (mute) continue;
+            if (silent) continue;
             if (call->leaving || call->position.wants_pages || call->position.known_version < version() ||
                 calls.size() == 1)
                 answer(*call, peer);
             else
-                hold(*call, peer);
+                delay_answer(*call, peer);
         }
     }
-    void hold(const FollowerCall& call, TestConnection& peer) {
-        const auto h = std::make_shared<Held>();
+    void delay_answer(const FollowerCall& call, TestConnection& peer) {
+        const auto h = std::make_shared<PendingCall>();
         h->call = call, h->peer = peer.shared_from_this();
         h->timer =
             std::make_unique<boost::asio::steady_timer>(io, std::chrono::nanoseconds(call.position.wait));
-        held.push_back(h);
+        pending.push_back(h);
         h->timer->async_wait([this, h](auto ec) {
-            if (!ec && std::erase(held, h) > 0) answer(h->call, *h->peer);
+            if (!ec && std::erase(pending, h) > 0) answer(h->call, *h->peer);
         });
     }
     void answer(const FollowerCall& call, TestConnection& peer) {
@@ -142,9 +144,9 @@
         a.version = version();
         a.lease = lease;
         const Document& latest = documents.back();
-        const std::uint64_t digest = changes::digest_of(latest) + (spoils_pages ? 1 : 0);
+        const std::uint64_t digest = changes::digest_of(latest) + (corrupts_pages ? 1 : 0);
         if (call.position.wants_pages && version() > 0) {
-            // One entry a page.
+            // Each page has one entry.
             const auto next = latest.upper_bound(call.position.after);
             a.page = changes::Page{version(), digest, call.position.after, {}, true};
             if (next != latest.end()) {
@@ -154,7 +156,7 @@
         } else if (call.position.known_version < version()) {
             a.delta =
                 changes::Delta{call.position.known_version, version(), {}, {}, changes::digest_of(latest)};
-            if (spoils_deltas) ++a.delta->digest;
+            if (corrupts_deltas) ++a.delta->digest;
             const Document& before = documents[call.position.known_version];
             for (const auto& [key, value] : latest)
                 if (!before.contains(key) || before.at(key) != value) a.delta->set[key] = value;
@@ -166,27 +168,27 @@
     }
     void publish(const Document& document) {
         documents.push_back(document);
-        for (const auto& h : std::exchange(held, {})) h->timer->cancel(), answer(h->call, *h->peer);
+        for (const auto& h : std::exchange(pending, {})) h->timer->cancel(), answer(h->call, *h->peer);
     }
-    void die() {
-        held.clear();
-        for (const auto& peer : door->peers) peer->reset();
-        door->close();
+    void disconnect() {
+        pending.clear();
+        for (const auto& peer : listener->peers) peer->reset();
+        listener->close();
     }
     std::uint64_t version() const { return documents.size() - 1; }
-    bool heard(std::uint64_t applied_version, std::uint64_t refused = 0) const {
+    bool last_report_is(std::uint64_t applied_version, std::uint64_t refused = 0) const {
         return !calls.empty() && calls.back().report.applied_version == applied_version &&
                calls.back().report.refused_version == refused;
     }
 
     boost::asio::io_context& io;
-    std::unique_ptr<test::FakeServer> door;
+    std::unique_ptr<test::FakeServer> listener;
     std::map<TestConnection*, std::unique_ptr<RequestReader>> readers;
     std::vector<Document> documents = {{}};
     std::vector<FollowerCall> calls;
-    std::vector<std::shared_ptr<Held>> held;
+    std::vector<std::shared_ptr<PendingCall>> pending;
     Nanos lease = 2000 * ms;
-    bool mute = false, spoils_deltas = false, spoils_pages = false;
+    bool silent = false, corrupts_deltas = false, corrupts_pages = false;
 };
 
 std::string fleet_text(const std::string& more = "", const std::string& each = "") {
@@ -196,23 +198,24 @@
     return text;
 }
 
-struct World {
+struct FollowerFixture {
     boost::asio::io_context io{1};
     Fleet fleet;
     std::vector<std::unique_ptr<ScriptedRelay>> relays;
     std::unique_ptr<Service> service;
     std::vector<ClientResponse> answers;
     std::unique_ptr<Client> client;
-    int asked = 0;
+    int query_count = 0;
 
-    // `member`: further attributes of the member block, which stands where there are relays.
-    explicit World(int count, const std::string& script = fleet_text(), const std::string& file = "",
-                   const std::string& member = "", const std::string& step = "5.0", bool starts = true)
+    // `member`: further attributes of the member block, which is present if there are relays.
+    explicit FollowerFixture(int count, const std::string& script = fleet_text(),
+                             const std::string& file = "", const std::string& member = "",
+                             const std::string& step = "5.0", bool starts = true)
         : fleet(io, read_script(script, "script")) {
         std::string list;
         for (int i = 0; i < count; ++i) {
             relays.push_back(std::make_unique<ScriptedRelay>(io));
-            list += (i > 0 ? ", \"" : "\"") + relays.back()->door->address() + "\"";
+            list += (i > 0 ? ", \"" : "\"") + relays.back()->listener->address() + "\"";
         }
         operators = file;
         if (count > 0) operators += "\nmember {\n relays = [" + list + "]\n" + member + "\n}\n";
@@ -220,11 +223,11 @@
         if (starts) start();
     }
     void start() {
-        service = std::make_unique<Service>(io, [this] { return launch(); });
+        service = std::make_unique<Service>(io, [this] { return startup_config(); });
         client = std::make_unique<Client>(io, service->port(),
                                           [this](ClientResponse a) { answers.push_back(std::move(a)); });
     }
-    StartupConfig launch() {
+    StartupConfig startup_config() {
         const std::string settings =
             R"({"extra":{"places":4,"ranges":8,"width":2,"floor_by_class":[0.4,1.0],"complete_from":[1.0,1.0],)"
             R"("parts_a_call":8},"limits":{"send_cap":3,"connect_timeout":250.0,"idle_close":30000.0,)"
@@ -235,13 +238,13 @@
             R"(,"services":[{"name":"part","promise":1400.0,"deadline":3000.0,"semantics":"repeatable",)"
             R"("late_worth":0.5},{"name":"keyed","promise":1400.0,"deadline":3000.0,"repeat_window":3000.0,)"
             R"("semantics":"by_key"}]})";
-        StartupConfig made = read_startup_config(
+        StartupConfig startup = read_startup_config(
             R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + fleet.discovery.address() +
             R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
             fleet.entries() + "]},\"settings\":" + settings + "}");
-        made.listen.port = 0;
-        if (!operators.empty()) apply_operator_config(made, read_operator_config(operators, "operators"));
-        return made;
+        startup.listen.port = 0;
+        if (!operators.empty()) apply_operator_config(startup, read_operator_config(operators, "operators"));
+        return startup;
     }
     template <typename Happened>
     void until(Happened happened) {
@@ -255,8 +258,8 @@
         const auto end = std::chrono::steady_clock::now() + span;
         while (std::chrono::steady_clock::now() < end) service->turn();
     }
-    // The relay that the router calls.
-    ScriptedRelay& called() {
+    // Waits until the router calls a relay, and returns that relay.
+    ScriptedRelay& followed_relay() {
         until([&] {
             return std::any_of(relays.begin(), relays.end(), [](auto& r) { return !r->calls.empty(); });
         });
@@ -264,10 +267,10 @@
             if (!r->calls.empty()) return *r;
         return *relays[0];
     }
-    ClientQuery asking(int rows = 5) {
+    ClientQuery new_query(int rows = 5) {
         ClientQuery a;
         a.query_class = "part";
-        a.id = "q" + std::to_string(++asked);
+        a.id = "q" + std::to_string(++query_count);
         a.deadline_ms = 3000;
         a.find.terms = {"wanted"};
         a.find.rows = rows;
@@ -280,7 +283,7 @@
         until([&] { return answers.size() > before; });
         return answers.back();
     }
-    bool ready() {
+    bool is_ready() {
         const auto peer = test::connect_to(io, service->port());
         peer->send("GET /-/ready HTTP/1.1\r\n\r\n");
         until([&] { return peer->received.find("\r\n\r\n") != std::string::npos; });
@@ -299,262 +302,268 @@
 
 }  // namespace
 
-TEST_CASE("a version is taken over as a whole, said to be acted on, and gone back from by a further one") {
-    World w(2);
-    ScriptedRelay& relay = w.called();
+TEST_CASE("a version is applied as a whole and reported, and a further version reverts it") {
+    FollowerFixture fixture(2);
+    ScriptedRelay& relay = fixture.followed_relay();
     CHECK(relay.calls[0].report.name == "r");
     CHECK(relay.calls[0].report.incarnation > 0);
     CHECK(relay.calls[0].report.applied_version == 0);
     CHECK(relay.calls[0].report.lease_grace == MemberConfig().lease_grace);
-    w.ask(w.asking());
-    CHECK(w.counts().queries == 0);
+    fixture.ask(fixture.new_query());
+    CHECK(fixture.counts().queries == 0);
     relay.publish({{"log", "level = \"warn\""}, {"two_phase.part", "audit = 0"}});
-    w.until([&] { return relay.heard(1); });
+    fixture.until([&] { return relay.last_report_is(1); });
     CHECK(relay.calls.back().position.known_version == 1);
     CHECK(relay.calls.back().position.digest == changes::digest_of(relay.documents[1]));
-    ClientResponse got = w.ask(w.asking());
+    ClientResponse got = fixture.ask(fixture.new_query());
     CHECK(got.status == 200);
     CHECK(got.whole);
-    CHECK(w.counts().queries == 1);
-    CHECK(w.fleet.work().summaries == 8);  // the data nodes were told of before two phases came on
+    CHECK(fixture.counts().queries == 1);
+    CHECK(fixture.fleet.work().summaries ==
+          8);  // the data nodes were discovered before the two-phase setting
     relay.publish({{"two_phase.part", "audit = 1"}});
-    w.until([&] { return relay.heard(2); });
-    CHECK(w.ask(w.asking()).pruned.sections == 0);
+    fixture.until([&] { return relay.last_report_is(2); });
+    CHECK(fixture.ask(fixture.new_query()).pruned.sections == 0);
     relay.publish({});
-    w.until([&] { return relay.heard(3); });
-    CHECK(w.ask(w.asking()).status == 200);
-    CHECK(w.counts().queries == 2);
+    fixture.until([&] { return relay.last_report_is(3); });
+    CHECK(fixture.ask(fixture.new_query()).status == 200);
+    CHECK(fixture.counts().queries == 2);
 }
 
-TEST_CASE("a version counts as acted on once the round after it has been played") {
-    World w(1, fleet_text("", "call_delay = \"900ms\"\n"), "", "", "300.0");
-    ScriptedRelay& relay = w.called();
-    w.until([&] { return w.service->dispatcher().begun() && !relay.held.empty(); });
-    // Right after a round, so that the next one is a step away.
-    w.client->ask(w.asking());
-    w.until([&] { return w.service->dispatcher().attempts_in_flight() > 0; });
-    Client second(w.io, w.service->port(), [](ClientResponse) {});
-    second.ask(w.asking());
-    const std::size_t held = w.service->dispatcher().unfinished_count(),
-                      out = w.service->dispatcher().attempts_in_flight();
-    w.until([&] { return w.service->dispatcher().unfinished_count() > held; });
+TEST_CASE("a version counts as applied after the next round") {
+    FollowerFixture fixture(1, fleet_text("", "call_delay = \"900ms\"\n"), "", "", "300.0");
+    ScriptedRelay& relay = fixture.followed_relay();
+    fixture.until([&] { return fixture.service->dispatcher().begun() && !relay.pending.empty(); });
+    // The first query starts right after a round, so that the next round is a whole step away.
+    fixture.client->ask(fixture.new_query());
+    fixture.until([&] { return fixture.service->dispatcher().attempts_in_flight() > 0; });
+    Client second(fixture.io, fixture.service->port(), [](ClientResponse) {});
+    second.ask(fixture.new_query());
+    const std::size_t pending = fixture.service->dispatcher().unfinished_count(),
+                      out = fixture.service->dispatcher().attempts_in_flight();
+    fixture.until([&] { return fixture.service->dispatcher().unfinished_count() > pending; });
     relay.publish({{"log", "level = \"info\""}});
-    w.until([&] {
-        if (w.service->dispatcher().attempts_in_flight() == out) CHECK(w.follower().applied_version() == 0);
-        return w.follower().applied_version() == 1;
+    fixture.until([&] {
+        if (fixture.service->dispatcher().attempts_in_flight() == out)
+            CHECK(fixture.follower().applied_version() == 0);
+        return fixture.follower().applied_version() == 1;
     });
-    CHECK(w.service->dispatcher().attempts_in_flight() > out);
+    CHECK(fixture.service->dispatcher().attempts_in_flight() > out);
     for (const FollowerCall& call : relay.calls) CHECK(call.report.applied_version == 0);
-    w.until([&] { return relay.heard(1); });
+    fixture.until([&] { return relay.last_report_is(1); });
 }
 
-TEST_CASE("a query in two phases that is in hand at a change ends by the terms it began with") {
-    World w(1, fleet_text("matching = 0.5\n", "word_delay = \"150ms\"\n"));
-    ScriptedRelay& relay = w.called();
+TEST_CASE("a two-phase query in progress at a change ends with the settings it began with") {
+    FollowerFixture fixture(1, fleet_text("matching = 0.5\n", "word_delay = \"150ms\"\n"));
+    ScriptedRelay& relay = fixture.followed_relay();
     relay.publish({{"two_phase.part", ""}});
-    w.until([&] { return relay.heard(1); });
-    w.client->ask(w.asking());
-    w.until([&] { return w.fleet.work().summaries == 8; });
-    SECTION("sections are audited from now on") {
+    fixture.until([&] { return relay.last_report_is(1); });
+    fixture.client->ask(fixture.new_query());
+    fixture.until([&] { return fixture.fleet.work().summaries == 8; });
+    SECTION("the new version audits all sections") {
         relay.publish({{"two_phase.part", "audit = 1"}});
-        w.until([&] { return w.follower().applied_version() == 2; });
-        REQUIRE(w.answers.empty());
-        w.until([&] { return !w.answers.empty(); });
-        CHECK(w.answers[0].whole);
-        CHECK(w.answers[0].pruned.sections > 0);
-        CHECK(w.ask(w.asking()).pruned.sections == 0);
+        fixture.until([&] { return fixture.follower().applied_version() == 2; });
+        REQUIRE(fixture.answers.empty());
+        fixture.until([&] { return !fixture.answers.empty(); });
+        CHECK(fixture.answers[0].whole);
+        CHECK(fixture.answers[0].pruned.sections > 0);
+        CHECK(fixture.ask(fixture.new_query()).pruned.sections == 0);
     }
-    SECTION("there are no two phases from now on") {
+    SECTION("the new version turns two-phase queries off") {
         relay.publish({});
-        w.until([&] { return w.follower().applied_version() == 2; });
-        REQUIRE(w.answers.empty());
-        w.until([&] { return !w.answers.empty(); });
-        CHECK(w.answers[0].whole);
-        CHECK(w.answers[0].pruned.sections > 0);
-        CHECK(w.ask(w.asking()).status == 200);
-        CHECK(w.counts().queries == 1);
+        fixture.until([&] { return fixture.follower().applied_version() == 2; });
+        REQUIRE(fixture.answers.empty());
+        fixture.until([&] { return !fixture.answers.empty(); });
+        CHECK(fixture.answers[0].whole);
+        CHECK(fixture.answers[0].pruned.sections > 0);
+        CHECK(fixture.ask(fixture.new_query()).status == 200);
+        CHECK(fixture.counts().queries == 1);
     }
 }
 
-TEST_CASE("a wrong document is refused with the reason; the version it has is acted on, and queries go on") {
-    World w(1);
-    ScriptedRelay& relay = w.called();
+TEST_CASE(
+    "an invalid document is rejected with the reason; the applied version stays, and queries continue") {
+    FollowerFixture fixture(1);
+    ScriptedRelay& relay = fixture.followed_relay();
     relay.publish({{"two_phase.part", ""}});
-    w.until([&] { return relay.heard(1); });
+    fixture.until([&] { return relay.last_report_is(1); });
     relay.publish({{"two_phase.part", "audit = 1"}, {"calls", "parts = 2"}, {"log", "level = \"loud\""}});
-    w.until([&] { return relay.heard(1, 2); });
+    fixture.until([&] { return relay.last_report_is(1, 2); });
     CHECK(relay.calls.back().position.known_version == 2);
     CHECK(relay.calls.back().report.refusal_reason.find(
               "block calls holds at the start only; log:1:9: 'level' is none of") == 0);
-    w.ask(w.asking());
-    CHECK(w.ask(w.asking()).pruned.sections > 0);  // no part of it was applied
-    CHECK(w.counts().queries == 2);
-    CHECK(w.ready());
-    SECTION("a further version with the old content is taken over") {
+    fixture.ask(fixture.new_query());
+    CHECK(fixture.ask(fixture.new_query()).pruned.sections >
+          0);  // no part of the rejected document was applied
+    CHECK(fixture.counts().queries == 2);
+    CHECK(fixture.is_ready());
+    SECTION("a further version with the old content is applied") {
         relay.publish(relay.documents[1]);
-        w.until([&] { return relay.heard(3); });
+        fixture.until([&] { return relay.last_report_is(3); });
         CHECK(relay.calls.back().report.refusal_reason.empty());
     }
-    SECTION("another wrong one is refused in its turn") {
+    SECTION("another invalid version is rejected too") {
         relay.publish({{"sharding", ""}});
-        w.until([&] { return relay.heard(1, 3); });
+        fixture.until([&] { return relay.last_report_is(1, 3); });
         CHECK(relay.calls.back().report.refusal_reason ==
               "sharding:1:1: a block 'sharding' is not known here");
     }
 }
 
-TEST_CASE("what does not fit its digest changes nothing; the document is asked for in pages") {
-    World w(1);
-    ScriptedRelay& relay = w.called();
+TEST_CASE("a delta with a wrong digest changes nothing, and the document is requested in pages") {
+    FollowerFixture fixture(1);
+    ScriptedRelay& relay = fixture.followed_relay();
     relay.publish({{"log", "level = \"info\""}});
-    w.until([&] { return relay.heard(1); });
-    relay.spoils_deltas = true;
-    SECTION("which fit") {
+    fixture.until([&] { return relay.last_report_is(1); });
+    relay.corrupts_deltas = true;
+    SECTION("pages with the right digest are applied") {
         relay.publish({{"log", "level = \"debug\""}, {"two_phase.part", "audit = 1"}});
-        w.until([&] { return relay.heard(2); });
+        fixture.until([&] { return relay.last_report_is(2); });
         std::vector<std::string> after;
         for (const FollowerCall& call : relay.calls)
             if (call.position.wants_pages) after.push_back(call.position.after);
         CHECK(after == std::vector<std::string>{"", "log"});
-        w.ask(w.asking());
-        CHECK(w.counts().queries == 1);
+        fixture.ask(fixture.new_query());
+        CHECK(fixture.counts().queries == 1);
     }
-    SECTION("which don't either: it is not asked again at once") {
-        relay.spoils_pages = true;
+    SECTION("pages with a wrong digest are not requested again at once") {
+        relay.corrupts_pages = true;
         relay.publish({{"two_phase.part", "audit = 1"}});
-        w.until([&] { return relay.calls.back().position.wants_pages; });
+        fixture.until([&] { return relay.calls.back().position.wants_pages; });
         const std::size_t before = relay.calls.size();
-        w.run_for(std::chrono::milliseconds(1000));
+        fixture.run_for(std::chrono::milliseconds(1000));
         CHECK(relay.calls.size() - before <= 6);
-        CHECK(w.follower().applied_version() == 1);
-        CHECK(w.follower().refused_version() == 0);
-        relay.spoils_pages = false;
-        w.until([&] { return relay.heard(2); });
+        CHECK(fixture.follower().applied_version() == 1);
+        CHECK(fixture.follower().refused_version() == 0);
+        relay.corrupts_pages = false;
+        fixture.until([&] { return relay.last_report_is(2); });
     }
 }
 
-TEST_CASE("a relay that dies is followed by the next, and an older version is never taken") {
-    World w(2);
-    ScriptedRelay& first = w.called();
-    ScriptedRelay& other = &first == w.relays[0].get() ? *w.relays[1] : *w.relays[0];
+TEST_CASE("after its relay disconnects the router follows the next, and never applies an older version") {
+    FollowerFixture fixture(2);
+    ScriptedRelay& first = fixture.followed_relay();
+    ScriptedRelay& other = &first == fixture.relays[0].get() ? *fixture.relays[1] : *fixture.relays[0];
     other.documents = {{}, {{"log", "level = \"debug\""}}};
     const std::uint64_t incarnation = first.calls[0].report.incarnation;
     for (const char* level : {"warn", "error", "info"})
         first.publish({{"log", std::string("level = \"") + level + "\""}});
-    w.until([&] { return first.heard(3); });
-    first.die();
-    w.until([&] { return other.calls.size() >= 3; });
+    fixture.until([&] { return first.last_report_is(3); });
+    first.disconnect();
+    fixture.until([&] { return other.calls.size() >= 3; });
     for (const FollowerCall& call : other.calls) {
         CHECK(call.report.incarnation == incarnation);
         CHECK(call.report.applied_version == 3);
         CHECK(call.position.known_version == 3);
     }
-    CHECK(w.ready());
+    CHECK(fixture.is_ready());
     other.documents = first.documents;
     other.publish({{"two_phase.part", ""}});
-    w.until([&] { return other.heard(4); });
+    fixture.until([&] { return other.last_report_is(4); });
 }
 
-TEST_CASE("a relay that grants no lease any more is passed over once the router's own is over") {
-    World w(2);
-    ScriptedRelay& first = w.called();
-    ScriptedRelay& other = &first == w.relays[0].get() ? *w.relays[1] : *w.relays[0];
+TEST_CASE("a relay that grants no lease is left once the router's own lease has expired") {
+    FollowerFixture fixture(2);
+    ScriptedRelay& first = fixture.followed_relay();
+    ScriptedRelay& other = &first == fixture.relays[0].get() ? *fixture.relays[1] : *fixture.relays[0];
     first.lease = 300 * ms;
     first.publish({{"log", ""}});
-    w.until([&] { return first.heard(1); });
+    fixture.until([&] { return first.last_report_is(1); });
     other.documents = first.documents;
     first.lease = 0;
-    w.until([&] { return !other.calls.empty(); });
+    fixture.until([&] { return !other.calls.empty(); });
     CHECK(other.calls[0].report.applied_version == 1);
     const std::size_t before = first.calls.size();
-    w.until([&] { return other.calls.size() >= 3; });
+    fixture.until([&] { return other.calls.size() >= 3; });
     CHECK(first.calls.size() == before);
-    CHECK(w.ready());
+    CHECK(fixture.is_ready());
 }
 
-TEST_CASE("it is not ready before the relays' first word and what that tells of, or the time for it") {
-    World w(1, fleet_text(), "", "config_first_word = \"1500ms\"", "5.0", false);
-    ScriptedRelay& relay = *w.relays[0];
-    const std::string how = GENERATE("speaks", "is silent", "has no lease", "spoils");
+TEST_CASE("a router is not ready before it applies the relays' first answer, or the startup wait ends") {
+    FollowerFixture fixture(1, fleet_text(), "", "config_first_word = \"1500ms\"", "5.0", false);
+    ScriptedRelay& relay = *fixture.relays[0];
+    const std::string how = GENERATE("answers", "is silent", "has no lease", "sends a wrong digest");
     relay.publish({{"two_phase.part", ""}});
-    relay.mute = true;
-    w.start();
+    relay.silent = true;
+    fixture.start();
     const auto began = std::chrono::steady_clock::now();
-    w.until([&] { return w.service->dispatcher().begun() && !relay.calls.empty(); });
-    CHECK_FALSE(w.ready());
-    CHECK(w.ask(w.asking()).status == 200);  // what comes is served
+    fixture.until([&] { return fixture.service->dispatcher().begun() && !relay.calls.empty(); });
+    CHECK_FALSE(fixture.is_ready());
+    CHECK(fixture.ask(fixture.new_query()).status == 200);  // queries that arrive are served
     if (how == "has no lease") relay.lease = 0;
-    relay.spoils_deltas = how == "spoils";
-    if (how != "is silent") relay.answer(relay.calls[0], *relay.door->peers[0]);
-    if (how == "spoils") w.until([&] { return relay.calls.size() > 1; });  // and its pages are not answered
-    const std::uint64_t version = how == "speaks" || how == "has no lease" ? 1 : 0;
-    w.until([&] { return w.follower().applied_version() == version; });
-    if (how == "speaks") {
-        w.until([&] { return w.ready(); });
+    relay.corrupts_deltas = how == "sends a wrong digest";
+    if (how != "is silent") relay.answer(relay.calls[0], *relay.listener->peers[0]);
+    if (how == "sends a wrong digest")
+        fixture.until([&] { return relay.calls.size() > 1; });  // requests for pages are not answered
+    const std::uint64_t version = how == "answers" || how == "has no lease" ? 1 : 0;
+    fixture.until([&] { return fixture.follower().applied_version() == version; });
+    if (how == "answers") {
+        fixture.until([&] { return fixture.is_ready(); });
     } else {
-        CHECK_FALSE(w.ready());
-        w.until([&] { return w.ready(); });
+        CHECK_FALSE(fixture.is_ready());
+        fixture.until([&] { return fixture.is_ready(); });
         CHECK(std::chrono::steady_clock::now() - began >= std::chrono::milliseconds(1400));
     }
-    CHECK(w.follower().applied_version() == version);
+    CHECK(fixture.follower().applied_version() == version);
 }
 
-TEST_CASE("asked to stop it says farewell, and waits for no relay that is silent") {
+TEST_CASE("a router that stops reports that it leaves, and does not wait for a silent relay") {
     const bool silent = GENERATE(false, true);
-    World w(1);
-    ScriptedRelay& relay = w.called();
+    FollowerFixture fixture(1);
+    ScriptedRelay& relay = fixture.followed_relay();
     relay.publish({{"log", ""}});
-    w.until([&] { return relay.heard(1); });
-    w.client->disconnect();
-    relay.mute = silent;
+    fixture.until([&] { return relay.last_report_is(1); });
+    fixture.client->disconnect();
+    relay.silent = silent;
     const auto began = std::chrono::steady_clock::now();
     std::raise(SIGTERM);
-    while (w.service->turn()) REQUIRE(std::chrono::steady_clock::now() - began < std::chrono::seconds(20));
+    while (fixture.service->turn())
+        REQUIRE(std::chrono::steady_clock::now() - began < std::chrono::seconds(20));
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(1500));
     CHECK(relay.calls.back().leaving);
     CHECK(relay.calls.back().report.applied_version == 1);
 }
 
-TEST_CASE("a relay that knows a later life: at the start another is taken, later the router is cut off") {
+TEST_CASE("superseded at the start the router takes a later incarnation, afterwards it is fenced") {
     const bool at_start = GENERATE(true, false);
-    World w(1, fleet_text(), "", "", "5.0", false);
-    ScriptedRelay& relay = *w.relays[0];
-    relay.mute = at_start;
-    w.start();
-    w.until([&] { return at_start ? !relay.calls.empty() : !relay.held.empty(); });
+    FollowerFixture fixture(1, fleet_text(), "", "", "5.0", false);
+    ScriptedRelay& relay = *fixture.relays[0];
+    relay.silent = at_start;
+    fixture.start();
+    fixture.until([&] { return at_start ? !relay.calls.empty() : !relay.pending.empty(); });
     const std::uint64_t incarnation = relay.calls[0].report.incarnation;
     const std::string body = R"({"life":9000000000000000000})";
-    relay.mute = false;
-    relay.door->peers[0]->send("HTTP/1.1 409 Conflict\r\nContent-Length: " + std::to_string(body.size()) +
-                               "\r\n\r\n" + body);
+    relay.silent = false;
+    relay.listener->peers[0]->send("HTTP/1.1 409 Conflict\r\nContent-Length: " + std::to_string(body.size()) +
+                                   "\r\n\r\n" + body);
     if (at_start) {
-        w.until([&] { return relay.calls.back().report.incarnation == 9000000000000000001; });
-        w.until([&] { return w.ready(); });
+        fixture.until([&] { return relay.calls.back().report.incarnation == 9000000000000000001; });
+        fixture.until([&] { return fixture.is_ready(); });
     } else {
-        w.until([&] { return !w.ready(); });
+        fixture.until([&] { return !fixture.is_ready(); });
         CHECK(relay.calls.back().report.incarnation == incarnation);
-        CHECK(w.ask(w.asking()).status == 503);
+        CHECK(fixture.ask(fixture.new_query()).status == 503);
     }
 }
 
-TEST_CASE("without relays there is no further descriptor, thread or message; with them one connection") {
+TEST_CASE("without relays there is no further descriptor or thread; with relays there is one connection") {
     struct Open {
         std::size_t descriptors, threads;
     };
-    // As the platform starts it, with an operators' file that names none, and with one that does.
+    // 0: no operators' file, 1: a file without relays, 2: a file with a relay.
     std::vector<Open> found;
     for (const int kind : {0, 1, 2}) {
         const Open before{entries("/proc/self/fd"), entries("/proc/self/task")};
-        World w(kind == 2 ? 1 : 0, fleet_text(), kind == 1 ? "log { level = \"info\" }" : "");
-        w.ask(w.asking());
-        w.ask(w.asking());
-        if (kind == 2) w.until([&] { return !w.relays[0]->held.empty(); });
-        CHECK((w.service->follower() == nullptr) == (kind < 2));
+        FollowerFixture fixture(kind == 2 ? 1 : 0, fleet_text(), kind == 1 ? "log { level = \"info\" }" : "");
+        fixture.ask(fixture.new_query());
+        fixture.ask(fixture.new_query());
+        if (kind == 2) fixture.until([&] { return !fixture.relays[0]->pending.empty(); });
+        CHECK((fixture.service->follower() == nullptr) == (kind < 2));
         found.push_back(
             {entries("/proc/self/fd") - before.descriptors, entries("/proc/self/task") - before.threads});
         if (kind < 2) continue;
-        // The relay's own two ends: its listening socket and the connection.
-        CHECK(w.relays[0]->door->peers.size() == 1);
+        // Subtract the relay's own descriptors: its listening socket and its end of the connection.
+        CHECK(fixture.relays[0]->listener->peers.size() == 1);
         found.back().descriptors -= 2;
     }
     CHECK(found[1].descriptors == found[0].descriptors);
