--- a/measure/drains.cpp
+++ b/measure/drains.cpp
@@ -150,7 +150,7 @@
         const auto done_line = [&](const char* word) -> TimePoint {
             for (std::size_t i = seen; i < rig.event_log.events.size(); ++i) {
                 const auto& e = rig.event_log.events[i];
-                if (e.who == "s" + std::to_string(rig.leader() + 1) && e.what.rfind(word, 0) == 0)
+                if (e.source == "s" + std::to_string(rig.leader() + 1) && e.message.rfind(word, 0) == 0)
                     return e.at;
             }
             return {};
--- a/measure/scale.cpp
+++ b/measure/scale.cpp
@@ -197,9 +197,9 @@
     print("still", r.still);
     if (r.still.lapses > 0)
         for (const EventLog::Event& e : rig.event_log.events)
-            if (e.who[0] == 's')
+            if (e.source[0] == 's')
                 std::printf("    %.3f %s: %s\n", std::chrono::duration<double>(e.at - began).count(),
-                            e.who.c_str(), e.what.c_str());
+                            e.source.c_str(), e.message.c_str());
     r.heard = true;
     for (int i = 0; i < drains; ++i) {
         r.drains.push_back(rig.drain(static_cast<std::uint32_t>(i) % rig.plan.known_nodes, Ms(40'000)));
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-Follower::Follower(boost::asio::io_context& io, EventClock& time, EventLog& event_log, std::string of,
-                   std::vector<HostPort> relays, Refuses refuses)
-    : name(std::move(of)), time_(time), event_log_(event_log), refuses_(std::move(refuses)),
+Follower::Follower(boost::asio::io_context& io, EventClock& time, EventLog& event_log,
+                   std::string follower_name, std::vector<HostPort> relays, Refuses refuses)
+    : name(std::move(follower_name)), time_(time), event_log_(event_log), refuses_(std::move(refuses)),
       incarnation_(start_of(time)),
       watch_(io, time, *this, follower_path, "relay", std::move(relays), 0, incarnation_) {
     watch_.start();
@@ -67,35 +67,35 @@
 }
 
 FleetRigOptions ChangeRig::fleet_rig_options() const {
-    FleetRigOptions r;
-    r.programs = options.programs;
-    r.routers = 1;
-    r.nodes = 4;
-    r.gap_ms = 500;
-    r.budgets = " changes {\n  lease = \"" + options.lease + "\"\n  drift = \"" + options.drift + "\"\n" +
-                options.changes + "\n }";
+    FleetRigOptions fleet;
+    fleet.programs = options.programs;
+    fleet.routers = 1;
+    fleet.nodes = 4;
+    fleet.gap_ms = 500;
+    fleet.budgets = " changes {\n  lease = \"" + options.lease + "\"\n  drift = \"" + options.drift + "\"\n" +
+                    options.changes + "\n }";
     std::string list;
     for (const std::uint16_t port : ports_)
         list += (list.empty() ? "\"" : ", \"") + std::string("127.0.0.1:") + std::to_string(port) + "\"";
-    if (options.router) r.member = " relays = [" + list + "]\n";
-    return r;
+    if (options.router) fleet.member = " relays = [" + list + "]\n";
+    return fleet;
 }
 
-ChangeRig::ChangeRig(boost::asio::io_context& in, ChangeRigOptions p)
-    : ports_(free_ports(p.relays)), options(std::move(p)), rig(in, fleet_rig_options()), io_(in),
-      timer_(std::make_unique<boost::asio::steady_timer>(in)) {
+ChangeRig::ChangeRig(boost::asio::io_context& io, ChangeRigOptions rig_options)
+    : ports_(free_ports(rig_options.relays)), options(std::move(rig_options)),
+      fleet_rig(io, fleet_rig_options()), io_(io), timer_(std::make_unique<boost::asio::steady_timer>(io)) {
     relays.resize(options.relays);
     std::string managers;
-    for (std::size_t i = 0; i < rig.options.managers; ++i)
-        managers += (managers.empty() ? "\"" : ", \"") + rig.manager_address(i) + "\"";
+    for (std::size_t i = 0; i < fleet_rig.options.managers; ++i)
+        managers += (managers.empty() ? "\"" : ", \"") + fleet_rig.manager_address(i) + "\"";
     for (std::size_t i = 0; i < options.relays; ++i) {
-        rig.directory.write("relay" + std::to_string(i) + ".hcl",
-                            "relay \"relay" + std::to_string(i) +
-                                "\" {\n zone = \"a\"\n bind = \"127.0.0.1:" + std::to_string(ports_[i]) +
-                                "\"\n stewards = [" + managers + "]\n" + options.relay + "\n}\n");
+        fleet_rig.directory.write(
+            "relay" + std::to_string(i) + ".hcl",
+            "relay \"relay" + std::to_string(i) + "\" {\n zone = \"a\"\n bind = \"127.0.0.1:" +
+                std::to_string(ports_[i]) + "\"\n stewards = [" + managers + "]\n" + options.relay + "\n}\n");
         start_relay(i);
     }
-    tick();
+    fire_timers();
     const bool up = until([this] {
         for (std::size_t i = 0; i < options.relays; ++i) {
             const Json status = relay_status(i);
@@ -103,43 +103,45 @@
         }
         return changes().is_object();
     });
-    if (!up) throw std::runtime_error("the relays don't come up:\n" + rig.event_log.text());
+    if (!up) throw std::runtime_error("the relays did not become ready:\n" + fleet_rig.event_log.text());
 }
 
-// The followers' deadlines; each look at it is as late as this at most.
-void ChangeRig::tick() {
+// Fires the followers' timers every 2 ms, so each fires at most this much late.
+void ChangeRig::fire_timers() {
     timer_->expires_after(Ms(2));
     timer_->async_wait([this](const boost::system::error_code& ec) {
         if (ec) return;
         time_.due.fire_due(time_.now());
-        tick();
+        fire_timers();
     });
 }
 
 void ChangeRig::start_relay(std::size_t i) {
     const std::string name = "relay" + std::to_string(i);
     relays[i].reset();
-    relays[i] =
-        std::make_unique<Process>(io_, rig.event_log, name,
-                                  std::vector<std::string>{options.programs + "/tealcart", "relay", "serve",
-                                                           "--file", rig.directory.path(name + ".hcl")});
+    relays[i] = std::make_unique<Process>(
+        io_, fleet_rig.event_log, name,
+        std::vector<std::string>{options.programs + "/tealcart", "relay", "serve", "--file",
+                                 fleet_rig.directory.path(name + ".hcl")});
     until([&] { return relays[i]->has_printed(": followers at ") || relays[i]->ended(); });
 }
 
 Follower& ChangeRig::follow(const std::string& name, std::vector<std::size_t> at, Follower::Refuses refuses) {
     std::vector<HostPort> addresses;
     for (const std::size_t i : at) addresses.push_back({"127.0.0.1", ports_[i]});
-    followers.push_back(std::make_unique<Follower>(io_, time_, rig.event_log, name, std::move(addresses),
-                                                   std::move(refuses)));
+    followers.push_back(std::make_unique<Follower>(io_, time_, fleet_rig.event_log, name,
+                                                   std::move(addresses), std::move(refuses)));
     return *followers.back();
 }
 
-bool ChangeRig::until(const std::function<bool()>& holds, Ms within) { return rig.until(holds, within); }
+bool ChangeRig::until(const std::function<bool()>& holds, Ms within) {
+    return fleet_rig.until(holds, within);
+}
 
 std::unique_ptr<Process> ChangeRig::start_config_command(std::vector<std::string> words,
                                                          std::vector<std::size_t> through) {
     words.insert(words.begin(), "config");
-    return rig.command(std::move(words), std::move(through));
+    return fleet_rig.command(std::move(words), std::move(through));
 }
 
 int ChangeRig::config(std::vector<std::string> words, std::vector<std::size_t> through) {
@@ -149,13 +151,13 @@
 }
 
 std::string ChangeRig::entry(const std::string& key, const std::string& text) {
-    return key + "=" + rig.directory.write("entry" + std::to_string(++files_), text);
+    return key + "=" + fleet_rig.directory.write("entry" + std::to_string(++files_), text);
 }
 
 Json ChangeRig::changes() const {
-    for (std::size_t i = 0; i < rig.managers.size(); ++i) {
-        if (!rig.managers[i] || rig.managers[i]->ended()) continue;
-        Json s = rig.get_json(i, "/fleet/changes");
+    for (std::size_t i = 0; i < fleet_rig.managers.size(); ++i) {
+        if (!fleet_rig.managers[i] || fleet_rig.managers[i]->ended()) continue;
+        Json s = fleet_rig.get_json(i, "/fleet/changes");
         if (s.is_object() && s["leader"] == s["steward"]) return s;
     }
     return {};
@@ -174,7 +176,8 @@
     });
 }
 
-// What the leader says is read first: a lease that is over only afterwards held when it was said.
+// The leader's page is read first: a lease that is still valid afterwards was valid when the page was
+// written.
 bool ChangeRig::followers_consistent() {
     const Json s = changes();
     if (!s.is_object()) return true;
--- a/src/testing/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -1,5 +1,5 @@
-// Changes of configuration on processes: three managers and relays, and in the rig's own process scripted
-// followers, which see what reaches them and by when their lease is over.
+// Changes of configuration on processes: three fleet managers and relays. Followers run in the test's own
+// process, so that checks see what they receive and when their leases expire.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -10,10 +10,11 @@
 
 namespace tealcart::testing {
 
-// Takes over what it is told, unless it refuses it; counts its lease from when it called.
+// A scripted follower: applies what it receives unless it refuses it. Its lease counts from when it sent the
+// call.
 class Follower final : private ChangeObserver {
   public:
-    using Refuses = std::function<std::string(const changes::Document&)>;  // why; empty: it doesn't
+    using Refuses = std::function<std::string(const changes::Document&)>;  // the reason; empty: accepts
 
     Follower(boost::asio::io_context& io, EventClock& time, EventLog& event_log, std::string name,
              std::vector<HostPort> relays, Refuses refuses = {});
@@ -22,11 +23,11 @@
     const std::string name;
     std::uint64_t applied_version = 0, refused = 0;
     changes::DocumentCopy copy;
-    changes::Document acting;  // the document that it acts by
+    changes::Document acting;  // the document that it acts on
     Nanos lease_until = 0;
-    bool version_decreased = false;  // never to be
-    std::size_t pages = 0;           // that it was told
-    std::size_t superseded = 0;      // times that a later incarnation was told
+    bool version_decreased = false;  // must stay false
+    std::size_t pages = 0;           // pages that it received
+    std::size_t superseded = 0;      // answers that a later incarnation is known
     std::string relay_port() const { return std::to_string(watch_.address().port); }
     bool has_lease() const { return lease_until > time_.now(); }
     void leave();
@@ -46,41 +47,44 @@
     ChangeWatch watch_;
 };
 
+// The size and the settings of the rig.
 struct ChangeRigOptions {
     std::string programs;
     std::size_t relays = 2;
     std::string lease = "2s", drift = "300ms";
-    std::string changes;  // further attributes of the managers' block
-    std::string relay;    // of each relay's
+    std::string changes;  // further attributes of the fleet managers' `changes` block
+    std::string relay;    // further attributes of each relay's block
     bool router = false;  // the rig's query router, r0, follows the relays too
 };
 
+// Starts the processes and creates followers.
 class ChangeRig {
   public:
     ChangeRig(boost::asio::io_context& io, ChangeRigOptions options);
 
     void start_relay(std::size_t i);
-    // Calls these relays, the first one first.
+    // Creates a follower that calls these relays, starting with the first.
     Follower& follow(const std::string& name, std::vector<std::size_t> relays,
                      Follower::Refuses refuses = {});
     bool until(const std::function<bool()>& holds,
                std::chrono::milliseconds within = std::chrono::seconds(20));
-    // Runs the operators' command through these managers; its status.
+    // Runs a `config` command through these fleet managers and returns its exit status.
     int config(std::vector<std::string> words, std::vector<std::size_t> through = {0, 1, 2});
     std::unique_ptr<Process> start_config_command(std::vector<std::string> words,
                                                   std::vector<std::size_t> through = {0, 1, 2});
-    // KEY=FILE of this text.
+    // Writes the text to a file and returns the argument KEY=FILE.
     std::string entry(const std::string& key, const std::string& text);
 
-    nlohmann::json changes() const;                    // as the leader has them; null: none leads
-    nlohmann::json relay_status(std::size_t i) const;  // null: it does not answer
+    nlohmann::json changes() const;                    // the leader's changes page; null: none leads
+    nlohmann::json relay_status(std::size_t i) const;  // null: the relay does not answer
+    // Waits until the version is in force.
     bool in_force(std::uint64_t version);
-    // Each follower whose lease holds by its own clock acts on what the leader says to be in force, but for
-    // newcomers that have nothing yet, and none went back.
+    // Whether each follower with a valid lease acts on the version that the leader reports as in force, or a
+    // later one, and none went back. New followers that have no version yet are excepted.
     bool followers_consistent();
 
   private:
-    void tick();
+    void fire_timers();
     FleetRigOptions fleet_rig_options() const;
 
     EventClock time_;  // outlives the followers
@@ -88,7 +92,7 @@
 
   public:
     ChangeRigOptions options;
-    FleetRig rig;
+    FleetRig fleet_rig;
     std::vector<std::unique_ptr<Process>> relays;
     std::vector<std::unique_ptr<Follower>> followers;
 
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -10,16 +10,16 @@
 using Json = nlohmann::json;
 using Ms = std::chrono::milliseconds;
 
-constexpr int shards = 12, width = 3;
+constexpr int shards = 12, replicas_per_shard = 3;
 
-std::string at(std::uint16_t port, const char* host = "127.0.0.1") {
+std::string address_of(std::uint16_t port, const char* host = "127.0.0.1") {
     return std::string(host) + ":" + std::to_string(port);
 }
 
 std::string script_of(const FleetRigOptions& options) {
     std::string text = "fleet {\n shards = " + std::to_string(shards) +
                        "\n places = " + std::to_string(options.nodes) +
-                       "\n width = " + std::to_string(width) + "\n rows = 1\n}\n";
+                       "\n width = " + std::to_string(replicas_per_shard) + "\n rows = 1\n}\n";
     for (std::size_t n = 0; n < options.nodes; ++n)
         text += "node \"n" + std::to_string(n) + "\" {\n place = " + std::to_string(n) + "\n zone = \"" +
                 (n % 2 == 0 ? "a" : "b") + "\"\n call_delay = \"2ms\"\n}\n";
@@ -28,14 +28,14 @@
 
 }  // namespace
 
-Json platform_settings(std::size_t routers, std::size_t places, int ranges, int held_at) {
+Json platform_settings(std::size_t routers, std::size_t places, int ranges, int replicas) {
     return {{"balancers", routers},
             {"discovery", "push"},
             {"step", 5.0},
             {"extra",
              {{"places", places},
               {"ranges", ranges},
-              {"width", held_at},
+              {"width", replicas},
               {"parts_a_call", 1},
               {"floor_by_class", {0.4, 1.0}},
               {"complete_from", {1.0, 1.0}},
@@ -69,7 +69,8 @@
                {"repeat_window", 5000.0}}}}};
 }
 
-FleetRig::FleetRig(boost::asio::io_context& in, FleetRigOptions p) : io(in), options(std::move(p)) {
+FleetRig::FleetRig(boost::asio::io_context& context, FleetRigOptions rig_options)
+    : io(context), options(std::move(rig_options)) {
     fleet = std::make_unique<Fleet>(io, read_script(script_of(options), "rig"));
     for (std::size_t n = 0; n < options.nodes; ++n)
         fleet->nodes[n].on_request = [this, n](char, std::uint32_t) {
@@ -80,26 +81,27 @@
     std::string text = "fleet \"rig\" {\n lease = \"" + options.lease + "\"\n drift = \"" + options.drift +
                        "\"\n election = \"" + options.election + "\"\n" + options.budgets + "\n";
     for (std::size_t i = 0; i < options.managers; ++i) {
-        raft_.push_back(ports[3 * i]), http_.push_back(ports[3 * i + 1]),
-            http_real_.push_back(ports[3 * i + 2]);
-        // Reached through relays; the log's library wants the same port at both, so the relay has another
-        // host.
-        raft_proxies_.push_back(std::make_unique<FaultProxy>(io, at(raft_[i], "127.0.0.2"), at(raft_[i]),
-                                                             sender_id_in_handshake));
-        http_proxies_.push_back(
-            std::make_unique<FaultProxy>(io, at(http_[i]), at(http_real_[i]), caller_name_in_body));
-        text += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" + at(raft_[i], "127.0.0.2") +
-                "\"\n  bind = \"" + at(raft_[i]) + "\"\n  http = \"" + at(http_[i]) + "\"\n  http_bind = \"" +
-                at(http_real_[i]) + "\"\n  folder = \"" + directory.path("s" + std::to_string(i + 1)) +
-                "\"\n }\n";
+        raft_ports_.push_back(ports[3 * i]), http_ports_.push_back(ports[3 * i + 1]),
+            direct_http_ports_.push_back(ports[3 * i + 2]);
+        // Fleet managers reach each other through proxies. libraft requires the same port at the advertised
+        // and the bound address, so the proxy has another host.
+        raft_proxies_.push_back(std::make_unique<FaultProxy>(
+            io, address_of(raft_ports_[i], "127.0.0.2"), address_of(raft_ports_[i]), sender_id_in_handshake));
+        http_proxies_.push_back(std::make_unique<FaultProxy>(
+            io, address_of(http_ports_[i]), address_of(direct_http_ports_[i]), caller_name_in_body));
+        text += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" +
+                address_of(raft_ports_[i], "127.0.0.2") + "\"\n  bind = \"" + address_of(raft_ports_[i]) +
+                "\"\n  http = \"" + address_of(http_ports_[i]) + "\"\n  http_bind = \"" +
+                address_of(direct_http_ports_[i]) + "\"\n  folder = \"" +
+                directory.path("s" + std::to_string(i + 1)) + "\"\n }\n";
     }
     fleet_file_ = directory.write("fleet.hcl", text + "}\n");
     for (std::size_t i = 0; i < options.routers; ++i) {
-        serve_.push_back(ports[3 * options.managers + i]);
+        router_ports_.push_back(ports[3 * options.managers + i]);
         const std::string name = "r" + std::to_string(i);
-        const Json settings = platform_settings(options.routers, options.nodes, shards, width);
+        const Json settings = platform_settings(options.routers, options.nodes, shards, replicas_per_shard);
         const Json config = {{"name", name},
-                             {"listen", at(serve_[i])},
+                             {"listen", address_of(router_ports_[i])},
                              {"discovery", fleet->discovery.address()},
                              {"seed", "8c1f30d27a5be9" + std::to_string(10 + i % 90)},
                              {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
@@ -107,26 +109,28 @@
                              {"settings", settings}};
         directory.write(name + ".json", config.dump());
         std::string list;
-        for (const std::uint16_t port : http_) list += (list.empty() ? "\"" : ", \"") + at(port) + "\"";
+        for (const std::uint16_t port : http_ports_)
+            list += (list.empty() ? "\"" : ", \"") + address_of(port) + "\"";
         directory.write(name + ".hcl", std::string("member {\n zone = \"") + (i % 2 == 0 ? "a" : "b") +
                                            "\"\n stewards = [" + list + "]\n" + options.member + "\n}\n");
     }
     managers.resize(options.managers);
     routers.resize(options.routers);
-    askers_.resize(options.routers);
+    clients_.resize(options.routers);
     for (std::size_t i = 0; i < options.managers; ++i) {
         Process init(io, event_log, "init",
                      {options.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
         if (!until([&] { return init.ended(); }) || init.status() != 0)
-            throw std::runtime_error("a steward's folder can't be made:\n" + event_log.text());
+            throw std::runtime_error("cannot create the data directory of a fleet manager:\n" +
+                                     event_log.text());
         start_manager(i);
     }
     for (std::size_t i = 0; i < options.routers; ++i) start_router(i);
 }
 
 FleetRig::~FleetRig() {
-    for (Asker& a : askers_) a.client.reset();
+    for (TrafficClient& client : clients_) client.client.reset();
 }
 
 void FleetRig::start_manager(std::size_t i, std::vector<std::string> more, std::vector<std::string> before) {
@@ -149,38 +153,39 @@
     routers[i].reset();
     routers[i] = std::make_unique<Process>(io, event_log, name, std::move(words));
     until([&] { return routers[i]->has_printed(" serves at ") || routers[i]->ended(); });
-    ask(i);
+    send_query(i);
 }
 
-// One query after the other at each router: whole ones over all shards, kept small.
-void FleetRig::ask(std::size_t i) {
-    Asker& a = askers_[i];
+// Sends the next small query to the router. The next one follows after the answer.
+void FleetRig::send_query(std::size_t i) {
+    TrafficClient& traffic = clients_[i];
     if (!traffic_) return;
-    if (!a.timer) a.timer = std::make_unique<boost::asio::steady_timer>(io);
-    const auto next = [this, i](int status) {
+    if (!traffic.timer) traffic.timer = std::make_unique<boost::asio::steady_timer>(io);
+    const auto on_answer = [this, i](int status) {
         ++answers[status];
-        if (status == 0) askers_[i].client.reset();
-        askers_[i].timer->expires_after(Ms(options.gap_ms));
-        askers_[i].timer->async_wait([this, i](const boost::system::error_code& ec) {
-            if (!ec) ask(i);
+        if (status == 0) clients_[i].client.reset();
+        clients_[i].timer->expires_after(Ms(options.gap_ms));
+        clients_[i].timer->async_wait([this, i](const boost::system::error_code& ec) {
+            if (!ec) send_query(i);
         });
     };
-    ClientQuery asking;
-    asking.query_class = a.asked % 3 == 2 ? "adjust" : "search";
-    asking.id = "q" + std::to_string(i) + "-" + std::to_string(++a.asked);
-    if (asking.query_class == "adjust") asking.key = "k" + asking.id;
+    ClientQuery query;
+    query.query_class = traffic.query_count % 3 == 2 ? "adjust" : "search";
+    query.id = "q" + std::to_string(i) + "-" + std::to_string(++traffic.query_count);
+    if (query.query_class == "adjust") query.key = "k" + query.id;
     for (std::uint32_t s = 0; s < 4; ++s)
-        asking.shards.push_back(static_cast<std::uint32_t>(a.asked * 4 + s) % shards);
+        query.shards.push_back(static_cast<std::uint32_t>(traffic.query_count * 4 + s) % shards);
     try {
-        // A client's connection that ends is told from within its own handler: the next is made after it.
-        a.client = std::make_unique<Client>(io, serve_[i], [this, next](ClientResponse got) {
-            boost::asio::post(io, [next, status = got.status] { next(status); });
-        });
-        a.client->ask(asking);
+        // The client may call this from its own handler, so the next client is created in a later one.
+        traffic.client =
+            std::make_unique<Client>(io, router_ports_[i], [this, on_answer](ClientResponse answer) {
+                boost::asio::post(io, [on_answer, status = answer.status] { on_answer(status); });
+            });
+        traffic.client->ask(query);
     } catch (const boost::system::system_error&) {
-        a.timer->expires_after(Ms(100));  // the router is not there: no query of its
-        a.timer->async_wait([this, i](const boost::system::error_code& ec) {
-            if (!ec) ask(i);
+        traffic.timer->expires_after(Ms(100));  // the router is not running, so retry later
+        traffic.timer->async_wait([this, i](const boost::system::error_code& ec) {
+            if (!ec) send_query(i);
         });
     }
 }
@@ -196,11 +201,12 @@
 
 void FleetRig::run_for(Ms span) { io.run_for(span); }
 
-// What is said between the processes goes through this one's relays, so it goes on meanwhile.
-std::string FleetRig::manager_address(std::size_t i) const { return at(http_[i]); }
+std::string FleetRig::manager_address(std::size_t i) const { return address_of(http_ports_[i]); }
 
+// The proxies run in this process, so the io_context has to run during the request; query_manager does that.
 Json FleetRig::get_json(std::size_t i, const std::string& path) const {
-    const auto reply = fleet_manager::query_manager(io, {"127.0.0.1", http_real_[i]}, path, "", Ms(300));
+    const auto reply =
+        fleet_manager::query_manager(io, {"127.0.0.1", direct_http_ports_[i]}, path, "", Ms(300));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
@@ -236,7 +242,7 @@
 
 std::unique_ptr<Process> FleetRig::command(std::vector<std::string> words, std::vector<std::size_t> through) {
     std::string list;
-    for (const std::size_t i : through) list += (list.empty() ? "" : ",") + at(http_[i]);
+    for (const std::size_t i : through) list += (list.empty() ? "" : ",") + address_of(http_ports_[i]);
     words.insert(words.begin(), options.programs + "/tealcart");
     const std::string name = "operator";
     return std::make_unique<Process>(io, event_log, name, std::move(words),
@@ -244,19 +250,19 @@
 }
 
 void FleetRig::cut_off(std::size_t i, bool inbound, bool outbound) {
-    event_log.record("rig", "cuts off steward " + std::to_string(i + 1));
+    event_log.record("rig", "cuts off fleet manager " + std::to_string(i + 1));
     if (inbound) raft_proxies_[i]->cut("", {true, true});
     for (std::size_t other = 0; outbound && other < raft_proxies_.size(); ++other)
         if (other != i) raft_proxies_[other]->cut(std::to_string(i + 1), {true, true});
 }
 
 void FleetRig::cut_off_member(const std::string& name, bool to, bool from) {
-    event_log.record("rig", "deafens " + name);
+    event_log.record("rig", "cuts off " + name);
     for (auto& relay : http_proxies_) relay->cut(name, {to, from});
 }
 
 void FleetRig::heal() {
-    event_log.record("rig", "heals");
+    event_log.record("rig", "removes all faults");
     for (auto& relay : raft_proxies_) relay->heal();
     for (auto& relay : http_proxies_) relay->heal();
 }
--- a/src/testing/fleet_rig.hpp
+++ b/src/testing/fleet_rig.hpp
@@ -1,5 +1,5 @@
-// A whole fleet of processes: managers, query routers, and in the rig's own process the data nodes (which are
-// the observer outside: they see what really reaches them), discovery and clients with steady traffic.
+// A fleet of processes: fleet managers and query routers. The data nodes, discovery and clients with steady
+// traffic run in the test's own process, so that checks see which calls really reach the data nodes.
 #pragma once
 
 #include <deque>
@@ -12,60 +12,64 @@
 
 namespace tealcart::testing {
 
+// The size and the settings of the fleet.
 struct FleetRigOptions {
-    std::string programs;  // folder of the built programs
+    std::string programs;  // directory of the built programs
     std::size_t managers = 3, routers = 6, nodes = 12;
     std::string lease = "2s", drift = "300ms", election = "300ms";
-    std::string budgets;     // blocks of the managers' file
-    std::string member;      // further attributes of the routers' member block
+    std::string budgets;     // further blocks of the fleet managers' file
+    std::string member;      // further attributes of the routers' `member` block
     bool membership = true;  // routers are members
     int gap_ms = 20;         // between two queries of a client; each router has one
 };
 
-// The platform's settings for so many routers, shards and cells; each shard lies at `held_at` cells in a row.
-nlohmann::json platform_settings(std::size_t routers, std::size_t places, int ranges, int held_at);
+// The platform's settings for this many routers, places and shards; each shard lies at `replicas` consecutive
+// places.
+nlohmann::json platform_settings(std::size_t routers, std::size_t places, int ranges, int replicas);
 
-// Leaf calls as data nodes saw them.
+// A call that a data node received.
 struct ReceivedCall {
     TimePoint at;
     std::size_t node = 0;
 };
 
+// Starts the processes and controls the faults between them.
 class FleetRig {
   public:
     FleetRig(boost::asio::io_context& io, FleetRigOptions options);
     ~FleetRig();
 
-    // Runs until it holds; false after so long.
+    // Runs until `holds` returns true; returns false after `within`.
     bool until(const std::function<bool()>& holds,
                std::chrono::milliseconds within = std::chrono::seconds(20));
     void run_for(std::chrono::milliseconds span);
 
-    // `before`: words of a command that runs the program, as one that limits it.
+    // `more`: further arguments. `before`: a command that runs the program, such as one that limits it.
     void start_manager(std::size_t i, std::vector<std::string> more = {},
                        std::vector<std::string> before = {});
     void start_router(std::size_t i);
     void stop_traffic() { traffic_ = false; }
     bool all_ready();
 
-    // As a manager has it, asked past all relays; null where it does not answer.
+    // The state as one fleet manager has it, requested without a proxy; null if it does not answer.
     nlohmann::json status(std::size_t manager) const { return get_json(manager, "/fleet/status"); }
     nlohmann::json get_json(std::size_t manager, const std::string& path) const;
-    // Where members and relays reach it, through what can be cut.
+    // The address at which members and relays reach the fleet manager, through a proxy.
     std::string manager_address(std::size_t manager) const;
-    std::size_t leader() const;  // the one that says so; the number of managers: none
-    nlohmann::json leader_status() const;
-    nlohmann::json request_for(const std::string& node) const;  // of the leader; null: none is open
-    // An operator's command, through these managers in this order.
+    std::size_t leader() const;            // index of the leader; the number of managers: none leads
+    nlohmann::json leader_status() const;  // null: none leads
+    nlohmann::json request_for(const std::string& node) const;  // in the leader's state; null: none is open
+    // Starts an operator's command that tries these fleet managers in this order.
     std::unique_ptr<Process> command(std::vector<std::string> words, std::vector<std::size_t> through);
 
-    // What is said between this manager and the others, in both directions or only by it.
+    // Drops the messages between this fleet manager and the others, in the given directions.
     void cut_off(std::size_t manager, bool inbound = true, bool outbound = true);
-    // Between a router and all managers.
+    // Drops the messages between a router or relay and all fleet managers: those `to` the fleet managers, or
+    // those `from` them.
     void cut_off_member(std::size_t router, bool to, bool from) {
         cut_off_member("r" + std::to_string(router), to, from);
     }
-    void cut_off_member(const std::string& name, bool to, bool from);  // a router or a relay
+    void cut_off_member(const std::string& name, bool to, bool from);
     void heal();
 
     boost::asio::io_context& io;
@@ -75,20 +79,22 @@
     std::vector<std::unique_ptr<Process>> managers, routers;
     std::unique_ptr<Fleet> fleet;
     std::vector<ReceivedCall> calls;
-    std::map<int, std::uint64_t> answers;  // of clients, by status; 0: the connection ended without one
+    // Number of answers to clients by status; 0: the connection ended without an answer.
+    std::map<int, std::uint64_t> answers;
 
   private:
-    struct Asker {
+    // A client of one router, which sends one query after the other.
+    struct TrafficClient {
         std::unique_ptr<Client> client;
         std::unique_ptr<boost::asio::steady_timer> timer;
-        std::uint64_t asked = 0;
+        std::uint64_t query_count = 0;
     };
-    void ask(std::size_t router);
+    void send_query(std::size_t router);
 
-    std::vector<std::uint16_t> raft_, http_, http_real_, serve_;
+    std::vector<std::uint16_t> raft_ports_, http_ports_, direct_http_ports_, router_ports_;
     std::vector<std::unique_ptr<FaultProxy>> raft_proxies_, http_proxies_;
     std::string fleet_file_;
-    std::deque<Asker> askers_;
+    std::deque<TrafficClient> clients_;
     bool traffic_ = true;
 };
 
--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -202,9 +202,9 @@
 std::size_t HollowRig::leader() const {
     std::size_t last_leader = plan.managers;
     for (const EventLog::Event& e : event_log.events) {
-        const auto position = e.what.find(" leads");
-        if (e.who[0] != 's' || position == e.what.npos || e.what.rfind("steward ", 0) != 0) continue;
-        last_leader = std::stoull(e.what.substr(8)) - 1;
+        const auto position = e.message.find(" leads");
+        if (e.source[0] != 's' || position == e.message.npos || e.message.rfind("steward ", 0) != 0) continue;
+        last_leader = std::stoull(e.message.substr(8)) - 1;
     }
     return last_leader < plan.managers && managers[last_leader] && !managers[last_leader]->ended()
                ? last_leader
@@ -318,7 +318,7 @@
 // The time of the first event after `from` in which a manager logged this text.
 TimePoint HollowRig::first_event(std::size_t from, const std::string& text) const {
     for (std::size_t i = from; i < event_log.events.size(); ++i)
-        if (event_log.events[i].who[0] == 's' && event_log.events[i].what.rfind(text, 0) == 0)
+        if (event_log.events[i].source[0] == 's' && event_log.events[i].message.rfind(text, 0) == 0)
             return event_log.events[i].at;
     return {};
 }
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -15,14 +15,15 @@
 using Ms = std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::uint32_t nodes = 222;  // of discovery's list, which nobody uses here
+constexpr std::uint32_t nodes = 222;  // nodes of discovery's list, which this rig does not use
 constexpr std::size_t max_answer = 32u << 20;
 
 std::string text_of(const HostPort& at) { return at.host + ":" + std::to_string(at.port); }
 
 }  // namespace
 
-RelayRig::RelayRig(boost::asio::io_context& in, RelayRigOptions p) : io(in), options(std::move(p)) {
+RelayRig::RelayRig(boost::asio::io_context& context, RelayRigOptions rig_options)
+    : io(context), options(std::move(rig_options)) {
     const auto ports = free_non_ephemeral_ports(2 * options.managers + 2 + options.relays());
     discovery_ =
         std::make_unique<HollowDiscovery>(io, ports[0], nodes, std::vector<std::string>(1, "127.0.0.1:1"));
@@ -66,7 +67,8 @@
                      {options.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
         if (!until([&] { return init.ended(); }, Ms(20'000)) || init.status() != 0)
-            throw std::runtime_error("a steward's folder can't be made:\n" + event_log.text());
+            throw std::runtime_error("cannot create the data directory of a fleet manager:\n" +
+                                     event_log.text());
         start_manager(i);
     }
     for (std::size_t i = 0; i < relays.size(); ++i) {
@@ -78,7 +80,7 @@
         start_relay(i);
     }
     if (!until([this] { return run_for(Ms(100)), relays_up(); }, Ms(60'000)))
-        throw std::runtime_error("the relays don't come up:\n" + event_log.text());
+        throw std::runtime_error("the relays did not become ready:\n" + event_log.text());
 }
 
 void RelayRig::start_manager(std::size_t i) {
@@ -154,10 +156,13 @@
 
 std::size_t RelayRig::leader() const {
     for (auto e = event_log.events.rbegin(); e != event_log.events.rend(); ++e) {
-        if (e->who[0] != 's' || e->what.rfind("steward ", 0) != 0 || e->what.find(" leads") == e->what.npos)
+        if (e->source[0] != 's' || e->message.rfind("steward ", 0) != 0 ||
+            e->message.find(" leads") == e->message.npos)
             continue;
-        const std::size_t led = std::stoull(e->what.substr(8)) - 1;
-        return led < options.managers && managers[led] && !managers[led]->ended() ? led : options.managers;
+        const std::size_t leading = std::stoull(e->message.substr(8)) - 1;
+        return leading < options.managers && managers[leading] && !managers[leading]->ended()
+                   ? leading
+                   : options.managers;
     }
     return options.managers;
 }
@@ -169,15 +174,15 @@
 }
 
 Json RelayRig::changes() {
-    const std::size_t led = leader();
-    Json s = led < options.managers ? changes(led) : Json();
+    const std::size_t leading = leader();
+    Json s = leading < options.managers ? changes(leading) : Json();
     return s.is_object() && s["leader"] == s["steward"] ? s : Json();
 }
 
 std::vector<Json> RelayRig::ask(const std::string& line) {
     for (std::string& a : answers_) a.clear();
-    for (const auto& held : lines_)
-        if (const auto c = held.lock(); c && c->open) c->send(line + "\n");
+    for (const auto& weak_connection : lines_)
+        if (const auto c = weak_connection.lock(); c && c->open) c->send(line + "\n");
     until(
         [this] { return std::none_of(answers_.begin(), answers_.end(), [](auto& a) { return a.empty(); }); },
         Ms(20'000));
@@ -190,7 +195,7 @@
     FollowerFigures sum;
     for (const Json& s : ask("report")) {
         if (!s.is_object()) {
-            sum.least = 0;  // not known
+            sum.least = 0;  // unknown, as the process did not answer
             continue;
         }
         sum.followers += s["followers"].get<std::size_t>(), sum.holding += s["holding"].get<std::size_t>();
@@ -212,19 +217,20 @@
     Published p;
     p.asked = Clock::now();
     while (Clock::now() - p.asked < within) {
-        if (const std::size_t led = leader(); p.calls == 0 && led < options.managers) asks_at_ = led;
+        if (const std::size_t leading = leader(); p.calls == 0 && leading < options.managers)
+            publish_manager_ = leading;
         ++p.calls;
         const auto reply =
-            fleet_manager::query_manager(io, http_[asks_at_], "/fleet/publish", body, Ms(2000));
+            fleet_manager::query_manager(io, http_[publish_manager_], "/fleet/publish", body, Ms(2000));
         p.answered = Clock::now();
         if (reply.status == 200) {
-            const Json said = Json::parse(reply.body, nullptr, false);
-            for (const Json& e : said.value("effects", Json::array()))
+            const Json answer = Json::parse(reply.body, nullptr, false);
+            for (const Json& e : answer.value("effects", Json::array()))
                 if (e.value("what", "") == "published") p.version = e.value("version", std::uint64_t{0});
             return p;
         }
         if (reply.status == 400 || reply.status == 404) return p;
-        asks_at_ = (asks_at_ + 1) % options.managers;
+        publish_manager_ = (publish_manager_ + 1) % options.managers;
         run_for(Ms(50));
     }
     return p;
--- a/src/testing/relay_rig.hpp
+++ b/src/testing/relay_rig.hpp
@@ -1,6 +1,5 @@
-// The relay tier as processes on loopback: three real managers with a `changes` block, two real relays for
-// each of twelve zones, and a process of hollow followers a zone (testing/hollow_follower.hpp has what is
-// hollow of them): their figures, and what is published to them.
+// The relay tier as processes on loopback: three fleet managers with a `changes` block, two relays for each
+// of twelve zones, and one process of simulated followers per zone (see testing/hollow_follower.hpp).
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,24 +16,26 @@
 
 namespace tealcart::testing {
 
+// The size and the settings of the rig.
 struct RelayRigOptions {
-    std::string programs;  // folder of the built programs
-    std::string self;      // the program that runs a process of followers with `--followers ...`
+    std::string programs;  // directory of the built programs
+    std::string self;      // the program that runs a process of followers when started with `--followers ...`
     std::size_t followers = 300, zones = 12, relays_a_zone = 2, managers = 3;
     std::string lease = "10s", drift = "1s", election = "600ms";
 
     std::size_t relays() const { return zones * relays_a_zone; }
 };
 
-// Of all followers' processes together.
+// The sums over all followers' processes.
 struct FollowerFigures {
     std::size_t followers = 0, holding = 0;
     std::uint64_t lapses = 0, faults = 0, refused = 0, calls = 0;
-    std::uint64_t least = UINT64_MAX;     // that any acts on
-    std::uint64_t min_held = UINT64_MAX;  // the same of those that hold a lease
-    std::vector<std::uint64_t> digests;   // that differ
+    std::uint64_t least = UINT64_MAX;     // the lowest version that a follower acts on
+    std::uint64_t min_held = UINT64_MAX;  // the same among followers with a lease
+    std::vector<std::uint64_t> digests;   // the distinct digests of the followers' documents
 };
 
+// Starts the processes, publishes versions and collects the followers' figures.
 class RelayRig {
   public:
     RelayRig(boost::asio::io_context& io, RelayRigOptions options);
@@ -44,24 +45,27 @@
 
     void start_manager(std::size_t i);
     void start_relay(std::size_t i);
-    void start_followers();  // those that have none yet
-    bool relays_up();        // each that lives has a lease
+    void start_followers();  // starts the processes that have not been started
+    bool relays_up();        // whether each running relay has a lease
 
-    std::size_t leader() const;  // the one that last said so and lives; the number of managers: none
-    // As a manager has the changes; null where it does not answer.
+    // The running fleet manager that last logged that it leads; the number of managers: none.
+    std::size_t leader() const;
+    // The changes page of a fleet manager; null if it does not answer.
     nlohmann::json changes(std::size_t manager);
-    // As the leader has them; null: none.
+    // The changes page of the leader; null: none leads.
     nlohmann::json changes();
-    // One line to every process of followers, and their answers; null where none came within 20 s.
+    // Sends one line to every process of followers and returns their answers; null for a process that does
+    // not answer within 20 s.
     std::vector<nlohmann::json> ask(const std::string& line);
     FollowerFigures followers();
 
+    // The result of publishing a version.
     struct Published {
-        std::uint64_t version = 0;  // 0: it was not
+        std::uint64_t version = 0;  // 0: not published
         TimePoint asked, answered;
         int calls = 0;
     };
-    // One version of these entries, under one id at whichever manager takes it.
+    // Publishes one version of these entries, with retries under one id at any fleet manager.
     Published publish(const std::string& id, const std::map<std::string, std::string>& entries,
                       std::chrono::milliseconds within);
 
@@ -78,9 +82,9 @@
     std::unique_ptr<HollowDiscovery> discovery_;
     std::vector<HostPort> http_, relay_at_;
     std::string fleet_file_, config_file_;
-    std::vector<std::weak_ptr<Connection>> lines_;  // to the followers' processes
+    std::vector<std::weak_ptr<Connection>> lines_;  // connections to the followers' processes
     std::vector<std::string> answers_;
-    std::size_t asks_at_ = 0;  // the manager that took the last publishing
+    std::size_t publish_manager_ = 0;  // the fleet manager that publishing tries first
     std::unique_ptr<LoopbackListener> control_;
 };
 
--- a/src/testing/rig.cpp
+++ b/src/testing/rig.cpp
@@ -21,16 +21,18 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-void EventLog::record(const std::string& who, const std::string& what) {
-    events.push_back({std::chrono::steady_clock::now(), who, what});
+void EventLog::record(const std::string& source, const std::string& message) {
+    events.push_back({std::chrono::steady_clock::now(), source, message});
 }
 
-std::string EventLog::text(std::size_t last) const {
+std::string EventLog::text(std::size_t max_events) const {
     std::string out;
-    for (std::size_t i = events.size() > last ? events.size() - last : 0; i < events.size(); ++i) {
+    for (std::size_t i = events.size() > max_events ? events.size() - max_events : 0; i < events.size();
+         ++i) {
         char at[32];
-        std::snprintf(at, sizeof at, "%9.3f ", std::chrono::duration<double>(events[i].at - began).count());
-        out.append(at).append(events[i].who).append(": ").append(events[i].what).append("\n");
+        std::snprintf(at, sizeof at, "%9.3f ",
+                      std::chrono::duration<double>(events[i].at - started_at).count());
+        out.append(at).append(events[i].source).append(": ").append(events[i].message).append("\n");
     }
     return out;
 }
@@ -39,7 +41,7 @@
                  std::vector<std::string> command, std::vector<std::string> environment)
     : event_log_(event_log), name_(std::move(name)), buffer_(std::make_shared<std::array<char, 4096>>()) {
     int ends[2];
-    if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+    if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
     std::vector<char*> words, variables;
     for (std::string& w : command) words.push_back(w.data());
     words.push_back(nullptr);
@@ -52,11 +54,11 @@
     posix_spawn_file_actions_init(&files);
     posix_spawn_file_actions_adddup2(&files, ends[1], 1);
     posix_spawn_file_actions_adddup2(&files, ends[1], 2);
-    posix_spawn_file_actions_addclosefrom_np(&files, 3);  // the rig's own sockets are no business of its
+    posix_spawn_file_actions_addclosefrom_np(&files, 3);  // the child must not inherit the test's sockets
     const int rv = ::posix_spawn(&pid_, words[0], &files, nullptr, words.data(), variables.data());
     posix_spawn_file_actions_destroy(&files);
     ::close(ends[1]);
-    if (rv != 0) throw std::runtime_error(command[0] + " can't be started: " + std::strerror(rv));
+    if (rv != 0) throw std::runtime_error("cannot start " + command[0] + ": " + std::strerror(rv));
     output_ = std::make_shared<boost::asio::posix::stream_descriptor>(io, ends[0]);
     event_log_.record(name_, "started");
     read();
@@ -67,7 +69,7 @@
         signal(SIGKILL);
         ::waitpid(pid_, nullptr, 0);
     }
-    *here_ = false;
+    *alive_ = false;
     error_code ec;
     output_->close(ec);
 }
@@ -75,8 +77,8 @@
 void Process::read() {
     output_->async_read_some(
         boost::asio::buffer(*buffer_),
-        [this, here = here_, keep = output_, bytes = buffer_](const error_code& ec, std::size_t n) {
-            if (!*here || ec == boost::asio::error::operation_aborted) return;
+        [this, alive = alive_, output = output_, bytes = buffer_](const error_code& ec, std::size_t n) {
+            if (!*alive || ec == boost::asio::error::operation_aborted) return;
             partial_line_.append(bytes->data(), n);
             for (std::size_t end = 0; (end = partial_line_.find('\n')) != partial_line_.npos;
                  partial_line_.erase(0, end + 1)) {
@@ -87,42 +89,42 @@
         });
 }
 
-void Process::signal(int which) {
+void Process::signal(int number) {
     if (ended()) return;
-    event_log_.record(name_, std::string("gets SIG") + ::sigabbrev_np(which));
-    ::kill(pid_, which);
+    event_log_.record(name_, std::string("gets SIG") + ::sigabbrev_np(number));
+    ::kill(pid_, number);
 }
 
 bool Process::ended() {
     int status = 0;
-    if (!over_ && ::waitpid(pid_, &status, WNOHANG) == pid_) {
-        over_ = true;
+    if (!ended_ && ::waitpid(pid_, &status, WNOHANG) == pid_) {
+        ended_ = true;
         status_ = WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
         event_log_.record(name_, "ended with " + std::to_string(status_));
     }
-    return over_;
+    return ended_;
 }
 
-bool Process::has_printed(const std::string& words) const {
+bool Process::has_printed(const std::string& text) const {
     for (const std::string& line : lines_)
-        if (line.find(words) != line.npos) return true;
+        if (line.find(text) != line.npos) return true;
     return false;
 }
 
 struct FaultProxy::Connections {
     Connections(boost::asio::io_context& io, tcp::socket from) : sockets{std::move(from), tcp::socket(io)} {}
 
-    std::array<tcp::socket, 2> sockets;  // who connected, and the process
+    std::array<tcp::socket, 2> sockets;  // the caller, and the process
     std::array<std::array<char, 16384>, 2> buffers;
-    std::string first, tag;
-    bool spoilt = false, closed = false;
+    std::string first_bytes, caller;
+    bool lost_bytes = false, closed = false;
 };
 
 namespace {
 
 tcp::endpoint endpoint_of(const std::string& text) {
     const auto at = parse_host_port(text);
-    if (!at) throw std::runtime_error(text + " is no address");
+    if (!at) throw std::runtime_error("'" + text + "' is not an address with a port");
     return {boost::asio::ip::make_address(at->host), at->port};
 }
 
@@ -156,9 +158,9 @@
     });
 }
 
-bool FaultProxy::lost(Connections& pair, bool to) const {
-    for (const std::string& tag : {pair.tag, std::string()}) {
-        const auto it = faults_.find(tag);
+bool FaultProxy::drops(Connections& pair, bool to) const {
+    for (const std::string& caller : {pair.caller, std::string()}) {
+        const auto it = faults_.find(caller);
         if (it != faults_.end() && (to ? it->second.to : it->second.from)) return true;
     }
     return false;
@@ -166,26 +168,26 @@
 
 void FaultProxy::pump(const std::shared_ptr<Connections>& pair, bool to) {
     tcp::socket& source = pair->sockets[to ? 0 : 1];
-    source.async_read_some(boost::asio::buffer(pair->buffers[to ? 0 : 1]),
-                           [this, pair, to](const error_code& ec, std::size_t n) {
-                               if (ec || pair->closed) return close(*pair);
-                               if (to && pair->tag.empty()) {
-                                   pair->first.append(pair->buffers[0].data(), n);
-                                   pair->tag = identify_caller_(pair->first);
-                               }
-                               if (lost(*pair, to)) {
-                                   pair->spoilt = true;  // what comes later would be out of step
-                                   return pump(pair, to);
-                               }
-                               if (pair->spoilt) return pump(pair, to);
-                               boost::asio::async_write(
-                                   pair->sockets[to ? 1 : 0],
-                                   boost::asio::buffer(pair->buffers[to ? 0 : 1].data(), n),
-                                   [this, pair, to](const error_code& failed, std::size_t) {
-                                       if (failed) return close(*pair);
-                                       pump(pair, to);
-                                   });
-                           });
+    source.async_read_some(
+        boost::asio::buffer(pair->buffers[to ? 0 : 1]),
+        [this, pair, to](const error_code& ec, std::size_t n) {
+            if (ec || pair->closed) return close(*pair);
+            if (to && pair->caller.empty()) {
+                pair->first_bytes.append(pair->buffers[0].data(), n);
+                pair->caller = identify_caller_(pair->first_bytes);
+            }
+            if (drops(*pair, to)) {
+                pair->lost_bytes = true;  // later bytes would not fit the ones before the gap
+                return pump(pair, to);
+            }
+            if (pair->lost_bytes) return pump(pair, to);
+            boost::asio::async_write(pair->sockets[to ? 1 : 0],
+                                     boost::asio::buffer(pair->buffers[to ? 0 : 1].data(), n),
+                                     [this, pair, to](const error_code& failed, std::size_t) {
+                                         if (failed) return close(*pair);
+                                         pump(pair, to);
+                                     });
+        });
 }
 
 void FaultProxy::close(Connections& pair) {
@@ -196,45 +198,48 @@
 
 void FaultProxy::heal() {
     faults_.clear();
-    for (const auto& held : pairs_)
-        if (const auto pair = held.lock(); pair && pair->spoilt) close(*pair);
+    for (const auto& weak_pair : pairs_)
+        if (const auto pair = weak_pair.lock(); pair && pair->lost_bytes) close(*pair);
 }
 
 void FaultProxy::reset_all() {
-    for (const auto& held : pairs_)
-        if (const auto pair = held.lock()) close(*pair);
+    for (const auto& weak_pair : pairs_)
+        if (const auto pair = weak_pair.lock()) close(*pair);
 }
 
-std::string caller_name_in_body(const std::string& first) {
-    const std::string_view key = first.rfind("POST /fleet/relay ", 0) == 0 ? "\"relay\":\"" : "\"name\":\"";
-    const auto at = first.find(key);
-    const auto end = at == first.npos ? at : first.find('"', at + key.size());
-    return end == first.npos ? std::string() : first.substr(at + key.size(), end - at - key.size());
+std::string caller_name_in_body(const std::string& first_bytes) {
+    const std::string_view key =
+        first_bytes.rfind("POST /fleet/relay ", 0) == 0 ? "\"relay\":\"" : "\"name\":\"";
+    const auto at = first_bytes.find(key);
+    const auto end = at == first_bytes.npos ? at : first_bytes.find('"', at + key.size());
+    return end == first_bytes.npos ? std::string()
+                                   : first_bytes.substr(at + key.size(), end - at - key.size());
 }
 
-// Two numbers of eight bytes, little end first: the form, and who connects.
-std::string sender_id_in_handshake(const std::string& first) {
-    if (first.size() < 16) return {};
+// The handshake begins with two little-endian numbers of eight bytes: the protocol version and the sender's
+// id.
+std::string sender_id_in_handshake(const std::string& first_bytes) {
+    if (first_bytes.size() < 16) return {};
     std::uint64_t id = 0;
     for (int i = 7; i >= 0; --i)
-        id = id << 8 | static_cast<unsigned char>(first[8 + static_cast<std::size_t>(i)]);
+        id = id << 8 | static_cast<unsigned char>(first_bytes[8 + static_cast<std::size_t>(i)]);
     return std::to_string(id);
 }
 
 std::vector<std::uint16_t> free_ports(std::size_t count) {
     boost::asio::io_context io;
-    std::vector<tcp::acceptor> held;
+    std::vector<tcp::acceptor> acceptors;
     std::vector<std::uint16_t> ports;
     for (std::size_t i = 0; i < count; ++i) {
-        held.emplace_back(io, tcp::endpoint(boost::asio::ip::address_v4::any(), 0));
-        ports.push_back(held.back().local_endpoint().port());
+        acceptors.emplace_back(io, tcp::endpoint(boost::asio::ip::address_v4::any(), 0));
+        ports.push_back(acceptors.back().local_endpoint().port());
     }
     return ports;
 }
 
 TemporaryDirectory::TemporaryDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "tealcart-XXXXXX").string();
-    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder can be made");
+    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a temporary directory");
     path_ = name;
 }
 
--- a/src/testing/rig.hpp
+++ b/src/testing/rig.hpp
@@ -1,6 +1,6 @@
-// Several processes of the programs on loopback, with faults between them: they are started, killed, stopped
-// for a time and started again, and what they say to each other goes through relays that cut, delay and reset
-// it. Waits for events, never for a time alone. Ends only what it started.
+// Helpers that run the programs as processes on loopback, with faults between them: processes are started,
+// killed, stopped and restarted, and their connections pass through proxies that drop or reset them. Tests
+// wait for events and never for a time alone. Only processes that were started here are ended.
 #pragma once
 
 #include <sys/types.h>
@@ -21,19 +21,21 @@
 
 using TimePoint = std::chrono::steady_clock::time_point;
 
-// What happened when, in one order; written out where a check fails.
+// The events of a test in order of time, to be printed when a check fails.
 struct EventLog {
     struct Event {
         TimePoint at;
-        std::string who, what;
+        std::string source, message;
     };
     std::vector<Event> events;
-    TimePoint began = std::chrono::steady_clock::now();
+    TimePoint started_at = std::chrono::steady_clock::now();
 
-    void record(const std::string& who, const std::string& what);
-    std::string text(std::size_t last = 200) const;
+    void record(const std::string& source, const std::string& message);
+    // The last `max_events` events as lines.
+    std::string text(std::size_t max_events = 200) const;
 };
 
+// A child process whose output lines are recorded. The destructor kills it.
 class Process {
   public:
     Process(boost::asio::io_context& io, EventLog& event_log, std::string name,
@@ -41,11 +43,12 @@
     ~Process();
     Process(const Process&) = delete;
 
-    void signal(int which);
-    // Has it ended? Its status then; a signal that ended it counts as 1000 and more.
+    void signal(int number);
+    // Whether the process has ended. Then `status` is its exit status, or 1000 plus the signal that ended it.
     bool ended();
     int status() const { return status_; }
-    bool has_printed(const std::string& words) const;
+    // Whether a line of the output contains the text.
+    bool has_printed(const std::string& text) const;
     const std::vector<std::string>& lines() const { return lines_; }
     pid_t pid() const { return pid_; }
 
@@ -56,31 +59,33 @@
     const std::string name_;
     pid_t pid_ = -1;
     int status_ = -1;
-    bool over_ = false;
+    bool ended_ = false;
     std::shared_ptr<boost::asio::posix::stream_descriptor> output_;
     std::shared_ptr<std::array<char, 4096>> buffer_;
-    std::shared_ptr<bool> here_ =
-        std::make_shared<bool>(true);  // what was read may still be on its way to it
+    // Outlives the object: a read handler that runs after the destructor must not use the object.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::string partial_line_;
     std::vector<std::string> lines_;
 };
 
-// Between whoever connects and one process. Who that is, `tag` says of the connection's first bytes (empty:
-// not known yet).
+// A TCP proxy in front of one process, which can drop or reset connections of chosen callers.
+// `identify_caller` derives the caller from the first bytes of a connection; it returns an empty text until
+// there are enough of them.
 class FaultProxy {
   public:
-    using IdentifyCaller = std::function<std::string(const std::string& first)>;
+    using IdentifyCaller = std::function<std::string(const std::string& first_bytes)>;
+    // The direction of dropped bytes: to the process, from the process, or both.
     struct Fault {
-        bool to = false, from = false;  // what is said to the process, and by it, gets lost
+        bool to = false, from = false;
     };
 
     FaultProxy(boost::asio::io_context& io, const std::string& listen, const std::string& target,
                IdentifyCaller tag);
     ~FaultProxy();
 
-    // Of the connections of this tag; "" for all.
-    void cut(const std::string& tag, Fault fault) { faults_[tag] = fault; }
-    // What a cut has spoilt is reset.
+    // Drops bytes of the connections of this caller; "" for all callers.
+    void cut(const std::string& caller, Fault fault) { faults_[caller] = fault; }
+    // Removes all faults, and resets connections that have lost bytes.
     void heal();
     void reset_all();
 
@@ -89,7 +94,7 @@
 
     void accept();
     void pump(const std::shared_ptr<Connections>& pair, bool to);
-    bool lost(Connections& pair, bool to) const;
+    bool drops(Connections& pair, bool to) const;
     static void close(Connections& pair);
 
     boost::asio::io_context& io_;
@@ -100,19 +105,21 @@
     std::vector<std::weak_ptr<Connections>> pairs_;
 };
 
-// The member's or relay's name in a call to a manager; the manager's id in the log's handshake.
-std::string caller_name_in_body(const std::string& first);
-std::string sender_id_in_handshake(const std::string& first);
+// Callers for FaultProxy: the member's or relay's name in an HTTP call to a fleet manager, and the fleet
+// manager's id in the handshake of the replicated log.
+std::string caller_name_in_body(const std::string& first_bytes);
+std::string sender_id_in_handshake(const std::string& first_bytes);
 
-// So many ports that were free on loopback a moment ago.
+// Returns `count` ports that were free just now.
 std::vector<std::uint16_t> free_ports(std::size_t count);
 
-// A folder that goes with its owner.
+// A temporary directory that the destructor removes.
 class TemporaryDirectory {
   public:
     TemporaryDirectory();
     ~TemporaryDirectory();
     std::string path(const std::string& name) const { return path_ + "/" + name; }
+    // Writes a file and returns its path.
     std::string write(const std::string& name, const std::string& text) const;
 
   private:
--- a/src/testing/socket_bytes.cpp
+++ b/src/testing/socket_bytes.cpp
@@ -20,9 +20,9 @@
 
 SocketBytes bytes_with(const std::uint16_t* ports, std::size_t count) {
     SocketBytes sum;
-    DIR* folder = ::opendir("/proc/self/fd");
-    if (folder == nullptr) return sum;
-    while (const dirent* entry = ::readdir(folder)) {
+    DIR* directory = ::opendir("/proc/self/fd");
+    if (directory == nullptr) return sum;
+    while (const dirent* entry = ::readdir(directory)) {
         const int fd = std::atoi(entry->d_name);
         sockaddr_in peer{};
         socklen_t length = sizeof peer;
@@ -32,7 +32,7 @@
         const SocketBytes bytes = socket_bytes(fd);
         sum.in += bytes.in, sum.out += bytes.out;
     }
-    ::closedir(folder);
+    ::closedir(directory);
     return sum;
 }
 
