--- a/src/fleet_manager/change_requests.cpp
+++ b/src/fleet_manager/change_requests.cpp
@@ -93,7 +93,7 @@
     ChangeRequest request;
     in.text("id", request.id, max_name_bytes, "'id' is missing or malformed", is_not_control_character);
     if (request.id.empty()) in.fail("id", "'id' is missing or malformed");
-    in.text("asker", request.asker, max_name_bytes, "'asker' is malformed", is_not_control_character);
+    in.text("asker", request.requested_by, max_name_bytes, "'asker' is malformed", is_not_control_character);
     in.text("key", request.key, max_key, "'key' is malformed", is_not_control_character);
     read_entries(in, request.set);
     read_removed(in, request.removed);
--- a/src/fleet_manager/change_requests.hpp
+++ b/src/fleet_manager/change_requests.hpp
@@ -17,7 +17,7 @@
 // An idempotent request: retries with the same id, at any fleet manager, take effect once. Each operation
 // uses some of the fields.
 struct ChangeRequest {
-    std::string id, asker;
+    std::string id, requested_by;
     std::map<std::string, std::string> set;  // entries to publish, by key
     std::set<std::string> removed;           // keys of the entries to remove
     std::optional<std::uint64_t> based_on;   // publish only if this is the latest version
--- a/src/fleet_manager/change_service.cpp
+++ b/src/fleet_manager/change_service.cpp
@@ -24,8 +24,8 @@
 void ChangeService::publish(Handle client, const std::string& body) {
     auto request = accept(client, body);
     if (!request) return;
-    changes::Publish version{std::move(request->asker), std::move(request->set), std::move(request->removed),
-                             request->based_on};
+    changes::Publish version{std::move(request->requested_by), std::move(request->set),
+                             std::move(request->removed), request->based_on};
     propose(client, {std::move(request->id), 0, std::move(version)});
 }
 
@@ -33,7 +33,7 @@
     auto request = accept(client, body);
     if (!request) return;
     propose(client, {std::move(request->id), 0,
-                     changes::Rollback{std::move(request->asker), request->rollback_version}});
+                     changes::Rollback{std::move(request->requested_by), request->rollback_version}});
 }
 
 void ChangeService::resume(Handle client, const std::string& body) {
--- a/src/fleet_manager/command_main.cpp
+++ b/src/fleet_manager/command_main.cpp
@@ -20,8 +20,8 @@
 class CommandLine {
   public:
     CommandLine() {
-        if (const char* user = std::getenv("USER")) client_.asker = user;
-        if (client_.asker.empty()) client_.asker = "operator";
+        if (const char* user = std::getenv("USER")) client_.requested_by = user;
+        if (client_.requested_by.empty()) client_.requested_by = "operator";
         app_.name("tealcart");
         app_.require_subcommand(1);
         add_drain_commands();
@@ -43,7 +43,7 @@
             ->delimiter(',');
         sub->add_option("--file", client_.file, "the fleet managers' file (HCL), which names their addresses")
             ->envname("TEALCART_FLEET_FILE");
-        sub->add_option("--asker", client_.asker,
+        sub->add_option("--asker", client_.requested_by,
                         "the operator's name, as it is shown in the state and the history");
         sub->add_option("--within", client_.timeout_s, "seconds to retry for")
             ->check(CLI::Range(0.1, 3600.0));
--- a/src/fleet_manager/config_command.cpp
+++ b/src/fleet_manager/config_command.cpp
@@ -77,7 +77,7 @@
     const std::vector<HostPort> managers = client.manager_addresses();
     const std::string id = client.call_id();
     call["id"] = id;
-    call["asker"] = client.asker;
+    call["asker"] = client.requested_by;
     const Reply reply = query_managers(managers, path, body_text(call), client.timeout());
     const Json body = body_of(reply);
     if (!body.is_object()) return report_failure(reply, id);
--- a/src/fleet_manager/drain_command.cpp
+++ b/src/fleet_manager/drain_command.cpp
@@ -15,7 +15,7 @@
 enum class WaitFor : std::uint8_t { done, returned };
 
 Json write_call(const ClientOptions& client, const DrainOptions& options, const std::string& id) {
-    Json call = {{"id", id}, {"asker", client.asker}};
+    Json call = {{"id", id}, {"asker", client.requested_by}};
     if (!options.reason.empty()) call["why"] = options.reason;
     if (!options.zone.empty()) call["zone"] = options.zone;
     if (!options.member.empty()) call["name"] = options.member;
--- a/src/fleet_manager/operator_client.hpp
+++ b/src/fleet_manager/operator_client.hpp
@@ -21,7 +21,7 @@
 struct ClientOptions {
     std::vector<std::string> managers;  // addresses of the fleet managers
     std::string file;                   // used if `managers` is empty: the fleet managers' file
-    std::string asker;                  // the operator's name, as it is shown
+    std::string requested_by;           // the operator's name, as it is shown
     std::string id;                     // of the request; empty: a random one
     double timeout_s = 10;              // how long requests are retried
     bool json = false;                  // print answers as JSON
--- a/src/fleet_manager/operator_requests.cpp
+++ b/src/fleet_manager/operator_requests.cpp
@@ -53,7 +53,7 @@
     OperatorCall call;
     in.text("id", call.id, max_name_bytes, "'id' is missing or malformed", is_printable_ascii);
     if (call.id.empty()) in.fail("id", "'id' is missing or malformed");
-    in.text("asker", call.asker, max_name_bytes, "'asker' is malformed", is_printable_ascii);
+    in.text("asker", call.requested_by, max_name_bytes, "'asker' is malformed", is_printable_ascii);
     in.text("why", call.reason, max_reason_bytes, "'why' is malformed", is_printable_ascii);
     in.text("zone", call.zone, max_name_bytes, "'zone' is malformed", is_printable_ascii);
     in.text("name", call.name, max_name_bytes, "'name' is malformed", is_printable_ascii);
--- a/src/fleet_manager/operator_requests.hpp
+++ b/src/fleet_manager/operator_requests.hpp
@@ -15,7 +15,7 @@
 // An idempotent request: retries with the same id, at any fleet manager, take effect once. Each operation
 // uses some of the fields.
 struct OperatorCall {
-    std::string id, asker, reason;  // reason: of a halt
+    std::string id, requested_by, reason;  // reason: of a halt
     std::vector<fleet::Target> targets;
     std::string zone;  // selects all data nodes of this zone, in addition to `targets`
     std::vector<std::uint64_t> requests;
--- a/src/fleet_manager/operator_service.cpp
+++ b/src/fleet_manager/operator_service.cpp
@@ -49,7 +49,7 @@
     if (targets.empty()) return responder_.error(client, 404, "no such target is known");
     std::vector<fleet::Command> commands;
     for (const fleet::Target& target : targets)
-        commands.push_back({command_id(call, target), 0, fleet::RequestRemoval{call.asker, target}});
+        commands.push_back({command_id(call, target), 0, fleet::RequestRemoval{call.requested_by, target}});
     propose(client, std::move(commands));
 }
 
@@ -77,7 +77,7 @@
 }
 
 void OperatorService::halt(Handle client, const OperatorCall& call) {
-    const std::string reason = call.reason.empty() ? "by " + call.asker : call.reason;
+    const std::string reason = call.reason.empty() ? "by " + call.requested_by : call.reason;
     propose(client, {{only_command_id(call), 0, fleet::Halt{reason}}});
 }
 
--- a/src/fleet_manager/status_command.cpp
+++ b/src/fleet_manager/status_command.cpp
@@ -97,7 +97,7 @@
 int change_group(const ClientOptions& client, const char* path, std::uint64_t id,
                  const std::string& raft_address) {
     const Json call = {
-        {"id", new_call_id()}, {"asker", client.asker}, {"requests", {id}}, {"name", raft_address}};
+        {"id", new_call_id()}, {"asker", client.requested_by}, {"requests", {id}}, {"name", raft_address}};
     const Reply reply = query_managers(client.manager_addresses(), path, call.dump(), client.timeout());
     return reply.status == 200 ? std::puts("done") < 0 : report_failure(reply, "-");
 }
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -28,7 +28,7 @@
 
 LongPollObserver::Call Follower::next_call() {
     FollowerCall call;
-    call.report = {name, incarnation_, 3600'000 * ms, applied_version, refused, why_};
+    call.report = {name, incarnation_, 3600'000 * ms, applied_version, refused, refusal_reason_};
     call.zone = "a";
     call.leaving = leaves_;
     call.position = {copy.version(), copy.digest(), copy.needs_pages(), copy.next_page_after(),
@@ -51,8 +51,8 @@
         result = copy.apply(*answer.page);
     }
     if (result == ApplyResult::applied) {
-        const std::string why = refuses_ ? refuses_(copy.document()) : "";
-        if (why.empty()) {
+        const std::string refusal_reason = refuses_ ? refuses_(copy.document()) : "";
+        if (refusal_reason.empty()) {
             version_decreased |= copy.version() < applied_version;
             applied_version = copy.version();
             acting = copy.document();
@@ -60,8 +60,9 @@
         } else {
             refused = copy.version();
         }
-        why_ = why;
-        event_log_.record(name, (why.empty() ? "acts on " : "refuses ") + std::to_string(copy.version()));
+        refusal_reason_ = refusal_reason;
+        event_log_.record(
+            name, (refusal_reason.empty() ? "acts on " : "refuses ") + std::to_string(copy.version()));
     }
     watch_.next();
 }
--- a/src/testing/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -43,7 +43,7 @@
     std::uint64_t incarnation_;
     Nanos lease_ = 0;
     bool leaves_ = false, left_ = false;
-    std::string why_;
+    std::string refusal_reason_;
     ChangeWatch watch_;
 };
 
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -319,8 +319,8 @@
     CHECK(got.status == 200);
     CHECK(got.whole);
     CHECK(fixture.counts().queries == 1);
-    CHECK(fixture.fleet.work().summaries ==
-          8);  // the data nodes were discovered before the two-phase setting
+    // The data nodes were discovered before the two-phase setting.
+    CHECK(fixture.fleet.work().summaries == 8);
     relay.publish({{"two_phase.part", "audit = 1"}});
     fixture.until([&] { return relay.last_report_is(2); });
     CHECK(fixture.ask(fixture.new_query()).pruned.sections == 0);
@@ -393,8 +393,8 @@
     CHECK(relay.calls.back().report.refusal_reason.find(
               "block calls holds at the start only; log:1:9: 'level' is none of") == 0);
     fixture.ask(fixture.new_query());
-    CHECK(fixture.ask(fixture.new_query()).pruned.sections >
-          0);  // no part of the rejected document was applied
+    // No part of the rejected document was applied.
+    CHECK(fixture.ask(fixture.new_query()).pruned.sections > 0);
     CHECK(fixture.counts().queries == 2);
     CHECK(fixture.is_ready());
     SECTION("a further version with the old content is applied") {
