--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -13,14 +13,14 @@
 
 // Counts the allocated bytes, so that tests can check that memory use does not grow.
 namespace {
-std::atomic<std::size_t> held = 0;
+std::atomic<std::size_t> allocated = 0;
 }
-std::size_t tealcart::test::allocated_bytes() { return held; }
+std::size_t tealcart::test::allocated_bytes() { return allocated; }
 
 void* operator new(std::size_t size) {
     void* const at = std::malloc(size > 0 ? size : 1);
     if (at == nullptr) throw std::bad_alloc();
-    held += malloc_usable_size(at);
+    allocated += malloc_usable_size(at);
     return at;
 }
 void* operator new(std::size_t size, const std::nothrow_t&) noexcept {
@@ -31,7 +31,7 @@
     }
 }
 void operator delete(void* at) noexcept {
-    if (at != nullptr) held -= malloc_usable_size(at);
+    if (at != nullptr) allocated -= malloc_usable_size(at);
     std::free(at);
 }
 void operator delete(void* at, std::size_t) noexcept { operator delete(at); }
@@ -44,36 +44,36 @@
 
 std::set<std::string> failed, passed;
 
-struct Verdicts final : Catch::TestEventListenerBase {
+struct ResultRecorder final : Catch::TestEventListenerBase {
     using TestEventListenerBase::TestEventListenerBase;
     void testCaseEnded(const Catch::TestCaseStats& stats) override {
         (stats.totals.testCases.failed > 0 ? failed : passed).insert(stats.testInfo.name);
     }
 };
-CATCH_REGISTER_LISTENER(Verdicts)
+CATCH_REGISTER_LISTENER(ResultRecorder)
 
 }  // namespace
 
 int main(int argc, char** argv) {
     Catch::Session session;
-    const int said = session.run(argc, argv);
-    const char* const named = std::getenv("KNOWN_RED");
-    std::ifstream file(named != nullptr ? named : "");
-    std::set<std::string> known, flaky;
+    const int session_status = session.run(argc, argv);
+    const char* const known_red_path = std::getenv("KNOWN_RED");
+    std::ifstream file(known_red_path != nullptr ? known_red_path : "");
+    std::set<std::string> known_red, flaky;
     for (std::string line; std::getline(file, line);) {
         const std::string test = line.substr(0, line.find(" | "));
-        known.insert(test);
+        known_red.insert(test);
         if (line.compare(test.size(), 9, " | flaky:") == 0) flaky.insert(test);
     }
-    int wrong = 0, passed_over = 0;
+    int unexpected_results = 0, tolerated_failures = 0;
     for (const std::string& test : failed)
-        if (known.contains(test))
-            ++passed_over, std::printf("known red, passed over: %s\n", test.c_str());
+        if (known_red.contains(test))
+            ++tolerated_failures, std::printf("known red, passed over: %s\n", test.c_str());
         else
-            ++wrong;
+            ++unexpected_results;
     for (const std::string& test : passed)
-        if (known.contains(test) && !flaky.contains(test))
-            ++wrong, std::printf("known red, but it passes: %s\n", test.c_str());
-    if (wrong > 0) return said != 0 ? said : 1;
-    return passed_over > 0 ? 0 : said;
+        if (known_red.contains(test) && !flaky.contains(test))
+            ++unexpected_results, std::printf("known red, but it passes: %s\n", test.c_str());
+    if (unexpected_results > 0) return session_status != 0 ? session_status : 1;
+    return tolerated_failures > 0 ? 0 : session_status;
 }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -24,9 +24,9 @@
     std::shared_ptr<TestConnection> peer;
 };
 
-std::string frame(char letter, const std::string& rest) {
+std::string frame(char type, const std::string& rest) {
     std::string out;
-    append_frame_header(out, letter, rest.size());
+    append_frame_header(out, type, rest.size());
     return out + rest;
 }
 
@@ -728,7 +728,8 @@
 
 // An HTTP server with a simulated clock that answers all paths but "/held".
 struct HttpServerRig final : RequestHandler {
-    explicit HttpServerRig(std::size_t most) : server(io, time, *this, most, 4000 * test::ms) {
+    explicit HttpServerRig(std::size_t max_connections)
+        : server(io, time, *this, max_connections, 4000 * test::ms) {
         server.listen("127.0.0.1", 0);
     }
 
@@ -838,10 +839,10 @@
     const auto stalled = rig.client(incomplete_request);
     rig.run_until([&] { return rig.server.open() == 3 && rig.time.due.size() == 2; });
     // A silent client is evicted first, then one that was served, then one in the middle of a request.
-    const auto whole = rig.client(get_request);
-    rig.run_until([&] { return !whole->received.empty() && silent->ended; });
+    const auto idle_client = rig.client(get_request);
+    rig.run_until([&] { return !idle_client->received.empty() && silent->ended; });
     const auto more = rig.client(get_request);
-    rig.run_until([&] { return !more->received.empty() && whole->ended; });
+    rig.run_until([&] { return !more->received.empty() && idle_client->ended; });
     CHECK_FALSE(stalled->ended);
     const auto other = rig.client("GET /held HTTP/1.1\r\n\r\n");
     rig.run_until([&] { return rig.request_paths.size() == 4 && more->ended; });
@@ -998,7 +999,7 @@
     REQUIRE(m.left.size() == 1);
     const auto nodes_asked = [](const std::string& file) {
         ServiceRig world(2, 256, file);
-        std::set<std::string> met;
+        std::set<std::string> nodes_by_query;
         for (int i = 0; i < 6; ++i) {
             const std::size_t before = world.attempts().size();
             auto client = world.client();
@@ -1007,10 +1008,10 @@
             for (std::size_t n = 0; n < world.nodes.size(); ++n)
                 for (const ReceivedAttempt& attempt : world.nodes[n]->attempts)
                     if (attempt.id.rfind("q" + std::to_string(i) + ".", 0) == 0)
-                        met.insert(std::to_string(i) + ":" + std::to_string(n));
+                        nodes_by_query.insert(std::to_string(i) + ":" + std::to_string(n));
             world.answer(*client);
         }
-        return met.size();
+        return nodes_by_query.size();
     };
     // Each of the six queries has two shard requests. With a call cost each query uses one node; without it
     // some use two.
@@ -1071,11 +1072,11 @@
     rig.run_until([&] { return rig.discovery_polls.size() == 2; });
     std::vector<ReceivedAttempt> unanswered;
     rig.nodes[1]->on_attempt = [&](const ReceivedAttempt& attempt) { unanswered.push_back(attempt); };
-    const auto leaver = rig.client(), other = rig.client();
-    leaver->send(query("A"));
+    const auto departing_client = rig.client(), other = rig.client();
+    departing_client->send(query("A"));
     rig.run_until(
         [&] { return unanswered.size() == 1; });  // the other shard request's attempt waits for the connect
-    leaver->socket.close();
+    departing_client->socket.close();
     DataNode::answer_attempt(unanswered[0], "ERROR", "");
     rig.run_until([&] { return rig.service->dispatcher().unfinished_count() == 0; });
     std::vector<boost::asio::ip::tcp::socket> taken;
