--- a/src/changes/effects.cpp
+++ b/src/changes/effects.cpp
@@ -73,30 +73,30 @@
 
 EffectRecord record_of(const Effect& effect) { return std::visit(ToRecord{}, effect); }
 
-Effect effect_of(const EffectRecord& r) {
-    switch (r.code) {
+Effect effect_of(const EffectRecord& record) {
+    switch (record.code) {
         case EffectCode::published:
-            return VersionPublished{r.version};
+            return VersionPublished{record.version};
         case EffectCode::refused:
-            if (r.names.empty()) return CommandRejected{r.version, r.reason, std::nullopt};
-            return CommandRejected{r.version, r.reason, only_name(r)};
+            if (record.names.empty()) return CommandRejected{record.version, record.reason, std::nullopt};
+            return CommandRejected{record.version, record.reason, only_name(record)};
         case EffectCode::in_force:
-            return AppliedEverywhere{r.version, r.names};
+            return AppliedEverywhere{record.version, record.names};
         case EffectCode::member_refuses:
-            return MemberRefused{r.version, only_name(r), r.reason};
+            return MemberRefused{record.version, only_name(record), record.reason};
         case EffectCode::halted:
-            return PublishingHalted{r.version, r.reason};
+            return PublishingHalted{record.version, record.reason};
         case EffectCode::resumed:
-            return PublishingResumed{r.version};
+            return PublishingResumed{record.version};
         case EffectCode::over:
-            return RelayLeaseExpired{r.version, only_name(r)};
+            return RelayLeaseExpired{record.version, only_name(record)};
         case EffectCode::stale:
-            return StaleReport{r.version, only_name(r), stale_reason(r.reason)};
+            return StaleReport{record.version, only_name(record), stale_reason(record.reason)};
         case EffectCode::forgotten:
-            return MemberForgotten{r.version, only_name(r)};
+            return MemberForgotten{record.version, only_name(record)};
     }
     throw CodecError(CodecError::Fault::malformed,
-                     "unknown effect code " + std::to_string(static_cast<int>(r.code)));
+                     "unknown effect code " + std::to_string(static_cast<int>(record.code)));
 }
 
 }  // namespace tealcart::changes
--- a/src/changes/reports.hpp
+++ b/src/changes/reports.hpp
@@ -17,9 +17,10 @@
 
 // Whether the text is not empty, not longer than `max_bytes` and free of control characters.
 inline bool well_formed(const std::string& text, std::size_t max_bytes) {
-    return !text.empty() && text.size() <= max_bytes && std::none_of(text.begin(), text.end(), [](char c) {
-        return static_cast<unsigned char>(c) < 0x20 || c == 0x7f;
-    });
+    return !text.empty() && text.size() <= max_bytes &&
+           std::none_of(text.begin(), text.end(), [](char character) {
+               return static_cast<unsigned char>(character) < 0x20 || character == 0x7f;
+           });
 }
 
 // The beginning of the text, at most `max_bytes` long. It never ends inside a UTF-8 character, which would
--- a/src/fleet/effects.cpp
+++ b/src/fleet/effects.cpp
@@ -64,12 +64,12 @@
     }
 };
 
-Effect asked_effect(const EffectRecord& r) {
-    if (r.reason.empty()) return RemovalQueued{r.request, r.subject};
-    const std::string_view reason = r.reason;
+Effect asked_effect(const EffectRecord& record) {
+    if (record.reason.empty()) return RemovalQueued{record.request, record.subject};
+    const std::string_view reason = record.reason;
     const auto stage =
         value_named<Stage>(stage_names, reason.substr(std::min(already.size(), reason.size())));
-    return RemovalAlreadyOpen{r.request, r.fence, r.generation, r.subject, stage};
+    return RemovalAlreadyOpen{record.request, record.fence, record.generation, record.subject, stage};
 }
 
 }  // namespace
@@ -78,33 +78,34 @@
 
 EffectRecord record_of(const Effect& effect) { return std::visit(ToRecord{}, effect); }
 
-Effect effect_of(const EffectRecord& r) {
-    switch (r.code) {
+Effect effect_of(const EffectRecord& record) {
+    switch (record.code) {
         case EffectCode::asked:
-            return asked_effect(r);
+            return asked_effect(record);
         case EffectCode::refused:
-            return CommandRejected{r.request, r.generation, r.subject, r.reason};
+            return CommandRejected{record.request, record.generation, record.subject, record.reason};
         case EffectCode::granted:
-            return RemovalGranted{r.request, r.fence, r.generation, r.subject};
+            return RemovalGranted{record.request, record.fence, record.generation, record.subject};
         case EffectCode::done:
-            return RemovalDone{r.request, r.fence, r.generation, r.subject};
+            return RemovalDone{record.request, record.fence, record.generation, record.subject};
         case EffectCode::returned:
-            return TargetReturned{r.request, r.fence, r.generation, r.subject};
+            return TargetReturned{record.request, record.fence, record.generation, record.subject};
         case EffectCode::ended:
-            return RequestEnded{r.request, r.fence, r.generation, r.subject};
+            return RequestEnded{record.request, record.fence, record.generation, record.subject};
         case EffectCode::halted:
-            return GrantsHalted{r.generation, r.reason};
+            return GrantsHalted{record.generation, record.reason};
         case EffectCode::resumed:
-            return GrantsResumed{r.generation};
+            return GrantsResumed{record.generation};
         case EffectCode::over:
-            return MemberLeaseExpired{r.generation, r.subject};
+            return MemberLeaseExpired{record.generation, record.subject};
         case EffectCode::stale:
-            return StaleReport{r.generation, r.subject, value_named<StaleReason>(stale_reasons, r.reason)};
+            return StaleReport{record.generation, record.subject,
+                               value_named<StaleReason>(stale_reasons, record.reason)};
         case EffectCode::forgotten:
-            return MemberForgotten{r.generation, r.subject};
+            return MemberForgotten{record.generation, record.subject};
     }
     throw CodecError(CodecError::Fault::malformed,
-                     "unknown effect code " + std::to_string(static_cast<int>(r.code)));
+                     "unknown effect code " + std::to_string(static_cast<int>(record.code)));
 }
 
 }  // namespace tealcart::fleet
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -164,9 +164,9 @@
     for (const std::string& id : history.ids()) {
         json effects = json::array();
         for (const Effect& effect : *history.find(id)) {
-            const EffectRecord e = record_of(effect);
-            effects.push_back(
-                {static_cast<int>(e.code), e.request, e.fence, e.generation, e.subject, e.reason});
+            const EffectRecord record = record_of(effect);
+            effects.push_back({static_cast<int>(record.code), record.request, record.fence, record.generation,
+                               record.subject, record.reason});
         }
         list.push_back({id, std::move(effects)});
     }
@@ -177,9 +177,9 @@
     replicated::CommandHistory<Effect> history;
     for (const json& command : in) {
         Effects effects;
-        for (const json& e : command.at(1))
-            effects.push_back(effect_of(
-                {static_cast<EffectCode>(e.at(0).get<int>()), e.at(1), e.at(2), e.at(3), e.at(4), e.at(5)}));
+        for (const json& record : command.at(1))
+            effects.push_back(effect_of({static_cast<EffectCode>(record.at(0).get<int>()), record.at(1),
+                                         record.at(2), record.at(3), record.at(4), record.at(5)}));
         history.record(command.at(0), std::move(effects));
     }
     return history;
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -49,15 +49,15 @@
     Effects effects;
 
     std::uint64_t version() const { return versions.size() - 1; }
-    std::uint64_t agreed_or_none(std::uint64_t v) const { return v > version() ? 0 : v; }
+    std::uint64_t agreed_or_none(std::uint64_t reported) const { return reported > version() ? 0 : reported; }
     ModelMember* find_member(const std::string& name) {
-        for (ModelMember& w : members)
-            if (w.name == name) return &w;
+        for (ModelMember& member : members)
+            if (member.name == name) return &member;
         return nullptr;
     }
     Relay* find_relay(const std::string& name) {
-        for (Relay& r : relays)
-            if (r.name == name) return &r;
+        for (Relay& relay : relays)
+            if (relay.name == name) return &relay;
         return nullptr;
     }
     std::uint64_t applied_version(const ModelMember& member) {
@@ -101,27 +101,27 @@
                 member.refused_version = 0;
     }
 
-    void advance(Nanos at) {
-        if (at <= now) return;
-        const Nanos gap = at - now;
+    void advance(Nanos time) {
+        if (time <= now) return;
+        const Nanos gap = time - now;
         if (now > 0 && gap > limits.lease / 4) {
-            for (Relay& r : relays)
-                if (r.live) r.lease += gap;
+            for (Relay& relay : relays)
+                if (relay.live) relay.lease += gap;
             for (ModelMember& member : members)
                 if (is_live(member) && member.attachments.empty()) member.lease_until += gap;
-            hold_until = at + limits.lease + limits.drift;
+            hold_until = time + limits.lease + limits.drift;
         }
-        now = at;
-        std::vector<Relay*> over;
-        for (Relay& r : relays)
-            if (r.live && now > r.lease + limits.drift) over.push_back(&r);
-        std::sort(over.begin(), over.end(), [](const Relay* a, const Relay* b) {
+        now = time;
+        std::vector<Relay*> expired;
+        for (Relay& relay : relays)
+            if (relay.live && now > relay.lease + limits.drift) expired.push_back(&relay);
+        std::sort(expired.begin(), expired.end(), [](const Relay* a, const Relay* b) {
             return std::pair(a->lease, a->name) < std::pair(b->lease, b->name);
         });
-        for (Relay* r : over) {
-            detach_all(*r);
-            r->live = false;
-            effects.push_back(RelayLeaseExpired{version(), r->name});
+        for (Relay* relay : expired) {
+            detach_all(*relay);
+            relay->live = false;
+            effects.push_back(RelayLeaseExpired{version(), relay->name});
         }
         drop_forgotten();
     }
@@ -132,8 +132,8 @@
                                            : std::max(limits.forget_after, member.lease_grace + limits.drift);
             return now > std::max(member.lease_until, member.ended_at) + kept;
         });
-        std::erase_if(relays, [&](const Relay& r) {
-            return !r.live && now > r.lease + limits.forget_after + limits.drift;
+        std::erase_if(relays, [&](const Relay& relay) {
+            return !relay.live && now > relay.lease + limits.forget_after + limits.drift;
         });
     }
 
@@ -226,59 +226,59 @@
         versions.push_back(next);
         effects.push_back(VersionPublished{version()});
     }
-    void on(const Publish& c) {
+    void on(const Publish& command) {
         if (halted) return reject("halted: " + halt_reason);
-        if (c.based_on && *c.based_on != version())
-            return reject("based on version " + std::to_string(*c.based_on) + ", the latest is " +
+        if (command.based_on && *command.based_on != version())
+            return reject("based on version " + std::to_string(*command.based_on) + ", the latest is " +
                           std::to_string(version()));
         Document next = versions.back();
-        for (const auto& [key, value] : c.set) next[key] = value;
-        for (const std::string& key : c.removed) next.erase(key);
+        for (const auto& [key, value] : command.set) next[key] = value;
+        for (const std::string& key : command.removed) next.erase(key);
         publish(next);
     }
-    void on(const Rollback& c) {
-        if (c.to == 0 || c.to > version() || c.to + limits.max_kept <= version())
-            return reject("version " + std::to_string(c.to) + " is not kept");
-        publish(Document(versions[c.to]));
+    void on(const Rollback& command) {
+        if (command.to == 0 || command.to > version() || command.to + limits.max_kept <= version())
+            return reject("version " + std::to_string(command.to) + " is not kept");
+        publish(Document(versions[command.to]));
     }
     void on(const Resume&) {
         halted = false;
         halt_reason.clear();
         effects.push_back(PublishingResumed{version()});
     }
-    void on(const ReportBatch& c) {
-        for (const RelayReport& w : c.reports) apply_report(w);
+    void on(const ReportBatch& command) {
+        for (const RelayReport& report : command.reports) apply_report(report);
     }
-    void on(const Forget& c) {
-        const ModelMember* m = find_member(c.name);
-        if (m == nullptr) return reject("no such member", c.name);
-        if (is_live(*m)) return reject("its lease is not over", c.name);
-        std::erase_if(members, [&](const ModelMember& w) { return w.name == c.name; });
-        effects.push_back(MemberForgotten{version(), c.name});
+    void on(const Forget& command) {
+        const ModelMember* member = find_member(command.name);
+        if (member == nullptr) return reject("no such member", command.name);
+        if (is_live(*member)) return reject("its lease is not over", command.name);
+        std::erase_if(members, [&](const ModelMember& candidate) { return candidate.name == command.name; });
+        effects.push_back(MemberForgotten{version(), command.name});
     }
-    void on(const SetLimits& c) {
-        limits = c.limits;
+    void on(const SetLimits& command) {
+        limits = command.limits;
         Effects kept = effects;
-        const Nanos at = now;
-        now = at - 1;
+        const Nanos previous = now;
+        now = previous - 1;
         limits.lease = INT64_MAX / 8;  // the time advances without an interruption
-        advance(at);
-        limits = c.limits;
+        advance(previous);
+        limits = command.limits;
     }
     void on(const Tick&) {}
 
-    Effects apply(const Command& c) {
+    Effects apply(const Command& command) {
         effects.clear();
-        advance(c.proposed_at);
-        std::visit([this](const auto& payload) { on(payload); }, c.payload);
+        advance(command.proposed_at);
+        std::visit([this](const auto& payload) { on(payload); }, command.payload);
         std::size_t live = 0, refusing = 0;
         std::uint64_t least = version();
         std::vector<std::string> names;
-        for (const ModelMember& w : members) {
-            if (!is_live(w)) continue;
+        for (const ModelMember& member : members) {
+            if (!is_live(member)) continue;
             ++live;
-            refusing += w.refused_version > 0 && w.refused_version == version();
-            least = std::min(least, applied_version(w));
+            refusing += member.refused_version > 0 && member.refused_version == version();
+            least = std::min(least, applied_version(member));
         }
         if (halted_version != version() && refusing > 0 && refusing >= limits.halt_min_refusals &&
             static_cast<double>(refusing) > limits.halt_refused_share * static_cast<double>(live)) {
@@ -290,8 +290,9 @@
         }
         if (now >= hold_until && least > applied_everywhere) {
             applied_everywhere = least;
-            for (const ModelMember& w : members)
-                if (!is_live(w) && may_act(w) && w.reported_version < least) names.push_back(w.name);
+            for (const ModelMember& member : members)
+                if (!is_live(member) && may_act(member) && member.reported_version < least)
+                    names.push_back(member.name);
             std::sort(names.begin(), names.end());
             effects.push_back(AppliedEverywhere{least, names});
         }
@@ -301,11 +302,11 @@
 };
 
 Limits limits_of_test() {
-    Limits l;
-    l.lease = 12 * second, l.drift = second, l.forget_after = 30 * second;
-    l.halt_refused_share = 0.2, l.halt_min_refusals = 1;
-    l.max_kept = 6;
-    return l;
+    Limits limits;
+    limits.lease = 12 * second, limits.drift = second, limits.forget_after = 30 * second;
+    limits.halt_refused_share = 0.2, limits.halt_min_refusals = 1;
+    limits.max_kept = 6;
+    return limits;
 }
 
 using Random = std::knuth_b;
@@ -317,78 +318,81 @@
     explicit Generator(std::uint64_t seed) : random(seed) {}
 
     MemberReport random_member_report(std::uint64_t version) {
-        MemberReport w{"m" + std::to_string(random_below(random, 9)),
-                       1,
-                       random_below(random, 4) * 10 * second,
-                       0,
-                       0,
-                       ""};
-        std::uint64_t& incarnation = member_incarnations[w.name];
+        MemberReport report{"m" + std::to_string(random_below(random, 9)),
+                            1,
+                            random_below(random, 4) * 10 * second,
+                            0,
+                            0,
+                            ""};
+        std::uint64_t& incarnation = member_incarnations[report.name];
         if (incarnation == 0 || random_below(random, 12) == 0) ++incarnation;
-        w.incarnation = random_below(random, 10) == 0 && incarnation > 1 ? incarnation - 1 : incarnation;
-        w.applied_version =
+        report.incarnation = random_below(random, 10) == 0 && incarnation > 1 ? incarnation - 1 : incarnation;
+        report.applied_version =
             version - std::min<std::uint64_t>(version, static_cast<std::uint64_t>(random_below(random, 4)));
-        if (random_below(random, 25) == 0) w.applied_version = version + 3;
-        if (random_below(random, 3) == 0) w.refused_version = version, w.refusal_reason = "no";
-        return w;
+        if (random_below(random, 25) == 0) report.applied_version = version + 3;
+        if (random_below(random, 3) == 0) report.refused_version = version, report.refusal_reason = "no";
+        return report;
     }
     RelayReport random_relay_report(std::uint64_t version) {
-        RelayReport w;
+        RelayReport report;
         // At any time one of the relays is silent.
-        w.relay = "r" + std::to_string((now / (40 * second) + 1 + random_below(random, 3)) % 4);
-        w.zone = "z";
-        auto& [incarnation, number, first] = relays[w.relay];
+        report.relay = "r" + std::to_string((now / (40 * second) + 1 + random_below(random, 3)) % 4);
+        report.zone = "z";
+        auto& [incarnation, number, first] = relays[report.relay];
         if (incarnation == 0 || random_below(random, 25) == 0) ++incarnation, number = 0, first = true;
-        w.incarnation = incarnation;
-        w.number = random_below(random, 12) == 0 ? number : ++number;
-        w.full = std::exchange(first, false) || random_below(random, 8) == 0;
-        for (int i = random_below(random, 4); i > 0; --i) w.joined.push_back(random_member_report(version));
+        report.incarnation = incarnation;
+        report.number = random_below(random, 12) == 0 ? number : ++number;
+        report.full = std::exchange(first, false) || random_below(random, 8) == 0;
+        for (int i = random_below(random, 4); i > 0; --i)
+            report.joined.push_back(random_member_report(version));
         for (int i = random_below(random, 2); i > 0; --i) {
-            const MemberReport m = random_member_report(version);
-            (random_below(random, 3) == 0 ? w.left : w.lost).emplace_back(m.name, m.incarnation);
+            const MemberReport member = random_member_report(version);
+            (random_below(random, 3) == 0 ? report.left : report.lost)
+                .emplace_back(member.name, member.incarnation);
         }
         const auto behind = static_cast<std::uint64_t>(random_below(random, 3));
-        w.lowest = version - std::min(version, behind);
+        report.lowest = version - std::min(version, behind);
         for (int i = random_below(random, 5); i > 0; --i)
-            w.exceptions.push_back(random_member_report(version));
-        return w;
+            report.exceptions.push_back(random_member_report(version));
+        return report;
     }
     Command next(const ChangeState& state) {
-        Command c{"", now, Tick{}};
-        const std::uint64_t v = state.version();
+        Command command{"", now, Tick{}};
+        const std::uint64_t version = state.version();
         switch (random_below(random, 24)) {
             case 0:
             case 1: {
-                Publish p{"ann", {}, {}, {}};
-                p.set["k" + std::to_string(random_below(random, 5))] =
+                Publish publish{"ann", {}, {}, {}};
+                publish.set["k" + std::to_string(random_below(random, 5))] =
                     std::to_string(random_below(random, 3));
                 if (random_below(random, 3) == 0)
-                    p.removed.insert("l" + std::to_string(random_below(random, 3)));
+                    publish.removed.insert("l" + std::to_string(random_below(random, 3)));
                 if (random_below(random, 3) == 0)
-                    p.set["l" + std::to_string(3 + random_below(random, 3))] = "x";
+                    publish.set["l" + std::to_string(3 + random_below(random, 3))] = "x";
                 if (random_below(random, 4) == 0)
-                    p.based_on = v - static_cast<std::uint64_t>(v > 0 && random_below(random, 2));
-                c.payload = p;
-                if (random_below(random, 2) == 0) c.id = "p" + std::to_string(random_below(random, 40));
+                    publish.based_on =
+                        version - static_cast<std::uint64_t>(version > 0 && random_below(random, 2));
+                command.payload = publish;
+                if (random_below(random, 2) == 0) command.id = "p" + std::to_string(random_below(random, 40));
                 break;
             }
             case 2:
-                c.payload = Rollback{
-                    "bob", static_cast<std::uint64_t>(random_below(random, static_cast<int>(v) + 2))};
+                command.payload = Rollback{
+                    "bob", static_cast<std::uint64_t>(random_below(random, static_cast<int>(version) + 2))};
                 break;
             case 3:
-                c.payload = Resume{};
+                command.payload = Resume{};
                 break;
             case 4:
-                c.payload = Forget{"m" + std::to_string(random_below(random, 9))};
+                command.payload = Forget{"m" + std::to_string(random_below(random, 9))};
                 break;
             case 5: {
                 if (random_below(random, 4) != 0) break;
-                Limits l = limits_of_test();
-                l.drift = (1 + random_below(random, 3)) * second;
-                l.lease = (10 + random_below(random, 4)) * second;
-                l.forget_after = (20 + random_below(random, 20)) * second;
-                c.payload = SetLimits{l};
+                Limits limits = limits_of_test();
+                limits.drift = (1 + random_below(random, 3)) * second;
+                limits.lease = (10 + random_below(random, 4)) * second;
+                limits.forget_after = (20 + random_below(random, 20)) * second;
+                command.payload = SetLimits{limits};
                 break;
             }
             case 6:
@@ -399,16 +403,16 @@
                 now += (1 + random_below(random, 2)) * second;
                 if (random_below(random, 40) == 0) now += random_below(random, 30) * second;
                 if (random_below(random, 20) == 0) now -= second;
-                c.proposed_at = now;
+                command.proposed_at = now;
                 break;
             default: {
                 ReportBatch batch;
                 for (int i = 1 + random_below(random, 2); i > 0; --i)
-                    batch.reports.push_back(random_relay_report(v));
-                c.payload = std::move(batch);
+                    batch.reports.push_back(random_relay_report(version));
+                command.payload = std::move(batch);
             }
         }
-        return c;
+        return command;
     }
 
     struct RelayNumbers {
@@ -428,21 +432,22 @@
     REQUIRE(state.document() == model.versions.back());
     REQUIRE(state.digest() == digest_of(model.versions.back()));
     REQUIRE(state.members() == model.members.size());
-    for (const std::uint64_t v :
+    for (const std::uint64_t version :
          {state.version(), state.applied_everywhere(), state.applied_everywhere() + 1}) {
         RolloutProgress expected;
-        for (ReferenceModel::ModelMember& w : model.members) {
-            const std::uint64_t applied_version = model.applied_version(w);
-            if (!model.is_live(w)) {
-                if (applied_version < v && model.may_act(w)) expected.unacknowledged.push_back(w.name);
+        for (ReferenceModel::ModelMember& member : model.members) {
+            const std::uint64_t applied_version = model.applied_version(member);
+            if (!model.is_live(member)) {
+                if (applied_version < version && model.may_act(member))
+                    expected.unacknowledged.push_back(member.name);
                 continue;
             }
             ++expected.live;
-            expected.applied += applied_version >= v;
-            if (applied_version < v) expected.behind.push_back(w.name);
-            if (w.refused_version > 0) expected.refusing.push_back(w.name);
+            expected.applied += applied_version >= version;
+            if (applied_version < version) expected.behind.push_back(member.name);
+            if (member.refused_version > 0) expected.refusing.push_back(member.name);
         }
-        const RolloutProgress actual = state.progress(v, 100);
+        const RolloutProgress actual = state.progress(version, 100);
         REQUIRE(actual.live == expected.live);
         REQUIRE(actual.applied == expected.applied);
         for (auto* list : {&expected.behind, &expected.refusing, &expected.unacknowledged})
@@ -452,11 +457,11 @@
         REQUIRE(actual.unacknowledged == expected.unacknowledged);
     }
     // The delta from each version to the latest one, as far as it is kept.
-    for (std::uint64_t v = 0; v <= state.version(); ++v) {
-        const auto delta = state.since(v);
-        REQUIRE(delta.has_value() == (v + state.limits().max_kept >= state.version()));
+    for (std::uint64_t version = 0; version <= state.version(); ++version) {
+        const auto delta = state.since(version);
+        REQUIRE(delta.has_value() == (version + state.limits().max_kept >= state.version()));
         if (!delta) continue;
-        Document document = model.versions[v];
+        Document document = model.versions[version];
         for (const auto& [key, value] : delta->set) document[key] = value;
         for (const std::string& key : delta->removed) document.erase(key);
         REQUIRE(document == state.document());
@@ -477,19 +482,19 @@
         std::map<std::string, std::vector<Effect>> first_effects;
         for (int step = 0; step < 600; ++step) {
             CAPTURE(step);
-            const Command c = generator.next(state);
-            const Effects effects = state.apply(c);
+            const Command command = generator.next(state);
+            const Effects effects = state.apply(command);
             // A duplicate command is applied once, on each replica. A later command with the same id counts
             // as a duplicate.
-            const auto [known, is_new] = first_effects.emplace(c.id, effects);
-            if (!is_new && !c.id.empty()) {
+            const auto [known, is_new] = first_effects.emplace(command.id, effects);
+            if (!is_new && !command.id.empty()) {
                 REQUIRE(effects == known->second);
             } else {
-                const Effects expected = model.apply(c);
+                const Effects expected = model.apply(command);
                 REQUIRE(effects == expected);
-                for (const Effect& e : effects) ++effect_counts[e.index()];
+                for (const Effect& effect : effects) ++effect_counts[effect.index()];
             }
-            const auto bytes = write_command(c);
+            const auto bytes = write_command(command);
             REQUIRE(other.apply(read_command(bytes.data(), bytes.size())) == effects);
             if (step % 7 == 0) {
                 ChangeState read{Limits{}};
@@ -548,29 +553,29 @@
 
     explicit Simulation(std::uint64_t seed)
         : random(seed), state([] {
-              Limits l;
-              l.lease = lease, l.drift = drift, l.forget_after = 20 * second;
-              l.halt_refused_share = 0.4;
-              return l;
+              Limits limits;
+              limits.lease = lease, limits.drift = drift, limits.forget_after = 20 * second;
+              limits.halt_refused_share = 0.4;
+              return limits;
           }()) {
         for (int i = 0; i < all_relays; ++i) relays.emplace_back().name = "r" + std::to_string(i);
         for (int i = 0; i < all_members; ++i) members.push_back({"m" + std::to_string(i)});
-        for (SimulatedRelay& r : relays) start(r);
-        for (SimulatedMember& m : members) m.starts_at = now + random_below(random, 40) * step;
+        for (SimulatedRelay& relay : relays) start(relay);
+        for (SimulatedMember& member : members) member.starts_at = now + random_below(random, 40) * step;
     }
 
     double random_clock_rate() { return 0.97 + 0.06 * random_below(random, 1001) / 1000.0; }
-    void start(SimulatedRelay& r) {
-        r.aggregator.emplace(r.name, "z", ++r.incarnation, 6, 2);
-        r.rate = random_clock_rate();
-        r.known_version = 0;
-    }
-    void start(SimulatedMember& m) {
-        m = {m.name, true, m.incarnation + 1};
-        m.rate = random_clock_rate();
-        m.relay = random_below(random, all_relays);
-        m.relay_epoch = ++last_relay_epoch;
-        m.last_response_at = now;
+    void start(SimulatedRelay& relay) {
+        relay.aggregator.emplace(relay.name, "z", ++relay.incarnation, 6, 2);
+        relay.rate = random_clock_rate();
+        relay.known_version = 0;
+    }
+    void start(SimulatedMember& member) {
+        member = {member.name, true, member.incarnation + 1};
+        member.rate = random_clock_rate();
+        member.relay = random_below(random, all_relays);
+        member.relay_epoch = ++last_relay_epoch;
+        member.last_response_at = now;
     }
     Nanos delay() {
         return random_below(random, 30) == 0 ? random_below(random, 60) * step
@@ -583,16 +588,17 @@
     }
 
     // Sends the member's report, and the relay's response to it.
-    void send_member_report(SimulatedMember& m) {
-        m.next_report_at = now + (5 + random_below(random, 6)) * step;
-        const Nanos sent = m.clock(now);
-        const auto member_index = static_cast<std::size_t>(&m - members.data());
-        const auto relay_index = static_cast<std::size_t>(m.relay);
-        send([this, member_index, relay_index, report = m.report(), sent, relay_epoch = m.relay_epoch] {
-            SimulatedRelay& r = relays[relay_index];
-            if (!r.aggregator || !r.aggregator->record_report(r.clock(now), report)) return;
-            const Nanos lease_grant = r.aggregator->grant_lease(r.clock(now), report.name);
-            send([this, member_index, sent, relay_epoch, lease_grant, latest = r.known_version] {
+    void send_member_report(SimulatedMember& member) {
+        member.next_report_at = now + (5 + random_below(random, 6)) * step;
+        const Nanos sent = member.clock(now);
+        const auto member_index = static_cast<std::size_t>(&member - members.data());
+        const auto relay_index = static_cast<std::size_t>(member.relay);
+        send([this, member_index, relay_index, report = member.report(), sent,
+              relay_epoch = member.relay_epoch] {
+            SimulatedRelay& relay = relays[relay_index];
+            if (!relay.aggregator || !relay.aggregator->record_report(relay.clock(now), report)) return;
+            const Nanos lease_grant = relay.aggregator->grant_lease(relay.clock(now), report.name);
+            send([this, member_index, sent, relay_epoch, lease_grant, latest = relay.known_version] {
                 SimulatedMember& to = members[member_index];
                 if (!to.runs || to.relay_epoch != relay_epoch || to.paused_until > now) return;
                 to.last_response_at = now;
@@ -609,12 +615,12 @@
         });
     }
     // Sends the relay's report, and the fleet managers' response to it.
-    void send_relay_report(SimulatedRelay& r) {
-        r.next_report_at = now + (5 + random_below(random, 10)) * step;
-        const RelayReport report = r.aggregator->next_report(r.clock(now), drift);
-        if (r.partitioned_until > now) return;
-        const auto relay_index = static_cast<std::size_t>(&r - relays.data());
-        send([this, relay_index, report, sent = r.clock(now), incarnation = r.incarnation] {
+    void send_relay_report(SimulatedRelay& relay) {
+        relay.next_report_at = now + (5 + random_below(random, 10)) * step;
+        const RelayReport report = relay.aggregator->next_report(relay.clock(now), drift);
+        if (relay.partitioned_until > now) return;
+        const auto relay_index = static_cast<std::size_t>(&relay - relays.data());
+        send([this, relay_index, report, sent = relay.clock(now), incarnation = relay.incarnation] {
             if (no_leader_until > now) return;
             apply(ReportBatch{{report}});
             const std::uint64_t last = state.last_number(report.relay, incarnation);
@@ -633,18 +639,18 @@
 
     template <typename Payload>
     void apply(Payload action) {
-        for (const Effect& e : state.apply({"", now + leader_clock_offset, std::move(action)})) {
-            if (std::holds_alternative<PublishingHalted>(e)) halted = true;
-            const auto* applied = std::get_if<AppliedEverywhere>(&e);
+        for (const Effect& effect : state.apply({"", now + leader_clock_offset, std::move(action)})) {
+            if (std::holds_alternative<PublishingHalted>(effect)) halted = true;
+            const auto* applied = std::get_if<AppliedEverywhere>(&effect);
             if (applied == nullptr) continue;
             ++applied_count, lagging_count += applied->may_lag.size();
-            for (const SimulatedMember& m : members) {
-                if (!m.runs || m.applied_version >= applied->version || !m.had_lease) continue;
-                CAPTURE(m.name, applied->version, m.applied_version);
-                REQUIRE(m.clock(now) > m.lease_until);
-                const bool may_act = m.clock(now) <= m.lease_until + lease_grace;
+            for (const SimulatedMember& member : members) {
+                if (!member.runs || member.applied_version >= applied->version || !member.had_lease) continue;
+                CAPTURE(member.name, applied->version, member.applied_version);
+                REQUIRE(member.clock(now) > member.lease_until);
+                const bool may_act = member.clock(now) <= member.lease_until + lease_grace;
                 REQUIRE((!may_act ||
-                         std::binary_search(applied->may_lag.begin(), applied->may_lag.end(), m.name)));
+                         std::binary_search(applied->may_lag.begin(), applied->may_lag.end(), member.name)));
             }
         }
     }
@@ -657,17 +663,17 @@
             deliver();
         }
         if (faults) inject_faults();
-        for (SimulatedRelay& r : relays)
-            if (r.aggregator && r.next_report_at <= now) send_relay_report(r);
-        for (SimulatedMember& m : members) {
-            if (!m.runs && m.starts_at <= now) start(m);
-            if (!m.runs || m.paused_until > now) continue;
-            if (now - m.last_response_at > 4 * second) {
-                m.relay = random_below(random, all_relays);
-                m.relay_epoch = ++last_relay_epoch;
-                m.last_response_at = now;
+        for (SimulatedRelay& relay : relays)
+            if (relay.aggregator && relay.next_report_at <= now) send_relay_report(relay);
+        for (SimulatedMember& member : members) {
+            if (!member.runs && member.starts_at <= now) start(member);
+            if (!member.runs || member.paused_until > now) continue;
+            if (now - member.last_response_at > 4 * second) {
+                member.relay = random_below(random, all_relays);
+                member.relay_epoch = ++last_relay_epoch;
+                member.last_response_at = now;
             }
-            if (m.next_report_at <= now) send_member_report(m);
+            if (member.next_report_at <= now) send_member_report(member);
         }
         if (no_leader_until <= now) {
             if (std::exchange(halted, false) && state.halted()) apply(Resume{});
@@ -678,38 +684,38 @@
         }
         // A member that holds a lease by its own clock must be live in the fleet managers' state.
         const RolloutProgress progress = state.progress(UINT64_MAX, 1000);
-        for (const SimulatedMember& m : members) {
-            if (!m.runs || m.clock(now) > m.lease_until) continue;
-            CAPTURE(m.name);
-            REQUIRE(std::binary_search(progress.behind.begin(), progress.behind.end(), m.name));
+        for (const SimulatedMember& member : members) {
+            if (!member.runs || member.clock(now) > member.lease_until) continue;
+            CAPTURE(member.name);
+            REQUIRE(std::binary_search(progress.behind.begin(), progress.behind.end(), member.name));
         }
     }
 
     void inject_faults() {
-        for (SimulatedRelay& r : relays) {
-            if (!r.aggregator) {
-                if (random_below(random, 40) == 0) start(r);
+        for (SimulatedRelay& relay : relays) {
+            if (!relay.aggregator) {
+                if (random_below(random, 40) == 0) start(relay);
             } else if (random_below(random, 400) == 0) {
-                r.aggregator.reset();
-                if (random_below(random, 2) == 0) start(r);
+                relay.aggregator.reset();
+                if (random_below(random, 2) == 0) start(relay);
             } else if (random_below(random, 500) == 0) {
-                r.partitioned_until = now + random_below(random, 200) * step;
+                relay.partitioned_until = now + random_below(random, 200) * step;
             }
         }
-        for (SimulatedMember& m : members) {
-            if (!m.runs) continue;
+        for (SimulatedMember& member : members) {
+            if (!member.runs) continue;
             const int action = random_below(random, 3000);
             if (action < 8) {
-                m.paused_until = now + random_below(random, 200) * step;
+                member.paused_until = now + random_below(random, 200) * step;
             } else if (action < 14) {
-                m.relay = random_below(random, all_relays);
-                m.relay_epoch = ++last_relay_epoch;
+                member.relay = random_below(random, all_relays);
+                member.relay_epoch = ++last_relay_epoch;
             } else if (action < 18) {
-                m.runs = false;
-                m.starts_at = now + random_below(random, 100) * step;
+                member.runs = false;
+                member.starts_at = now + random_below(random, 100) * step;
                 if (random_below(random, 2) == 0)
-                    send([this, relay_index = static_cast<std::size_t>(m.relay), name = m.name,
-                          incarnation = m.incarnation] {
+                    send([this, relay_index = static_cast<std::size_t>(member.relay), name = member.name,
+                          incarnation = member.incarnation] {
                         if (relays[relay_index].aggregator)
                             relays[relay_index].aggregator->record_leave(name, incarnation);
                     });
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -66,8 +66,9 @@
     }
     bool lease_expired(const ModelMember& member) const { return now > member.lease_until + second; }
     bool is_removed(const Target& target) const {
-        return std::any_of(requests.begin(), requests.end(),
-                           [&](const ModelRequest& r) { return r.target == target && r.out; });
+        return std::any_of(requests.begin(), requests.end(), [&](const ModelRequest& request) {
+            return request.target == target && request.out;
+        });
     }
     bool is_out(const Target& target) {
         if (is_removed(target)) return true;
@@ -77,13 +78,13 @@
     }
     bool within_budgets(const Target& target) {
         const bool adds_one = !is_out(target);
-        std::size_t n = 0;
+        std::size_t out_count = 0;
         if (target.router) {
-            for (const ModelMember& member : members) n += is_out({true, member.name});
-            return n + adds_one <= 1;
+            for (const ModelMember& member : members) out_count += is_out({true, member.name});
+            return out_count + adds_one <= 1;
         }
-        for (const auto& [name, h] : health) n += is_out({false, name});
-        if (n + adds_one > 2) return false;
+        for (const auto& [name, node_health] : health) out_count += is_out({false, name});
+        if (out_count + adds_one > 2) return false;
         const int self = std::stoi(target.name.substr(1));
         for (int j = 0; j < width; ++j) {
             const int shard = (self + nodes - j) % nodes;
@@ -101,50 +102,50 @@
             return lease_expired(member) && now - member.lease_until > 40 * second &&
                    !is_removed({true, member.name});
         });
-        for (ModelRequest& r : requests)
-            if (r.stage == Stage::granted &&
+        for (ModelRequest& request : requests)
+            if (request.stage == Stage::granted &&
                 std::all_of(members.begin(), members.end(), [&](const ModelMember& member) {
-                    return lease_expired(member) || (member.applied_generation >= r.generation &&
-                                                     !member.in_flight.contains(r.target));
+                    return lease_expired(member) || (member.applied_generation >= request.generation &&
+                                                     !member.in_flight.contains(request.target));
                 }))
-                r.stage = Stage::done;
-        const auto is_returning = [&](const ModelRequest& r) {
-            if (r.target.router) {
-                const ModelMember* member = find_member(r.target.name);
+                request.stage = Stage::done;
+        const auto is_returning = [&](const ModelRequest& request) {
+            if (request.target.router) {
+                const ModelMember* member = find_member(request.target.name);
                 return member != nullptr && !lease_expired(*member) &&
-                       member->applied_generation < r.generation;
+                       member->applied_generation < request.generation;
             }
-            const Health h = health.at(r.target.name);
-            return h != Health::gone && h != Health::healthy;
+            const Health current = health.at(request.target.name);
+            return current != Health::gone && current != Health::healthy;
         };
         bool return_pending = false;
-        for (ModelRequest& r : requests) {
-            if (r.stage != Stage::returning || r.out) continue;
-            if (is_returning(r))
+        for (ModelRequest& request : requests) {
+            if (request.stage != Stage::returning || request.out) continue;
+            if (is_returning(request))
                 return_pending = true;
             else
-                r.stage = Stage::ended;
+                request.stage = Stage::ended;
         }
-        for (auto r = requests.rbegin(); r != requests.rend() && !return_pending; ++r) {
-            if (r->stage != Stage::returning || !r->out) continue;
-            r->out = false;
-            r->generation = ++generation;
-            if (is_returning(*r))
+        for (auto request = requests.rbegin(); request != requests.rend() && !return_pending; ++request) {
+            if (request->stage != Stage::returning || !request->out) continue;
+            request->out = false;
+            request->generation = ++generation;
+            if (is_returning(*request))
                 return_pending = true;
             else
-                r->stage = Stage::ended;
+                request->stage = Stage::ended;
         }
-        std::erase_if(requests, [](const ModelRequest& r) { return r.stage == Stage::ended; });
+        std::erase_if(requests, [](const ModelRequest& request) { return request.stage == Stage::ended; });
         bool blocked[2] = {halted, halted};
-        for (ModelRequest& r : requests) {
-            if (r.stage != Stage::queued || blocked[r.target.router]) continue;
-            if (!within_budgets(r.target)) {
-                blocked[r.target.router] = true;
+        for (ModelRequest& request : requests) {
+            if (request.stage != Stage::queued || blocked[request.target.router]) continue;
+            if (!within_budgets(request.target)) {
+                blocked[request.target.router] = true;
                 continue;
             }
-            r.stage = Stage::granted;
-            r.out = true;
-            r.generation = ++generation;
+            request.stage = Stage::granted;
+            request.out = true;
+            request.generation = ++generation;
         }
     }
 };
@@ -153,11 +154,11 @@
     RC_ASSERT(state.generation() == model.generation);
     RC_ASSERT(state.halted() == model.halted);
     RC_ASSERT(state.requests().size() == model.requests.size());
-    for (const ReferenceModel::ModelRequest& r : model.requests) {
-        const Request& request = state.requests().at(r.id);
-        RC_ASSERT(request.target == r.target);
-        RC_ASSERT(int(request.stage) == int(r.stage));
-        RC_ASSERT(state.is_removed(r.target) == r.out);
+    for (const ReferenceModel::ModelRequest& expected : model.requests) {
+        const Request& request = state.requests().at(expected.id);
+        RC_ASSERT(request.target == expected.target);
+        RC_ASSERT(int(request.stage) == int(expected.stage));
+        RC_ASSERT(state.is_removed(expected.target) == expected.out);
     }
     RC_ASSERT(state.members().size() == model.members.size());
 }
@@ -183,26 +184,26 @@
         FleetState state(budgets());
         ReferenceModel model;
         Nanos now = 1000 * second;
-        std::map<std::string, Node> all;
+        std::map<std::string, Node> node_list;
         for (int n = 0; n < nodes; ++n) {
-            Node& node = all[node_name(n)];
+            Node& node = node_list[node_name(n)];
             node = {"a", "m", {}, Health::healthy, 0};
             for (int j = 0; j < width; ++j)
                 node.shards.push_back(static_cast<std::uint32_t>((n + nodes - j) % nodes));
             model.health[node_name(n)] = Health::healthy;
         }
-        state.apply({"", now, EndpointsObserved{all}});
+        state.apply({"", now, EndpointsObserved{node_list}});
         model.now = now;
         std::map<std::string, std::uint64_t> incarnations;
         for (const Operation& operation : operations) {
             const std::string router = router_name(operation.subject), node = node_name(operation.subject);
             const Target target = operation.variant == 0 ? Target{true, router} : Target{false, node};
             const std::uint64_t incarnation = incarnations[router];
-            Command c{"", now, Tick{}};
+            Command command{"", now, Tick{}};
             ReferenceModel::ModelMember* member = model.find_member(router);
             switch (operation.kind) {
                 case 0:
-                    c.payload = Join{router, Role::router, "a", "1", "d", ++incarnations[router]};
+                    command.payload = Join{router, Role::router, "a", "1", "d", ++incarnations[router]};
                     if (member == nullptr) member = &model.members.emplace_back();
                     *member = {router, incarnation + 1, 0, now + 20 * second, false, {}};
                     break;
@@ -216,7 +217,7 @@
                                                                             : model.generation - 1;
                     const std::set<Target> in_flight =
                         operation.variant == 7 ? std::set<Target>{{false, node}} : std::set<Target>{};
-                    c.payload = Renew{router, incarnation, {applied_generation, in_flight, {}, 0, 0}};
+                    command.payload = Renew{router, incarnation, {applied_generation, in_flight, {}, 0, 0}};
                     if (member == nullptr || member->left) break;
                     member->lease_until = now + 20 * second;
                     if (applied_generation >= member->applied_generation)
@@ -224,7 +225,7 @@
                     break;
                 }
                 case 4:
-                    c.payload = Leave{router, incarnation};
+                    command.payload = Leave{router, incarnation};
                     if (member == nullptr) break;
                     member->left = true, member->in_flight.clear(), member->applied_generation = 0;
                     member->lease_until = std::min(member->lease_until, now - second - 1);
@@ -232,9 +233,10 @@
                 case 5:
                 case 6:
                 case 7: {
-                    c.payload = RequestRemoval{"ann", target};
-                    const bool open = std::any_of(model.requests.begin(), model.requests.end(),
-                                                  [&](const auto& r) { return r.target == target; });
+                    command.payload = RequestRemoval{"ann", target};
+                    const bool open =
+                        std::any_of(model.requests.begin(), model.requests.end(),
+                                    [&](const auto& request) { return request.target == target; });
                     if (open || (target.router && member == nullptr)) break;
                     model.requests.push_back({++model.last_request, 0, target, Stage::queued, false});
                     break;
@@ -242,29 +244,29 @@
                 case 8:
                 case 9: {
                     if (model.requests.empty()) break;
-                    auto& r =
+                    auto& request =
                         model.requests[static_cast<std::size_t>(operation.subject) % model.requests.size()];
-                    c.payload = UndoRemoval{r.id};
-                    r.stage = r.stage == Stage::queued ? Stage::ended : Stage::returning;
+                    command.payload = UndoRemoval{request.id};
+                    request.stage = request.stage == Stage::queued ? Stage::ended : Stage::returning;
                     break;
                 }
                 case 10:
                 case 11:
-                    all[node].health = model.health[node] = static_cast<Health>(operation.variant % 4);
-                    c.payload = EndpointsObserved{{{node, all[node]}}, false, {}};
+                    node_list[node].health = model.health[node] = static_cast<Health>(operation.variant % 4);
+                    command.payload = EndpointsObserved{{{node, node_list[node]}}, false, {}};
                     break;
                 case 12:
                     now += operation.variant * second / 2;
-                    model.now = c.proposed_at = now;
+                    model.now = command.proposed_at = now;
                     break;
                 default:
-                    if (operation.variant == 0) c.payload = Halt{"a person"}, model.halted = true;
-                    if (operation.variant > 3) c.payload = Resume{}, model.halted = false;
+                    if (operation.variant == 0) command.payload = Halt{"a person"}, model.halted = true;
+                    if (operation.variant > 3) command.payload = Resume{}, model.halted = false;
             }
-            for (const tealcart::fleet::Effect& e : state.apply(c)) {
-                granted += std::holds_alternative<RemovalGranted>(e);
-                done += std::holds_alternative<RemovalDone>(e);
-                returned += std::holds_alternative<TargetReturned>(e);
+            for (const tealcart::fleet::Effect& effect : state.apply(command)) {
+                granted += std::holds_alternative<RemovalGranted>(effect);
+                done += std::holds_alternative<RemovalDone>(effect);
+                returned += std::holds_alternative<TargetReturned>(effect);
             }
             model.advance();
             compare(state, model);
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -26,61 +26,69 @@
 
 // The counts as recomputed.
 inline Counts recount(const FleetState& state) {
-    const Budgets& b = state.budgets();
+    const Budgets& budgets = state.budgets();
     const Nanos now = state.now();
-    const auto is_expired = [&](const Member& m) { return now > m.lease_until + b.drift; };
-    const auto acts_until = [&](const Member& m) { return m.lease_until + m.lease_grace + b.drift; };
-    const auto may_act = [&](const Member& m) { return !m.left && now <= acts_until(m); };
+    const auto is_expired = [&](const Member& member) { return now > member.lease_until + budgets.drift; };
+    const auto acts_until = [&](const Member& member) {
+        return member.lease_until + member.lease_grace + budgets.drift;
+    };
+    const auto may_act = [&](const Member& member) { return !member.left && now <= acts_until(member); };
     const auto is_removed = [&](bool router, const std::string& name) {
         return std::any_of(
             state.removed_targets().begin(), state.removed_targets().end(),
             [&](const auto& entry) { return entry.first.router == router && entry.first.name == name; });
     };
     Counts counts;
-    MemberCounts& c = counts.members;
-    for (const auto& [name, m] : state.members()) {
-        (is_expired(m) ? c.expired_leases : c.live_leases).insert({m.lease_until, name});
-        if (may_act(m)) c.acting_ends.insert({acts_until(m), name});
-        if (is_expired(m) && may_act(m)) c.lost_acting.insert({m.report.applied_generation, name});
-        if (b.wait_for_lost ? may_act(m) : !is_expired(m)) {
-            ++c.applied[m.report.applied_generation];
-            for (const Target& t : m.report.in_flight) ++c.in_flight[t];
+    MemberCounts& member_counts = counts.members;
+    for (const auto& [name, member] : state.members()) {
+        (is_expired(member) ? member_counts.expired_leases : member_counts.live_leases)
+            .insert({member.lease_until, name});
+        if (may_act(member)) member_counts.acting_ends.insert({acts_until(member), name});
+        if (is_expired(member) && may_act(member))
+            member_counts.lost_acting.insert({member.report.applied_generation, name});
+        if (budgets.wait_for_lost ? may_act(member) : !is_expired(member)) {
+            ++member_counts.applied[member.report.applied_generation];
+            for (const Target& target : member.report.in_flight) ++member_counts.in_flight[target];
         }
-        if (m.role != Role::router) continue;
-        const bool is_out = is_expired(m) || is_removed(true, name);
-        ++c.routers.all, c.routers.out += is_out;
-        ++c.router_zones[m.zone].all, c.router_zones[m.zone].out += is_out;
-        c.known_routers += !m.left, c.lost_routers += !m.left && is_expired(m);
-        if (is_expired(m)) continue;
-        ++c.live_routers;
-        if (!m.left) c.queries += m.report.queries, c.failed += m.report.failed;
-        for (const std::string& node : m.report.unresponsive) ++counts.votes.by_node[node];
+        if (member.role != Role::router) continue;
+        const bool is_out = is_expired(member) || is_removed(true, name);
+        ++member_counts.routers.all, member_counts.routers.out += is_out;
+        ++member_counts.router_zones[member.zone].all, member_counts.router_zones[member.zone].out += is_out;
+        member_counts.known_routers += !member.left,
+            member_counts.lost_routers += !member.left && is_expired(member);
+        if (is_expired(member)) continue;
+        ++member_counts.live_routers;
+        if (!member.left)
+            member_counts.queries += member.report.queries, member_counts.failed += member.report.failed;
+        for (const std::string& node : member.report.unresponsive) ++counts.votes.by_node[node];
     }
     for (const auto& [node, routers] : counts.votes.by_node) counts.votes.by_votes.insert({routers, node});
-    NodeCounts& n = counts.nodes;
+    NodeCounts& node_counts = counts.nodes;
     for (const auto& [name, node] : state.nodes()) {
         const auto votes = counts.votes.by_node.find(name);
-        const bool is_out = node.health != Health::healthy || is_removed(false, name) ||
-                            (votes != counts.votes.by_node.end() &&
-                             static_cast<double>(votes->second) >=
-                                 b.unresponsive_share * static_cast<double>(c.live_routers));
-        ++n.nodes.all, n.nodes.out += is_out;
-        ++n.zones[node.zone].all, n.zones[node.zone].out += is_out;
-        ++n.kinds[node.kind].all, n.kinds[node.kind].out += is_out;
-        for (const std::uint32_t s : node.shards) ++n.shards[s].listed, n.shards[s].healthy += !is_out;
+        const bool is_out =
+            node.health != Health::healthy || is_removed(false, name) ||
+            (votes != counts.votes.by_node.end() &&
+             static_cast<double>(votes->second) >=
+                 budgets.unresponsive_share * static_cast<double>(member_counts.live_routers));
+        ++node_counts.nodes.all, node_counts.nodes.out += is_out;
+        ++node_counts.zones[node.zone].all, node_counts.zones[node.zone].out += is_out;
+        ++node_counts.kinds[node.kind].all, node_counts.kinds[node.kind].out += is_out;
+        for (const std::uint32_t shard : node.shards)
+            ++node_counts.shards[shard].listed, node_counts.shards[shard].healthy += !is_out;
         for (const std::uint32_t s : std::set<std::uint32_t>(node.shards.begin(), node.shards.end()))
-            ++n.shards[s].holders;
+            ++node_counts.shards[s].holders;
     }
-    for (const auto& [s, shard] : n.shards)
-        if (shard.healthy < b.halt_min_holders) n.short_shards.insert(s);
+    for (const auto& [s, shard] : node_counts.shards)
+        if (shard.healthy < budgets.halt_min_holders) node_counts.short_shards.insert(s);
     RequestCounts& requests = counts.requests;
-    for (const auto& [id, r] : state.requests()) {
-        requests.open[r.target] = id;
-        if (r.stage == Stage::queued) requests.queued[r.target.router ? 1 : 0].insert(id);
-        if (r.stage == Stage::granted) requests.granted[r.generation] = id;
-        if (r.stage == Stage::returning)
-            (is_removed(r.target.router, r.target.name) ? requests.returning_removed
-                                                        : requests.returning_restored)
+    for (const auto& [id, request] : state.requests()) {
+        requests.open[request.target] = id;
+        if (request.stage == Stage::queued) requests.queued[request.target.router ? 1 : 0].insert(id);
+        if (request.stage == Stage::granted) requests.granted[request.generation] = id;
+        if (request.stage == Stage::returning)
+            (is_removed(request.target.router, request.target.name) ? requests.returning_removed
+                                                                    : requests.returning_restored)
                 .insert(id);
     }
     return counts;
@@ -90,11 +98,11 @@
 // requests that the last command itself granted are not included.
 inline std::size_t unfinished_requests(const FleetState& state, const Effects& effects) {
     return static_cast<std::size_t>(
-        std::count_if(state.requests().begin(), state.requests().end(), [&](const auto& r) {
-            return r.second.stage == Stage::granted && state.pending_members(r.second).empty() &&
+        std::count_if(state.requests().begin(), state.requests().end(), [&](const auto& request) {
+            return request.second.stage == Stage::granted && state.pending_members(request.second).empty() &&
                    std::none_of(effects.begin(), effects.end(), [&](const Effect& e) {
                        const auto* granted = std::get_if<RemovalGranted>(&e);
-                       return granted != nullptr && granted->request == r.first;
+                       return granted != nullptr && granted->request == request.first;
                    });
         }));
 }
