--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -108,7 +108,7 @@
         const auto end = std::chrono::steady_clock::now() + span;
         while (std::chrono::steady_clock::now() < end) {
             rig.run_for(Ms(10));
-            time.due.fire_due(time.now());
+            time.timers.fire_due(time.now());
         }
     };
     bool sound = true;
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -52,7 +52,7 @@
     Nanos max_sleep = 0;
     while (!stopping_) {
         const Nanos sleep = std::min(max_sleep, leader_duties_.tick_interval());
-        turn_.run_once(std::min(time_.due.next(), time_.now() + sleep));
+        turn_.run_once(std::min(time_.timers.next(), time_.now() + sleep));
         leader_duties_.run();
         max_sleep = raft_.run_ready_events();
         members_.answer_waiting();
--- a/src/fleet_manager/member_service.cpp
+++ b/src/fleet_manager/member_service.cpp
@@ -20,7 +20,7 @@
     batch_.calls.emplace_back(client, std::move(*call));
     if (batch_.calls.size() >= max_batch_calls) return propose_batch();
     if (batch_due_ == TimerQueue::none)
-        batch_due_ = time_.due.add(time_.now() + batch_window, *this, Handle{}, 0);
+        batch_due_ = time_.timers.add(time_.now() + batch_window, *this, Handle{}, 0);
 }
 
 void MemberService::leave(Handle client, const MemberCall& call) {
@@ -46,13 +46,13 @@
     return known->second.incarnation > call.incarnation ? known->second.incarnation : 0;
 }
 
-void MemberService::on_due(Handle, std::uint64_t) {
+void MemberService::on_timer_due(Handle, std::uint64_t) {
     batch_due_ = TimerQueue::none;
     propose_batch();
 }
 
 void MemberService::propose_batch() {
-    time_.due.drop(batch_due_);
+    time_.timers.cancel(batch_due_);
     if (batch_.calls.empty()) return;
     const auto batch = std::make_shared<Batch>(std::exchange(batch_, {}));
     proposer_.propose({{"", 0, std::move(batch->reports)}},
--- a/src/fleet_manager/member_service.hpp
+++ b/src/fleet_manager/member_service.hpp
@@ -15,7 +15,7 @@
 namespace tealcart::fleet_manager {
 
 // Commits reports in batches and answers each call when there is a later generation.
-class MemberService final : private DueHandler {
+class MemberService final : private TimerHandler {
   public:
     MemberService(EventClock& time, const ReplicatedState& state, Proposer& proposer, Responder& responder)
         : time_(time), state_(state), proposer_(proposer), responder_(responder) {}
@@ -40,7 +40,7 @@
         std::vector<std::pair<Handle, MemberCall>> calls;
     };
 
-    void on_due(Handle, std::uint64_t) override;
+    void on_timer_due(Handle, std::uint64_t) override;
     void leave(Handle client, const MemberCall& call);
     bool is_joined(const fleet::Join& join) const;
     // The known incarnation of the caller's name if it is later than the caller's own, otherwise 0.
@@ -54,7 +54,7 @@
     Responder& responder_;
     std::map<std::uint32_t, WaitingCall> waiting_;  // by the client's slot
     Batch batch_;
-    TimerQueue::Ticket batch_due_ = TimerQueue::none;
+    TimerQueue::TimerId batch_due_ = TimerQueue::none;
 };
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/relay_service.hpp
+++ b/src/fleet_manager/relay_service.hpp
@@ -15,7 +15,7 @@
 namespace tealcart::fleet_manager {
 
 // Commits reports in batches and answers each call when there is a later version.
-class RelayService final : private DueHandler {
+class RelayService final : private TimerHandler {
   public:
     RelayService(EventClock& time, const ReplicatedState& state, Proposer& proposer, Responder& responder)
         : time_(time), state_(state), proposer_(proposer), responder_(responder) {}
@@ -41,7 +41,7 @@
         std::vector<std::pair<Handle, RelayCall>> calls;
     };
 
-    void on_due(Handle, std::uint64_t) override;
+    void on_timer_due(Handle, std::uint64_t) override;
     void propose_batch();
     void on_report_committed(Handle client, const RelayCall& call, const changes::Effects& effects);
     // Answers that the relay's next report must be a full one.
@@ -54,7 +54,7 @@
     Responder& responder_;
     std::map<std::uint32_t, WaitingCall> waiting_;  // by the client's slot
     Batch batch_;
-    TimerQueue::Ticket batch_due_ = TimerQueue::none;
+    TimerQueue::TimerId batch_due_ = TimerQueue::none;
 };
 
 }  // namespace tealcart::fleet_manager
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -52,7 +52,7 @@
 
 void Relay::run() {
     while (!stopping_ && superseded_reason_.empty()) {
-        turn_.run_once(std::min({time_.due.next(), time_.now() + max_sleep, followers_.next_deadline()}));
+        turn_.run_once(std::min({time_.timers.next(), time_.now() + max_sleep, followers_.next_deadline()}));
         observe_lease();
         followers_.answer_waiting();
     }
@@ -118,7 +118,7 @@
     call.position.wants_pages = copy.needs_pages();
     call.position.after = copy.next_page_after();
     call.position.wait = lease_ > 0 ? std::max(min_wait, lease_ / 10) : first_wait;
-    time_.due.drop(report_due_);
+    time_.timers.cancel(report_due_);
     return {write_relay_call(call), call.position.wait};
 }
 
@@ -139,7 +139,7 @@
     const Nanos pause = copy.needs_pages() ? page_call_interval : call_interval;
     const Nanos gather_delay = copy.version() > version_before ? gather_window : 0;
     const Nanos at = std::max(time_.now() + gather_delay, called_at_ + pause);
-    time_.due.move(report_due_, at, *this, Handle{}, 0);
+    time_.timers.reschedule(report_due_, at, *this, Handle{}, 0);
 }
 
 void Relay::apply(const ChangesAnswer& answer) {
@@ -175,10 +175,10 @@
 void Relay::schedule_report() {
     if (!managers_.call_in_flight() || report_due_ != TimerQueue::none) return;
     const Nanos at = std::max(time_.now() + gather_window, called_at_ + call_interval);
-    time_.due.move(report_due_, at, *this, Handle{}, 0);
+    time_.timers.reschedule(report_due_, at, *this, Handle{}, 0);
 }
 
-void Relay::on_due(Handle, std::uint64_t) {
+void Relay::on_timer_due(Handle, std::uint64_t) {
     report_due_ = TimerQueue::none;
     if (managers_.call_in_flight())
         managers_.call_now();
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -22,7 +22,7 @@
 namespace tealcart::relay {
 
 // Connects the follower service, the copy of the document and the watch on the fleet managers.
-class Relay final : private RequestHandler, private ChangeObserver, private DueHandler {
+class Relay final : private RequestHandler, private ChangeObserver, private TimerHandler {
   public:
     // Starts to listen. Throws boost::system::system_error if the address cannot be bound.
     Relay(boost::asio::io_context& io, const RelayConfig& config, std::uint64_t seed);
@@ -36,7 +36,7 @@
     LongPollObserver::Call next_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
     void on_superseded(std::uint64_t last_incarnation) override;
-    void on_due(Handle, std::uint64_t) override;
+    void on_timer_due(Handle, std::uint64_t) override;
 
     void show_ready(Handle client);
     void show_status(Handle client);
@@ -55,7 +55,7 @@
     HttpServer server_;
     FollowerService followers_;
     ChangeWatch managers_;
-    TimerQueue::Ticket report_due_ = TimerQueue::none;
+    TimerQueue::TimerId report_due_ = TimerQueue::none;
     std::vector<std::string> exceptions_;  // names of the followers listed as exceptions in the last report
     Nanos drift_ = 0, lease_ = 0;          // as the fleet managers last stated them
     Nanos called_at_ = 0;                  // when the fleet managers were last called
--- a/src/service/attempt_dispatcher.cpp
+++ b/src/service/attempt_dispatcher.cpp
@@ -83,7 +83,7 @@
         const Query& query = *queries_.find(attempt->query);
         const auto& used = query.shard_requests[attempt->shard_request].connections;
         batch.avoid.insert(batch.avoid.end(), used.begin(), used.end());
-        attempt->timeout = clock_.due.add(attempt->deadline, *this, queued_[i]);
+        attempt->timeout = clock_.timers.add(attempt->deadline, *this, queued_[i]);
     }
     return batch;
 }
@@ -132,7 +132,7 @@
     end(handle, Outcome::cancelled);
 }
 
-void AttemptDispatcher::on_due(Handle handle, std::uint64_t) {
+void AttemptDispatcher::on_timer_due(Handle handle, std::uint64_t) {
     Attempt& attempt = *attempts_.find(handle);
     attempt.timeout = TimerQueue::none;
     if (sender_->withdraw(attempt.connection, handle)) return end(handle, Outcome::not_sent);
@@ -155,7 +155,7 @@
 void AttemptDispatcher::end(Handle handle, Outcome outcome, std::string_view value) {
     Attempt* attempt = attempts_.find(handle);
     if (attempt == nullptr) return;
-    clock_.due.drop(attempt->timeout);
+    clock_.timers.cancel(attempt->timeout);
     const Attempt ended = *attempt;
     attempts_.release(handle);
     sender_->complete(ended.connection, handle);
--- a/src/service/attempt_dispatcher.hpp
+++ b/src/service/attempt_dispatcher.hpp
@@ -17,7 +17,7 @@
 
 // Each attempt ends exactly once, in `end`, with its answer, a timeout, a cancellation or the loss of its
 // connection.
-class AttemptDispatcher final : public DueHandler {
+class AttemptDispatcher final : public TimerHandler {
   public:
     // An attempt that has no outcome yet.
     struct Attempt {
@@ -27,7 +27,7 @@
         std::uint8_t number = 0;  // index among the attempts of its shard request
         char frame_type = 'R';    // type of the frame that contains it
         Nanos sent_at = 0, deadline = 0;
-        TimerQueue::Ticket timeout = TimerQueue::none;  // none until the sender has the attempt
+        TimerQueue::TimerId timeout = TimerQueue::none;  // none until the sender has the attempt
     };
 
     AttemptDispatcher(EventClock& clock, QueryTable& queries, EventQueue& events,
@@ -66,7 +66,7 @@
         return any;
     }
 
-    void on_due(Handle handle, std::uint64_t what) override;
+    void on_timer_due(Handle handle, std::uint64_t what) override;
 
   private:
     // The attempts of one frame.
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -45,7 +45,7 @@
 }
 
 void ConfigFollower::stop() {
-    time_.due.drop(pause_);
+    time_.timers.cancel(pause_);
     relays_.stop();
 }
 
@@ -150,12 +150,12 @@
     // A relay that answers at once and without news is not called again before a pause.
     const Nanos earliest = sent + std::max(wait_, min_pause);
     if (!further && time_.now() < earliest)
-        time_.due.move(pause_, earliest, *this, Handle{});
+        time_.timers.reschedule(pause_, earliest, *this, Handle{});
     else
         finish_answer();
 }
 
-void ConfigFollower::on_due(Handle, std::uint64_t) {
+void ConfigFollower::on_timer_due(Handle, std::uint64_t) {
     pause_ = TimerQueue::none;
     finish_answer();
 }
@@ -185,7 +185,7 @@
     if (leave_began_ == 0) {
         leave_began_ = now;
         leaving_ = true;
-        time_.due.drop(pause_);
+        time_.timers.cancel(pause_);
         if (serving_state_ != ServingState::leased) return true;
         relays_.call_now();
     }
--- a/src/service/config_follower.hpp
+++ b/src/service/config_follower.hpp
@@ -13,7 +13,7 @@
 namespace tealcart {
 
 // Created only if the `member` block names relays.
-class ConfigFollower final : public DueHandler, private ChangeObserver {
+class ConfigFollower final : public TimerHandler, private ChangeObserver {
   public:
     ConfigFollower(boost::asio::io_context& io, EventClock& time, const StartupConfig& startup,
                    QueryDispatcher& dispatcher);
@@ -29,7 +29,7 @@
     // Tells the relay that the router leaves. Must be called until it returns true, which it does after the
     // relay's answer or a timeout.
     bool leave();
-    void on_due(Handle, std::uint64_t what) override;
+    void on_timer_due(Handle, std::uint64_t what) override;
 
     // Returns the version in force; 0 stands for the configuration at the start.
     std::uint64_t applied_version() const { return applied_version_; }
@@ -71,7 +71,7 @@
     bool leaving_ = false, left_ = false;
     ServingState serving_state_ = ServingState::unregistered;
     Nanos leave_began_ = 0;  // 0 if the router is not leaving
-    TimerQueue::Ticket pause_ = TimerQueue::none;
+    TimerQueue::TimerId pause_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/service/decision_executor.cpp
+++ b/src/service/decision_executor.cpp
@@ -46,7 +46,7 @@
 }
 
 void DecisionExecutor::set_timer(std::uint64_t cookie, Nanos wait) {
-    clock_.due.add(events_.round_began_at() + wait, *this, {}, cookie);
+    clock_.timers.add(events_.round_began_at() + wait, *this, {}, cookie);
 }
 
 void DecisionExecutor::log(const std::string& line) { log_line("%s", line.c_str()); }
--- a/src/service/decision_executor.hpp
+++ b/src/service/decision_executor.hpp
@@ -15,7 +15,7 @@
 namespace tealcart {
 
 // Passes decisions on to the attempts, to the completion of queries and to two-phase queries.
-class DecisionExecutor final : public DecisionSink, public DueHandler {
+class DecisionExecutor final : public DecisionSink, public TimerHandler {
   public:
     DecisionExecutor(EventClock& clock, QueryTable& queries, EventQueue& events, AttemptDispatcher& attempts,
                      QueryCompletion& completion, TwoPhaseCoordinator& two_phase)
@@ -32,7 +32,7 @@
     void log(const std::string& line) override;
 
     // A timer that the router has set is due.
-    void on_due(Handle, std::uint64_t cookie) override { events_.push(RouterTimerFired{cookie}); }
+    void on_timer_due(Handle, std::uint64_t cookie) override { events_.push(RouterTimerFired{cookie}); }
 
   private:
     EventClock& clock_;
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -126,12 +126,12 @@
     set_timer();
     // Guards against counting a client's time only from when its request is read if the request has waited
     // since before that.
-    clock_.awake_by = timer_at_;
+    clock_.wake_deadline = timer_at_;
     io_.run_one();
     // After a stall many handlers are ready and many timers due. Received data is processed before timeouts.
     for (int i = 0; i < max_handlers_per_turn && io_.poll_one() > 0; ++i) {
     }
-    clock_.due.fire_due(clock_.now());
+    clock_.timers.fire_due(clock_.now());
     if (membership_) membership_->update_serving_state();
     if (follower_) follower_->update_serving_state();
     if (!dispatcher_.begun() && (discovery_.has_list() || clock_.now() >= first_list_deadline_))
@@ -148,7 +148,7 @@
 }
 
 void Service::set_timer() {
-    Nanos at = std::min(clock_.due.next(), dispatcher_.next_round());
+    Nanos at = std::min(clock_.timers.next(), dispatcher_.next_round());
     if (membership_) at = std::min(at, membership_->next_change());
     if (follower_) at = std::min(at, follower_->next_change());
     if (stop_began_ > 0)
--- a/src/tables/endpoint_list.hpp
+++ b/src/tables/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// A list of data nodes as discovery sends it, whatever carries it.
+// A list of data nodes as discovery sends it, independent of the protocol that carries it.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,20 @@
 
 namespace tealcart {
 
-// One data node of a list.
+// One data node in a list.
 struct ListedEndpoint {
     std::string id, address, zone, kind;
     std::uint32_t place = 0;
     Lifecycle lifecycle = Lifecycle::removed;
-    Nanos started_at = 0;  // since the Unix epoch, 0 for long ago
+    Nanos started_at = 0;  // since the Unix epoch; 0 if the node has been up for long
 };
 
-// A full list, or the entries that changed since an earlier generation.
+// Either a full list or the entries that changed since an earlier generation.
 struct EndpointList {
     std::uint64_t generation = 0;
-    bool full = false;  // what it does not name is removed
+    bool full = false;  // nodes that it does not list are removed
     std::vector<ListedEndpoint> nodes;
-    int left_out = 0;  // entries that could not be used
+    int skipped_entries = 0;  // invalid entries, which are not in `nodes`
 };
 
 }  // namespace tealcart
--- a/src/tables/event_clock.hpp
+++ b/src/tables/event_clock.hpp
@@ -1,4 +1,4 @@
-// The clock of an event loop, with its timers.
+// The clock and the timers of an event loop.
 #pragma once
 
 #include <chrono>
@@ -7,8 +7,8 @@
 
 namespace tealcart {
 
-// Counts nanoseconds from the Unix epoch, as endpoint lists do, and only goes forward: it is read once from
-// the system's clock and then follows the steady one.
+// Counts nanoseconds since the Unix epoch, like the times in endpoint lists, and never goes backward: it
+// reads the system clock once and advances with the steady clock from then on.
 class EventClock {
   public:
     EventClock()
@@ -17,30 +17,30 @@
                     .count()),
           started_(std::chrono::steady_clock::now()) {}
 
-    // A clock that the caller sets, for tests.
+    // Reads the time from a variable that the caller sets; for tests.
     explicit EventClock(const Nanos& given) : given_(&given) {}
 
     Nanos now() const {
         return given_ != nullptr ? *given_ : base_ + (std::chrono::steady_clock::now() - started_).count();
     }
-    // A time of this clock as a time point of the steady clock, to which asio's timers are set.
+    // Converts a time of this clock to a time point of the steady clock, which asio's timers use.
     std::chrono::steady_clock::time_point steady(Nanos at) const {
         return started_ + std::chrono::nanoseconds(at - base_);
     }
 
-    // The earliest time at which what is read now may have come in: after a stall of the process, when that
-    // began. To be called by the reader itself, since the first handler after a stall may be the one that
-    // reads.
-    Nanos earliest() const {
+    // The earliest time at which bytes that are read now may have arrived: after a stall of the process, the
+    // time at which the stall began. Readers have to call it themselves, since the first handler to run after
+    // a stall may be the one that reads.
+    Nanos earliest_arrival() const {
         const Nanos current = now();
-        return current - min_stall > awake_by ? awake_by : current;
+        return current - min_stall > wake_deadline ? wake_deadline : current;
     }
 
-    TimerQueue due;
-    Nanos awake_by = TimerQueue::never;  // when the loop has asked to be woken at the latest
+    TimerQueue timers;
+    Nanos wake_deadline = TimerQueue::never;  // latest time at which the event loop asked to wake up
 
   private:
-    // A delay shorter than the platform's slack on sockets is no stall.
+    // Shorter delays lie within the platform's scheduling tolerance for sockets and are not stalls.
     static constexpr Nanos min_stall = 50'000'000;
 
     const Nanos* given_ = nullptr;
--- a/src/tables/node_table.cpp
+++ b/src/tables/node_table.cpp
@@ -7,7 +7,7 @@
 
 NodeTable::Changes NodeTable::apply(const EndpointList& list) {
     Changes changes;
-    std::vector<std::uint32_t> toggled;  // removed, or back
+    std::vector<std::uint32_t> toggled;  // nodes that were removed or came back
     ++lists_;
     if (list.full) {
         index_by_id_.reserve(list.nodes.size());
@@ -27,7 +27,7 @@
                             std::vector<std::uint32_t>& toggled) {
     ++examined_;
     const bool removed = entry.lifecycle == Lifecycle::removed;
-    if (removed && !index_by_id_.contains(entry.id)) return;  // never known, or forgotten
+    if (removed && !index_by_id_.contains(entry.id)) return;  // the node was never known or is forgotten
     const auto [found, added] = index_by_id_.try_emplace(entry.id, next_index_);
     const std::uint32_t index = found->second;
     Node& node = nodes_[index];
@@ -52,7 +52,7 @@
     node.started_at = entry.started_at;
 }
 
-// What a full list does not name is removed.
+// Removes the nodes that a full list does not contain.
 void NodeTable::remove_unlisted(Changes& changes, std::vector<std::uint32_t>& toggled) {
     for (auto& [index, node] : nodes_) {
         ++examined_;
@@ -84,7 +84,7 @@
     }
 }
 
-// Nodes of one zone and machine kind share a group. A removed entry makes no new one.
+// Nodes of one zone and machine kind share a group. An entry of a removed node does not create one.
 std::uint32_t NodeTable::group_of(const ListedEndpoint& entry, bool removed) {
     group_key_.assign(entry.zone).append(1, '\n').append(entry.kind);
     const auto next = static_cast<std::uint32_t>(groups_.size());
--- a/src/tables/node_table.hpp
+++ b/src/tables/node_table.hpp
@@ -1,4 +1,4 @@
-// The data nodes that discovery has listed, under small indices that are never given to another node.
+// The data nodes that discovery has listed, each under a small index that is never reused.
 #pragma once
 
 #include <cstdint>
@@ -12,28 +12,28 @@
 
 namespace tealcart {
 
-// Of the nodes that are removed, it remembers the latest: no more than there ever were nodes at a time. One
-// that is forgotten and comes back gets another index.
+// Keeps the most recently removed nodes, at most as many as the largest number of nodes that were present at
+// one time. A node that returns after it was forgotten gets a new index.
 class NodeTable {
   public:
-    // What applying a list has changed, by index.
+    // The changes that a list has caused, as node indices.
     struct Changes {
-        std::vector<Endpoint> entries;       // for the decision module
-        std::vector<std::uint32_t> added;    // nodes that were not known
-        std::vector<std::uint32_t> moved;    // with a new address or start: old connections lead nowhere
-        std::vector<std::uint32_t> leaving;  // nodes that were ready and now drain or are removed
+        std::vector<Endpoint> entries;       // for the decision module (src/router)
+        std::vector<std::uint32_t> added;    // nodes that were not known before
+        std::vector<std::uint32_t> moved;    // new address or new process: old connections are useless
+        std::vector<std::uint32_t> leaving;  // nodes that were ready and are now draining or removed
     };
 
-    // The cost goes by the entries of a delta, and by all known nodes for a full list.
+    // Costs time in proportion to the entries of a delta, or to all known nodes for a full list.
     Changes apply(const EndpointList& list);
 
-    // Empty for a node that is forgotten.
+    // Both are empty for a node that was forgotten.
     const std::string& address(std::uint32_t node) const { return find(node).address; }
     const std::string& name(std::uint32_t node) const { return find(node).id; }
     std::size_t ready() const { return ready_; }
-    // Nodes that are remembered, removed ones included.
+    // Number of known nodes, including removed ones that are still remembered.
     std::size_t size() const { return nodes_.size(); }
-    // Entries and nodes examined since the start: the cost so far.
+    // Number of list entries and nodes examined since construction, as a measure of cost.
     std::uint64_t examined() const { return examined_; }
 
   private:
@@ -41,8 +41,8 @@
         std::string id, address;
         Lifecycle lifecycle = Lifecycle::removed;
         Nanos started_at = 0;
-        std::uint64_t last_listed = 0;    // number of the last list that names it
-        std::uint64_t removal_order = 0;  // its key among the removed ones; 0 for none
+        std::uint64_t last_listed = 0;    // number of the last list that has the node
+        std::uint64_t removal_order = 0;  // key in `removed_`; 0 if the node is not removed
     };
 
     void apply_entry(const ListedEndpoint& entry, Changes& changes, std::vector<std::uint32_t>& toggled);
@@ -56,9 +56,9 @@
     std::unordered_map<std::string, std::uint32_t> index_by_id_;
     std::unordered_map<std::uint32_t, Node> nodes_;
     std::unordered_map<std::string, std::uint32_t> groups_;  // by zone and machine kind
-    std::map<std::uint64_t, std::uint32_t> removed_;         // by the order of their removal
-    std::string group_key_;                                  // kept to spare an allocation an entry
-    std::size_t max_present_ = 0;                            // most nodes at a time so far
+    std::map<std::uint64_t, std::uint32_t> removed_;         // by order of removal
+    std::string group_key_;                                  // reused to save an allocation per entry
+    std::size_t max_present_ = 0;                            // largest number of nodes present at one time
     std::size_t ready_ = 0;
     std::uint32_t next_index_ = 0;
     std::uint64_t lists_ = 0, removals_ = 0, examined_ = 0;
--- a/src/tables/slot_map.hpp
+++ b/src/tables/slot_map.hpp
@@ -1,4 +1,4 @@
-// A table of values in numbered slots, found by handles that outlive them safely.
+// A slot map: values in numbered slots, looked up by generational handles.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 namespace tealcart {
 
-// A slot and the generation of its value. A default one finds nothing.
+// The slot of a value and the generation of that slot. A default-constructed handle refers to no value.
 struct Handle {
     std::uint32_t slot = UINT32_MAX, generation = 0;
 
     friend bool operator==(const Handle&, const Handle&) = default;
 };
 
-// Once a value is released, its handles find nothing, so that a completion that comes late can't touch the
-// value that has the slot then. Addresses of values stay the same until they are released.
+// Handles of a released value find nothing, so that a late completion can't reach the next value in the same
+// slot. The address of a value doesn't change until the value is released.
 template <typename T>
 class SlotMap {
   public:
-    // Makes a value of these arguments in a free slot.
+    // Constructs a value from the arguments in a free slot.
     template <typename... Args>
     Handle emplace(Args&&... args) {
         std::uint32_t slot = 0;
@@ -38,7 +38,7 @@
         return {slot, cell.generation};
     }
 
-    // Null where the value has been released.
+    // Returns null if the value has been released.
     const T* find(Handle handle) const {
         if (handle.slot >= cells_.size()) return nullptr;
         const Cell& cell = cells_[handle.slot];
@@ -46,7 +46,7 @@
     }
     T* find(Handle handle) { return const_cast<T*>(std::as_const(*this).find(handle)); }
 
-    // Destroys the value; does nothing where that has been done.
+    // Destroys the value. Does nothing if it has been released already.
     void release(Handle handle) {
         if (find(handle) == nullptr) return;
         Cell& cell = cells_[handle.slot];
@@ -58,8 +58,8 @@
 
     std::size_t size() const { return size_; }
 
-    // Calls visit(handle, value) for all values, in the order of slots. Those that `visit` releases or makes
-    // may be visited or not.
+    // Calls visit(handle, value) for all values in slot order. Values that `visit` adds or releases may or
+    // may not be visited.
     template <typename Visit>
     void for_each(Visit&& visit) {
         for (std::uint32_t slot = 0; slot < cells_.size(); ++slot)
--- a/src/tables/timer_queue.cpp
+++ b/src/tables/timer_queue.cpp
@@ -2,20 +2,20 @@
 
 namespace tealcart {
 
-TimerQueue::Ticket TimerQueue::add(Nanos at, DueHandler& handler, Handle who, std::uint64_t what) {
+TimerQueue::TimerId TimerQueue::add(Nanos at, TimerHandler& handler, Handle owner, std::uint64_t cookie) {
     const auto position = static_cast<std::uint32_t>(heap_.size());
-    const Ticket ticket = entries_.emplace(Entry{at, next_order_++, &handler, who, what, position});
-    heap_.push_back(ticket);
+    const TimerId timer = entries_.emplace(Entry{at, next_order_++, &handler, owner, cookie, position});
+    heap_.push_back(timer);
     sift_up(position);
-    return ticket;
+    return timer;
 }
 
-void TimerQueue::drop(Ticket& ticket) {
-    if (ticket == none) return;
-    const std::uint32_t position = entries_.find(ticket)->position;
-    entries_.release(ticket);
-    ticket = none;
-    const Ticket last = heap_.back();
+void TimerQueue::cancel(TimerId& timer) {
+    if (timer == none) return;
+    const std::uint32_t position = entries_.find(timer)->position;
+    entries_.release(timer);
+    timer = none;
+    const TimerId last = heap_.back();
     heap_.pop_back();
     if (position == heap_.size()) return;
     place(position, last);
@@ -25,15 +25,15 @@
 
 void TimerQueue::fire_due(Nanos now) {
     while (next() <= now) {
-        Ticket first = heap_[0];
+        TimerId first = heap_[0];
         const Entry due = entry_at(0);
-        drop(first);
-        due.handler->on_due(due.who, due.what);
+        cancel(first);
+        due.handler->on_timer_due(due.owner, due.cookie);
     }
 }
 
 void TimerQueue::sift_up(std::uint32_t position) {
-    const Ticket ticket = heap_[position];
+    const TimerId timer = heap_[position];
     const Entry& entry = entry_at(position);
     while (position > 0) {
         const std::uint32_t parent = (position - 1) / 2;
@@ -41,11 +41,11 @@
         place(position, heap_[parent]);
         position = parent;
     }
-    place(position, ticket);
+    place(position, timer);
 }
 
 void TimerQueue::sift_down(std::uint32_t position) {
-    const Ticket ticket = heap_[position];
+    const TimerId timer = heap_[position];
     const Entry& entry = entry_at(position);
     for (;;) {
         std::uint32_t child = 2 * position + 1;
@@ -55,7 +55,7 @@
         place(position, heap_[child]);
         position = child;
     }
-    place(position, ticket);
+    place(position, timer);
 }
 
 }  // namespace tealcart
--- a/src/tables/timer_queue.hpp
+++ b/src/tables/timer_queue.hpp
@@ -1,5 +1,5 @@
-// All timers of a process in one binary heap that knows where each entry lies, so that one can be dropped
-// before its time.
+// The timers of a process in one binary heap. Each entry stores its heap position, so that a timer can be
+// cancelled before it is due.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +10,48 @@
 
 namespace tealcart {
 
-// Notified when one of its timers is due, with what the timer was added with.
-class DueHandler {
+// Receives the timers that were added for it. `owner` and `cookie` are the values passed to `add`.
+class TimerHandler {
   public:
-    virtual ~DueHandler() = default;
-    virtual void on_due(Handle who, std::uint64_t what) = 0;
+    virtual ~TimerHandler() = default;
+    virtual void on_timer_due(Handle owner, std::uint64_t cookie) = 0;
 };
 
+// Timers ordered by due time. Not thread-safe.
 class TimerQueue {
   public:
-    using Ticket = Handle;
-    static constexpr Ticket none = {};
+    using TimerId = Handle;
+    static constexpr TimerId none = {};
     static constexpr Nanos never = INT64_MAX;
 
-    // Adds a timer that is due at this time. The handler must outlive it.
-    Ticket add(Nanos at, DueHandler& handler, Handle who, std::uint64_t what = 0);
+    // Adds a timer that is due at `at`. The handler must outlive the timer.
+    TimerId add(Nanos at, TimerHandler& handler, Handle owner, std::uint64_t cookie = 0);
 
-    // Drops a timer, and sets its ticket to none. Does nothing for none.
-    void drop(Ticket& ticket);
+    // Cancels the timer and sets `timer` to `none`. Does nothing if it is `none`.
+    void cancel(TimerId& timer);
 
-    // Drops the ticket's timer, if any, and adds a new one.
-    void move(Ticket& ticket, Nanos at, DueHandler& handler, Handle who, std::uint64_t what = 0) {
-        drop(ticket);
-        ticket = add(at, handler, who, what);
+    // Cancels the timer unless it is `none`, then adds a new one and stores its id in `timer`.
+    void reschedule(TimerId& timer, Nanos at, TimerHandler& handler, Handle owner, std::uint64_t cookie = 0) {
+        cancel(timer);
+        timer = add(at, handler, owner, cookie);
     }
 
-    // When the earliest timer is due.
+    // When the earliest timer is due; `never` if there is none.
     Nanos next() const { return heap_.empty() ? never : entry_at(0).at; }
     std::size_t size() const { return heap_.size(); }
 
-    // Calls the handlers of all timers that are due by now, the earliest first, in the order of adding where
-    // times are equal. A handler's own ticket is void when it is called. A timer that is added meanwhile
-    // waits for the next call where it is due after `now`.
+    // Calls the handlers of all timers that are due by `now`, earliest first and in the order of insertion
+    // among equal times. The id of a timer is no longer valid when its handler is called. A timer that a
+    // handler adds fires in the same call only if it is due by `now`.
     void fire_due(Nanos now);
 
   private:
     struct Entry {
         Nanos at = 0;
-        std::uint64_t order = 0;  // of adding
-        DueHandler* handler = nullptr;
-        Handle who;
-        std::uint64_t what = 0;
+        std::uint64_t order = 0;  // of insertion
+        TimerHandler* handler = nullptr;
+        Handle owner;
+        std::uint64_t cookie = 0;
         std::uint32_t position = 0;  // in the heap
     };
 
@@ -59,15 +60,15 @@
     static bool is_before(const Entry& a, const Entry& b) {
         return a.at != b.at ? a.at < b.at : a.order < b.order;
     }
-    void place(std::uint32_t position, Ticket ticket) {
-        heap_[position] = ticket;
+    void place(std::uint32_t position, TimerId timer) {
+        heap_[position] = timer;
         entry_at(position).position = position;
     }
     void sift_up(std::uint32_t position);
     void sift_down(std::uint32_t position);
 
     SlotMap<Entry> entries_;
-    std::vector<Ticket> heap_;
+    std::vector<TimerId> heap_;
     std::uint64_t next_order_ = 0;
 };
 
--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -112,7 +112,7 @@
     timer_->expires_after(Ms(2));
     timer_->async_wait([this](const boost::system::error_code& ec) {
         if (ec) return;
-        time_.due.fire_due(time_.now());
+        time_.timers.fire_due(time_.now());
         fire_timers();
     });
 }
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -121,7 +121,7 @@
 }
 
 void HollowRouter::stop() {
-    time_.due.drop(round_);
+    time_.timers.cancel(round_);
     watch_.stop();
     member_.stop();
 }
@@ -131,7 +131,8 @@
 void HollowRouter::on_endpoint_list(const EndpointList& list) {
     const NodeTable::Changes changes = nodes_.apply(list);
     received_.insert(received_.end(), changes.entries.begin(), changes.entries.end());
-    if (round_ == TimerQueue::none) round_ = time_.due.add(last_round_ + min_round_interval, *this, Handle{});
+    if (round_ == TimerQueue::none)
+        round_ = time_.timers.add(last_round_ + min_round_interval, *this, Handle{});
 }
 
 Nanos HollowRouter::next_round() const {
@@ -139,10 +140,10 @@
 }
 
 // Discards what the decision module would be given.
-void HollowRouter::on_due(Handle, std::uint64_t) {
+void HollowRouter::on_timer_due(Handle, std::uint64_t) {
     round_ = TimerQueue::none;
     member_.update_serving_state();
-    time_.due.drop(round_);
+    time_.timers.cancel(round_);
     last_round_ = time_.now();
     entries_ += received_.size();
     received_.clear();
@@ -192,7 +193,8 @@
     Nanos last_heartbeat = 0, timer_time = TimerQueue::never;
     while (!disconnected_) {
         // The timer is set again only for an earlier time. Postponing it would wake the loop without need.
-        const Nanos wake_at = std::max(time_.now(), std::min(time_.due.next(), last_heartbeat + heartbeat));
+        const Nanos wake_at =
+            std::max(time_.now(), std::min(time_.timers.next(), last_heartbeat + heartbeat));
         if (wake_at < timer_time) {
             timer_time = wake_at;
             timer.expires_at(time_.steady(wake_at));
@@ -203,7 +205,7 @@
         io_.run_one();
         for (int i = 0; i < max_handlers_per_turn && io_.poll_one() > 0; ++i) {
         }
-        time_.due.fire_due(time_.now());
+        time_.timers.fire_due(time_.now());
         if (time_.now() - last_heartbeat < heartbeat) continue;
         last_heartbeat = time_.now();
         stopped_.clear();
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -48,7 +48,7 @@
 HollowConfig read_hollow_arguments(const std::vector<std::string>& arguments);
 
 // One hollow router.
-class HollowRouter final : private MemberHost, private DueHandler {
+class HollowRouter final : private MemberHost, private TimerHandler {
   public:
     HollowRouter(boost::asio::io_context& io, EventClock& time, const HollowConfig& config,
                  std::size_t number);
@@ -74,13 +74,13 @@
     std::size_t unfinished_count() const override { return 0; }
     bool any_attempt_to(const std::function<bool(const std::string&)>&) const override { return false; }
     const std::string& node_name(std::uint32_t node) const override { return nodes_.name(node); }
-    void on_due(Handle, std::uint64_t what) override;
+    void on_timer_due(Handle, std::uint64_t what) override;
 
     EventClock& time_;
     NodeTable nodes_;
     std::vector<Endpoint> received_;
     Nanos last_round_ = 0, lease_until_ = 0;
-    TimerQueue::Ticket round_ = TimerQueue::none;
+    TimerQueue::TimerId round_ = TimerQueue::none;
     std::uint64_t lease_lapses_ = 0, entries_ = 0;
     const std::uint64_t generation_;
     Membership member_;
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -77,7 +77,7 @@
 }
 
 HollowFollower::~HollowFollower() {
-    time_.due.drop(pause_);
+    time_.timers.cancel(pause_);
     watch_.stop();
 }
 
@@ -126,12 +126,12 @@
         before != std::tuple(copy_.version(), copy_.needs_pages(), copy_.next_page_after());
     const Nanos earliest = sent + std::max(wait_, min_pause);
     if (!progressed && time_.now() < earliest)
-        time_.due.move(pause_, earliest, *this, Handle{}, 0);
+        time_.timers.reschedule(pause_, earliest, *this, Handle{}, 0);
     else
         call_next();
 }
 
-void HollowFollower::on_due(Handle, std::uint64_t) {
+void HollowFollower::on_timer_due(Handle, std::uint64_t) {
     pause_ = TimerQueue::none;
     call_next();
 }
@@ -158,7 +158,7 @@
     Nanos timer_time = TimerQueue::never;
     while (!disconnected_) {
         // The timer is set again only for an earlier time. Postponing it would wake the loop without need.
-        const Nanos wake_at = std::max(time_.now(), std::min(time_.due.next(), time_.now() + max_wait));
+        const Nanos wake_at = std::max(time_.now(), std::min(time_.timers.next(), time_.now() + max_wait));
         if (wake_at < timer_time) {
             timer_time = wake_at;
             timer.expires_at(time_.steady(wake_at));
@@ -169,7 +169,7 @@
         io_.run_one();
         for (int i = 0; i < max_handlers_per_turn && io_.poll_one() > 0; ++i) {
         }
-        time_.due.fire_due(time_.now());
+        time_.timers.fire_due(time_.now());
     }
 }
 
--- a/src/testing/hollow_follower.hpp
+++ b/src/testing/hollow_follower.hpp
@@ -36,7 +36,7 @@
 FollowerConfig read_follower_arguments(const std::vector<std::string>& arguments);
 
 // One hollow follower.
-class HollowFollower final : private ChangeObserver, private DueHandler {
+class HollowFollower final : private ChangeObserver, private TimerHandler {
   public:
     // For each version, the times at which followers first acted on it or a later one, in ns of the steady
     // clock.
@@ -62,7 +62,7 @@
     LongPollObserver::Call next_call() override;
     void on_changes(Nanos sent, const ChangesAnswer& answer) override;
     void on_superseded(std::uint64_t last_incarnation) override { lease_.superseded(last_incarnation); }
-    void on_due(Handle, std::uint64_t what) override;
+    void on_timer_due(Handle, std::uint64_t what) override;
     void check_order(const changes::Delta& delta);
     void call_next();
 
@@ -73,7 +73,7 @@
     MemberLease lease_;
     ChangeWatch watch_;
     Nanos wait_ = 0;
-    TimerQueue::Ticket pause_ = TimerQueue::none;
+    TimerQueue::TimerId pause_ = TimerQueue::none;
     int without_lease_ = 0;  // consecutive responses without a lease
     std::uint64_t last_number_ = 0, lease_lapses_ = 0, order_violations_ = 0, rejected_ = 0, calls_ = 0;
 };
--- a/src/wire/discovery_watch.cpp
+++ b/src/wire/discovery_watch.cpp
@@ -55,7 +55,7 @@
 }
 
 void DiscoveryWatch::stop() {
-    clock_.due.drop(timer_);
+    clock_.timers.cancel(timer_);
     close(connection_);
     close(former_);
 }
@@ -78,7 +78,7 @@
     error_code failure;
     const auto host = boost::asio::ip::make_address(address_.host, failure);
     if (failure) return fail("its address is not an IP address");
-    clock_.due.move(timer_, clock_.now() + connect_timeout, *this, Handle{}, silence);
+    clock_.timers.reschedule(timer_, clock_.now() + connect_timeout, *this, Handle{}, silence);
     connection_->socket.async_connect({host, address_.port},
                                       [this, connection = connection_](const error_code& result) {
                                           if (connection != connection_) return;
@@ -100,7 +100,7 @@
     ++traffic_.requests;
     traffic_.bytes_sent += connection_->request.size();
     const Nanos timeout = healthy_ && !needs_full_list_ ? max_poll_wait + poll_slack : first_answer_timeout_;
-    clock_.due.move(timer_, polled_at_ + timeout, *this, Handle{}, silence);
+    clock_.timers.reschedule(timer_, polled_at_ + timeout, *this, Handle{}, silence);
     boost::asio::async_write(connection_->socket, boost::asio::buffer(connection_->request),
                              [this, connection = connection_](const error_code& failure, std::size_t) {
                                  if (failure) lose(connection, failure.message().c_str());
@@ -163,8 +163,8 @@
 
 void DiscoveryWatch::apply_answer(const ConnectionPtr& connection, const EndpointList& list) {
     const auto generation = static_cast<unsigned long long>(list.generation);
-    if (list.left_out > 0)
-        log_line("discovery: %d unusable entries of list %llu are skipped", list.left_out, generation);
+    if (list.skipped_entries > 0)
+        log_line("discovery: %d unusable entries of list %llu are skipped", list.skipped_entries, generation);
     if (failure_logged_) log_line("discovery answers again with list %llu", generation);
     failure_logged_ = too_long_logged_ = false;
     needs_full_list_ = false;
@@ -179,7 +179,7 @@
     if (!keep_alive) return connect();
     // A pause keeps a server that answers at once and without changes from being polled in a busy loop.
     if (list.nodes.empty() && clock_.now() - polled_at_ < poll_wait_ / 2)
-        return clock_.due.move(timer_, clock_.now() + idle_pause, *this, Handle{}, next_poll);
+        return clock_.timers.reschedule(timer_, clock_.now() + idle_pause, *this, Handle{}, next_poll);
     poll();
 }
 
@@ -196,14 +196,14 @@
         log_line("discovery poll failed: %s; the last endpoint list stays in force", reason);
     failure_logged_ = true;
     healthy_ = false;
-    clock_.due.drop(timer_);
+    clock_.timers.cancel(timer_);
     close(connection_);
     std::uniform_int_distribution<Nanos> jitter(backoff_ / 2, backoff_);
-    clock_.due.move(timer_, clock_.now() + jitter(random_), *this, Handle{}, reconnect);
+    clock_.timers.reschedule(timer_, clock_.now() + jitter(random_), *this, Handle{}, reconnect);
     backoff_ = std::min(2 * backoff_, max_backoff_);
 }
 
-void DiscoveryWatch::on_due(Handle, std::uint64_t what) {
+void DiscoveryWatch::on_timer_due(Handle, std::uint64_t what) {
     timer_ = TimerQueue::none;
     if (what == reconnect) return connect();
     if (what == next_poll) return poll();
--- a/src/wire/discovery_watch.hpp
+++ b/src/wire/discovery_watch.hpp
@@ -26,7 +26,7 @@
 
 // A connection that breaks, or stays silent for longer than its poll may wait, is replaced after a backoff
 // with jitter. A change arrives within 6 s of the time when discovery had it and was reachable.
-class DiscoveryWatch final : public DueHandler {
+class DiscoveryWatch final : public TimerHandler {
   public:
     // Entries whose place is not below `places` are skipped. All references must outlive the watch.
     DiscoveryWatch(boost::asio::io_context& io, EventClock& clock, EndpointListObserver& observer,
@@ -42,7 +42,7 @@
     // Returns whether discovery has answered with a list since the start.
     bool has_list() const { return has_list_; }
     const TrafficCounters& traffic() const { return traffic_; }
-    void on_due(Handle, std::uint64_t what) override;
+    void on_timer_due(Handle, std::uint64_t what) override;
 
   private:
     // Completions for a connection that is neither the current nor the former one are ignored.
@@ -87,7 +87,7 @@
     TrafficCounters traffic_;
     ConnectionPtr connection_;
     ConnectionPtr former_;  // to the previous address
-    TimerQueue::Ticket timer_ = TimerQueue::none;
+    TimerQueue::TimerId timer_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/event_loop.hpp
+++ b/src/wire/event_loop.hpp
@@ -21,7 +21,7 @@
         io_.run_one();
         for (int ran = 0; ran < max_handlers && io_.poll_one() > 0; ++ran) {
         }
-        time_.due.fire_due(time_.now());
+        time_.timers.fire_due(time_.now());
     }
 
   private:
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -45,7 +45,7 @@
 
 void HttpServer::accept() {
     if (accept_pending_ || !acceptor_.is_open()) return;
-    clock_.due.drop(accept_timer_);
+    clock_.timers.cancel(accept_timer_);
     accept_pending_ = true;
     acceptor_.async_wait(tcp::acceptor::wait_read, [this](const error_code& failure) {
         accept_pending_ = false;
@@ -72,7 +72,7 @@
 }
 
 void HttpServer::retry_accept_later() {
-    clock_.due.move(accept_timer_, clock_.now() + accept_retry_pause, *this, Handle{});
+    clock_.timers.reschedule(accept_timer_, clock_.now() + accept_retry_pause, *this, Handle{});
 }
 
 void HttpServer::add_connection(tcp::socket socket) {
@@ -80,7 +80,7 @@
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);  // needed for the last reads before it is closed
     const Handle handle = connections_.emplace(std::move(socket), max_request_body_);
-    connections_.find(handle)->idle_since = clock_.earliest();  // it may have waited in the backlog
+    connections_.find(handle)->idle_since = clock_.earliest_arrival();  // it may have waited in the backlog
     await_request(handle);
     read(handle);
 }
@@ -116,7 +116,7 @@
 // connection open.
 void HttpServer::await_request(Handle handle) {
     Connection& connection = *connections_.find(handle);
-    clock_.due.move(connection.timer, connection.idle_since + idle_timeout, *this, handle);
+    clock_.timers.reschedule(connection.timer, connection.idle_since + idle_timeout, *this, handle);
 }
 
 // Returns whether no byte of a next request has arrived.
@@ -183,7 +183,7 @@
         }
         return;
     }
-    clock_.due.drop(connection.timer);
+    clock_.timers.cancel(connection.timer);
     connection.state = State::waiting;
     if (status == ParseStatus::malformed) {
         connection.is_last = true;
@@ -197,9 +197,9 @@
     // The request may have waited while this process stalled or while the previous request was in progress.
     connection.request_began = connection.next_request_began > 0
                                    ? connection.next_request_began
-                                   : std::max(connection.idle_since, clock_.earliest());
+                                   : std::max(connection.idle_since, clock_.earliest_arrival());
     const Nanos counts_from = connection.served ? clock_.now() : connection.idle_since;
-    clock_.due.move(connection.timer, counts_from + request_timeout, *this, handle);
+    clock_.timers.reschedule(connection.timer, counts_from + request_timeout, *this, handle);
 }
 
 void HttpServer::answer(Handle handle, Response answer) {
@@ -211,7 +211,7 @@
     connection->head =
         write_response_head({answer.status, connection->body.size(), answer.retry_after / millisecond,
                              connection->is_last, answer.allow});
-    clock_.due.move(connection->timer, clock_.now() + write_timeout_, *this, handle);
+    clock_.timers.reschedule(connection->timer, clock_.now() + write_timeout_, *this, handle);
     write(handle);
 }
 
@@ -243,7 +243,7 @@
 
 void HttpServer::on_response_written(Handle handle) {
     Connection& connection = *connections_.find(handle);
-    clock_.due.drop(connection.timer);
+    clock_.timers.cancel(connection.timer);
     connection.head.clear();
     connection.body.clear();
     if (connection.peer_ended) return close(handle);
@@ -270,11 +270,11 @@
     if (failure) return close(handle);
     connection.state = State::lingering;
     connection.unread.clear();
-    clock_.due.move(connection.timer, clock_.now() + linger_timeout, *this, handle);
+    clock_.timers.reschedule(connection.timer, clock_.now() + linger_timeout, *this, handle);
     read(handle);
 }
 
-void HttpServer::on_due(Handle handle, std::uint64_t) {
+void HttpServer::on_timer_due(Handle handle, std::uint64_t) {
     if (handle == Handle{}) {
         accept_timer_ = TimerQueue::none;
         return accept();
@@ -325,7 +325,7 @@
     Connection* connection = connections_.find(handle);
     if (connection == nullptr || connection->state == State::closed) return;
     connection->state = State::closed;
-    clock_.due.drop(connection->timer);
+    clock_.timers.cancel(connection->timer);
     error_code failure;
     connection->socket.shutdown(tcp::socket::shutdown_send, failure);
     for (std::size_t left = max_unread;
--- a/src/wire/http_server.hpp
+++ b/src/wire/http_server.hpp
@@ -41,7 +41,7 @@
 
 // Owns the connections. `release_if_ended` releases a connection once it is closed and no read or write is in
 // progress on it.
-class HttpServer final : public ResponseWriter, public DueHandler {
+class HttpServer final : public ResponseWriter, public TimerHandler {
   public:
     // Serves at most `max_connections` connections at a time and request bodies of up to `max_request_body`
     // bytes. A client that does not read its response within `write_timeout` is disconnected.
@@ -67,7 +67,7 @@
 
     // Returns the number of connections, including lingering ones.
     std::size_t open() const { return connections_.size(); }
-    void on_due(Handle handle, std::uint64_t what) override;
+    void on_timer_due(Handle handle, std::uint64_t what) override;
 
   private:
     // A connection reads a request, waits for the handler's response, writes it, or lingers half-closed.
@@ -91,7 +91,7 @@
         Nanos idle_since = 0;
         Nanos request_began = 0;
         Nanos next_request_began = 0;  // while one is in progress; 0 if no byte of a next one has arrived
-        TimerQueue::Ticket timer = TimerQueue::none;
+        TimerQueue::TimerId timer = TimerQueue::none;
     };
 
     // Accepting.
@@ -129,7 +129,7 @@
     boost::asio::ip::tcp::acceptor acceptor_;
     SlotMap<Connection> connections_;
     bool accept_pending_ = false, stopping_ = false;
-    TimerQueue::Ticket accept_timer_ = TimerQueue::none;
+    TimerQueue::TimerId accept_timer_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/long_poll.cpp
+++ b/src/wire/long_poll.cpp
@@ -44,7 +44,7 @@
 }
 
 void LongPoll::stop() {
-    time_.due.drop(due_);
+    time_.timers.cancel(due_);
     disconnect();
 }
 
@@ -55,7 +55,7 @@
     error_code ec;
     const auto host = boost::asio::ip::make_address(address().host, ec);
     if (ec) return fail("its address is not an IP address");
-    time_.due.move(due_, time_.now() + connect_timeout, *this, Handle{}, timed_out);
+    time_.timers.reschedule(due_, time_.now() + connect_timeout, *this, Handle{}, timed_out);
     const auto on_connect = [this, connection = connection_](const error_code& failed) {
         if (connection != connection_) return;
         if (failed) return fail(failed.message().c_str());
@@ -72,7 +72,7 @@
     ++traffic_.requests;
     traffic_.bytes_sent += connection_->out.size();
     sent_at_ = time_.now();  // taken before the write, since the lease counts from here
-    time_.due.move(due_, sent_at_ + call.wait + answer_slack, *this, Handle{}, timed_out);
+    time_.timers.reschedule(due_, sent_at_ + call.wait + answer_slack, *this, Handle{}, timed_out);
     boost::asio::async_write(connection_->socket, boost::asio::buffer(connection_->out),
                              [this, connection = connection_](const error_code& failed, std::size_t) {
                                  if (failed && connection == connection_) fail(failed.message().c_str());
@@ -142,7 +142,7 @@
     if (std::exchange(unreachable_, false)) observer_.on_reachable_again();
     failures_ = 0;
     limit_logged_ = false;
-    time_.due.drop(due_);
+    time_.timers.cancel(due_);
     const bool keep_alive = reader.keep_alive();
     const Nanos sent = sent_at_;
     reader.next();
@@ -179,10 +179,10 @@
     disconnect();
     next_pending_ = false;
     address_index_ = address_index;
-    time_.due.move(due_, time_.now() + pause, *this, Handle{}, retry);
+    time_.timers.reschedule(due_, time_.now() + pause, *this, Handle{}, retry);
 }
 
-void LongPoll::on_due(Handle, std::uint64_t what) {
+void LongPoll::on_timer_due(Handle, std::uint64_t what) {
     due_ = TimerQueue::none;
     if (what == retry) return connect();
     fail("it was silent for longer than a call may wait");
--- a/src/wire/long_poll.hpp
+++ b/src/wire/long_poll.hpp
@@ -44,7 +44,7 @@
 };
 
 // Sends the calls of its observer, one at a time.
-class LongPoll final : public DueHandler {
+class LongPoll final : public TimerHandler {
   public:
     // Starts at the address with index `first`. A `jitter_seed` other than 0 multiplies each backoff by a
     // random factor from 0.5 to 1.5. An answer over `limit` is not read, which is logged once.
@@ -64,7 +64,7 @@
     bool call_in_flight() const { return connection_ && sent_at_ > 0 && !next_pending_; }
     const HostPort& address() const { return addresses_[address_index_]; }
     const TrafficCounters& traffic() const { return traffic_; }
-    void on_due(Handle, std::uint64_t what) override;
+    void on_timer_due(Handle, std::uint64_t what) override;
 
   private:
     struct Connection {
@@ -104,7 +104,7 @@
     bool unreachable_ = false, limit_logged_ = false;
     TrafficCounters traffic_;
     ConnectionPtr connection_;
-    TimerQueue::Ticket due_ = TimerQueue::none;
+    TimerQueue::TimerId due_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/node_connection.hpp
+++ b/src/wire/node_connection.hpp
@@ -108,7 +108,7 @@
 
     // The connect timeout while connecting, the idle timeout while idle, or the timeout of an incomplete
     // frame.
-    TimerQueue::Ticket& timer() { return timer_; }
+    TimerQueue::TimerId& timer() { return timer_; }
 
   private:
     const std::uint32_t node_;
@@ -125,7 +125,7 @@
     SilenceDetector silence_;
     std::string received_;
     std::array<char, 8192> read_buffer_;
-    TimerQueue::Ticket timer_ = TimerQueue::none;
+    TimerQueue::TimerId timer_ = TimerQueue::none;
 };
 
 }  // namespace tealcart
--- a/src/wire/node_connection_pool.cpp
+++ b/src/wire/node_connection_pool.cpp
@@ -36,7 +36,7 @@
     Handle chosen = choose(node, two_phase, avoid);
     if (connections_.find(chosen) == nullptr) chosen = add_connection(node, address, two_phase);
     NodeConnection& connection = *connections_.find(chosen);
-    if (connection.connected()) clock_.due.drop(connection.timer());  // it is no longer idle
+    if (connection.connected()) clock_.timers.cancel(connection.timer());  // it is no longer idle
     ++last_frame_;
     for (const AttemptMessage& message : messages) connection.add_in_flight(last_frame_, message);
     connection.queue().push_attempts(last_frame_, std::move(messages));
@@ -146,7 +146,7 @@
         return false;
     }
     ++open_sockets_;
-    clock_.due.move(connection.timer(), clock_.now() + connect_timeout_, *this, handle);
+    clock_.timers.reschedule(connection.timer(), clock_.now() + connect_timeout_, *this, handle);
     connection.async_connect({host, address->port},
                              [this, handle](const error_code& result) { on_connected(handle, result); });
     return true;
@@ -156,7 +156,7 @@
     NodeConnection& connection = *connections_.find(handle);
     connection.operation_ended();
     if (connection.closed()) return release_if_ended(handle);
-    clock_.due.drop(connection.timer());
+    clock_.timers.cancel(connection.timer());
     if (failure) return close(handle, Outcome::connect_failed);
     connection.set_connected();
     read(handle);
@@ -201,9 +201,9 @@
         return;
     }
     if (!connection.has_incomplete_frame())
-        clock_.due.drop(connection.timer());
+        clock_.timers.cancel(connection.timer());
     else if (connection.timer() == TimerQueue::none)
-        clock_.due.move(connection.timer(), clock_.now() + connect_timeout_, *this, handle);
+        clock_.timers.reschedule(connection.timer(), clock_.now() + connect_timeout_, *this, handle);
 }
 
 template <typename Predicate>
@@ -281,11 +281,11 @@
         return close(handle, Outcome::reset);
     connection.silence().on_idle();
     const Nanos kept_for = connection.retired() ? 0 : idle_timeout_;
-    clock_.due.move(connection.timer(), clock_.now() + kept_for, *this, handle);
+    clock_.timers.reschedule(connection.timer(), clock_.now() + kept_for, *this, handle);
     open_waiting();
 }
 
-void NodeConnectionPool::on_due(Handle handle, std::uint64_t) {
+void NodeConnectionPool::on_timer_due(Handle handle, std::uint64_t) {
     NodeConnection& connection = *connections_.find(handle);
     connection.timer() = TimerQueue::none;
     if (connection.has_incomplete_frame()) {
@@ -332,7 +332,7 @@
 void NodeConnectionPool::close(Handle handle, Outcome outcome, std::size_t bytes_written) {
     NodeConnection* connection = connections_.find(handle);
     if (connection == nullptr || connection->closed()) return;
-    clock_.due.drop(connection->timer());
+    clock_.timers.cancel(connection->timer());
     open_sockets_ -= connection->is_open();
     connection->close();
     std::erase(waiting_, handle);
--- a/src/wire/node_connection_pool.hpp
+++ b/src/wire/node_connection_pool.hpp
@@ -21,7 +21,7 @@
 
 // Owns the connections. `release_if_ended` releases a connection once it is closed and no operation on its
 // socket is in progress. Lookups with the handle of a released connection find nothing.
-class NodeConnectionPool final : public AttemptSender, public DueHandler {
+class NodeConnectionPool final : public AttemptSender, public TimerHandler {
   public:
     // Opens at most `max_open` sockets at a time; further connections wait. All references must outlive the
     // pool.
@@ -41,7 +41,7 @@
     // The numbers of open sockets and of connections that wait for a file descriptor.
     std::size_t open() const { return open_sockets_; }
     std::size_t waiting() const { return waiting_.size(); }
-    void on_due(Handle connection, std::uint64_t what) override;
+    void on_timer_due(Handle connection, std::uint64_t what) override;
 
   private:
     // Choosing a connection for a frame.
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -65,7 +65,7 @@
         timer.expires_after(tick_interval);
         timer.async_wait([&](const boost::system::error_code& ec) {
             if (ec) return;
-            time.due.fire_due(time.now());
+            time.timers.fire_due(time.now());
             server.tick();
             const Nanos age = server.stats().list_age;
             if (age > stale_list_age && !std::exchange(stale_list_logged, true))
@@ -78,7 +78,7 @@
     schedule_tick();
     while (!stopping) {
         io.run_one();
-        time.due.fire_due(time.now());
+        time.timers.fire_due(time.now());
     }
     const auto stats = server.stats();
     log_line("stopping with %zu proxies connected", stats.streams);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -34,7 +34,7 @@
     void run_ready() {
         while (io.poll() > 0) {
         }
-        time.due.fire_due(now);
+        time.timers.fire_due(now);
         while (io.poll() > 0) {
         }
     }
@@ -213,7 +213,7 @@
         for (int i = 0; i < 2; ++i) {
             while (io.poll() > 0) {
             }
-            time.due.fire_due(now);
+            time.timers.fire_due(now);
         }
         for (; !pending.empty() && pending.front().at <= now; pending.pop_front())
             if (!pending.front().peer->ended) pending.front().peer->send(reply(list_five));
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -70,7 +70,7 @@
         if (auto node = read_node(entry, places))
             list.nodes.push_back(std::move(*node));
         else
-            ++list.left_out;
+            ++list.skipped_entries;
     }
     return list;
 }
@@ -156,7 +156,7 @@
     if (!got) return;
     RC_ASSERT(got->generation == want->generation);
     RC_ASSERT(got->full == want->full);
-    RC_ASSERT(got->left_out == want->left_out);
+    RC_ASSERT(got->skipped_entries == want->skipped_entries);
     RC_ASSERT(got->nodes.size() == want->nodes.size());
     for (std::size_t i = 0; i < got->nodes.size(); ++i) RC_ASSERT(of(got->nodes[i]) == of(want->nodes[i]));
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -92,7 +92,7 @@
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (member.applied_generation() != 1 && std::chrono::steady_clock::now() < end) {
         io.run_one_for(std::chrono::milliseconds(10));
-        time.due.fire_due(time.now());
+        time.timers.fire_due(time.now());
     }
     CHECK(member.applied_generation() == 1);
     CHECK(host.nodes == Lifecycles{{"n0", Lifecycle::draining}, {"n1", Lifecycle::ready}});
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -201,7 +201,7 @@
     }
     void step(Nanos span = 5 * ms) {
         model.now += span;
-        time.due.fire_due(model.now);
+        time.timers.fire_due(model.now);
         if (dispatcher.next_round() <= model.now) dispatcher.run_round();
     }
 };
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -560,7 +560,7 @@
     rig.run_until([&] { return !rig.node.peers.empty() && !rig.node.peers.back()->received.empty(); });
     rig.observer.end(Handle{200, 1});
     rig.now += rig.config.idle_close - 1;
-    rig.time.due.fire_due(rig.now);
+    rig.time.timers.fire_due(rig.now);
     CHECK_FALSE(rig.send(1, 201) == kept);
     rig.run_until([&] { return rig.pool.open() == 1; });
     // Attempts of a connection that was not established in time have not run.
@@ -568,7 +568,7 @@
     rig.now += rig.config.connect_timeout;
     rig.send(2, 300);
     rig.now += rig.config.connect_timeout;
-    rig.time.due.fire_due(rig.now);
+    rig.time.timers.fire_due(rig.now);
     CHECK(rig.observer.lost.back() == std::pair(Handle{300, 1}, Outcome::connect_failed));
 }
 
@@ -709,16 +709,16 @@
     const Handle connection = rig.send(0, 1);
     rig.run_until([&] { return !rig.node.peers.empty() && !rig.node.peers[0]->received.empty(); });
     rig.node.peers[0]->send(answer_frame(1).substr(0, 12));
-    rig.run_until([&] { return rig.time.due.size() == 1; });
+    rig.run_until([&] { return rig.time.timers.size() == 1; });
     CHECK_FALSE(rig.send(0, 2) == connection);
     rig.run_until([&] { return rig.node.peers.size() == 2 && !rig.node.peers[1]->received.empty(); });
     rig.now += rig.config.connect_timeout;
-    rig.time.due.fire_due(rig.now);
+    rig.time.timers.fire_due(rig.now);
     CHECK(rig.observer.lost == std::vector{std::pair(Handle{1, 1}, Outcome::error)});
     // A frame that is completed in time is valid, and its connection is used again.
     const Handle second = rig.observer.used[1];
     rig.node.peers[1]->send(answer_frame(2).substr(0, 12));
-    rig.run_until([&] { return rig.time.due.size() == 1; });
+    rig.run_until([&] { return rig.time.timers.size() == 1; });
     rig.node.peers[1]->send(answer_frame(2).substr(12));
     rig.run_until([&] { return rig.observer.answered.size() == 1; });
     CHECK(rig.send(0, 3) == second);
@@ -773,15 +773,15 @@
     rig.run_until([&] { return rig.server.open() == 1; });
     rig.now += 1900 * test::ms;
     c->send(incomplete_request);
-    const Nanos silent_until = rig.time.due.next();
-    rig.run_until([&] { return rig.time.due.next() != silent_until; });
-    CHECK(rig.time.due.next() < rig.now + 1100 * test::ms);
-    rig.now = rig.time.due.next() - 1;
-    rig.time.due.fire_due(rig.now);
+    const Nanos silent_until = rig.time.timers.next();
+    rig.run_until([&] { return rig.time.timers.next() != silent_until; });
+    CHECK(rig.time.timers.next() < rig.now + 1100 * test::ms);
+    rig.now = rig.time.timers.next() - 1;
+    rig.time.timers.fire_due(rig.now);
     rig.io.poll();
     CHECK(c->received.empty());
     rig.now += 1;
-    rig.time.due.fire_due(rig.now);
+    rig.time.timers.fire_due(rig.now);
     rig.run_until([&] { return c->ended; });
     CHECK(c->received.find("HTTP/1.1 408 ") == 0);
     CHECK(rig.request_paths.empty());
@@ -795,7 +795,7 @@
     CHECK(rig.last_began == rig.now);
     const Nanos stall = rig.now + 200 * test::ms;
     rig.now += 900 * test::ms;
-    rig.time.awake_by = stall;
+    rig.time.wake_deadline = stall;
     kept->received.clear();
     kept->send(get_request);
     rig.run_until([&] { return !kept->received.empty(); });
@@ -818,11 +818,11 @@
     rig.run_until(
         [&] { return rig.request_paths.size() == 2 && rig.server.open() == 3 && !served->received.empty(); });
     rig.now += 2000 * test::ms - 1;
-    rig.time.due.fire_due(rig.now);
+    rig.time.timers.fire_due(rig.now);
     rig.io.poll();
     CHECK(rig.server.open() == 3);
     rig.now += 1;
-    rig.time.due.fire_due(rig.now);
+    rig.time.timers.fire_due(rig.now);
     rig.run_until([&] { return silent->ended && served->ended; });
     for (const auto& c : {silent, served}) c->socket.close();
     rig.run_until([&] { return rig.server.open() == 1; });
@@ -837,7 +837,7 @@
     const auto silent = rig.client("");
     rig.run_until([&] { return rig.server.open() == 2; });
     const auto stalled = rig.client(incomplete_request);
-    rig.run_until([&] { return rig.server.open() == 3 && rig.time.due.size() == 2; });
+    rig.run_until([&] { return rig.server.open() == 3 && rig.time.timers.size() == 2; });
     // A silent client is evicted first, then one that was served, then one in the middle of a request.
     const auto idle_client = rig.client(get_request);
     rig.run_until([&] { return !idle_client->received.empty() && silent->ended; });
@@ -866,7 +866,7 @@
         rig.server.begin_stop();
     } else {
         rig.now += 2000 * test::ms;
-        rig.time.due.fire_due(rig.now);
+        rig.time.timers.fire_due(rig.now);
     }
     c->send(get_request);
     rig.run_until([&] { return c->ended; });
@@ -888,7 +888,7 @@
     rig.run_until([&] { return c->ended; });
     CHECK(rig.server.open() == 1);
     rig.now += 1000 * test::ms;
-    rig.time.due.fire_due(rig.now);
+    rig.time.timers.fire_due(rig.now);
     rig.run_until([&] { return rig.server.open() == 0; });
 }
 
@@ -906,10 +906,10 @@
     const std::string body(60'000, 'b');
     rig.server.answer(rig.last, {200, body});
     rig.run_until([&] {
-        return rig.time.due.next() == rig.now + 1000 * test::ms;
+        return rig.time.timers.next() == rig.now + 1000 * test::ms;
     });  // the server has half-closed the connection
     rig.now += 1000 * test::ms;
-    rig.time.due.fire_due(rig.now);
+    rig.time.timers.fire_due(rig.now);
     rig.run_until([&] { return rig.server.open() == 0; });
     c->read();
     rig.run_until([&] { return c->ended; });
--- a/tests/tables_test.cpp
+++ b/tests/tables_test.cpp
@@ -34,9 +34,9 @@
 
 namespace {
 
-struct Told final : DueHandler {
+struct Told final : TimerHandler {
     std::vector<std::uint64_t> all;
-    void on_due(Handle, std::uint64_t what) override { all.push_back(what); }
+    void on_timer_due(Handle, std::uint64_t what) override { all.push_back(what); }
 };
 
 }  // namespace
@@ -46,17 +46,17 @@
     TimerQueue due;
     Told told;
     std::multimap<Nanos, std::uint64_t> plain;  // keeps the order of adding where times are equal
-    std::map<std::uint64_t, TimerQueue::Ticket> tickets;
+    std::map<std::uint64_t, TimerQueue::TimerId> timers;
     Nanos now = 0;
     for (std::uint64_t i = 0; i < 1500; ++i) {
         if (chance() % 3 > 0) {
             const Nanos at = now + static_cast<Nanos>(chance() % 50);
-            tickets[i] = due.add(at, told, {}, i);
+            timers[i] = due.add(at, told, {}, i);
             plain.emplace(at, i);
         } else if (!plain.empty() && chance() % 2 == 0) {
             const auto it = std::next(plain.begin(), static_cast<std::ptrdiff_t>(chance() % plain.size()));
-            due.drop(tickets[it->second]);
-            REQUIRE(tickets[it->second] == TimerQueue::none);
+            due.cancel(timers[it->second]);
+            REQUIRE(timers[it->second] == TimerQueue::none);
             plain.erase(it);
         }
         REQUIRE(due.next() == (plain.empty() ? TimerQueue::never : plain.begin()->first));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -204,7 +204,7 @@
     CHECK(list->nodes[0].lifecycle == Lifecycle::draining);
     CHECK(list->nodes[0].started_at == 1'500'000'000);
     CHECK(list->nodes[1].lifecycle == Lifecycle::removed);
-    CHECK(list->left_out == 4);
+    CHECK(list->skipped_entries == 4);
     for (const char* body :
          {"", "[]", R"({"generation":1})", R"({"generation":-1,"reset":true,"instances":[]})",
           R"({"generation":1,"reset":true,"instances":[{"inst)"})
