--- a/measure/herd.cpp
+++ b/measure/herd.cpp
@@ -281,9 +281,9 @@
         });
     }
 
-    void play(RoundEventHandler& h) override {
+    void deliver(RoundEventHandler& h) override {
         for (const Event& events : playing_events_) {
-            if (const auto* list = std::get_if<ListEvent>(&events)) h.on_nodes(list->kind, list->entries);
+            if (const auto* list = std::get_if<ListEvent>(&events)) h.on_endpoints(list->kind, list->entries);
             if (const auto* leaf = std::get_if<ResultEvent>(&events)) h.on_attempt_result(leaf->end);
             if (const auto* timer = std::get_if<TimerEvent>(&events)) h.on_timer(timer->cookie);
             if (const auto* came = std::get_if<QueryEvent>(&events)) {
@@ -295,8 +295,8 @@
             }
         }
     }
-    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
-        send(shard_request, node, patience);
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) override {
+        send(shard_request, node, timeout);
     }
     void cancel(std::uint32_t shard_request, std::uint8_t attempt) override {
         const std::size_t c = shard_requests_[shard_request].attempts[attempt];
@@ -315,7 +315,7 @@
     void log(const std::string&) override {}
 
     // Leaf calls and data nodes
-    void send(std::uint32_t shard_request, std::uint32_t node, Nanos patience) {
+    void send(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) {
         const Query& q = query(shard_requests_[shard_request].query);
         const std::size_t c = attempts_.size();
         attempts_.push_back({q.router, q.incarnation, shard_request, node,
@@ -324,7 +324,7 @@
         shard_requests_[shard_request].attempts.push_back(c);
         ++sent;
         at(now_ + network_delay, [this, c] { arrive(c); });
-        at(now_ + patience, [this, c] {
+        at(now_ + timeout, [this, c] {
             if (attempts_[c].in_flight) end(c, Outcome::timeout);
         });
     }
--- a/measure/list_cost.cpp
+++ b/measure/list_cost.cpp
@@ -90,7 +90,7 @@
     ListKind kind = ListKind::full;
     std::vector<Endpoint> entries;
 
-    void play(RoundEventHandler& handler) override { handler.on_nodes(kind, entries); }
+    void deliver(RoundEventHandler& handler) override { handler.on_endpoints(kind, entries); }
     void send_attempt(std::uint32_t, std::uint32_t, Nanos) override {}
     void cancel(std::uint32_t, std::uint8_t) override {}
     void answer(std::uint32_t, bool) override {}
--- a/measure/module_cost.cpp
+++ b/measure/module_cost.cpp
@@ -95,8 +95,8 @@
     std::uint64_t attempts_sent = 0, answers = 0, failures = 0;
 
   private:
-    void play(RoundEventHandler& handler) override {
-        if (!list_.empty()) handler.on_nodes(list_kind_, list_);
+    void deliver(RoundEventHandler& handler) override {
+        if (!list_.empty()) handler.on_endpoints(list_kind_, list_);
         list_ = {};
         while (!results_.empty() && results_.top().at <= now_) {
             handler.on_attempt_result(results_.top().result);
@@ -116,7 +116,7 @@
         }
     }
 
-    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) override {
         ++attempts_sent;
         std::uint8_t& attempts = attempts_of_[shard_request % attempts_of_.size()];
         std::uint32_t& counted = shard_request_of_[shard_request % shard_request_of_.size()];
@@ -125,8 +125,8 @@
         const double u1 = random_fraction(), u2 = random_fraction();
         const double normal = std::sqrt(-2 * std::log(u1)) * std::cos(2 * M_PI * u2);
         const auto latency = static_cast<Nanos>(leaf_median_ms * std::exp(leaf_spread * normal) * 1e6);
-        const bool late = latency > patience;
-        const Nanos span = late ? patience : latency;
+        const bool late = latency > timeout;
+        const Nanos span = late ? timeout : latency;
         results_.push(
             {now_ + span, {shard_request, node, attempts++, late ? Outcome::timeout : Outcome::ok, span}});
     }
--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -17,7 +17,7 @@
 class ListEvent final : public RoundEvents {
   public:
     ListEvent(ListKind kind, std::vector<Endpoint> entries) : kind_(kind), entries_(std::move(entries)) {}
-    void play(RoundEventHandler& handler) override { handler.on_nodes(kind_, entries_); }
+    void deliver(RoundEventHandler& handler) override { handler.on_endpoints(kind_, entries_); }
 
   private:
     ListKind kind_;
@@ -195,7 +195,7 @@
     for (std::size_t i = 0; i < query_classes_.size(); ++i) {
         const RetryLimits limits = router_.retry_limits(static_cast<std::uint16_t>(i));
         routes.push_back({query_classes_[i], config_[i].deadline, config_[i].latency_objective,
-                          limits.max_attempts, limits.within});
+                          limits.max_attempts, limits.window});
     }
     return routes;
 }
--- a/src/router/answer_policy.cpp
+++ b/src/router/answer_policy.cpp
@@ -4,8 +4,9 @@
 namespace {
 
 // A leg is to bring what it can: its end is no client's answer yet.
-bool leg_is_over(const Query& query, const AnswerProgress& progress, Nanos now) {
-    return query.answer_by > 0 && (progress.all_answered || progress.coming <= 0 || now >= query.answer_by);
+bool phase_is_over(const Query& query, const AnswerProgress& progress, Nanos now) {
+    return query.phase_deadline_at > 0 &&
+           (progress.all_answered || progress.coming <= 0 || now >= query.phase_deadline_at);
 }
 
 bool is_complete(const Query& query, const QueryClass& query_class, const AnswerProgress& progress) {
@@ -18,7 +19,7 @@
 AnswerDecision decide_answer(const Query& query, const QueryClass& query_class,
                              const AnswerProgress& progress, Nanos second_step_time, Nanos now) {
     using enum AnswerDecision;
-    if (leg_is_over(query, progress, now)) return progress.all_answered ? answer_complete : answer_partial;
+    if (phase_is_over(query, progress, now)) return progress.all_answered ? answer_complete : answer_partial;
     if (is_complete(query, query_class, progress)) {
         const bool first_step_complete = query.step == 1 || query.first_step_complete;
         return first_step_complete ? answer_complete : answer_partial;
--- a/src/router/decision_sink.hpp
+++ b/src/router/decision_sink.hpp
@@ -12,8 +12,8 @@
 class DecisionSink {
   public:
     virtual ~DecisionSink() = default;
-    // `patience`: how long the attempt may take.
-    virtual void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) = 0;
+    // `timeout`: how long the attempt may take.
+    virtual void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) = 0;
     virtual void cancel(std::uint32_t shard_request, std::uint8_t attempt) = 0;
     // Ends the query, or its first step where its class has a second.
     virtual void answer(std::uint32_t query, bool complete) = 0;
--- a/src/router/late_retry_detector.hpp
+++ b/src/router/late_retry_detector.hpp
@@ -15,14 +15,14 @@
   public:
     LateRetryDetector(const RouterConfig& config, Nanos margin)
         : retries_marked_(config.retries_marked), margin_(margin),
-          longest_patience_(config.query_classes.size()) {}
-
-    // A query arrived whose client waits for `patience`; true where it is a late retry. `is_later_leg`: it is
-    // a leg of a query that is known, and no retry.
-    bool is_late_retry(std::uint16_t query_class, Nanos patience, bool is_marked, bool is_later_leg) {
-        Nanos& longest = longest_patience_[query_class];
-        longest = std::max(longest, patience);
-        if (is_later_leg || patience >= longest - margin_) return false;
+          max_client_timeout_(config.query_classes.size()) {}
+
+    // A query arrived whose client waits for `client_timeout`; true where it is a late retry.
+    // `is_later_phase`: it is a leg of a query that is known, and no retry.
+    bool is_late_retry(std::uint16_t query_class, Nanos client_timeout, bool is_marked, bool is_later_phase) {
+        Nanos& longest = max_client_timeout_[query_class];
+        longest = std::max(longest, client_timeout);
+        if (is_later_phase || client_timeout >= longest - margin_) return false;
         if (is_marked) return true;
         if (expected_unmarked_ < 1) return false;
         expected_unmarked_ -= 1;
@@ -42,8 +42,8 @@
 
     bool retries_marked_;
     Nanos margin_;
-    std::vector<Nanos> longest_patience_;  // by query class
-    double expected_unmarked_ = 0;         // retries
+    std::vector<Nanos> max_client_timeout_;  // by query class
+    double expected_unmarked_ = 0;           // retries
 };
 
 }  // namespace tealcart::router
--- a/src/router/query_router.cpp
+++ b/src/router/query_router.cpp
@@ -47,7 +47,7 @@
         return retry_policy_.limits(query_classes_[query_class].config);
     }
 
-    void on_nodes(ListKind kind, std::span<const Endpoint> entries) override;
+    void on_endpoints(ListKind kind, std::span<const Endpoint> entries) override;
     void on_query(const QueryArrival& arrival) override;
     void on_shard_request(const ShardRequestArrival& arrival) override;
     void on_attempt_result(const AttemptResult& result) override;
@@ -112,7 +112,7 @@
     sink_ = &sink;
     nodes_.begin_round();
     retry_budget_.begin_round(now_);
-    events.play(*this);
+    events.deliver(*this);
     if (watch_.take_due_request(now_)) sink_->watch_endpoints();
     update_fan_out();
     nodes_.check_silence(now_, *sink_);
@@ -212,7 +212,7 @@
     sink_->set_timer(0, round_interval_);
 }
 
-void QueryRouter::State::on_nodes(ListKind kind, std::span<const Endpoint> entries) {
+void QueryRouter::State::on_endpoints(ListKind kind, std::span<const Endpoint> entries) {
     watch_.record_list(kind, now_);
     if (kind != ListKind::failed) nodes_.apply_list(kind, entries, now_);
 }
@@ -220,13 +220,13 @@
 void QueryRouter::State::on_query(const QueryArrival& arrival) {
     const QueryClassConfig& config = query_classes_[arrival.query_class].config;
     Query& query = queries_.add_query(arrival);
-    const bool is_later_leg = arrival.began_at > 0;
+    const bool is_later_phase = arrival.first_arrival_at > 0;
     query.is_late_retry = late_retries_.is_late_retry(arrival.query_class, arrival.deadline_at - now_,
-                                                      arrival.is_retry, is_later_leg);
+                                                      arrival.is_retry, is_later_phase);
     query.one_at_a_time = retry_policy_.sends_one_at_a_time(arrival.is_retry, now_);
     Nanos began_at = now_;
-    if (is_later_leg) {
-        began_at = arrival.began_at;
+    if (is_later_phase) {
+        began_at = arrival.first_arrival_at;
     } else if (query.is_late_retry) {
         began_at = std::min(now_, arrival.deadline_at - config.deadline);
     }
@@ -350,8 +350,8 @@
     const NodeIndex node = nodes_.send(shard_request, now_);
     if (node == no_node) return false;
     if (shard_request.in_flight > 1) hedging_.record_hedge();
-    const Nanos patience = queries_.query(shard_request.query).give_up_at - now_;
-    sink_->send_attempt(shard_request.id, nodes_.endpoints().id(node), patience);
+    const Nanos timeout = queries_.query(shard_request.query).give_up_at - now_;
+    sink_->send_attempt(shard_request.id, nodes_.endpoints().id(node), timeout);
     return true;
 }
 
--- a/src/router/query_router.hpp
+++ b/src/router/query_router.hpp
@@ -23,7 +23,7 @@
 // after the first time (nanoseconds); 0 for no bound of its own.
 struct RetryLimits {
     int max_attempts = 1;
-    Nanos within = 0;
+    Nanos window = 0;
 };
 
 // Decides for one incarnation of one query router. Not thread-safe; does no I/O and reads no clock. The same
--- a/src/router/query_table.cpp
+++ b/src/router/query_table.cpp
@@ -12,7 +12,7 @@
     query.id = arrival.id;
     query.correlation_id = arrival.correlation_id;
     query.query_class = arrival.query_class;
-    query.answer_by = arrival.answer_by;
+    query.phase_deadline_at = arrival.phase_deadline_at;
     live_.push_back(index);
     return query;
 }
--- a/src/router/query_table.hpp
+++ b/src/router/query_table.hpp
@@ -50,7 +50,7 @@
     std::vector<ShardRequestIndex> first_step_requests;  // once that step is answered
     Nanos objective_at = 0;                              // when its latency objective ends
     Nanos give_up_at = 0;                                // when its last answer must be out
-    Nanos answer_by = 0;  // when a leg is answered with whatever is in; 0 for other queries
+    Nanos phase_deadline_at = 0;  // when a leg is answered with whatever is in; 0 for other queries
     double priority_weight =
         1;  // share of the class's priority weight: less where the tenant is over its quota
     int step = 1;
--- a/src/router/round_events.hpp
+++ b/src/router/round_events.hpp
@@ -45,8 +45,8 @@
     Nanos deadline_at = 0;
     bool is_retry = false;  // marked by the client as a retry
     // Of a query in legs (docs/design-two-phase.md), each of which arrives as a query of its own:
-    Nanos began_at = 0;   // a later leg: when the first arrived, from which its times count; 0 for now
-    Nanos answer_by = 0;  // a leg that is answered at this time with whatever is in; 0 for none
+    Nanos first_arrival_at = 0;  // a later leg: when the first arrived, from which its times count; 0 for now
+    Nanos phase_deadline_at = 0;  // a leg that is answered at this time with whatever is in; 0 for none
 };
 
 // What a query wants of one shard.
@@ -69,11 +69,11 @@
     Nanos latency = 0;  // from the decision to send
 };
 
-// Called by `RoundEvents::play`, one call a record, in the order in which they came in.
+// Called by `RoundEvents::deliver`, one call a record, in the order in which they came in.
 class RoundEventHandler {
   public:
     virtual ~RoundEventHandler() = default;
-    virtual void on_nodes(ListKind kind, std::span<const Endpoint> entries) = 0;
+    virtual void on_endpoints(ListKind kind, std::span<const Endpoint> entries) = 0;
     virtual void on_query(const QueryArrival& arrival) = 0;
     virtual void on_shard_request(const ShardRequestArrival& arrival) = 0;
     virtual void on_attempt_result(const AttemptResult& end) = 0;
@@ -86,7 +86,7 @@
 class RoundEvents {
   public:
     virtual ~RoundEvents() = default;
-    virtual void play(RoundEventHandler& handler) = 0;
+    virtual void deliver(RoundEventHandler& handler) = 0;
 };
 
 }  // namespace tealcart
--- a/src/service/decision_executor.hpp
+++ b/src/service/decision_executor.hpp
@@ -22,7 +22,7 @@
         : clock_(clock), queries_(queries), events_(events), attempts_(attempts), completion_(completion),
           two_phase_(two_phase) {}
 
-    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override;
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) override;
     void cancel(std::uint32_t shard_request, std::uint8_t attempt) override;
     void answer(std::uint32_t query, bool complete) override;
     void reject(std::uint32_t query, Nanos retry_after) override;
--- a/src/service/event_queue.cpp
+++ b/src/service/event_queue.cpp
@@ -10,10 +10,10 @@
     std::swap(playing_, pending_);
 }
 
-void EventQueue::play(RoundEventHandler& handler) {
+void EventQueue::deliver(RoundEventHandler& handler) {
     for (const RouterEvent& event : playing_) {
         if (const auto* endpoints = std::get_if<EndpointsChanged>(&event))
-            handler.on_nodes(endpoints->kind, endpoints->entries);
+            handler.on_endpoints(endpoints->kind, endpoints->entries);
         else if (const auto* arrived = std::get_if<QueryArrived>(&event))
             play_query(handler, arrived->query);
         else if (const auto* result = std::get_if<AttemptResult>(&event))
@@ -37,11 +37,11 @@
     if (query->two_phase) {
         TwoPhaseQuery& two_phase = *query->two_phase;
         first = two_phase.leg_begins;
-        arrival.began_at =
+        arrival.first_arrival_at =
             std::exchange(two_phase.began, two_phase.began > 0 ? two_phase.began : round_began_at_);
         // The leg ends with a round, so it must be the last round before the first phase's end.
         if (two_phase.machine.state() == TwoPhaseStateMachine::State::summarizing)
-            arrival.answer_by = two_phase.first_phase_until - round_interval_;
+            arrival.phase_deadline_at = two_phase.first_phase_until - round_interval_;
     }
     handler.on_query(arrival);
     for (std::size_t i = first; i < query->shard_requests.size(); ++i) {
--- a/src/service/event_queue.hpp
+++ b/src/service/event_queue.hpp
@@ -43,7 +43,7 @@
     // Begins a round with the pending events. Events that arrive during the round are played in the next one.
     void begin_round(Nanos now);
     Nanos round_began_at() const { return round_began_at_; }
-    void play(RoundEventHandler& handler) override;
+    void deliver(RoundEventHandler& handler) override;
 
   private:
     void play_query(RoundEventHandler& handler, Handle handle);
--- a/src/simwire/adapter.cpp
+++ b/src/simwire/adapter.cpp
@@ -13,27 +13,28 @@
   public:
     explicit BatchEvents(const Instance& instance) : instance_(instance) {}
 
-    void play(RoundEventHandler& handler) override {
-        std::size_t lists_played = 0;
+    void deliver(RoundEventHandler& handler) override {
+        std::size_t lists_delivered = 0;
         for (const std::string_view record : instance_.records) {
             ByteReader fields = fields_of(record);
             fields.take<std::uint32_t>();  // the router's id
             if (code_of(record) == EventCode::backends_changed)
-                play_list(read_list_event(fields), instance_.lists[lists_played++], handler);
+                deliver_list(read_list_event(fields), instance_.lists[lists_delivered++], handler);
             else
-                play_record(code_of(record), fields, handler);
+                deliver_record(code_of(record), fields, handler);
         }
     }
 
   private:
-    static void play_list(const ListEvent& event, const SharedEndpoints& list, RoundEventHandler& handler) {
-        handler.on_nodes(event.kind, list ? std::span(*list) : std::span<const Endpoint>());
+    static void deliver_list(const ListEvent& event, const SharedEndpoints& list,
+                             RoundEventHandler& handler) {
+        handler.on_endpoints(event.kind, list ? std::span(*list) : std::span<const Endpoint>());
     }
 
-    void play_record(EventCode code, ByteReader& fields, RoundEventHandler& handler) const {
+    void deliver_record(EventCode code, ByteReader& fields, RoundEventHandler& handler) const {
         switch (code) {
             case EventCode::demand:
-                return play_arrival(fields, instance_.deployment, handler);
+                return deliver_arrival(fields, instance_.deployment, handler);
             case EventCode::attempt_end:
                 return handler.on_attempt_result(read_attempt_result(fields));
             case EventCode::dropped:
--- a/src/simwire/records.cpp
+++ b/src/simwire/records.cpp
@@ -128,7 +128,7 @@
     return result;
 }
 
-void play_arrival(ByteReader& fields, const Deployment& deployment, RoundEventHandler& handler) {
+void deliver_arrival(ByteReader& fields, const Deployment& deployment, RoundEventHandler& handler) {
     const auto id = fields.take<std::uint32_t>();
     const auto query_class = fields.take<std::uint16_t>();
     const auto tenant = fields.take<std::uint32_t>();
@@ -165,10 +165,10 @@
     surrender = 77
 };
 
-void ActionWriter::send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) {
+void ActionWriter::send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) {
     begin(ActionCode::deliver, shard_request);
     append(out_, node);
-    append(out_, to_milliseconds(patience));
+    append(out_, to_milliseconds(timeout));
 }
 
 void ActionWriter::cancel(std::uint32_t shard_request, std::uint8_t attempt) {
--- a/src/simwire/records.hpp
+++ b/src/simwire/records.hpp
@@ -60,7 +60,7 @@
     std::size_t shards = 0;
 };
 // `demand`: a query, or a shard request of one; handed to the matching method of `handler`.
-void play_arrival(ByteReader& fields, const Deployment& deployment, RoundEventHandler& handler);
+void deliver_arrival(ByteReader& fields, const Deployment& deployment, RoundEventHandler& handler);
 
 // Writes the decisions of one router as action records.
 class ActionWriter final : public DecisionSink {
@@ -69,7 +69,7 @@
     ActionWriter(std::uint32_t router, std::string& out, std::uint32_t& count)
         : router_(router), out_(out), count_(count) {}
 
-    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override;
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) override;
     void cancel(std::uint32_t shard_request, std::uint8_t attempt) override;
     void answer(std::uint32_t query, bool complete) override;
     void reject(std::uint32_t query, Nanos retry_after) override;
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -33,8 +33,8 @@
   public:
     std::vector<Decision> made;
 
-    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override {
-        made.push_back({Decision::send_attempt, shard_request, node, false, patience});
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) override {
+        made.push_back({Decision::send_attempt, shard_request, node, false, timeout});
     }
     void cancel(std::uint32_t shard_request, std::uint8_t) override {
         made.push_back({Decision::cancel, shard_request});
@@ -67,7 +67,7 @@
 class ScriptedEvents final : public RoundEvents {
   public:
     explicit ScriptedEvents(EventScript script) : script_(std::move(script)) {}
-    void play(RoundEventHandler& handler) override { script_(handler); }
+    void deliver(RoundEventHandler& handler) override { script_(handler); }
 
   private:
     EventScript script_;
--- a/tests/router_digest_test.cpp
+++ b/tests/router_digest_test.cpp
@@ -81,7 +81,8 @@
     CHECK(all_above(all.outcomes, 100));
     CHECK(all_above(all.lists, 40));
     CHECK(all_above(std::array{all.attempts, all.cancels, all.complete_answers, all.partial_answers}, 1000));
-    CHECK(all_above(std::array{all.rejections, all.failures, all.timers, all.retries, all.later_legs}, 1000));
+    CHECK(
+        all_above(std::array{all.rejections, all.failures, all.timers, all.retries, all.later_phases}, 1000));
     CHECK(all_above(std::array{all.watches, all.drops, all.second_steps, all.hedges}, 50));
     CHECK(all_above(std::array{all.cold_attempts, all.logs}, 50));
 }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -18,7 +18,7 @@
 QueryRouter started(const RouterConfig& config = small_config(),
                     const std::vector<Endpoint>& list = small_endpoint_list()) {
     QueryRouter router(config, 7);
-    play(router, start - 1000 * ms, [&](RoundEventHandler& h) { h.on_nodes(ListKind::cached, list); });
+    play(router, start - 1000 * ms, [&](RoundEventHandler& h) { h.on_endpoints(ListKind::cached, list); });
     return router;
 }
 
@@ -254,7 +254,7 @@
     config.discovery = Discovery::poll;
     QueryRouter router(config, 7);
     const auto told = [](ListKind kind) {
-        return [kind](RoundEventHandler& h) { h.on_nodes(kind, small_endpoint_list()); };
+        return [kind](RoundEventHandler& h) { h.on_endpoints(kind, small_endpoint_list()); };
     };
     CHECK(play(router, start, told(ListKind::cached)).of(Decision::watch_endpoints).size() == 1);
     CHECK(play(router, start + 100 * ms, told(ListKind::failed)).of(Decision::watch_endpoints).empty());
@@ -271,7 +271,7 @@
     int cold = 0, warm = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         QueryRouter router(config, seed);
-        play(router, start, [&](RoundEventHandler& h) { h.on_nodes(ListKind::cached, list); });
+        play(router, start, [&](RoundEventHandler& h) { h.on_endpoints(ListKind::cached, list); });
         for (const Decision& s : ask(router, start + 10 * ms, 10, 1, even_quarters, 3))
             ++(s.node == 101 ? cold : warm);
     }
@@ -306,7 +306,7 @@
         // A query of one shard request for a random shard, whenever one is due; calls come back after `call`.
         for (Nanos now = start; now < began + 4000 * ms; now += 5 * ms) {
             const RecordedDecisions decisions = play(router, now, [&](RoundEventHandler& h) {
-                if (now == start) h.on_nodes(ListKind::cached, list);
+                if (now == start) h.on_endpoints(ListKind::cached, list);
                 if (!told && now >= began) {
                     told = true;
                     std::vector<Endpoint> news = {list[1]};
@@ -316,7 +316,7 @@
                             news.push_back(list[static_cast<std::size_t>(p)]);
                             news.back().lifecycle = Lifecycle::draining;
                         }
-                    h.on_nodes(ListKind::delta, news);
+                    h.on_endpoints(ListKind::delta, news);
                 }
                 for (const auto& [at, s] : out)
                     if (now - at >= call && now - at < call + 5 * ms) {
@@ -431,13 +431,13 @@
         std::vector<Endpoint> list = small_endpoint_list();
         for (Endpoint& e : list) e.node += 10 * life, e.started_at = 1 + life;
         const Nanos now = start + life * 100 * ms;
-        play(router, now, [&](RoundEventHandler& h) { h.on_nodes(ListKind::full, list); });
+        play(router, now, [&](RoundEventHandler& h) { h.on_endpoints(ListKind::full, list); });
         const auto calls = ask(router, now + 10 * ms, 1 + 20 * life, 1, even_quarters);
         REQUIRE(calls.size() == 4);
         for (const Decision& s : calls) REQUIRE(s.node >= 100 + 10 * life);
         // Some are still out when their node is gone, and end then.
         if (life % 2 == 1)
-            play(router, now + 20 * ms, [&](RoundEventHandler& h) { h.on_nodes(ListKind::full, {}); });
+            play(router, now + 20 * ms, [&](RoundEventHandler& h) { h.on_endpoints(ListKind::full, {}); });
         end_all(router, now + 30 * ms, calls, life % 5 == 0 ? Outcome::reset : Outcome::ok, 20 * ms);
         play(router, now + 99 * ms, [&](RoundEventHandler& h) { h.on_query_dropped(1 + 20 * life); });
         if (life == 300) held = allocated_bytes();
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -185,7 +185,7 @@
         std::vector<std::uint32_t> second;
         for (const Nanos stop = now + 12'000 * ms; now < stop + 6000 * ms; now += config.round_interval) {
             const RecordedDecisions decisions = play(router, now, [&](RoundEventHandler& h) {
-                if (!listed) h.on_nodes(ListKind::cached, list);
+                if (!listed) h.on_endpoints(ListKind::cached, list);
                 listed = true;
                 if (draw(100) == 0) {
                     Endpoint& e = list[draw(static_cast<std::uint32_t>(list.size()))];
@@ -194,7 +194,7 @@
                     if (was != Lifecycle::ready && e.lifecycle == Lifecycle::ready)
                         e.started_at = now - 500 * ms;
                     model.endpoint_told(now, e);
-                    h.on_nodes(ListKind::delta, {&e, 1});
+                    h.on_endpoints(ListKind::delta, {&e, 1});
                 }
                 for (auto it = due.begin(); it != due.end() && it->first <= now; it = due.erase(it)) {
                     model.attempt_ended(it->second.shard_request, it->second.attempt, it->second.outcome);
--- a/tests/simulated_fleet.cpp
+++ b/tests/simulated_fleet.cpp
@@ -84,7 +84,7 @@
     for (const auto member :
          {&Counts::queries, &Counts::attempts, &Counts::cancels, &Counts::complete_answers,
           &Counts::partial_answers, &Counts::rejections, &Counts::failures, &Counts::watches, &Counts::drops,
-          &Counts::timers, &Counts::retries, &Counts::later_legs, &Counts::second_steps, &Counts::hedges,
+          &Counts::timers, &Counts::retries, &Counts::later_phases, &Counts::second_steps, &Counts::hedges,
           &Counts::cold_attempts, &Counts::logs})
         this->*member += other.*member;
     return *this;
@@ -125,7 +125,7 @@
     for (std::size_t i = 0; i < config_.query_classes.size(); ++i) {
         const RetryLimits limits = router_.retry_limits(static_cast<std::uint16_t>(i));
         digest_.add(static_cast<std::uint64_t>(limits.max_attempts));
-        digest_.add(static_cast<std::uint64_t>(limits.within));
+        digest_.add(static_cast<std::uint64_t>(limits.window));
     }
 }
 
@@ -165,23 +165,23 @@
     changed_.push_back(node.endpoint);
 }
 
-void SimulatedFleet::play(RoundEventHandler& handler) {
-    play_lists(handler);
+void SimulatedFleet::deliver(RoundEventHandler& handler) {
+    deliver_lists(handler);
     if (random_.one_in(2)) {
-        play_results(handler);
-        play_queries(handler);
+        deliver_results(handler);
+        deliver_queries(handler);
     } else {
-        play_queries(handler);
-        play_results(handler);
+        deliver_queries(handler);
+        deliver_results(handler);
     }
-    play_drops(handler);
-    play_timers(handler);
+    deliver_drops(handler);
+    deliver_timers(handler);
 }
 
-void SimulatedFleet::play_lists(RoundEventHandler& handler) {
+void SimulatedFleet::deliver_lists(RoundEventHandler& handler) {
     const auto deliver = [&](ListKind kind, const std::vector<Endpoint>& list) {
         ++counts_.lists[static_cast<std::size_t>(kind)];
-        handler.on_nodes(kind, list);
+        handler.on_endpoints(kind, list);
     };
     std::vector<Endpoint> list;
     for (const auto& [id, node] : nodes_) list.push_back(node.endpoint);
@@ -201,7 +201,7 @@
     }
 }
 
-void SimulatedFleet::play_results(RoundEventHandler& handler) {
+void SimulatedFleet::deliver_results(RoundEventHandler& handler) {
     while (!due_.empty() && due_.begin()->first <= now_) {
         const auto found = attempts_.find(due_.begin()->second);
         due_.erase(due_.begin());
@@ -215,7 +215,7 @@
     }
 }
 
-void SimulatedFleet::play_timers(RoundEventHandler& handler) {
+void SimulatedFleet::deliver_timers(RoundEventHandler& handler) {
     while (!timers_.empty() && timers_.begin()->first <= now_) {
         ++counts_.timers;
         handler.on_timer(timers_.begin()->second);
@@ -223,7 +223,7 @@
     }
 }
 
-void SimulatedFleet::play_drops(RoundEventHandler& handler) {
+void SimulatedFleet::deliver_drops(RoundEventHandler& handler) {
     if (!random_.one_in(60) || queries_.empty()) return;
     auto found = queries_.begin();
     std::advance(found, random_.below(static_cast<std::uint32_t>(queries_.size())));
@@ -237,7 +237,7 @@
     }
 }
 
-void SimulatedFleet::play_queries(RoundEventHandler& handler) {
+void SimulatedFleet::deliver_queries(RoundEventHandler& handler) {
     while (!second_steps_.empty() && second_steps_.begin()->first <= now_) {
         const auto found = queries_.find(second_steps_.begin()->second);
         second_steps_.erase(second_steps_.begin());
@@ -255,7 +255,7 @@
     if (random_.one_in(load_ * 2)) arrive(handler, 2000 * millisecond, false);
 }
 
-void SimulatedFleet::arrive(RoundEventHandler& handler, Nanos patience, bool is_retry) {
+void SimulatedFleet::arrive(RoundEventHandler& handler, Nanos timeout, bool is_retry) {
     Query query;
     query.id = next_id_++;
     query.correlation_id = query.id ^ 0x40000000U;
@@ -265,25 +265,25 @@
                          query.correlation_id,
                          query.query_class,
                          random_.below(4),
-                         now_ + patience,
+                         now_ + timeout,
                          is_retry || random_.one_in(25),
                          0,
                          0};
-    const bool later_leg = random_.one_in(8);
-    if (later_leg) {
-        ++counts_.later_legs;
-        arrival.began_at = now_ - random_.below(200) * millisecond;
-        if (random_.one_in(2)) arrival.answer_by = now_ + (20 + random_.below(200)) * millisecond;
+    const bool later_phase = random_.one_in(8);
+    if (later_phase) {
+        ++counts_.later_phases;
+        arrival.first_arrival_at = now_ - random_.below(200) * millisecond;
+        if (random_.one_in(2)) arrival.phase_deadline_at = now_ + (20 + random_.below(200)) * millisecond;
     }
     ++counts_.queries;
     handler.on_query(arrival);
     Query& kept = queries_[query.id] = query;
     if (!random_.one_in(40))  // else its shard requests never come
-        add_shard_requests(handler, kept, 1 + random_.below(max_shard_requests), later_leg);
+        add_shard_requests(handler, kept, 1 + random_.below(max_shard_requests), later_phase);
 }
 
 void SimulatedFleet::add_shard_requests(RoundEventHandler& handler, Query& query, std::uint32_t count,
-                                        bool later_leg) {
+                                        bool later_phase) {
     std::vector<std::uint32_t> weights;
     std::uint32_t total = 0;
     const bool even = random_.one_in(3);
@@ -299,7 +299,7 @@
         arrival.weight = static_cast<double>(weight) / total;
         if (!random_.one_in(3)) arrival.cost_hint = (10 + random_.below(80)) * millisecond;
         if (random_.one_in(20)) arrival.cost_hint = (1 + random_.below(1500)) * millisecond;
-        if (later_leg) {
+        if (later_phase) {
             arrival.attempts_used = static_cast<int>(random_.below(3));
             arrival.answered = random_.one_in(3);
         }
@@ -338,10 +338,10 @@
     return node.trouble == Trouble::slow ? 6 * usual : usual;
 }
 
-void SimulatedFleet::send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) {
+void SimulatedFleet::send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) {
     for (const std::uint64_t number :
          {1ULL, static_cast<unsigned long long>(shard_request), static_cast<unsigned long long>(node),
-          static_cast<unsigned long long>(patience)})
+          static_cast<unsigned long long>(timeout)})
         digest_.add(number);
     ++counts_.attempts;
     const std::uint8_t attempt = attempts_of_[shard_request]++;
@@ -358,9 +358,9 @@
         if (outcome == Outcome::ok || outcome == Outcome::timeout || outcome == Outcome::cancelled)
             latency = latency_at(found->second);
     }
-    if (outcome == Outcome::timeout) latency = patience;
-    if (latency > patience) {
-        latency = std::max<Nanos>(patience, 0);
+    if (outcome == Outcome::timeout) latency = timeout;
+    if (latency > timeout) {
+        latency = std::max<Nanos>(timeout, 0);
         outcome = Outcome::timeout;
     }
     if (attempt > 0 && attempts_.contains(key_of(shard_request, attempt - 1))) ++counts_.hedges;
--- a/tests/simulated_fleet.hpp
+++ b/tests/simulated_fleet.hpp
@@ -53,7 +53,7 @@
         std::array<int, 8> outcomes{};  // by Outcome
         std::array<int, 4> lists{};     // by ListKind
         int queries = 0, attempts = 0, cancels = 0, complete_answers = 0, partial_answers = 0, rejections = 0;
-        int failures = 0, watches = 0, drops = 0, timers = 0, retries = 0, later_legs = 0, second_steps = 0;
+        int failures = 0, watches = 0, drops = 0, timers = 0, retries = 0, later_phases = 0, second_steps = 0;
         int hedges = 0, cold_attempts = 0, logs = 0;
 
         Counts& operator+=(const Counts& other);
@@ -81,8 +81,8 @@
         std::vector<std::uint32_t> shard_requests;
     };
 
-    void play(RoundEventHandler& handler) override;
-    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos patience) override;
+    void deliver(RoundEventHandler& handler) override;
+    void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) override;
     void cancel(std::uint32_t shard_request, std::uint8_t attempt) override;
     void answer(std::uint32_t query, bool complete) override;
     void reject(std::uint32_t query, Nanos retry_after) override;
@@ -92,13 +92,13 @@
     void log(const std::string&) override { ++counts_.logs; }
 
     void change_nodes();
-    void play_lists(RoundEventHandler& handler);
-    void play_results(RoundEventHandler& handler);
-    void play_timers(RoundEventHandler& handler);
-    void play_queries(RoundEventHandler& handler);
-    void play_drops(RoundEventHandler& handler);
-    void arrive(RoundEventHandler& handler, Nanos patience, bool is_retry);
-    void add_shard_requests(RoundEventHandler& handler, Query& query, std::uint32_t count, bool later_leg);
+    void deliver_lists(RoundEventHandler& handler);
+    void deliver_results(RoundEventHandler& handler);
+    void deliver_timers(RoundEventHandler& handler);
+    void deliver_queries(RoundEventHandler& handler);
+    void deliver_drops(RoundEventHandler& handler);
+    void arrive(RoundEventHandler& handler, Nanos timeout, bool is_retry);
+    void add_shard_requests(RoundEventHandler& handler, Query& query, std::uint32_t count, bool later_phase);
     Outcome outcome_at(const Node& node);
     Nanos latency_at(const Node& node);
     void add_interface_figures();
@@ -122,7 +122,7 @@
     std::multimap<Nanos, std::uint64_t> timers_;                // cookies
     std::map<std::uint32_t, Query> queries_;                    // not yet ended
     std::multimap<Nanos, std::uint32_t> second_steps_;          // queries whose second step is due
-    std::vector<std::pair<Nanos, std::uint32_t>> retries_due_;  // time and patience in milliseconds
+    std::vector<std::pair<Nanos, std::uint32_t>> retries_due_;  // time and timeout in milliseconds
 };
 
 }  // namespace tealcart::test
