--- a/measure/module_cost.cpp
+++ b/measure/module_cost.cpp
@@ -45,7 +45,7 @@
     config.places = config.shards = places;
     config.max_attempts = 3;
     config.max_requests_per_call = 16;
-    config.may_cancel = config.may_hedge = config.retry_after = true;
+    config.may_cancel = config.may_hedge = config.sends_retry_after = true;
     config.max_retry_after = latency_objective;
     config.drain_grace = second;
     config.slow_start_min_fraction = 0.3;
--- a/src/config/control_config.hpp
+++ b/src/config/control_config.hpp
@@ -9,10 +9,11 @@
 namespace tealcart {
 
 struct ControlConfig {
-    bool on = false;
+    bool enabled = false;
     std::string listen = "127.0.0.1:18000";
     int node_limit = 64;  // requests that a warm data node may have in hand from all proxies together
-    double panic = 0.5;   // a list that loses a larger share of a pool than this at once is not believed ...
+    double panic_threshold =
+        0.5;  // a list that loses a larger share of a pool than this at once is not believed ...
     Nanos panic_window = 10'000'000'000;  // ... against the most that it had in this time ...
     Nanos panic_hold = 60'000'000'000;    // ... for as long as this
     Nanos ramp_step = 500'000'000;        // a cold node's share is looked at so often
--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -301,7 +301,7 @@
     return names.at(value.index());
 }
 
-void throw_if_any(std::string_view source, std::vector<HclError> errors) {
+void throw_if_errors(std::string_view source, std::vector<HclError> errors) {
     if (errors.empty()) return;
     std::stable_sort(errors.begin(), errors.end(), [](const HclError& first, const HclError& second) {
         return std::pair(first.position.line, first.position.column) <
--- a/src/config/hcl.hpp
+++ b/src/config/hcl.hpp
@@ -68,7 +68,7 @@
 };
 
 // Throws HclErrors with the errors in the order of the file; returns where there are none.
-void throw_if_any(std::string_view source, std::vector<HclError> errors);
+void throw_if_errors(std::string_view source, std::vector<HclError> errors);
 
 constexpr std::size_t max_hcl_bytes = 1 << 20;
 constexpr int max_hcl_depth = 24;  // of blocks, lists and objects in each other
--- a/src/config/member_config.hpp
+++ b/src/config/member_config.hpp
@@ -12,7 +12,7 @@
 namespace tealcart {
 
 struct MemberConfig {
-    bool on = false;         // fleet managers are named
+    bool enabled = false;    // fleet managers are named
     std::string name, zone;  // empty name: the configuration's
     std::vector<HostPort> managers;
     std::vector<HostPort> relays;  // of changes of configuration; empty: it follows none
--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -47,8 +47,8 @@
     return {};
 }
 
-std::vector<HclError> invalid_blocks(const HclBlock& root, const RouterConfig& config,
-                                     const std::vector<std::string>& query_classes) {
+std::vector<HclError> find_invalid_blocks(const HclBlock& root, const RouterConfig& config,
+                                          const std::vector<std::string>& query_classes) {
     std::vector<HclError> invalid;
     for (const HclBlock& block : root.blocks) {
         if (block.type != "two_phase") continue;
@@ -74,7 +74,7 @@
     if (config.retry_budget_enabled) {
         char budget[96];
         std::snprintf(budget, sizeof budget, "further leaf calls: %g + %g a request within ",
-                      config.retry_budget_free, config.retry_budget_ratio);
+                      config.retry_budget_base, config.retry_budget_ratio);
         lines.push_back(budget + milliseconds(config.retry_budget_window));
     }
     return lines;
@@ -118,10 +118,10 @@
     const ConnectionConfig connections = read_connection_config(settings);
 
     OperatorFileMigration migration;
-    migration.stated = describe_settings(config);
-    migration.left = invalid_blocks(root, config, connections.query_classes);
+    migration.settings_summary = describe_settings(config);
+    migration.invalid_blocks = find_invalid_blocks(root, config, connections.query_classes);
     migration.text = "# Carried over from " + std::string(source) + " by `tealcart migrate`.\n" +
-                     comment_out(old_text, root, migration.left);
+                     comment_out(old_text, root, migration.invalid_blocks);
     const bool has_calls = std::any_of(root.blocks.begin(), root.blocks.end(),
                                        [](const HclBlock& block) { return block.type == "calls"; });
     if (!has_calls && (config.max_requests_per_call > 1 || config.call_overhead > 0))
--- a/src/config/migration.hpp
+++ b/src/config/migration.hpp
@@ -12,9 +12,10 @@
 namespace tealcart {
 
 struct OperatorFileMigration {
-    std::string text;                 // the file for the new deployment
-    std::vector<HclError> left;       // blocks that are not valid there, at their position in the old file
-    std::vector<std::string> stated;  // what the new deployment's settings say, one line each
+    std::string text;  // the file for the new deployment
+    std::vector<HclError>
+        invalid_blocks;  // blocks that are not valid there, at their position in the old file
+    std::vector<std::string> settings_summary;  // what the new deployment's settings say, one line each
 };
 
 // `settings` is the new deployment's JSON object of that name. Throws HclErrors where the old file is wrong,
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -77,7 +77,7 @@
     BlockReader in(block, errors);
     in.expect_no_label();
     CallOverheadConfig config;
-    config.stated = true;
+    config.is_set = true;
     config.shard_requests =
         static_cast<int>(in.integer("parts", config.shard_requests, 1, max_shard_requests));
     config.cost = in.duration("cost", config.cost, 0, 60 * second);
@@ -94,7 +94,7 @@
     config.listen = in.string("listen", config.listen);
     if (!parse_host_port(config.listen)) in.add_error(block.position, "'listen' is no address with a port");
     config.node_limit = static_cast<int>(in.integer("node_limit", config.node_limit, 1, max_count));
-    config.panic = in.number("panic", config.panic, 0, 1);
+    config.panic_threshold = in.number("panic", config.panic_threshold, 0, 1);
     config.panic_window = in.duration("panic_window", config.panic_window, second, hour);
     config.panic_hold = in.duration("panic_hold", config.panic_hold, second, day);
     config.ramp_step = in.duration("ramp_step", config.ramp_step, 10 * millisecond, 60 * second);
@@ -170,7 +170,7 @@
     if (const HclBlock* block = in.single_block("calls")) config.calls = read_calls(*block, errors);
     config.phases = read_two_phase_blocks(in, errors);
     in.reject_unknown();
-    throw_if_any(source, std::move(errors));
+    throw_if_errors(source, std::move(errors));
     return config;
 }
 
@@ -182,7 +182,7 @@
 }
 
 void apply_call_config(const CallOverheadConfig& calls, RouterConfig& config, ConnectionConfig& connections) {
-    if (!calls.stated) return;
+    if (!calls.is_set) return;
     config.max_requests_per_call = calls.shard_requests;
     connections.max_requests_per_call = calls.shard_requests;
     config.call_overhead = calls.cost;
@@ -218,7 +218,7 @@
     for (const TwoPhaseBlock& block : operators.phases)
         if (const auto index = two_phase_query_class(block, config, query_classes, errors))
             by_query_class[*index] = block.config;
-    throw_if_any(operators.source, std::move(errors));
+    throw_if_errors(operators.source, std::move(errors));
     return by_query_class;
 }
 
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -18,7 +18,7 @@
 
 // The `calls` block: what a call to a data node carries, in place of what the settings say.
 struct CallOverheadConfig {
-    bool stated = false;     // whether there is such a block
+    bool is_set = false;     // whether there is such a block
     int shard_requests = 1;  // that one call carries at most
     Nanos cost = 0;          // work that a call costs a data node beside its shard requests
 };
--- a/src/config/router_config_reader.cpp
+++ b/src/config/router_config_reader.cpp
@@ -140,7 +140,7 @@
     config.max_attempts = required_integer(limits, "send_cap", 1);
     config.may_cancel = flag(limits, "may_cancel");
     config.may_hedge = flag(limits, "second_copies");
-    config.retry_after = flag(limits, "retry_after");
+    config.sends_retry_after = flag(limits, "retry_after");
     config.max_retry_after = optional_duration(limits, "max_retry_after", 0);
 }
 
@@ -152,7 +152,7 @@
     config.overload_multiple = optional_number(safety, "tip_multiple", 1);
     config.overload_window = optional_duration(safety, "fall", 0);
     config.retry_budget_enabled = safety.contains("budget_window");
-    config.retry_budget_free = optional_number(safety, "budget_free", 0);
+    config.retry_budget_base = optional_number(safety, "budget_free", 0);
     config.retry_budget_ratio = optional_number(safety, "resend_ratio", 0);
     config.retry_budget_window = optional_duration(safety, "budget_window", 0);
 }
--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -105,7 +105,8 @@
     const std::size_t before = ready();
     const std::size_t max_in_window = std::max(before, max_ready_.empty() ? 0 : max_ready_.front().second);
     const std::size_t left = before - removed_ready;
-    const bool too_few = static_cast<double>(left) < control_.panic * static_cast<double>(max_in_window);
+    const bool too_few =
+        static_cast<double>(left) < control_.panic_threshold * static_cast<double>(max_in_window);
     if (removed_ready > 0 && too_few) {
         if (panic_until_ == 0) {
             panic_until_ = now_ + control_.panic_hold;
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -178,7 +178,7 @@
     else
         in.add_error(root.position, "the 'fleet' block is missing");
     in.reject_unknown();
-    throw_if_any(source, std::move(errors));
+    throw_if_errors(source, std::move(errors));
     return config;
 }
 
--- a/src/relay/relay_config.cpp
+++ b/src/relay/relay_config.cpp
@@ -60,7 +60,7 @@
     else
         in.add_error(root.position, "the 'relay' block is missing");
     in.reject_unknown();
-    throw_if_any(source, std::move(errors));
+    throw_if_errors(source, std::move(errors));
     return config;
 }
 
--- a/src/router/query_completion.hpp
+++ b/src/router/query_completion.hpp
@@ -13,7 +13,7 @@
   public:
     // The references outlive the object.
     QueryCompletion(const RouterConfig& config, QueryTable& queries, LateRetryDetector& late_retries)
-        : may_cancel_(config.may_cancel), sends_retry_after_(config.retry_after),
+        : may_cancel_(config.may_cancel), sends_retry_after_(config.sends_retry_after),
           max_retry_after_(config.max_retry_after), queries_(queries), late_retries_(late_retries) {}
 
     // The longest that a client is told to wait before it comes again.
--- a/src/router/retry_budget.hpp
+++ b/src/router/retry_budget.hpp
@@ -11,7 +11,7 @@
 class RetryBudget {
   public:
     explicit RetryBudget(const RouterConfig& config)
-        : is_enabled_(config.retry_budget_enabled), free_(config.retry_budget_free),
+        : is_enabled_(config.retry_budget_enabled), base_(config.retry_budget_base),
           ratio_(config.retry_budget_ratio), window_(config.retry_budget_window),
           margin_(config.round_interval) {}
 
@@ -31,13 +31,13 @@
     }
 
     bool allows_retry() const {
-        const double max_retries = free_ + ratio_ * static_cast<double>(arrived_at_.size());
+        const double max_retries = base_ + ratio_ * static_cast<double>(arrived_at_.size());
         return !is_enabled_ || retried_at_.size() + 1.0 <= max_retries;
     }
 
   private:
     bool is_enabled_;
-    double free_, ratio_;
+    double base_, ratio_;
     Nanos window_, margin_;
     std::deque<Nanos> arrived_at_, retried_at_;
 };
--- a/src/router/router_config.hpp
+++ b/src/router/router_config.hpp
@@ -42,7 +42,7 @@
     Nanos call_overhead = 0;        // ... which costs the node this beside the work of its shard requests
     bool may_cancel = false;
     bool may_hedge = false;
-    bool retry_after = false;
+    bool sends_retry_after = false;
     bool retries_marked = false;  // clients mark a try that is not their first
     Nanos max_retry_after = 0;
     Nanos drain_grace = 0;
@@ -52,7 +52,7 @@
     double overload_multiple = 1;        // times what a warming node carries in ...
     Nanos overload_window = 0;           // ... this time: what brings it down
     bool retry_budget_enabled = false;
-    double retry_budget_free = 0;   // retries in a window whatever came in, and ...
+    double retry_budget_base = 0;   // retries in a window whatever came in, and ...
     double retry_budget_ratio = 0;  // ... for each query and shard request that came in
     Nanos retry_budget_window = 0;
 };
--- a/src/service/main.cpp
+++ b/src/service/main.cpp
@@ -80,8 +80,9 @@
                                     " is not a JSON configuration with the member 'settings'");
     const tealcart::OperatorFileMigration migration =
         tealcart::migrate(read_file(options.file), options.file, config["settings"].dump());
-    for (const std::string& line : migration.stated) std::fprintf(stderr, "stated: %s\n", line.c_str());
-    for (const tealcart::HclError& left : migration.left)
+    for (const std::string& line : migration.settings_summary)
+        std::fprintf(stderr, "stated: %s\n", line.c_str());
+    for (const tealcart::HclError& left : migration.invalid_blocks)
         std::fprintf(stderr, "%s:%zu:%zu: not carried over: %s\n", options.file.c_str(), left.position.line,
                      left.position.column, left.message.c_str());
     if (options.dry_run || options.to.empty()) return std::fputs(migration.text.c_str(), stdout) < 0;
@@ -90,7 +91,7 @@
     if (!(out << migration.text) || !out.flush())
         throw tealcart::ConfigError("failed to write " + options.to);
     std::fprintf(stderr, "wrote %s: %zu entries not carried over\n", options.to.c_str(),
-                 migration.left.size());
+                 migration.invalid_blocks.size());
     return 0;
 }
 
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -32,7 +32,7 @@
 
 std::unique_ptr<Membership> make_membership(boost::asio::io_context& io, EventClock& clock,
                                             const StartupConfig& startup, QueryDispatcher& dispatcher) {
-    if (!startup.operator_config.member.on) return nullptr;
+    if (!startup.operator_config.member.enabled) return nullptr;
     return std::make_unique<Membership>(io, clock, startup, dispatcher);
 }
 
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -32,7 +32,7 @@
 StartupConfig startup_config_of(const HollowConfig& config, std::size_t number) {
     StartupConfig startup;
     startup.name = "r" + std::to_string(number);
-    startup.operator_config.member.on = true;
+    startup.operator_config.member.enabled = true;
     startup.operator_config.member.zone = config.zone;
     startup.operator_config.member.managers = config.managers;
     startup.manager_response_limit = manager_response_size_limit(router_config_of(config), router_memory);
--- a/src/xds/main.cpp
+++ b/src/xds/main.cpp
@@ -37,7 +37,7 @@
         return startup;
     }();
     const ControlConfig& control = read.operator_config.control;
-    if (!control.on)
+    if (!control.enabled)
         throw ConfigError("the operators' file " + file +
                           " has no 'control' block, which the control service needs");
     configure_log(read.operator_config.log);
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -145,11 +145,11 @@
         "two_phase \"gone\" {\n  share = 0.2\n}\ntwo_phase \"keyed\" { share = 0.2 }\n"
         "section_memory { bytes = \"8MiB\" }\n";
     const OperatorFileMigration m = migrate(old_file, "old.hcl", test::settings_text);
-    REQUIRE(m.left.size() == 2);
-    CHECK(m.left[0].position.line == 7);
-    CHECK(m.left[0].message == "the new deployment has no vertical 'gone'");
-    CHECK(m.left[1].position.line == 10);
-    CHECK(m.left[1].message.find("not repeatable") != std::string::npos);
+    REQUIRE(m.invalid_blocks.size() == 2);
+    CHECK(m.invalid_blocks[0].position.line == 7);
+    CHECK(m.invalid_blocks[0].message == "the new deployment has no vertical 'gone'");
+    CHECK(m.invalid_blocks[1].position.line == 10);
+    CHECK(m.invalid_blocks[1].message.find("not repeatable") != std::string::npos);
     // What is written reads back, with the left blocks as comments and the rest as it was.
     const OperatorConfig back = read_operator_config(m.text, "new.hcl");
     REQUIRE(back.phases.size() == 1);
@@ -157,7 +157,7 @@
     CHECK(back.memory.max_bytes == 8u << 20);
     CHECK(m.text.find("# two_phase \"gone\" {") != std::string::npos);
     CHECK(m.text.find("# Not carried over: the new deployment has no vertical 'gone'.") != std::string::npos);
-    CHECK(m.stated.at(0) == "parts in one call: 2");
+    CHECK(m.settings_summary.at(0) == "parts in one call: 2");
 }
 
 TEST_CASE("a file that can't be read is not carried over, and its mistakes are told by place") {
@@ -201,7 +201,7 @@
     const OperatorFileMigration m = migrate("log { level = \"warn\" }\n", "old.hcl", costly);
     CHECK(m.text.find("#   parts = 8") != std::string::npos);
     CHECK(m.text.find("#   cost  = \"45ms\"") != std::string::npos);
-    CHECK(read_operator_config(m.text, "new.hcl").calls.stated == false);
+    CHECK(read_operator_config(m.text, "new.hcl").calls.is_set == false);
 }
 
 TEST_CASE("the member block names relays, with stewards or without; mistakes are told by place") {
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -93,7 +93,7 @@
     config.round_interval = 5 * ms;
     config.places = config.shards = places;
     config.replicas_per_shard = config.max_attempts = 3;
-    config.may_cancel = config.may_hedge = config.retry_after = true;
+    config.may_cancel = config.may_hedge = config.sends_retry_after = true;
     config.max_retry_after = 1000 * ms;
     config.drain_grace = 500 * ms;
     config.slow_start_min_fraction = 0.2;
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -81,7 +81,7 @@
         R"({"name":"r","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"00ff","limits":{"sockets":256},)"
         R"("settings":)" +
         test::settings_text + "}");
-    startup.operator_config.member.on = true;
+    startup.operator_config.member.enabled = true;
     startup.operator_config.member.managers = {*parse_host_port(manager.address())};
     FakeMemberHost host;
     Membership member(io, time, startup, host);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -110,7 +110,7 @@
         if (!p.attempts.empty() && config_.retry_budget_enabled) {
             retries_.push_back(now);
             REQUIRE(within(retries_, config_.retry_budget_window) <=
-                    config_.retry_budget_free +
+                    config_.retry_budget_base +
                         config_.retry_budget_ratio * within(arrivals_, config_.retry_budget_window));
         }
         p.attempts.push_back({s.node, now});
@@ -264,7 +264,7 @@
     if (variant == 1) config.discovery = Discovery::poll;
     if (variant == 2) {
         config.retry_budget_enabled = true;
-        config.retry_budget_free = 3;
+        config.retry_budget_base = 3;
         config.retry_budget_ratio = 0.05;
         config.retry_budget_window = 2000 * ms;
     }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -996,7 +996,7 @@
     "with a migrated file and a call cost, both shard requests of a query go to one node in one frame") {
     const std::string old_file = "log { level = \"warn\" }\ntwo_phase \"gone\" { share = 0.2 }\n";
     const OperatorFileMigration m = migrate(old_file, "old.hcl", test::settings_text);
-    REQUIRE(m.left.size() == 1);
+    REQUIRE(m.invalid_blocks.size() == 1);
     const auto nodes_asked = [](const std::string& file) {
         ServiceRig world(2, 256, file);
         std::set<std::string> nodes_by_query;
--- a/tests/simulated_fleet.cpp
+++ b/tests/simulated_fleet.cpp
@@ -62,7 +62,7 @@
     config.call_overhead = random.one_in(2) ? 0 : 8 * millisecond;
     config.may_cancel = !random.one_in(3);
     config.may_hedge = !random.one_in(4);
-    config.retry_after = !random.one_in(4);
+    config.sends_retry_after = !random.one_in(4);
     config.retries_marked = random.one_in(2);
     config.max_retry_after = 300 * millisecond;
     config.drain_grace = 500 * millisecond;
@@ -72,7 +72,7 @@
     config.overload_multiple = 3;
     config.overload_window = 1000 * millisecond;
     config.retry_budget_enabled = random.one_in(2);
-    config.retry_budget_free = 4;
+    config.retry_budget_base = 4;
     config.retry_budget_ratio = 0.06;
     config.retry_budget_window = 1000 * millisecond;
     return config;
