--- a/src/router/admission.cpp
+++ b/src/router/admission.cpp
@@ -8,14 +8,14 @@
 // Of the time left, that what a query needs may be expected to take: less for a query that is late or over
 // its tenant's quota.
 constexpr double usable_time_share = 0.65;
-constexpr double lesser_time_share = 0.35;
+constexpr double low_priority_time_share = 0.35;
 constexpr double no_backlog_latency = 4.0;  // times the base latency: what nodes without a backlog take
 
 // Until when an answer is worth something.
 Nanos time_left(const Query& query, const QueryClassConfig& config, Nanos now) {
     if (now < query.objective_at) return query.objective_at - now;
     if (config.late_weight <= 0) return 0;
-    return std::min(query.give_up_at - now, config.latency_objective);
+    return std::min(query.answer_deadline_at - now, config.latency_objective);
 }
 
 }  // namespace
@@ -52,8 +52,8 @@
 // A query of full priority weight is never turned away from idle nodes.
 double Admission::max_expected_latency(const Query& query, const QueryClassConfig& config, Nanos now) const {
     const auto left = static_cast<double>(time_left(query, config, now));
-    const bool is_lesser = now >= query.objective_at || query.priority_weight < 1;
-    if (is_lesser) return lesser_time_share * left;
+    const bool is_low_priority = now >= query.objective_at || query.priority_weight < 1;
+    if (is_low_priority) return low_priority_time_share * left;
     return std::max(usable_time_share * left, no_backlog_latency * latency_.base_latency());
 }
 
--- a/src/router/answer_policy.cpp
+++ b/src/router/answer_policy.cpp
@@ -6,7 +6,7 @@
 // A leg is to bring what it can: its end is no client's answer yet.
 bool phase_is_over(const Query& query, const AnswerProgress& progress, Nanos now) {
     return query.phase_deadline_at > 0 &&
-           (progress.all_answered || progress.coming <= 0 || now >= query.phase_deadline_at);
+           (progress.all_answered || progress.pending <= 0 || now >= query.phase_deadline_at);
 }
 
 bool is_complete(const Query& query, const QueryClass& query_class, const AnswerProgress& progress) {
@@ -25,12 +25,12 @@
         return first_step_complete ? answer_complete : answer_partial;
     }
     const double needed = query_class.needed_weight(query.step) - weight_tolerance;
-    const bool nothing_to_wait_for = progress.coming <= 0 || now >= query.objective_at - second_step_time;
+    const bool nothing_to_wait_for = progress.pending <= 0 || now >= query.objective_at - second_step_time;
     if (query_class.allows_partial && progress.answered >= needed && nothing_to_wait_for)
         return answer_partial;
     const bool is_worthless = now >= query.objective_at && query_class.config.late_weight <= 0;
-    const bool is_out_of_reach = progress.answered + progress.coming + progress.unasked < needed;
-    if (now >= query.give_up_at || is_worthless || is_out_of_reach) return give_up;
+    const bool is_out_of_reach = progress.answered + progress.pending + progress.unselected < needed;
+    if (now >= query.answer_deadline_at || is_worthless || is_out_of_reach) return give_up;
     return wait;
 }
 
--- a/src/router/answer_policy.hpp
+++ b/src/router/answer_policy.hpp
@@ -9,8 +9,8 @@
 // Weight of a query's shard requests in the current step, by what has become of them.
 struct AnswerProgress {
     double answered = 0;
-    double coming = 0;   // selected, and neither answered nor lost
-    double unasked = 0;  // not selected, and not lost
+    double pending = 0;     // selected, and neither answered nor lost
+    double unselected = 0;  // not selected, and not lost
     bool all_answered = true;
 };
 
--- a/src/router/fan_out.cpp
+++ b/src/router/fan_out.cpp
@@ -8,11 +8,11 @@
 
 constexpr double cut_share = 0.25;  // of k
 constexpr Nanos cut_interval = second;
-constexpr double climb_per_outcome = 0.125;  // shard requests, for each that has ended without pressure
-constexpr double min_climb = 1;              // shard requests an evaluation
-constexpr double max_climb_share = 0.5;      // of k, an evaluation
-constexpr double close_weights = 0.05;       // the design's margin between the two heaviest
-constexpr int close_width = 3;               // the least p where they are closer
+constexpr double climb_per_outcome = 0.125;   // shard requests, for each that has ended without pressure
+constexpr double min_climb = 1;               // shard requests an evaluation
+constexpr double max_climb_share = 0.5;       // of k, an evaluation
+constexpr double close_weight_margin = 0.05;  // the design's margin between the two heaviest
+constexpr int min_width_if_close = 3;         // the least p where they are closer
 
 }  // namespace
 
@@ -40,7 +40,8 @@
         width.k = k;
     }
     int p = std::clamp(static_cast<int>(std::lround(width.p * k / width.k)), 1, k);
-    if (k >= close_width && weights[0] - weights[1] < close_weights) p = std::max(p, close_width);
+    if (k >= min_width_if_close && weights[0] - weights[1] < close_weight_margin)
+        p = std::max(p, min_width_if_close);
     double sum = 0;
     int summed = 0;
     while (summed < k && (summed < p || sum < min_weight)) {
--- a/src/router/hedging.cpp
+++ b/src/router/hedging.cpp
@@ -5,8 +5,8 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double max_hedge_share = 0.1;    // of all attempts in flight
-constexpr double last_few_share = 0.1;     // of a query's shard requests
+constexpr double max_hedge_share = 0.1;        // of all attempts in flight
+constexpr double nearly_complete_share = 0.1;  // of a query's shard requests
 constexpr double max_hedge_latency = 2.0;  // times the base latency: a replica expected back so soon is idle
 
 }  // namespace
@@ -19,8 +19,8 @@
     const std::size_t all = query.shard_requests.size();
     const std::size_t missing = all - answered;
     Conditions conditions;
-    conditions.is_last_few = !query_class.allows_partial && missing <= last_few_share * all;
-    const Nanos until_objective = conditions.is_last_few ? query.objective_at - now : 0;
+    conditions.is_nearly_complete = !query_class.allows_partial && missing <= nearly_complete_share * all;
+    const Nanos until_objective = conditions.is_nearly_complete ? query.objective_at - now : 0;
     conditions.answer_within =
         std::max(max_hedge_latency * nodes_.latency().base_latency(), static_cast<double>(until_objective));
     return conditions;
@@ -30,7 +30,7 @@
                      Nanos now) const {
     if (!is_enabled_ || shard_request.in_flight != 1) return false;
     if (!nodes_.outliers().fleet_responds()) return false;
-    if (has_pressure && !conditions.is_last_few) return false;
+    if (has_pressure && !conditions.is_nearly_complete) return false;
     if (!is_overdue(shard_request.attempts.back(), now)) return false;
     if (in_flight_ >= max_hedge_share * nodes_.activity().total_in_flight() + 1) return false;
     return nodes_.selector().best_replica(shard_request.shard, now).answer_in < conditions.answer_within;
--- a/src/router/hedging.hpp
+++ b/src/router/hedging.hpp
@@ -23,8 +23,8 @@
 
     // What holds for all shard requests of a query in this round.
     struct Conditions {
-        bool is_last_few = false;  // of a query that needs every shard request
-        double answer_within = 0;  // nanoseconds in which the replica must be expected to answer
+        bool is_nearly_complete = false;  // of a query that needs every shard request
+        double answer_within = 0;         // nanoseconds in which the replica must be expected to answer
     };
     Conditions conditions_for(const Query& query, const QueryClass& query_class, const QueryTable& queries,
                               Nanos now) const;
--- a/src/router/outlier_detector.cpp
+++ b/src/router/outlier_detector.cpp
@@ -60,7 +60,7 @@
     fleet_responds_ = silent_share_divisor * silent <= endpoints_.ready_nodes();
     if (!fleet_responds_) return;
     for (const NodeIndex node : busy)
-        if (!ejected_or_on_trial(node, now) && is_silent(node, ejecting_silence, now))
+        if (!is_ejected_or_probing(node, now) && is_silent(node, ejecting_silence, now))
             record_failure(node, now, sink);
 }
 
--- a/src/router/outlier_detector.hpp
+++ b/src/router/outlier_detector.hpp
@@ -44,7 +44,7 @@
     bool fleet_responds() const { return fleet_responds_; }
 
     // Ejected, or let back with its first attempt still in flight: one attempt probes the node, others wait.
-    bool ejected_or_on_trial(NodeIndex node, Nanos now) const {
+    bool is_ejected_or_probing(NodeIndex node, Nanos now) const {
         if (ejected_until_[node] > now) return true;
         return consecutive_failures_[node] > 0 && activity_.in_flight(node) > 0 &&
                activity_.last_heard(node) < ejected_until_[node];
--- a/src/router/pressure_detector.cpp
+++ b/src/router/pressure_detector.cpp
@@ -5,9 +5,9 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double max_bad_share = 0.05;         // of the outcomes, without pressure
-constexpr Nanos evaluation_interval = second;  // at least
-constexpr std::size_t tolerated_part = 8;      // one in so many nodes may have a pile of bad outcomes
+constexpr double max_bad_share = 0.05;              // of the outcomes, without pressure
+constexpr Nanos evaluation_interval = second;       // at least
+constexpr std::size_t tolerated_nodes_divisor = 8;  // one in so many nodes may have a pile of bad outcomes
 
 }  // namespace
 
@@ -35,7 +35,7 @@
 int PressureDetector::count_bad() {
     std::sort(nodes_.begin(), nodes_.end(),
               [this](NodeIndex a, NodeIndex b) { return bad_at_node_[a] < bad_at_node_[b]; });
-    const std::size_t tolerated = (nodes_.size() + tolerated_part - 1) / tolerated_part;
+    const std::size_t tolerated = (nodes_.size() + tolerated_nodes_divisor - 1) / tolerated_nodes_divisor;
     int bad = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
         const int at_node = bad_at_node_[nodes_[i]];
--- a/src/router/query_router.cpp
+++ b/src/router/query_router.cpp
@@ -152,7 +152,7 @@
         return;
     }
     if (query.shard_requests.empty()) {  // they are still to come
-        if (now_ >= query.give_up_at) reject_or_fail(query, 0);
+        if (now_ >= query.answer_deadline_at) reject_or_fail(query, 0);
         return;
     }
     record_overdue(query);
@@ -176,7 +176,7 @@
             break;
     }
     // Where shard requests were lost, all others take their place.
-    if (progress.answered + progress.coming < query_class.needed_weight(query.step) - weight_tolerance)
+    if (progress.answered + progress.pending < query_class.needed_weight(query.step) - weight_tolerance)
         for (const ShardRequestIndex index : query.shard_requests)
             queries_.shard_request(index).selected = true;
     // Last, so that nothing goes out for a query, or a step of it, that has just been ended.
@@ -230,8 +230,8 @@
     } else if (query.is_late_retry) {
         began_at = std::min(now_, arrival.deadline_at - config.deadline);
     }
-    query.give_up_at = arrival.deadline_at - margin_;
-    query.objective_at = std::min(query.give_up_at, began_at + config.latency_objective - margin_);
+    query.answer_deadline_at = arrival.deadline_at - margin_;
+    query.objective_at = std::min(query.answer_deadline_at, began_at + config.latency_objective - margin_);
     if (!tenant_quota_.admit(arrival.tenant, now_)) query.priority_weight = over_quota_weight_;
     retry_budget_.record_arrival(now_);
 }
@@ -240,7 +240,7 @@
     retry_budget_.record_arrival(now_);
     ShardRequest* shard_request = queries_.add_shard_request(arrival);
     if (!shard_request) return;
-    shard_request->lost = !arrival.answered && retry_policy_.is_exhausted(arrival.attempts_used);
+    shard_request->abandoned = !arrival.answered && retry_policy_.is_exhausted(arrival.attempts_used);
     if (arrival.cost_hint > 0) shard_request->cost = nodes_.latency().relative_cost(arrival.cost_hint);
 }
 
@@ -252,7 +252,7 @@
         for (const ShardRequestIndex index :
              queries_.query(queries_.shard_request(named).query).shard_requests) {
             ShardRequest& shard_request = queries_.shard_request(index);
-            shard_request.lost = !shard_request.answered;
+            shard_request.abandoned = !shard_request.answered;
         }
         return;
     }
@@ -310,13 +310,13 @@
     for (const ShardRequestIndex index : query.shard_requests) {
         const ShardRequest& shard_request = queries_.shard_request(index);
         if (!shard_request.answered) progress.all_answered = false;
-        if (shard_request.lost) continue;
+        if (shard_request.abandoned) continue;
         if (shard_request.answered) {
             progress.answered += shard_request.weight;
         } else if (shard_request.selected) {
-            progress.coming += shard_request.weight;
+            progress.pending += shard_request.weight;
         } else {
-            progress.unasked += shard_request.weight;
+            progress.unselected += shard_request.weight;
         }
     }
     return progress;
@@ -338,7 +338,7 @@
                 hedging_.is_due(shard_request, conditions, nodes_.pressure().has_pressure(), now_))
                 pending_retries_.push_back(index);
         } else if (!may_retry) {
-            shard_request.lost = true;
+            shard_request.abandoned = true;
         } else if (now_ >= shard_request.not_before) {
             pending_retries_.push_back(index);
         }
@@ -350,7 +350,7 @@
     const NodeIndex node = nodes_.send(shard_request, now_);
     if (node == no_node) return false;
     if (shard_request.in_flight > 1) hedging_.record_hedge();
-    const Nanos timeout = queries_.query(shard_request.query).give_up_at - now_;
+    const Nanos timeout = queries_.query(shard_request.query).answer_deadline_at - now_;
     sink_->send_attempt(shard_request.id, nodes_.endpoints().id(node), timeout);
     return true;
 }
--- a/src/router/query_table.hpp
+++ b/src/router/query_table.hpp
@@ -25,7 +25,7 @@
 
 // What a query wants of one shard, with all attempts of it.
 struct ShardRequest {
-    bool may_be_sent() const { return !answered && !lost; }
+    bool may_be_sent() const { return !answered && !abandoned; }
 
     std::uint32_t id = 0;
     QueryIndex query = IdIndex::none;
@@ -38,8 +38,8 @@
     Nanos not_before = 0;   // turned away by an overloaded node: no retry sooner
     bool selected = false;  // to be sent
     bool answered = false;
-    bool lost = false;     // no answer and no attempt to come
-    bool overdue = false;  // was still out at the latency objective
+    bool abandoned = false;  // no answer and no attempt to come
+    bool overdue = false;    // was still out at the latency objective
     bool expected_late = false;
 };
 
@@ -49,7 +49,7 @@
     std::vector<ShardRequestIndex> shard_requests;       // of the current step, heaviest first once planned
     std::vector<ShardRequestIndex> first_step_requests;  // once that step is answered
     Nanos objective_at = 0;                              // when its latency objective ends
-    Nanos give_up_at = 0;                                // when its last answer must be out
+    Nanos answer_deadline_at = 0;                        // when its last answer must be out
     Nanos phase_deadline_at = 0;  // when a leg is answered with whatever is in; 0 for other queries
     double priority_weight =
         1;  // share of the class's priority weight: less where the tenant is over its quota
--- a/src/router/replica_selector.cpp
+++ b/src/router/replica_selector.cpp
@@ -83,7 +83,7 @@
 void ReplicaSelector::judge(Candidates& candidates, Nanos now) const {
     const std::vector<NodeIndex>& nodes = candidates.nodes;
     candidates.any_healthy = std::any_of(nodes.begin(), nodes.end(), [&](NodeIndex node) {
-        return !outliers_.ejected_or_on_trial(node, now);
+        return !outliers_.is_ejected_or_probing(node, now);
     });
     candidates.best = HUGE_VAL;
     for (const NodeIndex node : nodes) {
@@ -93,7 +93,7 @@
 }
 
 bool ReplicaSelector::is_eligible(const Candidates& candidates, NodeIndex node, Nanos now) const {
-    return !candidates.any_healthy || !outliers_.ejected_or_on_trial(node, now);
+    return !candidates.any_healthy || !outliers_.is_ejected_or_probing(node, now);
 }
 
 bool ReplicaSelector::is_near(const Candidates& candidates, NodeIndex node, Nanos now) const {
--- a/src/router/tenant_quota.cpp
+++ b/src/router/tenant_quota.cpp
@@ -5,7 +5,7 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double uneven_slice_factor = 1.5;  // times the even share of a quota over the routers
+constexpr double uneven_share_factor = 1.5;  // times the even share of a quota over the routers
 constexpr double min_burst = 4;              // queries
 constexpr double burst_seconds = 2;          // of the bucket's rate
 
@@ -14,7 +14,7 @@
 TenantQuota::TenantQuota(const RouterConfig& config) {
     const int routers = std::max(1, config.routers);
     for (const double quota : config.tenant_quotas)
-        buckets_.push_back({uneven_slice_factor * quota / routers, min_burst, 0});
+        buckets_.push_back({uneven_share_factor * quota / routers, min_burst, 0});
 }
 
 bool TenantQuota::admit(std::uint32_t tenant, Nanos now) {
