--- a/measure/xds.cpp
+++ b/measure/xds.cpp
@@ -89,7 +89,7 @@
     }
     static ControlConfig control(int limit) {
         ControlConfig c;
-        c.on = true;
+        c.enabled = true;
         c.node_limit = limit;
         c.leave_grace = 2000 * ms;
         return c;
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -90,7 +90,7 @@
     BlockReader in(block, errors);
     in.expect_no_label();
     ControlConfig config;
-    config.on = true;
+    config.enabled = true;
     config.listen = in.string("listen", config.listen);
     if (!parse_host_port(config.listen)) in.add_error(block.position, "'listen' is no address with a port");
     config.node_limit = static_cast<int>(in.integer("node_limit", config.node_limit, 1, max_count));
@@ -114,7 +114,7 @@
     config.zone = read_name(in, block, "zone");
     config.managers = read_addresses(in, block, "stewards", "steward");
     config.relays = read_addresses(in, block, "relays", "relay");
-    config.on = !config.managers.empty();
+    config.enabled = !config.managers.empty();
     if (config.managers.empty() && config.relays.empty())
         in.add_error(block.position, "'stewards' and 'relays' name none");
     config.lease_grace = in.duration("serve_on", config.lease_grace, 0, 365 * day);
--- a/src/router/admission.cpp
+++ b/src/router/admission.cpp
@@ -5,13 +5,13 @@
 namespace tealcart::router {
 namespace {
 
-// Of the time left, that what a query needs may be expected to take: less for a query that is late or over
-// its tenant's quota.
+// Share of the remaining time that the expected latency of a query may take. It is lower for a query that is
+// late or over its tenant's quota.
 constexpr double usable_time_share = 0.65;
 constexpr double low_priority_time_share = 0.35;
-constexpr double no_backlog_latency = 4.0;  // times the base latency: what nodes without a backlog take
+constexpr double no_backlog_latency = 4.0;  // multiple of the base latency at nodes without a backlog
 
-// Until when an answer is worth something.
+// The time that is left in which an answer still earns weight.
 Nanos time_left(const Query& query, const QueryClassConfig& config, Nanos now) {
     if (now < query.objective_at) return query.objective_at - now;
     if (config.late_weight <= 0) return 0;
@@ -49,7 +49,7 @@
     return true;
 }
 
-// A query of full priority weight is never turned away from idle nodes.
+// The lower bound keeps a query of full priority weight from being rejected while nodes are idle.
 double Admission::max_expected_latency(const Query& query, const QueryClassConfig& config, Nanos now) const {
     const auto left = static_cast<double>(time_left(query, config, now));
     const bool is_low_priority = now >= query.objective_at || query.priority_weight < 1;
--- a/src/router/admission.hpp
+++ b/src/router/admission.hpp
@@ -1,4 +1,5 @@
-// Early rejection: whether what a query needs can be in in time, and which of its shard requests can't.
+// Admission control: rejects a query early if too few of its shard requests are expected to be answered in
+// time, and deselects shard requests that are expected to be late.
 #pragma once
 
 #include "router/latency_estimator.hpp"
@@ -8,15 +9,16 @@
 
 namespace tealcart::router {
 
+// Decides on a query by the latency that its shard requests are expected to have.
 class Admission {
   public:
-    // The references outlive the object.
+    // Both objects must outlive this one.
     Admission(const LatencyEstimator& latency, const ReplicaSelector& selector)
         : latency_(latency), selector_(selector) {}
 
-    // Decides once the query's first `width` shard requests are selected. False where less than the weight
-    // that it needs is expected in time, so that it is to be rejected. Else takes back light shard requests
-    // that are expected late: they would load the very nodes that are late, and bring nothing.
+    // Called once the query's first `width` shard requests are selected. Returns false if the query is to be
+    // rejected because less weight than it needs is expected in time. Otherwise deselects light shard
+    // requests that are expected to be late, since they would only add load to nodes that are late already.
     bool admit(const Query& query, const QueryClass& query_class, int width, QueryTable& queries,
                Nanos now) const;
 
--- a/src/router/answer_policy.cpp
+++ b/src/router/answer_policy.cpp
@@ -3,7 +3,8 @@
 namespace tealcart::router {
 namespace {
 
-// A leg is to bring what it can: its end is no client's answer yet.
+// A phase with a deadline collects as many answers as it can, since its end is not yet the client's answer.
+// It ends when all are in, when none is pending, or at its deadline.
 bool phase_is_over(const Query& query, const AnswerProgress& progress, Nanos now) {
     return query.phase_deadline_at > 0 &&
            (progress.all_answered || progress.pending <= 0 || now >= query.phase_deadline_at);
--- a/src/router/decision_sink.hpp
+++ b/src/router/decision_sink.hpp
@@ -1,4 +1,4 @@
-// Where a round of the decision module writes its decisions.
+// The output interface of the decision module.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,18 @@
 
 namespace tealcart {
 
-// One call a decision, in their order.
+// Receives the decisions of a round, one call per decision, in the order in which they were made.
 class DecisionSink {
   public:
     virtual ~DecisionSink() = default;
-    // `timeout`: how long the attempt may take.
+    // Sends an attempt that may take up to `timeout` (nanoseconds).
     virtual void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) = 0;
     virtual void cancel(std::uint32_t shard_request, std::uint8_t attempt) = 0;
-    // Ends the query, or its first step where its class has a second.
+    // Ends the query, or only its first step if its query class has a second one.
     virtual void answer(std::uint32_t query, bool complete) = 0;
-    // `retry_after`: for how long (nanoseconds) the client is asked to wait; 0 where nothing is said.
+    // `retry_after` is how long the client is asked to wait (nanoseconds), or 0 to leave that out.
     virtual void reject(std::uint32_t query, Nanos retry_after) = 0;
-    // Ends a query that may have had an effect, so that a rejection would be wrong.
+    // Ends a query without an answer. Used in place of a rejection if the query may have had an effect.
     virtual void fail_query(std::uint32_t query) = 0;
     virtual void set_timer(std::uint64_t cookie, Nanos wait) = 0;
     virtual void watch_endpoints() = 0;
--- a/src/router/fan_out.hpp
+++ b/src/router/fan_out.hpp
@@ -1,9 +1,10 @@
-// Fan-out, the design's mechanism: to how many of its k shard requests, the heaviest first, a query is sent.
+// Fan-out control: how many of a query's shard requests are sent, heaviest first.
 //
-// The design's p, the number sent, is kept for each query class against its k, the most shard requests that a
-// query of it has had. Without pressure p climbs to k; under pressure it is cut by a share of k each second.
-// A query gets at least one shard request, more where its two heaviest are close in weight (the design's
-// margin), and as many as its least answer weight takes.
+// Each query class has a current width, which is the number of shard requests to send, and a maximum width,
+// which is the most shard requests that a query of the class has had. Without pressure the width grows to the
+// maximum; under pressure it is cut by a share of the maximum each second. A query gets at least one shard
+// request, more if its two heaviest are close in weight, and always enough to reach its minimum answer
+// weight.
 #pragma once
 
 #include <span>
@@ -14,24 +15,28 @@
 
 namespace tealcart::router {
 
+// Keeps the width of each query class.
 class FanOut {
   public:
     explicit FanOut(std::size_t query_classes) : widths_(query_classes) {}
 
+    // Starts the control at the time of the router's first round.
     void begin(Nanos now) { cut_at_ = now; }
 
-    // Lets p climb by what has ended without pressure. A change of pressure makes the next cut due at once.
+    // Widens by the number of attempts that ended without pressure. If pressure has changed, the next cut is
+    // due at once.
     void record_evaluation(const PressureDetector::Evaluation& evaluation);
-    // Cuts p, each second that there is pressure.
+    // Cuts all widths, at most once per second. Called while there is pressure.
     void cut_under_pressure(Nanos now);
 
-    // How many shard requests to send, of a query of the class with these weights, heaviest first; at least
-    // one. `min_weight`: the least sum of weights sent.
+    // Returns how many shard requests of a query to send, at least one. `weights` are those of its shard
+    // requests, heaviest first, and `min_weight` is the least sum of weights that has to be sent.
     int select(std::uint32_t query_class, std::span<const double> weights, double min_weight);
 
   private:
+    // In shard requests; both are 0 until the first query of the class.
     struct Width {
-        double p = 0, k = 0;  // shard requests; 0 until the first query
+        double current = 0, max = 0;
     };
     std::vector<Width> widths_;  // by query class
     Nanos cut_at_ = 0;
--- a/src/router/hedging.cpp
+++ b/src/router/hedging.cpp
@@ -7,7 +7,7 @@
 
 constexpr double max_hedge_share = 0.1;        // of all attempts in flight
 constexpr double nearly_complete_share = 0.1;  // of a query's shard requests
-constexpr double max_hedge_latency = 2.0;  // times the base latency: a replica expected back so soon is idle
+constexpr double max_hedge_latency = 2.0;  // multiple of the base latency; an idle replica answers within it
 
 }  // namespace
 
--- a/src/router/hedging.hpp
+++ b/src/router/hedging.hpp
@@ -1,11 +1,11 @@
-// Hedging: when a second attempt of a shard request goes out beside the first.
+// Hedging: decides when a shard request gets a second attempt while the first is still in flight.
 //
-// The node of the first must have been silent for long, or be no longer ready; the best replica must be
-// expected back soon; most of the fleet must respond, and there must be no pressure; hedges are held to a
-// share of the attempts in flight. The last few shard requests of a query that needs all of them are hedged
-// under pressure too, and to a replica that is only expected back by the latency objective: all that the
-// query has cost is lost with them. A hedge must also be allowed by RetryPolicy::may_retry, and takes from
-// the retry budget (QueryRouter::State::send_retries).
+// A hedge requires that the node of the first attempt has been silent for long or is no longer ready, that
+// the best replica is expected to answer soon, that most of the fleet responds and that there is no pressure.
+// Hedges are limited to a share of the attempts in flight. If a query needs all of its shard requests, the
+// last few are hedged under pressure too, and also to a replica that is expected to answer only by the
+// latency objective, because all work done for the query is wasted without them. A hedge must also be allowed
+// by RetryPolicy::may_retry, and it counts against the retry budget (QueryRouter::State::send_retries).
 #pragma once
 
 #include "router/node_tracker.hpp"
@@ -15,25 +15,26 @@
 
 namespace tealcart::router {
 
+// Decides on hedges and counts those in flight.
 class Hedging {
   public:
-    // `nodes` outlives the object.
+    // `nodes` must outlive this object.
     Hedging(const RouterConfig& config, const NodeTracker& nodes)
         : is_enabled_(config.may_hedge), nodes_(nodes) {}
 
-    // What holds for all shard requests of a query in this round.
+    // Conditions that are the same for all shard requests of a query in this round.
     struct Conditions {
-        bool is_nearly_complete = false;  // of a query that needs every shard request
-        double answer_within = 0;         // nanoseconds in which the replica must be expected to answer
+        bool is_nearly_complete = false;  // the query needs all shard requests, and few are missing
+        double answer_within = 0;         // longest expected latency of the replica, in nanoseconds
     };
     Conditions conditions_for(const Query& query, const QueryClass& query_class, const QueryTable& queries,
                               Nanos now) const;
 
-    // Whether the shard request is to be hedged now.
+    // Returns whether the shard request is to be hedged now.
     bool is_due(const ShardRequest& shard_request, const Conditions& conditions, bool has_pressure,
                 Nanos now) const;
 
-    // An attempt went out, or ended, while others of its shard request were in flight.
+    // An attempt was sent, or ended, while another attempt of its shard request was in flight.
     void record_hedge() { ++in_flight_; }
     void record_hedge_ended() { --in_flight_; }
 
--- a/src/router/id_index.hpp
+++ b/src/router/id_index.hpp
@@ -1,4 +1,4 @@
-// Maps wide ids to small dense indices and hands freed indices out again. Holds no decisions.
+// Maps ids to small dense indices.
 #pragma once
 
 #include <cstdint>
@@ -7,24 +7,25 @@
 
 namespace tealcart::router {
 
+// Assigns each id the most recently freed index, or the next unused one.
 class IdIndex {
   public:
     static constexpr std::uint32_t none = UINT32_MAX;
 
-    // The index of `id`, or `none`.
+    // Returns the index of `id`, or `none` if the id is not known.
     std::uint32_t find(std::uint64_t id) const {
         const auto it = index_.find(id);
         return it == index_.end() ? none : it->second;
     }
 
-    // The index of `id`, taken anew where the id is not known yet.
+    // Returns the index of `id`, and assigns one if the id is not known.
     std::uint32_t insert(std::uint64_t id) {
         const auto [it, is_new] = index_.try_emplace(id, 0);
         if (is_new) it->second = take_index();
         return it->second;
     }
 
-    // Frees the index of `id`, if it is known.
+    // Frees the index of `id`. Does nothing if the id is not known.
     void erase(std::uint64_t id) {
         const auto it = index_.find(id);
         if (it == index_.end()) return;
@@ -32,7 +33,7 @@
         index_.erase(it);
     }
 
-    // Every index handed out so far lies below this.
+    // One more than the largest index that was ever assigned.
     std::uint32_t size() const { return size_; }
 
   private:
--- a/src/router/late_retry_detector.hpp
+++ b/src/router/late_retry_detector.hpp
@@ -1,7 +1,9 @@
-// Tells a late retry from a first try, since a late retry's times count from its client's first try.
+// Distinguishes late client retries from first tries, since the deadlines of a late retry count from the
+// first try of its client.
 //
-// A marked retry for which the client waits less than for others is a late one. Where clients don't mark
-// their retries, as many short waits count as late retries as first tries were given up lately.
+// A marked retry whose client waits for less time than clients of the same query class usually do is late. If
+// clients don't mark their retries, queries with short timeouts count as late retries, up to the number of
+// first tries that were recently rejected or failed.
 #pragma once
 
 #include <algorithm>
@@ -11,14 +13,15 @@
 
 namespace tealcart::router {
 
+// Recognizes late retries by the clients' timeouts.
 class LateRetryDetector {
   public:
     LateRetryDetector(const RouterConfig& config, Nanos margin)
         : retries_marked_(config.retries_marked), margin_(margin),
           max_client_timeout_(config.query_classes.size()) {}
 
-    // A query arrived whose client waits for `client_timeout`; true where it is a late retry.
-    // `is_later_phase`: it is a leg of a query that is known, and no retry.
+    // Returns whether a query that has just arrived is a late retry. `client_timeout` is how long its client
+    // still waits. `is_later_phase` marks a further phase of a known two-phase query, which is never a retry.
     bool is_late_retry(std::uint16_t query_class, Nanos client_timeout, bool is_marked, bool is_later_phase) {
         Nanos& longest = max_client_timeout_[query_class];
         longest = std::max(longest, client_timeout);
@@ -29,21 +32,21 @@
         return true;
     }
 
-    // A query was given up: if it was a first try, its client may come again.
+    // A query was rejected or failed. If it was a first try, its client may send a retry.
     void record_rejected_or_failed(bool was_late_retry) {
         if (!retries_marked_ && !was_late_retry) expected_unmarked_ += 1;
     }
 
-    // Some of the expected retries will not come any more.
+    // Reduces the number of expected retries, since some clients never retry.
     void decay() { expected_unmarked_ *= expected_after_decay; }
 
   private:
-    static constexpr double expected_after_decay = 0.8;  // of the retries expected before
+    static constexpr double expected_after_decay = 0.8;  // share of the expected retries that remains
 
     bool retries_marked_;
     Nanos margin_;
-    std::vector<Nanos> max_client_timeout_;  // by query class
-    double expected_unmarked_ = 0;           // retries
+    std::vector<Nanos> max_client_timeout_;  // longest seen, by query class
+    double expected_unmarked_ = 0;           // unmarked retries that may still arrive
 };
 
 }  // namespace tealcart::router
--- a/src/router/latency_estimator.cpp
+++ b/src/router/latency_estimator.cpp
@@ -6,22 +6,23 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double decay_time = 20 * second;  // what was observed so long ago counts for a third
+constexpr double decay_time = 20 * second;  // an observation of this age keeps a weight of 1/e
 
-// Share of a new sample in each estimate.
+// The weight of a new sample in each estimate.
 constexpr double fleet_sample_share = 0.02;
 constexpr double group_sample_share = 0.04;
 constexpr double min_node_sample_share = 0.2;
 constexpr double max_node_sample_share = 0.8;
-constexpr double full_share_after = 6 * second;  // a node's sample counts for more after such a silence
+constexpr double full_share_after = 6 * second;  // time constant of the growth of a node's sample weight
 constexpr double in_flight_sample_share = 0.2;
 constexpr double hint_sample_share = 0.02;
 
-// The base latency follows quicker attempts soon, and slower ones by this share an attempt.
+// The base latency moves toward a faster attempt by the first share of the difference, and grows with each
+// slower attempt by the second share of itself.
 constexpr double base_decrease_share = 0.2;
 constexpr double base_increase_share = 0.01;
 
-// A hint is a guess: a cost is kept within these bounds.
+// Hints are estimates, so relative costs are clamped to these bounds.
 constexpr double min_relative_cost = 0.25;
 constexpr double max_relative_cost = 8.0;
 
@@ -31,7 +32,8 @@
     return toward + (observed.value - toward) * std::exp(-age / decay_time);
 }
 
-// The less is known of a node, the more a sample counts: one heard of once in ten seconds must tell.
+// The older the last sample of a node, the more a new one counts, so that even one sample in ten seconds
+// moves the estimate.
 double node_sample_share(Nanos last_sample_at, Nanos now) {
     const auto age = static_cast<double>(now - last_sample_at);
     return std::max(min_node_sample_share, max_node_sample_share * (1 - std::exp(-age / full_share_after)));
--- a/src/router/nanos.hpp
+++ b/src/router/nanos.hpp
@@ -1,11 +1,11 @@
-// Time in the decision module: whole nanoseconds of the caller's clock.
+// The time type of the decision module: whole nanoseconds of the caller's clock.
 #pragma once
 
 #include <cstdint>
 
 namespace tealcart {
 
-using Nanos = std::int64_t;  // a time of the caller's clock, or a span of it
+using Nanos = std::int64_t;  // a point in time of the caller's clock, or a duration
 
 namespace router {
 
--- a/src/router/node_activity.hpp
+++ b/src/router/node_activity.hpp
@@ -1,4 +1,5 @@
-// Which nodes have attempts of this router in flight, and when each was last heard from. Holds no decisions.
+// Attempts that this router has in flight at each node, and when each node last responded. It makes no
+// decisions.
 #pragma once
 
 #include <vector>
@@ -7,6 +8,7 @@
 
 namespace tealcart::router {
 
+// Counts attempts in flight by node.
 class NodeActivity {
   public:
     void add_node(NodeIndex node) { reset_node(node, in_flight_, last_heard_); }
@@ -23,9 +25,9 @@
 
     int in_flight(NodeIndex node) const { return in_flight_[node]; }
     int total_in_flight() const { return total_in_flight_; }
-    // When an attempt last ended at the node, or an attempt went to it while it was idle and healthy.
+    // When an attempt last ended at the node, or one was last sent to it while it was idle and healthy.
     Nanos last_heard(NodeIndex node) const { return last_heard_[node]; }
-    // Nodes with attempts in flight.
+    // The nodes that have attempts in flight.
     const std::vector<NodeIndex>& busy() const { return busy_; }
 
   private:
--- a/src/router/node_tracker.cpp
+++ b/src/router/node_tracker.cpp
@@ -52,7 +52,8 @@
     const NodeIndex node = selector_.select(shard_request, now);
     if (node == no_node) return no_node;
     const int in_flight_ahead = activity_.in_flight(node);
-    // Silence counts from the first attempt at an idle node, but a node with failures has yet to speak.
+    // The silence of an idle node is measured from its first new attempt. A node with failures has to respond
+    // first.
     if (in_flight_ahead == 0 && !outliers_.has_failures(node)) activity_.record_heard(node, now);
     shard_request.attempts.push_back({node, now, in_flight_ahead});
     ++shard_request.in_flight;
@@ -99,8 +100,8 @@
         default:
             return true;
     }
-    // Cancelled after a long wait with not a word from the node: as good as timed out, or a hung node would
-    // look healthy each time.
+    // An attempt that was cancelled after a long wait without any response from its node counts as timed out.
+    // Otherwise a hung node would appear healthy, since its attempts are always cancelled.
     return activity_.last_heard(attempt.node) <= attempt.sent_at &&
            static_cast<double>(result.latency) > suspicious_silence * latency_.fleet_latency(now);
 }
--- a/src/router/node_tracker.hpp
+++ b/src/router/node_tracker.hpp
@@ -1,4 +1,5 @@
-// What this router knows of the nodes, kept in step by endpoint lists, attempts sent and their results.
+// The state that this router keeps about data nodes, updated from endpoint lists, attempts sent and their
+// results.
 #pragma once
 
 #include <random>
@@ -18,31 +19,32 @@
 
 namespace tealcart::router {
 
-// Owns what is kept of each node and passes on to each part what it learns from. Neither copied nor moved:
-// the parts refer to each other.
+// Owns the per-node components and passes events on to them. It can be neither copied nor moved, because the
+// components refer to each other.
 class NodeTracker {
   public:
-    // `random` outlives the tracker.
+    // `random` must outlive the tracker.
     NodeTracker(const RouterConfig& config, std::knuth_b& random);
     NodeTracker(const NodeTracker&) = delete;
     NodeTracker& operator=(const NodeTracker&) = delete;
 
-    // The router's first round.
+    // Called once, in the router's first round.
     void begin(Nanos now);
-    // Ends the calls of the last round.
+    // Forgets which nodes were sent shard requests in the previous round.
     void begin_round() { selector_.begin_round(); }
-    // A list that could be had.
+    // Applies an endpoint list, which is of any kind but ListKind::failed.
     void apply_list(ListKind kind, std::span<const Endpoint> entries, Nanos now);
-    // Ejects nodes that have fallen silent.
+    // Ejects nodes that have stopped responding.
     void check_silence(Nanos now, DecisionSink& sink) { outliers_.check_silence(now, sink); }
 
-    // Chooses a replica for an attempt and counts the attempt as sent there. no_node where none may have it.
+    // Selects a replica for an attempt and records the attempt as sent there. Returns no_node if no replica
+    // may receive it.
     NodeIndex send(ShardRequest& shard_request, Nanos now);
-    // Learns from an attempt that has just ended. Returns the time in which the shard request should not be
-    // sent again; 0 for none.
+    // Records the result of an attempt that has just ended. Returns how long to wait before the shard request
+    // is sent again; 0 for no wait.
     Nanos record_result(const ShardRequest& shard_request, const Attempt& attempt,
                         const AttemptResult& result, Nanos now, DecisionSink& sink);
-    // The shard request was still out at its query's latency objective: as good as timed out.
+    // The shard request was unanswered at its query's latency objective, which counts as a timeout.
     void record_overdue(const ShardRequest& shard_request);
 
     const EndpointTable& endpoints() const { return endpoints_; }
--- a/src/router/outlier_detector.cpp
+++ b/src/router/outlier_detector.cpp
@@ -7,11 +7,11 @@
 namespace tealcart::router {
 namespace {
 
-constexpr Nanos first_ejection = 250 * millisecond;  // doubled for each failure in a row ...
-constexpr int max_doublings = 3;                     // ... up to so often
-constexpr int failures_to_report = 3;                // in a row, before the log tells of them
-constexpr double ejecting_silence = 3.0;             // times the usual latency
-constexpr int silent_share_divisor = 4;              // of the ready nodes: one in so many
+constexpr Nanos first_ejection = 250 * millisecond;  // doubled for each consecutive failure
+constexpr int max_doublings = 3;                     // limit on the doubling
+constexpr int failures_to_report = 3;                // consecutive failures before one is logged
+constexpr double ejecting_silence = 3.0;             // multiple of the usual latency
+constexpr int silent_share_divisor = 4;  // the fleet responds if at most one in four ready nodes is silent
 
 }  // namespace
 
@@ -21,7 +21,7 @@
 }
 
 void OutlierDetector::record_failure(NodeIndex node, Nanos now, DecisionSink& sink) {
-    // Attempts that were sent before the ejection and fail during it tell nothing new.
+    // Attempts that were sent before the ejection and fail during it are not counted again.
     if (ejected_until_[node] > now) return;
     int& failures = consecutive_failures_[node];
     const Nanos ejection = first_ejection << std::min(failures, max_doublings);
--- a/src/router/outlier_detector.hpp
+++ b/src/router/outlier_detector.hpp
@@ -1,8 +1,9 @@
-// Ejects nodes whose attempts fail or that fall silent, and lets them back by a single trial attempt.
+// Ejects nodes whose attempts fail or that stop responding, and readmits them by a single probe attempt.
 //
-// A failure of any kind ejects the node for a time that doubles with each in a row; each success takes one
-// step back. Only results of this router's own attempts count, so that silent, slow and fast-failing nodes
-// are told alike. Where much of the fleet is silent at once, the fleet is slow and no node is ejected for it.
+// A failure of any kind ejects the node for a time that doubles with each consecutive failure; each success
+// undoes one failure. Only results of this router's own attempts count, so that silent, slow and fast-failing
+// nodes are detected in the same way. If a large part of the fleet is silent at once, the fleet is slow and
+// no node is ejected for its silence.
 #pragma once
 
 #include <vector>
@@ -14,12 +15,14 @@
 
 namespace tealcart::router {
 
-// Times the usual latency: after such a silence a node may be in trouble.
+// Multiple of the usual latency after which a silent node may be faulty.
 constexpr double suspicious_silence = 2.0;
 
+// Keeps the failures and the ejection of each node.
 class OutlierDetector {
   public:
-    // The references outlive the detector. `check_interval`: the least time between checks for silence.
+    // The referenced objects must outlive the detector. `check_interval` is the least time between two checks
+    // for silent nodes.
     OutlierDetector(const EndpointTable& endpoints, const NodeActivity& activity,
                     const LatencyEstimator& latency, Nanos check_interval)
         : endpoints_(endpoints), activity_(activity), latency_(latency), check_interval_(check_interval) {}
@@ -27,23 +30,24 @@
     void add_node(NodeIndex node) {
         reset_node(node, ejected_until_, consecutive_failures_, reported_as_failing_);
     }
-    // The node is a new process: what the old one did counts no longer.
+    // The node is a new process, so the failures of the old one no longer count.
     void restart_node(NodeIndex node);
 
     void record_failure(NodeIndex node, Nanos now, DecisionSink& sink);
     void record_success(NodeIndex node, Nanos latency, DecisionSink& sink);
-    // The node turned an attempt away: it gets no other for the first ejection's time, which this returns.
+    // The node rejected an attempt as overloaded. It is ejected for the duration of a first ejection, which
+    // is returned.
     Nanos record_overloaded(NodeIndex node, Nanos now);
 
-    // Ejects nodes that have been silent for long, unless too many are. Does so at most once an interval.
+    // Ejects nodes that have been silent for long, unless too many are. Runs at most once per check interval.
     void check_silence(Nanos now, DecisionSink& sink);
 
-    // A node with attempts in flight that has said nothing for so many times the usual latency.
+    // Whether a node with attempts in flight has not responded for `times` the usual latency.
     bool is_silent(NodeIndex node, double times, Nanos now) const;
-    // Whether at the last check few enough nodes were silent for silence to tell of a node.
+    // Whether so few nodes were silent at the last check that silence indicates a fault of the node itself.
     bool fleet_responds() const { return fleet_responds_; }
 
-    // Ejected, or let back with its first attempt still in flight: one attempt probes the node, others wait.
+    // Whether the node is ejected, or its ejection has ended and the one attempt that probes it is in flight.
     bool is_ejected_or_probing(NodeIndex node, Nanos now) const {
         if (ejected_until_[node] > now) return true;
         return consecutive_failures_[node] > 0 && activity_.in_flight(node) > 0 &&
@@ -62,8 +66,8 @@
     Nanos checked_at_ = 0;
     bool fleet_responds_ = true;
     std::vector<Nanos> ejected_until_;
-    std::vector<int> consecutive_failures_;  // less one for each success since
-    std::vector<char> reported_as_failing_;  // in the log
+    std::vector<int> consecutive_failures_;  // less one for each later success
+    std::vector<char> reported_as_failing_;  // whether the log has the ejection
 };
 
 }  // namespace tealcart::router
--- a/src/router/pressure_detector.cpp
+++ b/src/router/pressure_detector.cpp
@@ -5,9 +5,9 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double max_bad_share = 0.05;              // of the outcomes, without pressure
-constexpr Nanos evaluation_interval = second;       // at least
-constexpr std::size_t tolerated_nodes_divisor = 8;  // one in so many nodes may have a pile of bad outcomes
+constexpr double max_bad_share = 0.05;              // largest share of bad outcomes without pressure
+constexpr Nanos evaluation_interval = second;       // least time between evaluations
+constexpr std::size_t tolerated_nodes_divisor = 8;  // one in eight nodes may have many bad outcomes
 
 }  // namespace
 
--- a/src/router/query_completion.hpp
+++ b/src/router/query_completion.hpp
@@ -1,4 +1,4 @@
-// How a query's answer, rejection or failure goes out, and what is cancelled with it.
+// Ends queries with an answer, a rejection or a failure, and cancels their attempts.
 #pragma once
 
 #include "router/decision_sink.hpp"
@@ -9,24 +9,26 @@
 
 namespace tealcart::router {
 
+// Writes the decisions that end a query or a step of it.
 class QueryCompletion {
   public:
-    // The references outlive the object.
+    // The referenced objects must outlive this one.
     QueryCompletion(const RouterConfig& config, QueryTable& queries, LateRetryDetector& late_retries)
         : may_cancel_(config.may_cancel), sends_retry_after_(config.sends_retry_after),
           max_retry_after_(config.max_retry_after), queries_(queries), late_retries_(late_retries) {}
 
-    // The longest that a client is told to wait before it comes again.
+    // The longest time that a client is told to wait before it retries.
     Nanos max_retry_after() const { return max_retry_after_; }
 
-    // Ends the query's step, and the query where no second step follows.
+    // Answers the current step of the query, and ends the query unless a second step follows.
     void answer(Query& query, const QueryClass& query_class, bool complete, DecisionSink& sink);
-    // Ends the query without an answer: by a rejection only if nothing may have run that must not run again.
-    // `retry_after`: how long the client should wait before it comes again.
+    // Ends the query without an answer. A query that must not run twice is rejected only if no attempt of it
+    // may have run, and fails otherwise. `retry_after` is how long the client should wait before it retries.
     void reject_or_fail(Query& query, const QueryClass& query_class, Nanos retry_after, DecisionSink& sink);
-    // Ends the query without a word to its client.
+    // Ends the query without a reply to its client.
     void end(Query& query, DecisionSink& sink);
-    // Cancels what is in flight of a shard request that needs no answer any more, where that is allowed.
+    // Cancels the attempts in flight of a shard request that needs no further answer, if cancelling is
+    // allowed.
     void cancel_attempts(const ShardRequest& shard_request, DecisionSink& sink) const;
 
   private:
--- a/src/router/query_planner.cpp
+++ b/src/router/query_planner.cpp
@@ -10,11 +10,11 @@
     const int width = width_of(query, query_class);
     for (int i = 0; i < width; ++i)
         queries_.shard_request(query.shard_requests[static_cast<std::size_t>(i)]).selected = true;
-    // A second step is part of a query that has been admitted.
+    // A second step needs no admission, because its query has been admitted already.
     return query.step == 2 || admission_.admit(query, query_class, width, queries_, now);
 }
 
-// How many shard requests to send, heaviest first: all, where all are needed.
+// Returns how many shard requests to send, heaviest first; all of them if all are needed.
 int QueryPlanner::width_of(const Query& query, const QueryClass& query_class) {
     if (query.step != 1 || !query_class.allows_partial || query.shard_requests.empty())
         return static_cast<int>(query.shard_requests.size());
--- a/src/router/query_planner.hpp
+++ b/src/router/query_planner.hpp
@@ -1,4 +1,5 @@
-// Which shard requests of a query are sent, once they have come in: fan-out first, then admission.
+// Selects the shard requests of a query to send when they arrive: by fan-out first, then by admission
+// control.
 #pragma once
 
 #include "router/admission.hpp"
@@ -10,14 +11,15 @@
 
 namespace tealcart::router {
 
+// Combines fan-out and admission control.
 class QueryPlanner {
   public:
-    // The references outlive the planner.
+    // The referenced objects must outlive the planner.
     QueryPlanner(const RouterConfig& config, const NodeTracker& nodes, QueryTable& queries)
         : queries_(queries), fan_out_(config.query_classes.size()),
           admission_(nodes.latency(), nodes.selector()) {}
 
-    // Selects among the query's shard requests. False where it is to be rejected.
+    // Selects among the query's shard requests. Returns false if the query is to be rejected.
     bool plan(Query& query, const QueryClass& query_class, Nanos now);
 
     FanOut& fan_out() { return fan_out_; }
--- a/src/router/query_router.cpp
+++ b/src/router/query_router.cpp
@@ -1,9 +1,9 @@
-// The order of a round. The decisions themselves lie in the files beside this one, one a concern.
+// The sequence of a round. The decisions themselves are made by the other classes of this directory.
 //
-// The caller makes one QueryRouter for each incarnation of a router and calls round() with all that came in:
-// the on_... handlers only note it. Then the round decides, in this order: pressure and fan-out, answers and
-// early rejections, first attempts, retries and hedges. docs/design.md says when each departure from the
-// design acts, docs/on-call.md explains the log lines.
+// The caller creates one QueryRouter for each incarnation of a router and calls round() with all events since
+// the last one, which the on_... handlers only record. The round then decides in this order: pressure and
+// fan-out, answers and early rejections, first attempts, retries and hedges. docs/design.md describes the
+// decisions and docs/on-call.md the log lines.
 
 #include "router/query_router.hpp"
 
@@ -33,7 +33,8 @@
 
 namespace {
 
-constexpr double second_step_latencies = 2.0;  // times the usual latency, which a second step takes
+constexpr double second_step_latencies =
+    2.0;  // duration of a second step, as a multiple of the usual latency
 
 }  // namespace
 
@@ -79,7 +80,7 @@
     double over_quota_weight_;
     std::knuth_b random_;
 
-    // A round's time, and where its decisions go: null between rounds.
+    // The time of the current round and the output for its decisions, which is null between rounds.
     Nanos now_ = 0;
     DecisionSink* sink_ = nullptr;
     bool timer_is_set_ = false;
@@ -95,7 +96,7 @@
     QueryTable queries_;
     QueryPlanner planner_;
     QueryCompletion completion_;
-    std::vector<ShardRequestIndex> pending_retries_;  // and hedges, of this round
+    std::vector<ShardRequestIndex> pending_retries_;  // retries and hedges of this round
 };
 
 QueryRouter::State::State(const RouterConfig& config, std::uint64_t seed)
@@ -145,13 +146,13 @@
     if (nodes_.pressure().has_pressure()) planner_.fan_out().cut_under_pressure(now_);
 }
 
-// Answers, rejects or fails the query, or queues retries and hedges of its shard requests.
+// Answers, rejects or fails the query, or queues retries and hedges for its shard requests.
 void QueryRouter::State::advance(Query& query) {
     if (query.needs_plan && !planner_.plan(query, class_of(query), now_)) {
         reject_or_fail(query, completion_.max_retry_after() / 2);
         return;
     }
-    if (query.shard_requests.empty()) {  // they are still to come
+    if (query.shard_requests.empty()) {  // they have not arrived yet
         if (now_ >= query.answer_deadline_at) reject_or_fail(query, 0);
         return;
     }
@@ -175,15 +176,15 @@
         case AnswerDecision::wait:
             break;
     }
-    // Where shard requests were lost, all others take their place.
+    // If too much weight was lost with abandoned shard requests, the unselected ones are sent in their place.
     if (progress.answered + progress.pending < query_class.needed_weight(query.step) - weight_tolerance)
         for (const ShardRequestIndex index : query.shard_requests)
             queries_.shard_request(index).selected = true;
-    // Last, so that nothing goes out for a query, or a step of it, that has just been ended.
+    // This comes last, so that nothing is sent for a query or a step that has just ended.
     if (now_ < query.objective_at || query_class.config.late_weight > 0) collect_retries(query);
 }
 
-// Oldest query first, and its heaviest shard request first.
+// Sends first attempts for the oldest query first, and for its heaviest shard request first.
 void QueryRouter::State::send_first_attempts() {
     for (const QueryIndex index : queries_.live())
         if (!queries_.query(index).ended) send_first_attempts(queries_.query(index));
@@ -198,7 +199,7 @@
     }
 }
 
-// Retries and hedges have a queue of their own, served after first attempts.
+// Sends retries and hedges after all first attempts, as far as the retry budget allows.
 void QueryRouter::State::send_retries() {
     for (const ShardRequestIndex index : pending_retries_) {
         if (!retry_budget_.allows_retry()) continue;
@@ -246,7 +247,8 @@
 
 void QueryRouter::State::on_timer(std::uint64_t /*cookie*/) { timer_is_set_ = false; }
 
-// Named by a shard request, it ends what is sent for its whole query, which still gets its final answer.
+// If the id is that of a shard request, all attempts for its query stop, but the query still gets a final
+// answer.
 void QueryRouter::State::on_query_dropped(std::uint32_t id) {
     if (const ShardRequestIndex named = queries_.find_shard_request(id); named != IdIndex::none) {
         for (const ShardRequestIndex index :
@@ -294,7 +296,7 @@
     if (wait > 0) shard_request.not_before = now_ + wait;
 }
 
-// A shard request that is still out at the latency objective is as good as timed out.
+// A shard request that is unanswered at the latency objective counts as timed out.
 void QueryRouter::State::record_overdue(const Query& query) {
     if (now_ < query.objective_at) return;
     for (const ShardRequestIndex index : query.shard_requests) {
@@ -345,7 +347,7 @@
     }
 }
 
-// False where no replica may be sent it now.
+// Returns false if no replica may receive the attempt now.
 bool QueryRouter::State::send_attempt(ShardRequest& shard_request) {
     const NodeIndex node = nodes_.send(shard_request, now_);
     if (node == no_node) return false;
--- a/src/router/query_router.hpp
+++ b/src/router/query_router.hpp
@@ -1,5 +1,5 @@
-// The interface of the decision module: router_config.hpp has what it is told at start, round_events.hpp what
-// comes in, decision_sink.hpp what goes out.
+// The interface of the decision module. Its configuration is declared in router_config.hpp, its input in
+// round_events.hpp and its output in decision_sink.hpp.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +13,32 @@
 
 namespace tealcart {
 
-// What the module makes of a ready data node, for those who share its view without its queries.
+// The module's view of the capacity of a ready data node, for components that send no queries through it.
 struct NodeCapacityShare {
     std::uint32_t node = 0;
-    double share = 1;  // of a warm node's load that it may be given now, by all routers together
+    double share = 1;  // share of a warm node's load that all routers together may send it now
 };
 
-// How often a shard request of a query class may be sent once an attempt of it may have run, and for how long
-// after the first time (nanoseconds); 0 for no bound of its own.
+// The bounds on attempts of a shard request once one of them may have run.
 struct RetryLimits {
     int max_attempts = 1;
-    Nanos window = 0;
+    Nanos window = 0;  // nanoseconds since the first attempt; 0 for no bound
 };
 
-// Decides for one incarnation of one query router. Not thread-safe; does no I/O and reads no clock. The same
-// configuration, seed and rounds give the same decisions.
+// Makes the decisions of one incarnation of a query router. It is not thread-safe, does no I/O and reads no
+// clock. The same configuration, seed and rounds always give the same decisions.
 class QueryRouter {
   public:
     QueryRouter(const RouterConfig& config, std::uint64_t seed);
     ~QueryRouter();
     QueryRouter(QueryRouter&&) noexcept;
 
-    // One round: plays what came in and writes all that follows from it. `now` never goes back.
+    // Runs a round: processes `events` and writes the resulting decisions to `sink`. `now` must not decrease.
     void round(Nanos now, RoundEvents& events, DecisionSink& sink);
 
+    // Returns the capacity shares of all ready nodes.
     std::vector<NodeCapacityShare> capacity_shares(Nanos now);
+    // Returns the bounds on attempts that hold for the query class.
     RetryLimits retry_limits(std::uint16_t query_class) const;
 
   private:
--- a/src/router/replica_selector.cpp
+++ b/src/router/replica_selector.cpp
@@ -6,15 +6,15 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double max_slowness = 1.2;  // times the best: a replica that is slower loses its turn
+constexpr double max_slowness = 1.2;  // multiple of the best replica's latency; slower ones are skipped
 
 }  // namespace
 
-// The replicas that a shard request may go to.
+// The replicas that a shard request may be sent to.
 struct ReplicaSelector::Candidates {
-    std::vector<NodeIndex> nodes;  // by place and id
-    bool any_healthy = false;      // not all are ejected or probing
-    double best = HUGE_VAL;        // least time until served, among the eligible
+    std::vector<NodeIndex> nodes;  // ordered by place and id
+    bool any_healthy = false;      // at least one is neither ejected nor being probed
+    double best = HUGE_VAL;        // least expected time until served among eligible nodes
 };
 
 ReplicaSelector::ReplicaSelector(const RouterConfig& config, const EndpointTable& endpoints,
@@ -39,7 +39,8 @@
 NodeIndex ReplicaSelector::select(const ShardRequest& shard_request, Nanos now) {
     Candidates candidates = find_candidates(shard_request, now);
     std::vector<NodeIndex>& nodes = candidates.nodes;
-    // Among how many replicas the turn is, as slow start counts it: a retry takes any that is left.
+    // The number of replicas that slow start assumes the choice is among. A retry takes any replica that is
+    // left.
     std::ptrdiff_t eligible = 0;
     if (!shard_request.attempts.empty()) {
         eligible = 1;
@@ -108,7 +109,8 @@
     return latency_.expected_until_served(node, now) <= max_slowness * candidates.best + call_overhead_;
 }
 
-// How many places from its turn the chosen candidate is; the number of candidates where there is none.
+// Returns the offset of the chosen candidate from the round-robin position, or the number of candidates if
+// none may be chosen.
 std::size_t ReplicaSelector::first_in_turn(const Candidates& candidates, std::uint32_t turn,
                                            Nanos now) const {
     const std::vector<NodeIndex>& nodes = candidates.nodes;
--- a/src/router/replica_selector.hpp
+++ b/src/router/replica_selector.hpp
@@ -1,9 +1,10 @@
-// Which replica of its shard an attempt goes to.
+// Replica selection: chooses the replica that an attempt is sent to.
 //
-// Replicas take turns. Passed over is one that is ejected, unless all are; one that is expected to take much
-// longer than the best; one that is warming up and has had enough; one that has been sent the shard request
-// already. Where a call costs a node work of its own, a replica that this round's call already goes to is
-// taken before the next in turn, unless it is slower than the best by more than that cost.
+// Replicas are selected round-robin. A replica is skipped if it is ejected (unless all are), if it is
+// expected to be much slower than the best one, if it is warming up and has received its share, or if it has
+// been sent the shard request already. If each call costs a node extra work, a replica that receives a call
+// in this round anyway is preferred over the next in turn, unless it is slower than the best by more than
+// that cost.
 #pragma once
 
 #include <cstdint>
@@ -19,27 +20,31 @@
 
 namespace tealcart::router {
 
+// Keeps the round-robin position of each shard.
 class ReplicaSelector {
   public:
-    // The references outlive the selector. `random` is drawn from once for each shard, for its first turn.
+    // The referenced objects must outlive the selector. `random` is drawn from once per shard, for its
+    // initial round-robin position.
     ReplicaSelector(const RouterConfig& config, const EndpointTable& endpoints,
                     const LatencyEstimator& latency, const OutlierDetector& outliers, SlowStart& slow_start,
                     std::knuth_b& random);
 
-    // Ends the calls of the last round.
+    // Forgets which nodes were sent shard requests in the previous round.
     void begin_round();
     void add_node(NodeIndex node) { reset_node(node, sent_this_round_); }
 
-    // Takes a turn for the shard request; no_node where no replica may be sent it now.
+    // Selects a replica for the shard request and advances its shard's position. Returns no_node if no
+    // replica may receive it now.
     NodeIndex select(const ShardRequest& shard_request, Nanos now);
-    // Counts a shard request that goes with this round's call to the node.
+    // Counts a shard request as part of this round's call to the node.
     void record_sent(NodeIndex node);
 
+    // The result of best_replica.
     struct Best {
         NodeIndex node = no_node;
-        double answer_in = 0;  // nanoseconds; infinite where there is no node
+        double answer_in = 0;  // nanoseconds; infinite if there is no node
     };
-    // The ready replica that an answer would come from first, and when.
+    // The ready replica that is expected to answer first, and in what time.
     Best best_replica(std::uint32_t shard, Nanos now) const;
 
   private:
@@ -58,7 +63,7 @@
     int max_requests_per_call_;
     double call_overhead_;
     std::vector<std::uint32_t> turns_;  // by shard
-    std::vector<int> sent_this_round_;  // by node: shard requests of this round's call
+    std::vector<int> sent_this_round_;  // by node: shard requests in this round's call
     std::vector<NodeIndex> called_this_round_;
 };
 
--- a/src/router/retry_budget.hpp
+++ b/src/router/retry_budget.hpp
@@ -1,5 +1,5 @@
-// The retry budget: retries of a window are held to a share of the queries and shard requests that came in.
-// A round's margin is kept at both ends of the window.
+// The retry budget: limits the retries within a sliding window to a base number plus a share of the queries
+// and shard requests that arrived in it. Both ends of the window keep a margin of one round.
 #pragma once
 
 #include <deque>
@@ -8,6 +8,7 @@
 
 namespace tealcart::router {
 
+// Records arrivals and retries of the window.
 class RetryBudget {
   public:
     explicit RetryBudget(const RouterConfig& config)
@@ -15,7 +16,7 @@
           ratio_(config.retry_budget_ratio), window_(config.retry_budget_window),
           margin_(config.round_interval) {}
 
-    // Forgets what has left the window.
+    // Forgets arrivals and retries that have left the window.
     void begin_round(Nanos now) {
         while (!arrived_at_.empty() && arrived_at_.front() <= now - window_ + margin_)
             arrived_at_.pop_front();
@@ -30,6 +31,7 @@
         if (is_enabled_) retried_at_.push_back(now);
     }
 
+    // Whether one more retry is within the budget.
     bool allows_retry() const {
         const double max_retries = base_ + ratio_ * static_cast<double>(arrived_at_.size());
         return !is_enabled_ || retried_at_.size() + 1.0 <= max_retries;
--- a/src/router/retry_policy.cpp
+++ b/src/router/retry_policy.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr Nanos caution_after_reset = 5 * second;
-constexpr int max_resets = 2;                // of a query of which nothing has come back, or ...
-constexpr int max_resets_one_at_a_time = 1;  // ... that is sent one shard request at a time
+constexpr int max_resets = 2;                // resets before an unanswered query is suspected
+constexpr int max_resets_one_at_a_time = 1;  // the same for a query that is sent one shard request at a time
 
 }  // namespace
 
--- a/src/router/retry_policy.hpp
+++ b/src/router/retry_policy.hpp
@@ -1,5 +1,5 @@
-// Whether a shard request may be sent again, by its query class's effect and idempotency window, the bound on
-// attempts, and whether its query is suspected to bring nodes down.
+// Decides whether a shard request may be sent again, from the effect and idempotency window of its query
+// class, the bound on attempts, and whether its query is suspected to crash nodes.
 #pragma once
 
 #include <vector>
@@ -10,25 +10,28 @@
 
 namespace tealcart::router {
 
+// Holds the retry rules and the time of the last connection reset.
 class RetryPolicy {
   public:
-    // `margin`: kept from the end of an idempotency window.
+    // `margin` is subtracted from idempotency windows.
     RetryPolicy(const RouterConfig& config, Nanos margin)
         : max_attempts_(config.max_attempts), margin_(margin) {}
 
-    // Whether the bound on attempts and the effect of those that may have run allow another.
+    // Whether another attempt is allowed by the bound on attempts and by the effect of those that may have
+    // run.
     bool may_retry(const QueryClassConfig& config, const ShardRequest& shard_request, Nanos now) const;
-    // Whether earlier legs have used up all attempts.
+    // Whether earlier phases have used up all attempts.
     bool is_exhausted(int attempts_used) const { return attempts_used >= max_attempts_; }
     RetryLimits limits(const QueryClassConfig& config) const;
 
-    // An attempt broke its connection.
+    // An attempt ended because its connection was reset.
     void record_reset(Nanos now) { last_reset_at_ = now; }
-    // Whether the shard requests of a query that is a marked retry go out one at a time, until one is
-    // answered: soon after a reset, it may be the query that caused it.
+    // Whether the shard requests of a query are sent one at a time until one is answered. This holds for a
+    // marked retry soon after a reset, since it may be the query that caused the reset.
     bool sends_one_at_a_time(bool is_retry, Nanos now) const;
-    // Whether a query may be what brings nodes down: attempts of it ended in resets and none has come back.
-    // It gets no further attempts. One answer clears it, so that an ordinary crash costs a query nothing.
+    // Whether the query may be one that crashes nodes: its attempts ended in resets and none was answered.
+    // Such a query gets no further attempts. One answer clears the suspicion, so that a query survives an
+    // ordinary crash of a node.
     bool is_suspected_poison(const Query& query) const;
 
   private:
--- a/src/router/round_events.hpp
+++ b/src/router/round_events.hpp
@@ -1,4 +1,4 @@
-// What comes in to a round of the decision module.
+// The input events of the decision module.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,18 @@
 
 namespace tealcart {
 
-// Whether an endpoint may be sent new work, as the endpoint list states it.
+// The state of an endpoint in the endpoint list. Only a ready one is sent new attempts.
 enum class Lifecycle : std::uint8_t { removed = 0, ready = 1, draining = 2 };
 
-// delta: changes of the list that stands. full, cached: the list anew, cached without a watch behind it.
-// failed: no list could be had.
+// A delta changes the current list; full and cached replace it. A cached list comes without a watch that
+// would update it. failed means that the list could not be fetched.
 enum class ListKind : std::uint8_t { delta = 0, full = 1, cached = 2, failed = 3 };
 
 // How an attempt ended.
 enum class Outcome : std::uint8_t {
     error = 0,
     ok = 1,
-    overloaded = 2,  // turned away by the node before it ran
+    overloaded = 2,  // rejected by the node before it ran
     timeout = 3,
     connect_failed = 4,
     reset = 5,
@@ -32,44 +32,47 @@
     std::uint32_t node = 0;
     std::uint32_t place = 0;
     Lifecycle lifecycle = Lifecycle::removed;
-    Nanos started_at = 0;     // 0: long ago
+    Nanos started_at = 0;     // 0 if long ago
     std::uint32_t group = 0;  // nodes of one zone and machine kind share a group
 };
 
-// A query that a client has sent, or one leg of it. Times are of the caller's clock, in nanoseconds.
+// A query from a client, or one phase of a two-phase query. Times are those of the caller's clock, in
+// nanoseconds.
 struct QueryArrival {
     std::uint32_t id = 0;
-    std::uint32_t correlation_id = 0;  // ties its shard requests to it
+    std::uint32_t correlation_id = 0;  // shard requests of the query carry the same value
     std::uint16_t query_class = 0;
     std::uint32_t tenant = 0;
     Nanos deadline_at = 0;
     bool is_retry = false;  // marked by the client as a retry
-    // Of a query in legs (docs/design-two-phase.md), each of which arrives as a query of its own:
-    Nanos first_arrival_at = 0;  // a later leg: when the first arrived, from which its times count; 0 for now
-    Nanos phase_deadline_at = 0;  // a leg that is answered at this time with whatever is in; 0 for none
+    // Set for phases of a two-phase query, each of which arrives as a query of its own.
+    // In a later phase, the arrival of the first one, from which the latency objective counts; 0 for now.
+    Nanos first_arrival_at = 0;
+    // When the phase ends with the answers that are in; 0 for none.
+    Nanos phase_deadline_at = 0;
 };
 
-// What a query wants of one shard.
+// The request of a query to one shard.
 struct ShardRequestArrival {
     std::uint32_t id = 0;
     std::uint32_t correlation_id = 0;
     std::uint32_t shard = 0;
     double weight = 0;
-    Nanos cost_hint = 0;    // a guess of its cost, 0 for none
-    int attempts_used = 0;  // attempts of earlier legs, which count toward max_attempts
-    bool answered = false;  // an earlier leg has its answer
+    Nanos cost_hint = 0;    // estimate of its cost; 0 for none
+    int attempts_used = 0;  // attempts of earlier phases, which count toward max_attempts
+    bool answered = false;  // an earlier phase got its answer
 };
 
-// The end of an attempt; `latency` in nanoseconds.
+// The result of an attempt.
 struct AttemptResult {
     std::uint32_t shard_request = 0;
     std::uint32_t node = 0;
-    std::uint8_t attempt = 0;  // from 0, in the order of sending
+    std::uint8_t attempt = 0;  // index among the shard request's attempts, in sending order
     Outcome outcome = Outcome::not_sent;
-    Nanos latency = 0;  // from the decision to send
+    Nanos latency = 0;  // nanoseconds since the decision to send it
 };
 
-// Called by `RoundEvents::deliver`, one call a record, in the order in which they came in.
+// Receives the events of a round from RoundEvents::deliver, in order of arrival.
 class RoundEventHandler {
   public:
     virtual ~RoundEventHandler() = default;
@@ -77,15 +80,16 @@
     virtual void on_query(const QueryArrival& arrival) = 0;
     virtual void on_shard_request(const ShardRequestArrival& arrival) = 0;
     virtual void on_attempt_result(const AttemptResult& end) = 0;
-    // A query that its client gave up, or the shard request by which it is known.
+    // A client has abandoned its query. `query` is the id of the query or of one of its shard requests.
     virtual void on_query_dropped(std::uint32_t query) = 0;
     virtual void on_timer(std::uint64_t cookie) = 0;
 };
 
-// All that came in since the last round.
+// The events since the last round.
 class RoundEvents {
   public:
     virtual ~RoundEvents() = default;
+    // Calls the method of `handler` for each event, in order of arrival.
     virtual void deliver(RoundEventHandler& handler) = 0;
 };
 
--- a/src/router/slow_start.cpp
+++ b/src/router/slow_start.cpp
@@ -6,10 +6,10 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double usable_share = 0.8;                     // of what may bring a warming node down
-constexpr double min_attempt_cost = 20.0 * millisecond;  // of the node's time, for lack of a better guess
-constexpr int min_in_flight = 2;                         // at a warming node, and ...
-constexpr int warm_in_flight = 3;                        // ... so many more as it gets warm
+constexpr double usable_share = 0.8;                     // of the load that may overload a warming node
+constexpr double min_attempt_cost = 20.0 * millisecond;  // least node time assumed per attempt
+constexpr int min_in_flight = 2;                         // limit at a node that has just started
+constexpr int warm_in_flight = 3;                        // increase of the limit as the node gets warm
 
 }  // namespace
 
@@ -55,13 +55,13 @@
     attempts_ = {attempts_in_window(now) + 1, now};
 }
 
-// This router's share of the attempts that all may send the node in a window.
+// This router's share of the attempts that all routers may send to the node per window.
 double SlowStart::max_attempts_in_window(double warm_fraction) const {
     const double attempt_cost = std::max(latency_.base_latency_or_hint(), min_attempt_cost);
     return usable_multiple_ / routers_ * warm_fraction * window_ / attempt_cost;
 }
 
-// How likely this router is to want an attempt at the node within a window; may exceed 1.
+// The expected number of attempts that this router wants to send to the node per window; may exceed 1.
 double SlowStart::chance_wanted(std::ptrdiff_t eligible_replicas, Nanos now) const {
     if (eligible_replicas <= 0) return 1;
     const double observed_share = 1 - std::exp((began_at_ - now) / static_cast<double>(window_));
--- a/src/router/slow_start.hpp
+++ b/src/router/slow_start.hpp
@@ -1,10 +1,11 @@
-// Slow start: how much a node that has started a while ago may be sent, until it is warm.
+// Slow start: limits the attempts that a recently started node is sent until it is warm.
 //
-// A warming node carries a growing fraction of its capacity, and load beyond a multiple of that brings it
-// down. It gets few attempts at a time, and in a window at most this router's share of what the fleet may
-// send it. A share of under one attempt is drawn by chance once a window, so that the sum over all routers
-// keeps to the bound: against how many routers are likely to want an attempt there, which is told from this
-// router's own traffic and the replicas left.
+// A warming node can serve a growing fraction of its capacity, and load beyond a multiple of that makes it
+// fail. It is sent few attempts at a time, and per window at most this router's share of what the fleet may
+// send it. If that share is less than one attempt, a random draw per window decides whether this router sends
+// one, so that the sum over all routers stays within the bound. The draw accounts for how many routers are
+// likely to want an attempt there, which is estimated from this router's own traffic and the remaining
+// replicas.
 #pragma once
 
 #include <deque>
@@ -18,23 +19,25 @@
 
 namespace tealcart::router {
 
+// Keeps the recent attempts of warming nodes.
 class SlowStart {
   public:
-    // The references outlive the object. `random` is drawn from once for each node and window.
+    // The referenced objects must outlive this one. `random` is drawn from once per warming node and window.
     SlowStart(const RouterConfig& config, const EndpointTable& endpoints, const NodeActivity& activity,
               const LatencyEstimator& latency, std::knuth_b& random);
 
-    // Traffic is counted from `now` on.
+    // Starts to count traffic at `now`.
     void begin(Nanos now) { began_at_ = now; }
     void add_node(NodeIndex node) { reset_node(node, sent_at_, drawn_at_, drawn_); }
 
-    // The least fraction of its capacity that the node has: 1 where it is warm.
+    // The fraction of its capacity that the node has at least; 1 if it is warm.
     double warm_fraction(NodeIndex node, Nanos now) const;
-    // The fraction of a warm node's load that all routers together may send the node.
+    // The fraction of a warm node's load that all routers together may send to the node.
     double capacity_share(NodeIndex node, Nanos now) const;
 
-    // Whether the node may be sent an attempt now. `eligible_replicas`: among how many replicas the choice
-    // is; 0 where the node is the only replica left, for which every router that has waited wants one.
+    // Whether the node may be sent an attempt now. `eligible_replicas` is the number of replicas that the
+    // choice is among; 0 if the node is the only one left, so that every router that has waited wants an
+    // attempt there.
     bool admits(NodeIndex node, std::ptrdiff_t eligible_replicas, Nanos now);
 
     void record_attempt(NodeIndex node, Nanos now);
@@ -50,16 +53,16 @@
     std::knuth_b& random_;
     double min_fraction_;
     Nanos duration_;
-    double usable_multiple_;  // of a warming node's capacity, that all routers together may use in a window
+    double usable_multiple_;  // of a warming node's capacity that all routers together may use per window
     Nanos window_;
     Nanos round_interval_;
     int routers_;
     int replicas_per_shard_;
     Nanos began_at_ = 0;
-    DecayingValue attempts_;                  // to all nodes, in a window
-    std::vector<std::deque<Nanos>> sent_at_;  // attempts of the window to a warming node
-    std::vector<Nanos> drawn_at_;             // start of the node's window ...
-    std::vector<double> drawn_;               // ... and its number from 0 to 1: the less, the sooner
+    DecayingValue attempts_;                  // to all nodes, per window
+    std::vector<std::deque<Nanos>> sent_at_;  // recent attempts to a warming node
+    std::vector<Nanos> drawn_at_;             // start of the node's window
+    std::vector<double> drawn_;  // random number from 0 to 1 for the window; low ones admit attempts
 };
 
 }  // namespace tealcart::router
--- a/src/router/tenant_quota.cpp
+++ b/src/router/tenant_quota.cpp
@@ -5,9 +5,9 @@
 namespace tealcart::router {
 namespace {
 
-constexpr double uneven_share_factor = 1.5;  // times the even share of a quota over the routers
+constexpr double uneven_share_factor = 1.5;  // multiple of a router's even share of the quota
 constexpr double min_burst = 4;              // queries
-constexpr double burst_seconds = 2;          // of the bucket's rate
+constexpr double burst_seconds = 2;          // bucket size as a multiple of its rate
 
 }  // namespace
 
--- a/src/simwire/adapter.cpp
+++ b/src/simwire/adapter.cpp
@@ -8,7 +8,7 @@
 
 namespace tealcart::simwire {
 
-// The records of one instance, played as events of a round.
+// Delivers the records of one instance as the events of a round.
 class Adapter::BatchEvents final : public RoundEvents {
   public:
     explicit BatchEvents(const Instance& instance) : instance_(instance) {}
@@ -42,7 +42,7 @@
             case EventCode::wakeup:
                 return handler.on_timer(fields.take<std::uint64_t>());
             default:
-                return;  // gossip, streams and health checks, none of which this router starts
+                return;  // gossip, streams and health checks are not used by this router
         }
     }
 
@@ -60,14 +60,17 @@
     instances_[id] = std::move(instance);
 }
 
-// A page is bound where its list event stands, since a later record of the batch may replace it.
+// Binds the page when its list event is read, since a later record of the batch may replace the page.
 Adapter::SharedEndpoints Adapter::bind_list_page(const ListEvent& event, const Deployment& deployment) const {
     if (event.kind == ListKind::failed) return nullptr;
     if (event.page >= pages_.size() || !pages_[event.page])
-        throw WireError("list page " + std::to_string(event.page) + " was never sent");
+        throw WireError("list event refers to list page " + std::to_string(event.page) +
+                        ", which was never sent");
     for (const Endpoint& entry : *pages_[event.page])
         if (entry.place >= deployment.places)
-            throw WireError("a list entry names a place beyond extra.places");
+            throw WireError("list entry of node " + std::to_string(entry.node) + " has place " +
+                            std::to_string(entry.place) + "; expected less than extra.places (" +
+                            std::to_string(deployment.places) + ")");
     return pages_[event.page];
 }
 
@@ -77,7 +80,8 @@
     if (code == EventCode::inventory) {
         ListPage page = read_list_page(fields);
         if (page.page >= pages_.size())
-            throw WireError("list page " + std::to_string(page.page) + " is beyond the last");
+            throw WireError("list page " + std::to_string(page.page) +
+                            " is out of range; expected less than " + std::to_string(pages_.size()));
         pages_[page.page] = std::make_shared<const std::vector<Endpoint>>(std::move(page.entries));
         return;
     }
@@ -90,7 +94,8 @@
     if (code == EventCode::init) start_instance(id, fields);
     const auto found = instances_.find(id);
     if (found == instances_.end())
-        throw WireError("a record for router " + std::to_string(id) + ", which has not been started");
+        throw WireError("record of code " + std::to_string(static_cast<int>(code)) + " is for router " +
+                        std::to_string(id) + ", which has not been started");
     Instance& instance = found->second;
     if (std::find(order.begin(), order.end(), id) == order.end()) order.push_back(id);
     if (code == EventCode::init) return;
@@ -104,14 +109,16 @@
     const Nanos now = header.take_time("the clock");
     const auto record_count = header.take<std::uint32_t>();
     const auto batch_number = header.take<std::uint32_t>();
-    std::vector<std::uint32_t> order;  // instances with records, in the order in which they first occur
+    std::vector<std::uint32_t> order;  // instances with records, in order of their first record
     std::string_view rest = batch.substr(header.position());
     for (std::uint32_t i = 0; i < record_count; ++i) {
         const std::size_t size = record_size(rest);
         dispatch(rest.substr(0, size), order);
         rest.remove_prefix(size);
     }
-    if (!rest.empty()) throw WireError("a batch goes on behind its last record");
+    if (!rest.empty())
+        throw WireError("batch has " + std::to_string(rest.size()) +
+                        " bytes after its last record; expected none");
 
     std::string actions;
     std::uint32_t action_count = 0;
--- a/src/simwire/records.hpp
+++ b/src/simwire/records.hpp
@@ -1,5 +1,6 @@
-// The records of the simulator's wire: event records in, action records out. The only place that knows their
-// codes and layouts; docs/glossary.md lists which record is which event. All readers throw WireError.
+// The records of the simulator's wire format: event records that are read and action records that are
+// written. Only this module knows their codes and layouts; docs/glossary.md maps records to events. All
+// readers throw WireError.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,7 @@
 
 namespace tealcart::simwire {
 
-// Codes of received records, by the wire's own names.
+// The codes of received records, under the names that the wire format gives them.
 enum class EventCode : std::uint8_t {
     dropped = 1,
     inbox = 2,
@@ -27,24 +28,24 @@
     wakeup = 11
 };
 
-// The size in bytes of the record at the front of `batch`, its code included. Throws where the code is
-// unknown or a counted field is longer than the batch.
+// Returns the size in bytes of the record at the front of `batch`, including its code. Throws if the code is
+// unknown or the record is longer than the batch.
 std::size_t record_size(std::string_view batch);
 
-// The code of a complete record, and a reader of the fields behind it.
+// Return the code of a complete record, and a reader of the fields after it.
 EventCode code_of(std::string_view record);
 ByteReader fields_of(std::string_view record);
 
-// `inventory`: a list page, with entries that later records refer to.
+// An `inventory` record: a list page whose entries later records refer to.
 struct ListPage {
     std::uint8_t page = 0;
     std::vector<Endpoint> entries;
 };
 ListPage read_list_page(ByteReader fields);
 
-// The readers below begin behind the router's id.
+// The readers below start after the router's id.
 
-// `backends_changed`: the page means nothing for ListKind::failed.
+// A `backends_changed` record. The page is unused for ListKind::failed.
 struct ListEvent {
     ListKind kind = ListKind::delta;
     std::uint8_t page = 0;
@@ -53,19 +54,19 @@
 
 AttemptResult read_attempt_result(ByteReader& fields);
 
-// What a router was started with, against which arrivals are checked.
+// The sizes from a router's settings against which arrivals are checked.
 struct Deployment {
     std::size_t places = 0;
     std::size_t query_classes = 0;
     std::size_t shards = 0;
 };
-// `demand`: a query, or a shard request of one; handed to the matching method of `handler`.
+// Reads a `demand` record, which is a query or one of its shard requests, and passes it to `handler`.
 void deliver_arrival(ByteReader& fields, const Deployment& deployment, RoundEventHandler& handler);
 
 // Writes the decisions of one router as action records.
 class ActionWriter final : public DecisionSink {
   public:
-    // Appends to `out` and counts the records in `count`; both must outlive the writer.
+    // Appends records to `out` and adds their number to `count`. Both must outlive the writer.
     ActionWriter(std::uint32_t router, std::string& out, std::uint32_t& count)
         : router_(router), out_(out), count_(count) {}
 
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -35,7 +35,7 @@
 
 ControlConfig control_config() {
     ControlConfig config;
-    config.on = true;
+    config.enabled = true;
     config.node_limit = 10;
     return config;
 }
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -1,5 +1,5 @@
-// Lists of data nodes as they are read and kept, beside slow plain models: the list's text read as a tree,
-// the nodes looked through one by one. What a list may cost is held by counts of what was looked at.
+// Compares the endpoint list parser and NodeTable with simple, slow reference implementations, and checks the
+// cost of applying lists by counting the entries examined.
 #include <rapidcheck.h>
 
 #include <algorithm>
@@ -19,53 +19,56 @@
 
 using Json = nlohmann::json;
 
-// The model of read_endpoint_list: all of the text as a tree.
-namespace plain {
+// Reference implementations, which are slow but simple. This read_endpoint_list parses the whole text into a
+// tree.
+namespace reference {
 
-const Json* member(const Json& in, const char* key) {
-    if (!in.is_object()) return nullptr;
-    const auto it = in.find(key);
-    return it == in.end() ? nullptr : &*it;
+const Json* member(const Json& json, const char* key) {
+    if (!json.is_object()) return nullptr;
+    const auto it = json.find(key);
+    return it == json.end() ? nullptr : &*it;
 }
 
-std::optional<std::string> text_of(const Json& in, const char* key) {
-    const Json* value = member(in, key);
+std::optional<std::string> text_of(const Json& json, const char* key) {
+    const Json* value = member(json, key);
     if (value == nullptr || !value->is_string()) return std::nullopt;
     return value->get<std::string>();
 }
 
-std::optional<ListedEndpoint> read_node(const Json& in, std::uint32_t places) {
-    const auto id = text_of(in, "instanceId"), address = text_of(in, "hostPort"), zone = text_of(in, "zone"),
-               kind = text_of(in, "machineType"), state = text_of(in, "lifecycle");
-    const Json* cell = member(in, "cell");
-    const bool placed = cell != nullptr && cell->is_number_unsigned() && cell->get<std::uint64_t>() < places;
-    if (!id || id->empty() || !state) return std::nullopt;
+std::optional<ListedEndpoint> read_node(const Json& json, std::uint32_t places) {
+    const auto id = text_of(json, "instanceId"), address = text_of(json, "hostPort"),
+               zone = text_of(json, "zone"), kind = text_of(json, "machineType"),
+               lifecycle = text_of(json, "lifecycle");
+    const Json* cell = member(json, "cell");
+    const bool has_place =
+        cell != nullptr && cell->is_number_unsigned() && cell->get<std::uint64_t>() < places;
+    if (!id || id->empty() || !lifecycle) return std::nullopt;
     ListedEndpoint node{
         *id, address.value_or(""), zone.value_or(""), kind.value_or(""), 0, Lifecycle::removed, 0};
-    if (placed) node.place = cell->get<std::uint32_t>();
-    if (*state == "removed") return node;
-    if (*state == "draining")
+    if (has_place) node.place = cell->get<std::uint32_t>();
+    if (*lifecycle == "removed") return node;
+    if (*lifecycle == "draining")
         node.lifecycle = Lifecycle::draining;
-    else if (*state == "up")
+    else if (*lifecycle == "up")
         node.lifecycle = Lifecycle::ready;
     else
         return std::nullopt;
-    if (!placed || !address || !parse_host_port(*address) || !zone || !kind) return std::nullopt;
-    const Json* started = member(in, "startedAtMs");
+    if (!has_place || !address || !parse_host_port(*address) || !zone || !kind) return std::nullopt;
+    const Json* started = member(json, "startedAtMs");
     const double at = started != nullptr && started->is_number() ? started->get<double>() : -1;
     if (std::isfinite(at) && at >= 0 && at < 9e12) node.started_at = static_cast<Nanos>(at) * 1'000'000;
     return node;
 }
 
 std::optional<EndpointList> read_endpoint_list(std::string_view body, std::uint32_t places) {
-    const Json in = Json::parse(body, nullptr, false);
-    const Json* generation = member(in, "generation");
-    const Json* whole = member(in, "reset");
-    const Json* instances = member(in, "instances");
-    if (generation == nullptr || !generation->is_number_unsigned() || whole == nullptr ||
-        !whole->is_boolean() || instances == nullptr || !instances->is_array())
+    const Json json = Json::parse(body, nullptr, false);
+    const Json* generation = member(json, "generation");
+    const Json* full = member(json, "reset");
+    const Json* instances = member(json, "instances");
+    if (generation == nullptr || !generation->is_number_unsigned() || full == nullptr ||
+        !full->is_boolean() || instances == nullptr || !instances->is_array())
         return std::nullopt;
-    EndpointList list{generation->get<std::uint64_t>(), whole->get<bool>(), {}, 0};
+    EndpointList list{generation->get<std::uint64_t>(), full->get<bool>(), {}, 0};
     for (const Json& entry : *instances) {
         if (auto node = read_node(entry, places))
             list.nodes.push_back(std::move(*node));
@@ -75,23 +78,23 @@
     return list;
 }
 
-// The model of NodeList: what is gone in one line, and every node looked through.
+// This NodeTable keeps removed nodes in one queue and searches all nodes for each entry.
 struct NodeTable {
     struct Node {
         std::string id, address;
         Lifecycle lifecycle = Lifecycle::removed;
         Nanos started_at = 0;
-        bool named = false;
+        bool is_listed = false;
     };
     std::map<std::uint32_t, Node> nodes;
     std::vector<std::string> groups;
-    std::deque<std::uint32_t> gone;
-    std::size_t most = 0;
-    std::uint32_t next = 0;
+    std::deque<std::uint32_t> removed;
+    std::size_t max_present = 0;
+    std::uint32_t next_index = 0;
 
-    std::optional<std::uint32_t> number_of(const std::string& id) const {
-        for (const auto& [n, node] : nodes)
-            if (node.id == id) return n;
+    std::optional<std::uint32_t> index_of(const std::string& id) const {
+        for (const auto& [index, node] : nodes)
+            if (node.id == id) return index;
         return std::nullopt;
     }
     std::size_t ready() const {
@@ -100,55 +103,57 @@
         }));
     }
 
-    tealcart::NodeTable::Changes take(const EndpointList& list) {
-        tealcart::NodeTable::Changes news;
-        std::set<std::uint32_t> turned;
-        for (auto& [n, node] : nodes) node.named = false;
+    tealcart::NodeTable::Changes apply(const EndpointList& list) {
+        tealcart::NodeTable::Changes changes;
+        std::set<std::uint32_t> toggled;
+        for (auto& [index, node] : nodes) node.is_listed = false;
         for (const ListedEndpoint& entry : list.nodes) {
-            const bool goes = entry.lifecycle == Lifecycle::removed;
-            const auto known = number_of(entry.id);
-            if (goes && !known) continue;
-            const std::uint32_t n = known ? *known : next++;
-            Node& node = nodes[n];
+            const bool is_removed = entry.lifecycle == Lifecycle::removed;
+            const auto known = index_of(entry.id);
+            if (is_removed && !known) continue;
+            const std::uint32_t index = known ? *known : next_index++;
+            Node& node = nodes[index];
             node.id = entry.id;
-            if (!known) news.added.push_back(n);
-            node.named = true;
+            if (!known) changes.added.push_back(index);
+            node.is_listed = true;
             const std::string group = entry.zone + '\n' + entry.kind;
             const auto at = std::find(groups.begin(), groups.end(), group) - groups.begin();
-            if (!goes && at == static_cast<std::ptrdiff_t>(groups.size())) groups.push_back(group);
-            news.entries.push_back(
-                {n, entry.place, entry.lifecycle, entry.started_at, static_cast<std::uint32_t>(at)});
-            if (goes != (node.lifecycle == Lifecycle::removed)) turned.insert(n);
+            if (!is_removed && at == static_cast<std::ptrdiff_t>(groups.size())) groups.push_back(group);
+            changes.entries.push_back(
+                {index, entry.place, entry.lifecycle, entry.started_at, static_cast<std::uint32_t>(at)});
+            if (is_removed != (node.lifecycle == Lifecycle::removed)) toggled.insert(index);
             if (entry.lifecycle != Lifecycle::ready && node.lifecycle == Lifecycle::ready)
-                news.leaving.push_back(n);
-            else if (!goes && known && (entry.address != node.address || entry.started_at != node.started_at))
-                news.moved.push_back(n);
+                changes.leaving.push_back(index);
+            else if (!is_removed && known &&
+                     (entry.address != node.address || entry.started_at != node.started_at))
+                changes.moved.push_back(index);
             node.lifecycle = entry.lifecycle;
-            if (goes) continue;
+            if (is_removed) continue;
             node.address = entry.address;
             node.started_at = entry.started_at;
         }
-        for (auto& [n, node] : nodes) {
-            if (!list.full || node.named || node.lifecycle == Lifecycle::removed) continue;
-            if (node.lifecycle == Lifecycle::ready) news.leaving.push_back(n);
+        for (auto& [index, node] : nodes) {
+            if (!list.full || node.is_listed || node.lifecycle == Lifecycle::removed) continue;
+            if (node.lifecycle == Lifecycle::ready) changes.leaving.push_back(index);
             node.lifecycle = Lifecycle::removed;
-            turned.insert(n);
+            toggled.insert(index);
         }
-        for (const std::uint32_t n : turned) {
-            std::erase(gone, n);
-            if (nodes[n].lifecycle == Lifecycle::removed) gone.push_back(n);
+        for (const std::uint32_t index : toggled) {
+            std::erase(removed, index);
+            if (nodes[index].lifecycle == Lifecycle::removed) removed.push_back(index);
         }
-        most = std::max(most, nodes.size() - gone.size());
-        for (; gone.size() > most; gone.pop_front()) nodes.erase(gone.front());
-        std::sort(news.leaving.begin(), news.leaving.end());
-        return news;
+        max_present = std::max(max_present, nodes.size() - removed.size());
+        for (; removed.size() > max_present; removed.pop_front()) nodes.erase(removed.front());
+        std::sort(changes.leaving.begin(), changes.leaving.end());
+        return changes;
     }
 };
 
-}  // namespace plain
+}  // namespace reference
 
-auto of(const ListedEndpoint& n) {
-    return std::tuple(n.id, n.address, n.zone, n.kind, n.place, n.lifecycle, n.started_at);
+auto fields_of(const ListedEndpoint& node) {
+    return std::tuple(node.id, node.address, node.zone, node.kind, node.place, node.lifecycle,
+                      node.started_at);
 }
 
 void check_same(const std::optional<EndpointList>& got, const std::optional<EndpointList>& want) {
@@ -158,39 +163,41 @@
     RC_ASSERT(got->full == want->full);
     RC_ASSERT(got->skipped_entries == want->skipped_entries);
     RC_ASSERT(got->nodes.size() == want->nodes.size());
-    for (std::size_t i = 0; i < got->nodes.size(); ++i) RC_ASSERT(of(got->nodes[i]) == of(want->nodes[i]));
+    for (std::size_t i = 0; i < got->nodes.size(); ++i)
+        RC_ASSERT(fields_of(got->nodes[i]) == fields_of(want->nodes[i]));
 }
 
-std::string pick(std::initializer_list<const char*> from) {
+std::string any_of(std::initializer_list<const char*> from) {
     return *rc::gen::elementOf(std::vector<std::string>(from.begin(), from.end()));
 }
-// Mostly the first of them, so that most entries are good.
-std::string mostly(std::initializer_list<const char*> from) {
-    return *rc::gen::inRange(0, 4) > 0 ? *from.begin() : pick(from);
+// Returns the first in about three of four cases, so that most entries are valid.
+std::string usually_first_of(std::initializer_list<const char*> from) {
+    return *rc::gen::inRange(0, 4) > 0 ? *from.begin() : any_of(from);
 }
 
-std::string odd_value() {
-    return pick({"null", "true", "0", "-0", "-3", "1.5", "2e3", "-1e-3", "18446744073709551616", R"("")",
-                 R"("up")", R"("127.0.0.1:9")", "[]", "{}", R"([1,{"cell":1,"instanceId":"x"}])",
-                 R"({"instanceId":"y","instances":[{}],"a":{"b":[]}})"});
+std::string unexpected_value() {
+    return any_of({"null", "true", "0", "-0", "-3", "1.5", "2e3", "-1e-3", "18446744073709551616", R"("")",
+                   R"("up")", R"("127.0.0.1:9")", "[]", "{}", R"([1,{"cell":1,"instanceId":"x"}])",
+                   R"({"instanceId":"y","instances":[{}],"a":{"b":[]}})"});
 }
 
 std::string entry() {
     std::vector<std::string> fields = {
-        "\"instanceId\":" + mostly({R"("s1")", R"("s2")", R"("s\u00e9")", R"("")", "7"}),
-        "\"hostPort\":" + mostly({R"("127.0.0.1:9")", R"("10.0.0.1:80")", R"("127.0.0.1")", R"(":1")"}),
-        "\"zone\":" + mostly({R"("a")", R"("b")", "null"}),
-        "\"machineType\":" + mostly({R"("m")", R"("n")", "{}"}),
-        "\"lifecycle\":" + mostly({R"("up")", R"("draining")", R"("removed")", R"("odd")", "1"}),
-        "\"cell\":" + mostly({"1", "0", "2", "3", "1.0", "-1", "4294967297"}),
-        "\"startedAtMs\":" + mostly({"1500", "0", "12.75", "-1", "-0.0", "9e12", "1e300", "\"1\""}),
+        "\"instanceId\":" + usually_first_of({R"("s1")", R"("s2")", R"("s\u00e9")", R"("")", "7"}),
+        "\"hostPort\":" +
+            usually_first_of({R"("127.0.0.1:9")", R"("10.0.0.1:80")", R"("127.0.0.1")", R"(":1")"}),
+        "\"zone\":" + usually_first_of({R"("a")", R"("b")", "null"}),
+        "\"machineType\":" + usually_first_of({R"("m")", R"("n")", "{}"}),
+        "\"lifecycle\":" + usually_first_of({R"("up")", R"("draining")", R"("removed")", R"("odd")", "1"}),
+        "\"cell\":" + usually_first_of({"1", "0", "2", "3", "1.0", "-1", "4294967297"}),
+        "\"startedAtMs\":" + usually_first_of({"1500", "0", "12.75", "-1", "-0.0", "9e12", "1e300", "\"1\""}),
         "\"weight\":1.0"};
-    const int further = *rc::gen::inRange(0, 4) > 0 ? 0 : *rc::gen::inRange(1, 4);
-    for (int i = 0; i < further; ++i)  // keys that come twice, or are of no use
+    const int extra_fields = *rc::gen::inRange(0, 4) > 0 ? 0 : *rc::gen::inRange(1, 4);
+    for (int i = 0; i < extra_fields; ++i)  // repeated or unused keys
         fields.push_back('"' +
-                         pick({"instanceId", "hostPort", "zone", "machineType", "lifecycle", "cell",
-                               "startedAtMs", "other", "instances", "generation"}) +
-                         "\":" + odd_value());
+                         any_of({"instanceId", "hostPort", "zone", "machineType", "lifecycle", "cell",
+                                 "startedAtMs", "other", "instances", "generation"}) +
+                         "\":" + unexpected_value());
     std::string out = "{";
     const std::size_t without = *rc::gen::inRange<std::size_t>(0, 4 * fields.size());
     for (std::size_t i = 0; i < fields.size(); ++i)
@@ -202,18 +209,19 @@
     std::string out = "[";
     const int n = *rc::gen::inRange(0, 5);
     for (int i = 0; i < n; ++i)
-        out.append(i > 0 ? ", " : "").append(*rc::gen::inRange(0, 6) > 0 ? entry() : odd_value());
+        out.append(i > 0 ? ", " : "").append(*rc::gen::inRange(0, 6) > 0 ? entry() : unexpected_value());
     return out += "]";
 }
 
 std::string list_text() {
-    std::vector<std::string> fields = {"\"generation\":" + mostly({"41", "0", "-1", "1.0", "null"}),
-                                       "\"reset\":" + mostly({"true", "false", "0"}),
+    std::vector<std::string> fields = {"\"generation\":" + usually_first_of({"41", "0", "-1", "1.0", "null"}),
+                                       "\"reset\":" + usually_first_of({"true", "false", "0"}),
                                        "\"instances\":" + instances()};
     if (*rc::gen::inRange(0, 3) == 0)
-        fields.push_back("\"instances\":" + (*rc::gen::inRange(0, 2) == 0 ? instances() : odd_value()));
+        fields.push_back("\"instances\":" +
+                         (*rc::gen::inRange(0, 2) == 0 ? instances() : unexpected_value()));
     if (*rc::gen::inRange(0, 4) == 0)
-        fields.push_back('"' + pick({"generation", "reset", "other"}) + "\":" + odd_value());
+        fields.push_back('"' + any_of({"generation", "reset", "other"}) + "\":" + unexpected_value());
     for (std::size_t i = fields.size(); i-- > 1;)
         std::swap(fields[i], fields[*rc::gen::inRange<std::size_t>(0, i + 1)]);
     std::string out = "{";
@@ -221,8 +229,8 @@
     return out += "}";
 }
 
-// One byte changed, left out or put in, or an end cut off.
-std::string spoilt(std::string text) {
+// Changes, removes or inserts one byte, or truncates the text.
+std::string corrupted(std::string text) {
     const std::size_t at = *rc::gen::inRange<std::size_t>(0, text.size());
     const char byte = static_cast<char>(
         *rc::gen::elementOf(std::vector<int>{'{', '}', '[', ']', '"', ',', ':', '0', 'e', '\\', 0xc3, 0}));
@@ -242,17 +250,17 @@
     return text;
 }
 
-ListedEndpoint listed(int n, Lifecycle a, int how = 0) {
+ListedEndpoint listed(int n, Lifecycle lifecycle, int variant = 0) {
     return {"node " + std::to_string(n),
-            "h:" + std::to_string(1 + how % 2),
+            "h:" + std::to_string(1 + variant % 2),
             "z" + std::to_string(n % 3),
-            "k" + std::to_string(how % 3),
+            "k" + std::to_string(variant % 3),
             static_cast<std::uint32_t>(n),
-            a,
-            how / 2 % 2};
+            lifecycle,
+            variant / 2 % 2};
 }
 
-EndpointList everything(int nodes) {
+EndpointList full_list_of(int nodes) {
     EndpointList list{1, true, {}, 0};
     for (int n = 0; n < nodes; ++n) list.nodes.push_back(listed(n, Lifecycle::ready));
     return list;
@@ -260,42 +268,42 @@
 
 }  // namespace
 
-TEST_CASE("a list read entry by entry says what its tree would: generated lists, good and spoilt") {
+TEST_CASE("the streaming list parser agrees with the tree parser on generated lists, valid and corrupted") {
     CHECK(rc::check([] {
         std::string text = list_text();
-        const int spoils = std::max(0, *rc::gen::inRange(0, 5) - 2);
-        for (int i = 0; i < spoils && !text.empty(); ++i) text = spoilt(text);
+        const int corruptions = std::max(0, *rc::gen::inRange(0, 5) - 2);
+        for (int i = 0; i < corruptions && !text.empty(); ++i) text = corrupted(text);
         RC_LOG() << text;
-        RC_CLASSIFY(plain::read_endpoint_list(text, 3).has_value(), "read");
-        check_same(read_endpoint_list(text, 3), plain::read_endpoint_list(text, 3));
+        RC_CLASSIFY(reference::read_endpoint_list(text, 3).has_value(), "read");
+        check_same(read_endpoint_list(text, 3), reference::read_endpoint_list(text, 3));
     }));
     for (const char* text :
          {"", " ", "null", "[]", "[{}]", "{}", "\xef\xbb\xbf{}", "[[[[[[", "{\"a\":{\"a\":{"}) {
         CHECK_FALSE(read_endpoint_list(text, 3));
-        CHECK_FALSE(plain::read_endpoint_list(text, 3));
+        CHECK_FALSE(reference::read_endpoint_list(text, 3));
     }
 }
 
-TEST_CASE("the list of nodes over generated histories: zones gone and back, nodes forgotten, whole lists") {
+TEST_CASE("NodeTable agrees with its reference on generated list histories") {
     CHECK(rc::check([] {
         NodeTable nodes;
-        plain::NodeTable model;
-        const int most = *rc::gen::inRange(2, 20);
+        reference::NodeTable model;
+        const int node_count = *rc::gen::inRange(2, 20);
         const int lists = *rc::gen::inRange(1, 40);
         for (int i = 0; i < lists; ++i) {
             EndpointList list{static_cast<std::uint64_t>(i), *rc::gen::inRange(0, 5) == 0, {}, 0};
             const int zone = *rc::gen::inRange(0, 6);
-            const auto turn = static_cast<Lifecycle>(*rc::gen::inRange(0, 3));
-            if (zone < 3) {  // all of a zone turn at once
-                for (int n = zone; n < most; n += 3) list.nodes.push_back(listed(n, turn));
+            const auto lifecycle = static_cast<Lifecycle>(*rc::gen::inRange(0, 3));
+            if (zone < 3) {  // all nodes of a zone change at once
+                for (int n = zone; n < node_count; n += 3) list.nodes.push_back(listed(n, lifecycle));
             } else {
-                const int named = *rc::gen::inRange(0, 6);
-                for (int j = 0; j < named; ++j)  // also one twice, and ever new ones
-                    list.nodes.push_back(listed(*rc::gen::inRange(0, 2 * most + i / 4),
+                const int entries = *rc::gen::inRange(0, 6);
+                for (int j = 0; j < entries; ++j)  // may repeat a node, and adds new ones
+                    list.nodes.push_back(listed(*rc::gen::inRange(0, 2 * node_count + i / 4),
                                                 static_cast<Lifecycle>(*rc::gen::inRange(0, 3)),
                                                 *rc::gen::inRange(0, 8)));
             }
-            const auto got = nodes.apply(list), want = model.take(list);
+            const auto got = nodes.apply(list), want = model.apply(list);
             RC_ASSERT(got.added == want.added);
             RC_ASSERT(got.moved == want.moved);
             RC_ASSERT(got.leaving == want.leaving);
@@ -317,44 +325,44 @@
     }));
 }
 
-TEST_CASE("one change costs the same at 1,000 nodes and at 81,000, a zone what it names") {
-    std::vector<std::uint64_t> looked[2], agreed[2];
-    for (const int most : {1'000, 81'000}) {
-        auto& counts = looked[most > 1'000];
-        auto& of_agreed = agreed[most > 1'000];
+TEST_CASE("a delta costs the same with 1,000 and 81,000 nodes, in proportion to its entries") {
+    std::vector<std::uint64_t> table_costs[2], overlay_costs[2];
+    for (const int node_count : {1'000, 81'000}) {
+        auto& table_cost = table_costs[node_count > 1'000];
+        auto& overlay_cost = overlay_costs[node_count > 1'000];
         NodeTable nodes;
-        EndpointOverlay list;
-        const auto take = [&](const EndpointList& news) {
+        EndpointOverlay overlay;
+        const auto apply_to_table = [&](const EndpointList& changes) {
             const std::uint64_t before = nodes.examined();
-            nodes.apply(news);
-            counts.push_back(nodes.examined() - before);
+            nodes.apply(changes);
+            table_cost.push_back(nodes.examined() - before);
         };
-        const auto count = [&](auto change) {
-            const std::uint64_t before = list.examined_count();
+        const auto count_overlay_cost = [&](auto change) {
+            const std::uint64_t before = overlay.examined_count();
             change();
-            of_agreed.push_back(list.examined_count() - before);
+            overlay_cost.push_back(overlay.examined_count() - before);
         };
-        nodes.apply(everything(most));
-        list.apply_discovered(everything(most));
-        for (const Lifecycle a : {Lifecycle::draining, Lifecycle::removed, Lifecycle::ready}) {
-            take({2, false, {listed(7, a)}, 0});
-            count([&] { list.apply_discovered({2, false, {listed(7, a)}, 0}); });
+        nodes.apply(full_list_of(node_count));
+        overlay.apply_discovered(full_list_of(node_count));
+        for (const Lifecycle lifecycle : {Lifecycle::draining, Lifecycle::removed, Lifecycle::ready}) {
+            apply_to_table({2, false, {listed(7, lifecycle)}, 0});
+            count_overlay_cost([&] { overlay.apply_discovered({2, false, {listed(7, lifecycle)}, 0}); });
         }
         EndpointList zone{3, false, {}, 0};
         for (int n = 0; n < 80; ++n) zone.nodes.push_back(listed(n, Lifecycle::removed));
-        take(zone);
+        apply_to_table(zone);
         for (ListedEndpoint& n : zone.nodes) n.lifecycle = Lifecycle::ready;
-        take(zone);
-        count([&] { list.apply_drains({"node 7", "node 9"}); });
-        count([&] { list.apply_drains({"node 7", "node 9", "never met"}); });
-        count([&] { list.apply_drains({"node 7", "node 9", "never met"}); });
-        count([&] { list.set_fenced(false); });
+        apply_to_table(zone);
+        count_overlay_cost([&] { overlay.apply_drains({"node 7", "node 9"}); });
+        count_overlay_cost([&] { overlay.apply_drains({"node 7", "node 9", "never met"}); });
+        count_overlay_cost([&] { overlay.apply_drains({"node 7", "node 9", "never met"}); });
+        count_overlay_cost([&] { overlay.set_fenced(false); });
         const std::uint64_t before = nodes.examined();
-        CHECK(nodes.ready() == static_cast<std::size_t>(most));
+        CHECK(nodes.ready() == static_cast<std::size_t>(node_count));
         CHECK(nodes.examined() == before);
     }
-    CHECK(looked[0] == looked[1]);
-    CHECK(looked[1] == std::vector<std::uint64_t>{1, 2, 2, 160, 160});
-    CHECK(agreed[0] == agreed[1]);
-    CHECK(agreed[1] == std::vector<std::uint64_t>{1, 1, 1, 2, 1, 0, 0});
+    CHECK(table_costs[0] == table_costs[1]);
+    CHECK(table_costs[1] == std::vector<std::uint64_t>{1, 2, 2, 160, 160});
+    CHECK(overlay_costs[0] == overlay_costs[1]);
+    CHECK(overlay_costs[1] == std::vector<std::uint64_t>{1, 1, 1, 2, 1, 0, 0});
 }
--- a/tests/router_digest_test.cpp
+++ b/tests/router_digest_test.cpp
@@ -1,9 +1,9 @@
-// The decisions of the module, compared with recorded ones: a change of any decision on these days fails
-// here.
+// Compares the decisions of the module with recorded digests, so that a change of any decision in these
+// simulated runs fails.
 //
-// The digests were taken from the module before it was split by concern. A change that means to decide
-// otherwise takes new ones (a failing run of `tealcart_tests "[digest]"` prints them) and says so in its
-// commit.
+// The digests were recorded before the module was split into its present classes. A change that is meant to
+// alter decisions records new ones, which a failing run of `tealcart_tests "[digest]"` prints, and says so in
+// its commit.
 #include <algorithm>
 #include <array>
 #include <catch2/catch.hpp>
@@ -16,15 +16,16 @@
 
 namespace {
 
-constexpr int rounds = 3200;  // of 5 ms: 16 seconds
+constexpr int rounds = 3200;  // of 5 ms each, 16 seconds in total
 
-struct RecordedDay {
+struct RecordedRun {
     std::uint64_t seed;
     std::uint64_t digest;
 };
 
-// Left out are seeds whose decisions hang on the last bit of an estimate, which another C library may give.
-constexpr std::array<RecordedDay, 48> recorded_days = {{
+// Seeds are left out if their decisions depend on the last bit of an estimate, since that bit may differ
+// between C libraries.
+constexpr std::array<RecordedRun, 48> recorded_runs = {{
     {1, 0xa34a28d775c95344ULL},  {2, 0xc33e076ca5f90a68ULL},  {3, 0x6b8accb5a1bd0c55ULL},
     {4, 0x621312487a503a04ULL},  {5, 0x317895e746dae2aaULL},  {6, 0xdd12b39a5747d73aULL},
     {8, 0x3b16e41a0f0d0936ULL},  {10, 0x7fa36ec9a12ca5e5ULL}, {11, 0x8ba2c841deae7b9bULL},
@@ -43,22 +44,22 @@
     {53, 0x3fb2b5d07692ede8ULL}, {54, 0x367831608bc10424ULL}, {55, 0xae85638462a8b95fULL},
 }};
 
-struct PlayedDay {
+struct SimulatedRun {
     std::uint64_t digest = 0;
     SimulatedFleet::Counts counts;
 };
 
-const std::vector<PlayedDay>& played_days() {
-    static const std::vector<PlayedDay> days = [] {
-        std::vector<PlayedDay> played;
-        for (const RecordedDay& recorded : recorded_days) {
+const std::vector<SimulatedRun>& simulated_runs() {
+    static const std::vector<SimulatedRun> runs = [] {
+        std::vector<SimulatedRun> results;
+        for (const RecordedRun& recorded : recorded_runs) {
             SimulatedFleet fleet(recorded.seed);
             const std::uint64_t digest = fleet.run(rounds);
-            played.push_back({digest, fleet.counts()});
+            results.push_back({digest, fleet.counts()});
         }
-        return played;
+        return results;
     }();
-    return days;
+    return runs;
 }
 
 bool all_above(std::span<const int> counts, int bound) {
@@ -67,22 +68,22 @@
 
 }  // namespace
 
-TEST_CASE("the module decides as recorded on simulated days", "[digest]") {
-    for (std::size_t i = 0; i < recorded_days.size(); ++i) {
-        const std::uint64_t digest = played_days()[i].digest;
-        INFO("seed " << recorded_days[i].seed << ", digest 0x" << std::hex << digest);
-        CHECK(digest == recorded_days[i].digest);
+TEST_CASE("the decisions in simulated runs match the recorded digests", "[digest]") {
+    for (std::size_t i = 0; i < recorded_runs.size(); ++i) {
+        const std::uint64_t digest = simulated_runs()[i].digest;
+        INFO("seed " << recorded_runs[i].seed << ", digest 0x" << std::hex << digest);
+        CHECK(digest == recorded_runs[i].digest);
     }
 }
 
-TEST_CASE("the simulated days hold every kind of event and decision", "[digest]") {
+TEST_CASE("the simulated runs contain every kind of event and decision", "[digest]") {
     SimulatedFleet::Counts all;
-    for (const PlayedDay& day : played_days()) all += day.counts;
+    for (const SimulatedRun& run : simulated_runs()) all += run.counts;
     CHECK(all_above(all.outcomes, 100));
     CHECK(all_above(all.lists, 40));
     CHECK(all_above(std::array{all.attempts, all.cancels, all.complete_answers, all.partial_answers}, 1000));
     CHECK(
         all_above(std::array{all.rejections, all.failures, all.timers, all.retries, all.later_phases}, 1000));
     CHECK(all_above(std::array{all.watches, all.drops, all.second_steps, all.hedges}, 50));
-    CHECK(all_above(std::array{all.cold_attempts, all.logs}, 50));
+    CHECK(all_above(std::array{all.warming_attempts, all.logs}, 50));
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,6 @@
-// A plain model of the six rules beside the module, on generated days. The model knows only what the rules
-// say.
+// Checks the decision module against a simple model of its rules in generated scenarios. The rules bound the
+// attempts of a shard request, their nodes and repetition, retries, the load of warming nodes, and the
+// answers of a query.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -12,7 +13,7 @@
 
 namespace {
 
-constexpr Nanos service = 100 * ms;  // what an attempt takes at a warm node, in these days
+constexpr Nanos service_time = 100 * ms;  // latency of an attempt at a warm node
 
 struct ModelAttempt {
     std::uint32_t node;
@@ -35,7 +36,7 @@
     int shard_requests[3] = {0, 0, 0}, shard_requests_answered[3] = {0, 0, 0};
 };
 
-// Checks every decision of one router against the rules, and keeps the accounts they need.
+// Checks every decision of one router against the rules and keeps the state that this requires.
 class RulesModel {
   public:
     explicit RulesModel(const RouterConfig& config) : config_(config) {}
@@ -43,121 +44,125 @@
     std::map<std::uint32_t, ModelQuery> queries;
     std::map<std::uint32_t, ModelShardRequest> shard_requests;
     std::map<std::uint32_t, Endpoint> nodes;
-    std::map<std::uint32_t, Nanos> unavailable_since;  // notified that it drains or is removed
-    std::vector<std::uint32_t> second_steps_due;       // queries whose first step was closed just now
+    std::map<std::uint32_t, Nanos> unavailable_since;  // since the router was told of a drain or removal
+    std::vector<std::uint32_t> second_steps_due;       // queries whose first step ended in this round
 
-    void endpoint_told(Nanos now, const Endpoint& e) {
-        nodes[e.node] = e;
-        if (e.lifecycle == Lifecycle::ready)
-            unavailable_since.erase(e.node);
+    void update_endpoint(Nanos now, const Endpoint& endpoint) {
+        nodes[endpoint.node] = endpoint;
+        if (endpoint.lifecycle == Lifecycle::ready)
+            unavailable_since.erase(endpoint.node);
         else
-            unavailable_since.try_emplace(e.node, now);
+            unavailable_since.try_emplace(endpoint.node, now);
     }
     void request_arrived(Nanos now) { arrivals_.push_back(now); }
     void check(Nanos now, const RecordedDecisions& decisions) {
         second_steps_due.clear();
-        for (const Decision& s : decisions.made) {
-            if (s.kind == Decision::send_attempt) check_attempt(now, s);
-            if (s.kind == Decision::answer) check_answer(now, s);
-            if (s.kind == Decision::reject || s.kind == Decision::fail_query) check_end(now, s);
+        for (const Decision& decision : decisions.made) {
+            if (decision.kind == Decision::send_attempt) check_attempt(now, decision);
+            if (decision.kind == Decision::answer) check_answer(now, decision);
+            if (decision.kind == Decision::reject || decision.kind == Decision::fail_query)
+                check_end(now, decision);
         }
         const auto lost = [now](const auto& entry) {
             return entry.second.ends == 0 && now > entry.second.deadline_at;
         };
         REQUIRE(std::none_of(queries.begin(), queries.end(), lost));
     }
-    void attempt_ended(std::uint32_t shard_request, std::uint8_t attempt, Outcome outcome) {
-        ModelShardRequest& p = shard_requests.at(shard_request);
-        p.attempts.at(attempt).in_flight = false;
+    void attempt_ended(std::uint32_t shard_request_id, std::uint8_t attempt, Outcome outcome) {
+        ModelShardRequest& shard_request = shard_requests.at(shard_request_id);
+        shard_request.attempts.at(attempt).in_flight = false;
         if (outcome == Outcome::overloaded || outcome == Outcome::connect_failed ||
             outcome == Outcome::not_sent)
-            p.attempts[attempt].may_have_run = false;
-        ModelQuery& q = queries.at(p.query);
-        if (outcome != Outcome::ok || p.answered || q.ends > 0 || q.step != p.step) return;
-        p.answered = true;
-        q.answered[p.step] += p.weight;
-        ++q.shard_requests_answered[p.step];
+            shard_request.attempts[attempt].may_have_run = false;
+        ModelQuery& query = queries.at(shard_request.query);
+        if (outcome != Outcome::ok || shard_request.answered || query.ends > 0 ||
+            query.step != shard_request.step)
+            return;
+        shard_request.answered = true;
+        query.answered[shard_request.step] += shard_request.weight;
+        ++query.shard_requests_answered[shard_request.step];
     }
 
   private:
     static double complete_weight(const QueryClassConfig& query_class, int step) {
         return step == 1 ? query_class.complete_weight : 1;
     }
-    void check_attempt(Nanos now, const Decision& s) {
+    void check_attempt(Nanos now, const Decision& decision) {
         const auto within = [now](const std::vector<Nanos>& times, Nanos window) {
             return double(
                 std::count_if(times.begin(), times.end(), [&](Nanos at) { return at > now - window; }));
         };
-        ModelShardRequest& p = shard_requests.at(s.id);
-        const ModelQuery& q = queries.at(p.query);
-        const QueryClassConfig& query_class = config_.query_classes[q.query_class];
-        REQUIRE(q.ends == 0);
-        REQUIRE(q.step == p.step);
-        REQUIRE(!p.answered);
-        REQUIRE(static_cast<int>(p.attempts.size()) < config_.max_attempts);
-        const Endpoint& node = nodes.at(s.node);
+        ModelShardRequest& shard_request = shard_requests.at(decision.id);
+        const ModelQuery& query = queries.at(shard_request.query);
+        const QueryClassConfig& query_class = config_.query_classes[query.query_class];
+        REQUIRE(query.ends == 0);
+        REQUIRE(query.step == shard_request.step);
+        REQUIRE(!shard_request.answered);
+        REQUIRE(static_cast<int>(shard_request.attempts.size()) < config_.max_attempts);
+        const Endpoint& node = nodes.at(decision.node);
         const int distance =
-            (node.place - static_cast<int>(p.shard) % config_.places + config_.places) % config_.places;
+            (node.place - static_cast<int>(shard_request.shard) % config_.places + config_.places) %
+            config_.places;
         REQUIRE(distance < config_.replicas_per_shard);
-        if (unavailable_since.contains(s.node))
-            REQUIRE(now <= unavailable_since[s.node] + config_.drain_grace);
-        for (const ModelAttempt& c : p.attempts) {
-            if (c.in_flight) REQUIRE(config_.may_hedge);
-            if (!c.may_have_run || query_class.effect == Effect::idempotent) continue;
+        if (unavailable_since.contains(decision.node))
+            REQUIRE(now <= unavailable_since[decision.node] + config_.drain_grace);
+        for (const ModelAttempt& attempt : shard_request.attempts) {
+            if (attempt.in_flight) REQUIRE(config_.may_hedge);
+            if (!attempt.may_have_run || query_class.effect == Effect::idempotent) continue;
             REQUIRE(query_class.effect == Effect::idempotent_with_key);
-            REQUIRE(now <= c.sent_at + query_class.idempotency_window);
+            REQUIRE(now <= attempt.sent_at + query_class.idempotency_window);
         }
-        if (!p.attempts.empty() && config_.retry_budget_enabled) {
+        if (!shard_request.attempts.empty() && config_.retry_budget_enabled) {
             retries_.push_back(now);
             REQUIRE(within(retries_, config_.retry_budget_window) <=
                     config_.retry_budget_base +
                         config_.retry_budget_ratio * within(arrivals_, config_.retry_budget_window));
         }
-        p.attempts.push_back({s.node, now});
+        shard_request.attempts.push_back({decision.node, now});
         if (node.started_at == 0 || now >= node.started_at + config_.slow_start_duration) return;
-        auto& cold = sent_while_warming_[s.node];
-        cold.push_back(now);
+        auto& attempts = sent_while_warming_[decision.node];
+        attempts.push_back(now);
         const double age =
             static_cast<double>(now - node.started_at) / static_cast<double>(config_.slow_start_duration);
         const double share =
             config_.slow_start_min_fraction + (1 - config_.slow_start_min_fraction) * std::max(0.0, age);
-        const double most = config_.overload_multiple * share * static_cast<double>(config_.overload_window) /
-                            double(service);
-        REQUIRE(within(cold, config_.overload_window) * config_.routers <=
-                std::max(most, double(config_.routers)));
+        const double max_attempts = config_.overload_multiple * share *
+                                    static_cast<double>(config_.overload_window) / double(service_time);
+        REQUIRE(within(attempts, config_.overload_window) * config_.routers <=
+                std::max(max_attempts, double(config_.routers)));
     }
-    void check_answer(Nanos now, const Decision& s) {
-        ModelQuery& q = queries.at(s.id);
-        const QueryClassConfig& query_class = config_.query_classes[q.query_class];
-        REQUIRE(q.ends == 0);
-        REQUIRE(now <= q.deadline_at);
+    void check_answer(Nanos now, const Decision& decision) {
+        ModelQuery& query = queries.at(decision.id);
+        const QueryClassConfig& query_class = config_.query_classes[query.query_class];
+        REQUIRE(query.ends == 0);
+        REQUIRE(now <= query.deadline_at);
         const double needed = query_class.min_answer_weight < query_class.complete_weight
                                   ? query_class.min_answer_weight
-                                  : complete_weight(query_class, q.step);
-        REQUIRE(q.answered[q.step] >= needed - 1e-4);
-        const bool all = q.shard_requests_answered[q.step] == q.shard_requests[q.step];
-        if (s.complete)
-            REQUIRE((q.step == 1 ? q.answered[1] >= query_class.complete_weight - 1e-4
-                                 : all && q.first_step_complete));
-        if (q.step == 1 && query_class.second_step_requests > 0) {
-            q.first_step_complete = s.complete;
-            q.step = 2;
-            second_steps_due.push_back(s.id);
+                                  : complete_weight(query_class, query.step);
+        REQUIRE(query.answered[query.step] >= needed - 1e-4);
+        const bool all = query.shard_requests_answered[query.step] == query.shard_requests[query.step];
+        if (decision.complete)
+            REQUIRE((query.step == 1 ? query.answered[1] >= query_class.complete_weight - 1e-4
+                                     : all && query.first_step_complete));
+        if (query.step == 1 && query_class.second_step_requests > 0) {
+            query.first_step_complete = decision.complete;
+            query.step = 2;
+            second_steps_due.push_back(decision.id);
         } else {
-            ++q.ends;
+            ++query.ends;
         }
     }
-    void check_end(Nanos now, const Decision& s) {
-        ModelQuery& q = queries.at(s.id);
-        REQUIRE(q.ends == 0);
-        REQUIRE(now <= q.deadline_at);
-        ++q.ends;
-        if (s.kind == Decision::fail_query ||
-            config_.query_classes[q.query_class].effect != Effect::not_idempotent)
+    void check_end(Nanos now, const Decision& decision) {
+        ModelQuery& query = queries.at(decision.id);
+        REQUIRE(query.ends == 0);
+        REQUIRE(now <= query.deadline_at);
+        ++query.ends;
+        if (decision.kind == Decision::fail_query ||
+            config_.query_classes[query.query_class].effect != Effect::not_idempotent)
             return;
-        for (const auto& [id, p] : shard_requests)
-            if (p.query == s.id)
-                for (const ModelAttempt& c : p.attempts) REQUIRE(!c.may_have_run);
+        for (const auto& [id, shard_request] : shard_requests)
+            if (shard_request.query == decision.id)
+                for (const ModelAttempt& attempt : shard_request.attempts) REQUIRE(!attempt.may_have_run);
     }
 
     const RouterConfig& config_;
@@ -165,22 +170,22 @@
     std::map<std::uint32_t, std::vector<Nanos>> sent_while_warming_;
 };
 
-// A generated day: queries, outcomes and list changes drawn by chance, with no thought for what a fleet could
-// do.
-std::size_t generated_day(const RouterConfig& config, std::uint64_t seed) {
-    std::knuth_b chance(seed);
-    const auto draw = [&](std::uint32_t n) { return static_cast<std::uint32_t>(chance() % n); };
-    std::multimap<Nanos, AttemptResult> due;
+// Runs a scenario with random queries, outcomes and list changes, which need not be possible in a real fleet.
+// Returns a digest of the decisions.
+std::size_t run_generated_scenario(const RouterConfig& config, std::uint64_t seed) {
+    std::knuth_b random(seed);
+    const auto draw = [&](std::uint32_t n) { return static_cast<std::uint32_t>(random() % n); };
+    std::multimap<Nanos, AttemptResult> results_due;
     std::uint32_t next_id = 1;
     int answers = 0;
     std::size_t digest = 0;
     Nanos now = 1'000'000 * ms;
-    for (int life = 0; life < 2; ++life) {  // a restart, with only the cached list
-        QueryRouter router(config, seed + static_cast<std::uint64_t>(life));
+    for (int incarnation = 0; incarnation < 2; ++incarnation) {  // the second starts with the cached list
+        QueryRouter router(config, seed + static_cast<std::uint64_t>(incarnation));
         RulesModel model(config);
-        due.clear();
+        results_due.clear();
         std::vector<Endpoint> list = small_endpoint_list(config.places);
-        for (Endpoint& e : list) model.endpoint_told(now, e);
+        for (Endpoint& endpoint : list) model.update_endpoint(now, endpoint);
         bool listed = false;
         std::vector<std::uint32_t> second;
         for (const Nanos stop = now + 12'000 * ms; now < stop + 6000 * ms; now += config.round_interval) {
@@ -188,15 +193,16 @@
                 if (!listed) h.on_endpoints(ListKind::cached, list);
                 listed = true;
                 if (draw(100) == 0) {
-                    Endpoint& e = list[draw(static_cast<std::uint32_t>(list.size()))];
-                    const auto was = e.lifecycle;
-                    e.lifecycle = static_cast<Lifecycle>(draw(3));
-                    if (was != Lifecycle::ready && e.lifecycle == Lifecycle::ready)
-                        e.started_at = now - 500 * ms;
-                    model.endpoint_told(now, e);
-                    h.on_endpoints(ListKind::delta, {&e, 1});
+                    Endpoint& endpoint = list[draw(static_cast<std::uint32_t>(list.size()))];
+                    const auto was = endpoint.lifecycle;
+                    endpoint.lifecycle = static_cast<Lifecycle>(draw(3));
+                    if (was != Lifecycle::ready && endpoint.lifecycle == Lifecycle::ready)
+                        endpoint.started_at = now - 500 * ms;
+                    model.update_endpoint(now, endpoint);
+                    h.on_endpoints(ListKind::delta, {&endpoint, 1});
                 }
-                for (auto it = due.begin(); it != due.end() && it->first <= now; it = due.erase(it)) {
+                for (auto it = results_due.begin(); it != results_due.end() && it->first <= now;
+                     it = results_due.erase(it)) {
                     model.attempt_ended(it->second.shard_request, it->second.attempt, it->second.outcome);
                     h.on_attempt_result(it->second);
                 }
@@ -214,12 +220,12 @@
                 second.clear();
                 if (now < stop && draw(12) == 0) {
                     const std::uint32_t id = next_id++;
-                    ModelQuery& q = model.queries[id];
-                    q.query_class = static_cast<std::uint16_t>(
+                    ModelQuery& query = model.queries[id];
+                    query.query_class = static_cast<std::uint16_t>(
                         draw(static_cast<std::uint32_t>(config.query_classes.size())));
-                    q.deadline_at = now + static_cast<Nanos>(500 + draw(4500)) * ms;
+                    query.deadline_at = now + static_cast<Nanos>(500 + draw(4500)) * ms;
                     model.request_arrived(now);
-                    h.on_query({id, id, q.query_class, 0, q.deadline_at, draw(4) == 0});
+                    h.on_query({id, id, query.query_class, 0, query.deadline_at, draw(4) == 0});
                     add_shard_requests(id, 1 + draw(6), 1);
                 }
                 if (draw(200) == 0 && next_id > 5) {
@@ -235,19 +241,19 @@
                 digest = digest * 31 + d.id + d.node + static_cast<std::size_t>(d.kind);
             second = model.second_steps_due;
             answers += static_cast<int>(decisions.of(Decision::answer).size());
-            for (const Decision& s : decisions.of(Decision::send_attempt)) {
+            for (const Decision& decision : decisions.of(Decision::send_attempt)) {
                 static constexpr Outcome bad[] = {Outcome::error,   Outcome::overloaded,
                                                   Outcome::timeout, Outcome::connect_failed,
                                                   Outcome::reset,   Outcome::not_sent};
                 const Outcome outcome = draw(10) < 7 ? Outcome::ok : bad[draw(6)];
-                const Nanos latency = outcome == Outcome::ok ? service + draw(50) * ms : draw(2500) * ms;
+                const Nanos latency = outcome == Outcome::ok ? service_time + draw(50) * ms : draw(2500) * ms;
                 const auto attempt =
-                    static_cast<std::uint8_t>(model.shard_requests.at(s.id).attempts.size() - 1);
-                due.emplace(now + config.round_interval + latency,
-                            AttemptResult{s.id, s.node, attempt, outcome, latency});
+                    static_cast<std::uint8_t>(model.shard_requests.at(decision.id).attempts.size() - 1);
+                results_due.emplace(now + config.round_interval + latency,
+                                    AttemptResult{decision.id, decision.node, attempt, outcome, latency});
             }
         }
-        for (const auto& [id, q] : model.queries) REQUIRE(q.ends == 1);
+        for (const auto& [id, query] : model.queries) REQUIRE(query.ends == 1);
     }
     CHECK(answers > 50);
     return digest;
@@ -255,7 +261,7 @@
 
 }  // namespace
 
-TEST_CASE("the module keeps the six rules on generated days, and decides alike when they come again") {
+TEST_CASE("the module keeps its rules in generated scenarios, and decides the same when one is repeated") {
     const auto effect = GENERATE(Effect::idempotent, Effect::idempotent_with_key, Effect::not_idempotent);
     const auto variant = GENERATE(0, 1, 2, 3);
     const auto seed = GENERATE(take(4, random(1, 1'000'000)));
@@ -270,6 +276,6 @@
     }
     if (variant == 3)
         config.query_classes[0].second_step_requests = config.query_classes[1].second_step_requests = 2;
-    const std::size_t digest = generated_day(config, static_cast<std::uint64_t>(seed));
-    CHECK(generated_day(config, static_cast<std::uint64_t>(seed)) == digest);
+    const std::size_t digest = run_generated_scenario(config, static_cast<std::uint64_t>(seed));
+    CHECK(run_generated_scenario(config, static_cast<std::uint64_t>(seed)) == digest);
 }
--- a/tests/simulated_fleet.cpp
+++ b/tests/simulated_fleet.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Nanos millisecond = 1'000'000;
-constexpr int rounds_a_second = 200;
+constexpr int rounds_per_second = 200;
 constexpr std::uint32_t max_shard_requests = 14;
 
 std::uint64_t key_of(std::uint32_t shard_request, std::uint8_t attempt) {
@@ -85,17 +85,17 @@
          {&Counts::queries, &Counts::attempts, &Counts::cancels, &Counts::complete_answers,
           &Counts::partial_answers, &Counts::rejections, &Counts::failures, &Counts::watches, &Counts::drops,
           &Counts::timers, &Counts::retries, &Counts::later_phases, &Counts::second_steps, &Counts::hedges,
-          &Counts::cold_attempts, &Counts::logs})
+          &Counts::warming_attempts, &Counts::logs})
         this->*member += other.*member;
     return *this;
 }
 
 SimulatedFleet::SimulatedFleet(std::uint64_t seed)
     : random_(seed), config_(deployment_of(seed)), router_(config_, seed * 31 + 5) {
-    const std::uint32_t nodes_a_place = 1 + random_.below(2);
+    const std::uint32_t nodes_per_place = 1 + random_.below(2);
     const int quickest_ms = random_.one_in(3) ? 1 : 12;
     for (std::uint32_t place = 0; place < static_cast<std::uint32_t>(config_.places); ++place) {
-        for (std::uint32_t i = 0; i < nodes_a_place; ++i) {
+        for (std::uint32_t i = 0; i < nodes_per_place; ++i) {
             Node node;
             node.endpoint = {100 + place * 2 + i, place, Lifecycle::ready, 0, random_.below(3)};
             node.base_ms = quickest_ms + static_cast<int>(random_.below(20));
@@ -109,15 +109,15 @@
     for (int i = 0; i < rounds; ++i) {
         change_nodes();
         router_.round(now_, *this, *this);
-        if (round_ % rounds_a_second == 0) add_interface_figures();
+        if (round_ % rounds_per_second == 0) digest_interface_results();
         ++round_;
         now_ += config_.round_interval;
-        if (random_.one_in(600)) now_ += 350 * millisecond;  // the router stood still
+        if (random_.one_in(600)) now_ += 350 * millisecond;  // the router was stalled
     }
     return digest_.value();
 }
 
-void SimulatedFleet::add_interface_figures() {
+void SimulatedFleet::digest_interface_results() {
     for (const NodeCapacityShare& node : router_.capacity_shares(now_)) {
         digest_.add(node.node);
         digest_.add(static_cast<std::uint64_t>(std::lround(node.share * 1000)));
@@ -130,29 +130,29 @@
 }
 
 void SimulatedFleet::change_nodes() {
-    if (round_ % 50 == 0) load_ = std::array{3, 6, 12, 30}[random_.below(4)];
-    if (random_.one_in(400)) fleet_is_full_ = !fleet_is_full_ && random_.one_in(2);
+    if (round_ % 50 == 0) rounds_per_query_ = std::array{3, 6, 12, 30}[random_.below(4)];
+    if (random_.one_in(400)) fleet_is_overloaded_ = !fleet_is_overloaded_ && random_.one_in(2);
     if (random_.one_in(60)) {
         auto node = nodes_.begin();
         std::advance(node, random_.below(static_cast<std::uint32_t>(nodes_.size())));
-        node->second.trouble = random_.one_in(2) ? Trouble::none : static_cast<Trouble>(random_.below(7));
+        node->second.fault = random_.one_in(2) ? Fault::none : static_cast<Fault>(random_.below(7));
     }
-    if (random_.one_in(500))  // a fault that the whole fleet shares for a while
-        for (auto& [id, node] : nodes_) node.trouble = random_.one_in(3) ? Trouble::none : Trouble::slow;
+    if (random_.one_in(500))  // a temporary slowdown of most of the fleet
+        for (auto& [id, node] : nodes_) node.fault = random_.one_in(3) ? Fault::none : Fault::slow;
     if (!random_.one_in(150)) return;
     auto found = nodes_.begin();
     std::advance(found, random_.below(static_cast<std::uint32_t>(nodes_.size())));
     Node& node = found->second;
     if (node.endpoint.lifecycle == Lifecycle::ready) {
         node.endpoint.lifecycle = random_.one_in(3) ? Lifecycle::removed : Lifecycle::draining;
-    } else if (random_.one_in(3)) {  // replaced by a new one
+    } else if (random_.one_in(3)) {  // replaced by a new node
         Node fresh = node;
         node.endpoint.lifecycle = Lifecycle::removed;
         changed_.push_back(node.endpoint);
         fresh.endpoint.node = next_node_++;
         fresh.endpoint.lifecycle = Lifecycle::ready;
         fresh.endpoint.started_at = now_ - 20 * millisecond;
-        fresh.trouble = Trouble::none;
+        fresh.fault = Fault::none;
         nodes_.erase(found);
         changed_.push_back(fresh.endpoint);
         nodes_[fresh.endpoint.node] = fresh;
@@ -160,7 +160,7 @@
     } else {
         node.endpoint.lifecycle = Lifecycle::ready;
         node.endpoint.started_at = now_ - 20 * millisecond;
-        node.trouble = Trouble::none;
+        node.fault = Fault::none;
     }
     changed_.push_back(node.endpoint);
 }
@@ -211,7 +211,7 @@
         if (const auto node = nodes_.find(result.node); node != nodes_.end()) --node->second.in_flight;
         ++counts_.outcomes[static_cast<std::size_t>(result.outcome)];
         handler.on_attempt_result(result);
-        if (random_.one_in(300)) handler.on_attempt_result(result);  // told twice
+        if (random_.one_in(300)) handler.on_attempt_result(result);  // the same result arrives twice
     }
 }
 
@@ -251,8 +251,8 @@
         arrive(handler, retries_due_[i].second * millisecond, config_.retries_marked);
         retries_due_.erase(retries_due_.begin() + static_cast<std::ptrdiff_t>(i));
     }
-    if (random_.one_in(load_)) arrive(handler, (500 + random_.below(1500)) * millisecond, false);
-    if (random_.one_in(load_ * 2)) arrive(handler, 2000 * millisecond, false);
+    if (random_.one_in(rounds_per_query_)) arrive(handler, (500 + random_.below(1500)) * millisecond, false);
+    if (random_.one_in(rounds_per_query_ * 2)) arrive(handler, 2000 * millisecond, false);
 }
 
 void SimulatedFleet::arrive(RoundEventHandler& handler, Nanos timeout, bool is_retry) {
@@ -278,7 +278,7 @@
     ++counts_.queries;
     handler.on_query(arrival);
     Query& kept = queries_[query.id] = query;
-    if (!random_.one_in(40))  // else its shard requests never come
+    if (!random_.one_in(40))  // otherwise its shard requests never arrive
         add_shard_requests(handler, kept, 1 + random_.below(max_shard_requests), later_phase);
 }
 
@@ -311,31 +311,31 @@
 Outcome SimulatedFleet::outcome_at(const Node& node) {
     if (node.endpoint.lifecycle == Lifecycle::removed) return Outcome::connect_failed;
     if (random_.one_in(80)) return static_cast<Outcome>(random_.below(8));
-    if (fleet_is_full_ && random_.one_in(6)) return Outcome::overloaded;
+    if (fleet_is_overloaded_ && random_.one_in(6)) return Outcome::overloaded;
     if (node.in_flight > 12 && random_.one_in(3)) return Outcome::overloaded;
-    switch (node.trouble) {
-        case Trouble::none:
-        case Trouble::slow:
-        case Trouble::hung:
+    switch (node.fault) {
+        case Fault::none:
+        case Fault::slow:
+        case Fault::hung:
             return Outcome::ok;
-        case Trouble::errors:
+        case Fault::errors:
             return random_.one_in(3) ? Outcome::ok : Outcome::error;
-        case Trouble::resets:
+        case Fault::resets:
             return Outcome::reset;
-        case Trouble::full:
+        case Fault::overloaded:
             return Outcome::overloaded;
-        case Trouble::unreachable:
+        case Fault::unreachable:
             return random_.one_in(4) ? Outcome::not_sent : Outcome::connect_failed;
     }
     return Outcome::ok;
 }
 
 Nanos SimulatedFleet::latency_at(const Node& node) {
-    if (node.trouble == Trouble::hung) return 60'000 * millisecond;
+    if (node.fault == Fault::hung) return 60'000 * millisecond;
     const Nanos jitter = Nanos{1000} * random_.below(static_cast<std::uint32_t>(node.base_ms) * 800);
     const Nanos queueing = 4 * millisecond * node.in_flight;
     const Nanos usual = node.base_ms * millisecond + jitter + queueing;
-    return node.trouble == Trouble::slow ? 6 * usual : usual;
+    return node.fault == Fault::slow ? 6 * usual : usual;
 }
 
 void SimulatedFleet::send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) {
@@ -353,7 +353,8 @@
     Nanos latency = 3 * millisecond;
     if (found != nodes_.end()) {
         ++found->second.in_flight;
-        if (found->second.endpoint.started_at > now_ - config_.slow_start_duration) ++counts_.cold_attempts;
+        if (found->second.endpoint.started_at > now_ - config_.slow_start_duration)
+            ++counts_.warming_attempts;
         outcome = outcome_at(found->second);
         if (outcome == Outcome::ok || outcome == Outcome::timeout || outcome == Outcome::cancelled)
             latency = latency_at(found->second);
--- a/tests/simulated_fleet.hpp
+++ b/tests/simulated_fleet.hpp
@@ -1,7 +1,7 @@
-// A simulated fleet of data nodes, clients and discovery around one QueryRouter, for the digest test.
+// A simulation of data nodes, clients and discovery around one QueryRouter, for the digest test.
 //
-// Everything is drawn from one seed with whole numbers only, so that two implementations of the module that
-// decide alike see the same days, and the digest of their decisions is equal.
+// Everything is derived from one seed with integers only, so that two implementations of the module that make
+// the same decisions see the same events and get equal digests.
 #pragma once
 
 #include <array>
@@ -13,13 +13,13 @@
 
 namespace tealcart::test {
 
-// A stream of whole numbers that is the same on every platform (splitmix64).
+// A sequence of pseudo-random integers that is the same on every platform (splitmix64).
 class RandomNumbers {
   public:
     explicit RandomNumbers(std::uint64_t seed) : state_(seed) {}
 
     std::uint64_t next();
-    // From 0 up to, not including, `bound`.
+    // Returns a number from 0 to below `bound`.
     std::uint32_t below(std::uint32_t bound) { return static_cast<std::uint32_t>(next() % bound); }
     bool one_in(std::uint32_t n) { return below(n) == 0; }
 
@@ -27,7 +27,7 @@
     std::uint64_t state_;
 };
 
-// A hash (FNV-1a, 64 bits) of a sequence of whole numbers.
+// A hash (FNV-1a, 64 bits) of a sequence of integers.
 class Digest {
   public:
     void add(std::uint64_t number);
@@ -37,34 +37,34 @@
     std::uint64_t value_ = 14695981039346656037ULL;
 };
 
-// The deployment that a seed stands for: every setting of RouterConfig is varied.
+// Returns the deployment for a seed. Seeds vary every setting of RouterConfig.
 RouterConfig deployment_of(std::uint64_t seed);
 
-// One router's days in the fleet of one seed.
+// Runs one router in the fleet that belongs to a seed.
 class SimulatedFleet final : public RoundEvents, public DecisionSink {
   public:
     explicit SimulatedFleet(std::uint64_t seed);
 
-    // Plays `rounds` rounds and returns the digest of all decisions.
+    // Runs `rounds` rounds and returns the digest of all decisions.
     std::uint64_t run(int rounds);
 
-    // How often each thing has happened, to see that the days hold some of everything.
+    // The number of events and decisions of each kind, to check that the runs contain all of them.
     struct Counts {
         std::array<int, 8> outcomes{};  // by Outcome
         std::array<int, 4> lists{};     // by ListKind
         int queries = 0, attempts = 0, cancels = 0, complete_answers = 0, partial_answers = 0, rejections = 0;
         int failures = 0, watches = 0, drops = 0, timers = 0, retries = 0, later_phases = 0, second_steps = 0;
-        int hedges = 0, cold_attempts = 0, logs = 0;
+        int hedges = 0, warming_attempts = 0, logs = 0;
 
         Counts& operator+=(const Counts& other);
     };
     const Counts& counts() const { return counts_; }
 
   private:
-    enum class Trouble : std::uint8_t { none, slow, hung, errors, resets, full, unreachable };
+    enum class Fault : std::uint8_t { none, slow, hung, errors, resets, overloaded, unreachable };
     struct Node {
         Endpoint endpoint;
-        Trouble trouble = Trouble::none;
+        Fault fault = Fault::none;
         int base_ms = 0;
         int in_flight = 0;
     };
@@ -101,7 +101,7 @@
     void add_shard_requests(RoundEventHandler& handler, Query& query, std::uint32_t count, bool later_phase);
     Outcome outcome_at(const Node& node);
     Nanos latency_at(const Node& node);
-    void add_interface_figures();
+    void digest_interface_results();
 
     RandomNumbers random_;
     RouterConfig config_;
@@ -111,16 +111,16 @@
     Nanos now_ = 1'000'000'000'000;
     int round_ = 0;
     std::uint32_t next_id_ = 1, next_node_ = 500;
-    std::uint32_t load_ = 6;  // a query comes in one of so many rounds
-    bool fleet_is_full_ = false;
+    std::uint32_t rounds_per_query_ = 6;  // average number of rounds per arriving query
+    bool fleet_is_overloaded_ = false;
     std::map<std::uint32_t, Node> nodes_;
     std::vector<Endpoint> changed_;                             // since the last list
-    Nanos full_list_at_ = 0;                                    // 0 for none due
-    std::multimap<Nanos, std::uint64_t> due_;                   // keys of attempts_ by time of their result
+    Nanos full_list_at_ = 0;                                    // when a full list is due; 0 for none
+    std::multimap<Nanos, std::uint64_t> due_;                   // keys of attempts_, by time of the result
     std::map<std::uint64_t, InFlight> attempts_;                // by shard request and attempt
-    std::map<std::uint32_t, std::uint8_t> attempts_of_;         // of a shard request
+    std::map<std::uint32_t, std::uint8_t> attempts_of_;         // number of attempts, by shard request
     std::multimap<Nanos, std::uint64_t> timers_;                // cookies
-    std::map<std::uint32_t, Query> queries_;                    // not yet ended
+    std::map<std::uint32_t, Query> queries_;                    // queries that have not ended
     std::multimap<Nanos, std::uint32_t> second_steps_;          // queries whose second step is due
     std::vector<std::pair<Nanos, std::uint32_t>> retries_due_;  // time and timeout in milliseconds
 };
--- a/tests/simwire_test.cpp
+++ b/tests/simwire_test.cpp
@@ -1,4 +1,4 @@
-// The wire: the worked records of its page, a list page used twice in a batch, and input that is malformed.
+// Tests of the simulator's adapter: the example records of the wire format, list pages and malformed input.
 #include <catch2/catch.hpp>
 
 #include "helpers.hpp"
@@ -28,12 +28,13 @@
 
 std::string batch(double clock_ms, const std::vector<std::string>& records) {
     std::string out = packed(clock_ms, static_cast<std::uint32_t>(records.size()), std::uint32_t{12});
-    for (const std::string& r : records) out += r;
+    for (const std::string& record : records) out += record;
     return out;
 }
 
-std::string init(const std::string& text = test::settings_text) {
-    return bytes("03 03000000 0100000000000000") + packed(static_cast<std::uint32_t>(text.size())) + text;
+std::string init(const std::string& settings = test::settings_text) {
+    return bytes("03 03000000 0100000000000000") + packed(static_cast<std::uint32_t>(settings.size())) +
+           settings;
 }
 
 std::string inventory(std::uint8_t page, std::uint32_t node, std::uint16_t place) {
@@ -50,13 +51,13 @@
 
 }  // namespace
 
-TEST_CASE("the page's worked records are read") {
+TEST_CASE("the example records of the wire format are read and answered") {
     Adapter adapter;
-    const std::string two = bytes(
+    const std::string page_of_two_nodes = bytes(
         "05 00 02000000 074a1203 0000 00 0000 01 0000803f 0000000000000000"
         "f211902c 0100 00 0100 01 0000c03f 0000000000d4b740");
-    adapter.reply_to(batch(8000, {init(), two, bytes("07 03000000 02 00 29000000")}));
-    const std::string asked = adapter.reply_to(batch(
+    adapter.reply_to(batch(8000, {init(), page_of_two_nodes, bytes("07 03000000 02 00 29000000")}));
+    const std::string attempt = adapter.reply_to(batch(
         8412.25,
         {bytes(
              "04 03000000 192b6f0e 0000 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840 00005643"
@@ -64,9 +65,9 @@
          bytes(
              "04 03000000 c4913a5d 0000 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840 00005643"
              "00000000 0000803f 0100")}));
-    CHECK(asked.find(bytes("44 03000000 c4913a5d")) != std::string::npos);
-    // Its outcome from whichever node was asked answers the query, whole, in the page's words.
-    const std::string node = asked.substr(asked.find(bytes("44 03000000 c4913a5d")) + 9, 4);
+    CHECK(attempt.find(bytes("44 03000000 c4913a5d")) != std::string::npos);
+    // The result from the node that was selected completes the query's answer.
+    const std::string node = attempt.substr(attempt.find(bytes("44 03000000 c4913a5d")) + 9, 4);
     const std::string end = bytes("0a 03000000 c4913a5d 0000000000803240") + node + bytes("0100 01 00 00");
     const std::string reply = adapter.reply_to(batch(8500, {end, bytes("0b 03000000 4d00000000000000")}));
     CHECK(reply.find(bytes("41 03000000 192b6f0e 01")) != std::string::npos);
@@ -75,7 +76,7 @@
                                       bytes("08 03000000 c4913a5d 00") + node + bytes("0000000000803240")})));
 }
 
-TEST_CASE("a list page used again in a batch keeps its order") {
+TEST_CASE("each list event uses the page content that precedes it in the batch") {
     Adapter adapter;
     adapter.reply_to(
         batch(8000, {init(), inventory(0, 71, 0), changed_delta, inventory(0, 72, 1), changed_delta}));
@@ -85,7 +86,7 @@
     CHECK(reply.find(bytes("47000000")) != std::string::npos);
 }
 
-TEST_CASE("a router that is killed and started again in one batch forgets its life") {
+TEST_CASE("a router that is killed and restarted within one batch has no state of its earlier incarnation") {
     Adapter adapter;
     adapter.reply_to(
         batch(8000, {init(), inventory(0, 71, 0), changed_delta, demand(1, -1, 1), demand(2, 0, 1)}));
@@ -94,20 +95,20 @@
     CHECK_NOTHROW(adapter.reply_to(batch(12000, {bytes("0b 03000000 0000000000000000")})));
 }
 
-TEST_CASE("malformed input is told in plain words") {
-    const auto fails = [](const std::string& input, const std::string& words) {
+TEST_CASE("malformed input throws an error that names the fault") {
+    const auto fails = [](const std::string& input, const std::string& message) {
         Adapter adapter;
-        CHECK_THROWS_WITH(adapter.reply_to(input), Catch::Contains(words));
+        CHECK_THROWS_WITH(adapter.reply_to(input), Catch::Contains(message));
     };
     fails(bytes("0000"), "ends before");
     fails(batch(8000, {init().substr(0, 40)}), "ends before");
     fails(batch(8000, {bytes("63 03000000")}), "unknown record code 99");
-    fails(batch(8000, {init()}) + "x", "goes on behind");
+    fails(batch(8000, {init()}) + "x", "1 bytes after its last record");
     fails(batch(8000, {init(), changed_delta}), "never sent");
     fails(batch(8000, {init("{\"step\": ")}), "can't be read");
-    fails(batch(8000, {init("{}")}), "lack 'extra'");
-    fails(batch(8000, {init("[1]")}), "lack");
+    fails(batch(8000, {init("{}")}), "setting 'extra' is missing");
+    fails(batch(8000, {init("[1]")}), "setting 'extra' is missing");
     fails(batch(8000, {bytes("0b 03000000 0000000000000000")}), "has not been started");
     fails(batch(8000, {bytes("05 00 ffffffff")}), "ends before");
-    fails(batch(8000, {init(), demand(1, 9, 1)}), "beyond extra.ranges");
+    fails(batch(8000, {init(), demand(1, 9, 1)}), "has shard 9; expected less than extra.ranges (4)");
 }
--- a/tests/tables_test.cpp
+++ b/tests/tables_test.cpp
@@ -1,4 +1,4 @@
-// What is kept: slots, deadlines and the list of nodes, the former beside plain models on generated steps.
+// Tests of the tables. SlotMap and TimerQueue are compared with simple models over generated operations.
 #include <catch2/catch.hpp>
 #include <map>
 #include <random>
@@ -10,118 +10,119 @@
 
 using namespace tealcart;
 
-TEST_CASE("a handle of an earlier life finds nothing, others keep what they hold") {
-    std::knuth_b chance(GENERATE(range(1U, 6U)));
+TEST_CASE("the handle of a released value finds nothing, other handles keep their values") {
+    std::knuth_b random(GENERATE(range(1U, 6U)));
     SlotMap<int> slots;
-    std::vector<std::pair<Handle, int>> held;
-    std::vector<Handle> old;
+    std::vector<std::pair<Handle, int>> present;
+    std::vector<Handle> released;
     for (int i = 0; i < 2000; ++i) {
-        if (held.empty() || chance() % 5 < 3) {
-            held.emplace_back(slots.emplace(i), i);
+        if (present.empty() || random() % 5 < 3) {
+            present.emplace_back(slots.emplace(i), i);
         } else {
-            const std::size_t at = chance() % held.size();
-            slots.release(held[at].first);
-            slots.release(held[at].first);  // once more does nothing
-            old.push_back(held[at].first);
-            held.erase(held.begin() + static_cast<std::ptrdiff_t>(at));
+            const std::size_t at = random() % present.size();
+            slots.release(present[at].first);
+            slots.release(present[at].first);  // a second release does nothing
+            released.push_back(present[at].first);
+            present.erase(present.begin() + static_cast<std::ptrdiff_t>(at));
         }
-        REQUIRE(slots.size() == held.size());
+        REQUIRE(slots.size() == present.size());
     }
-    for (const auto& [h, value] : held) REQUIRE((slots.find(h) != nullptr && *slots.find(h) == value));
-    for (const Handle h : old) REQUIRE(slots.find(h) == nullptr);
+    for (const auto& [handle, value] : present)
+        REQUIRE((slots.find(handle) != nullptr && *slots.find(handle) == value));
+    for (const Handle handle : released) REQUIRE(slots.find(handle) == nullptr);
     CHECK(slots.find(Handle{}) == nullptr);
 }
 
 namespace {
 
-struct Told final : TimerHandler {
-    std::vector<std::uint64_t> all;
-    void on_timer_due(Handle, std::uint64_t what) override { all.push_back(what); }
+struct RecordedTimers final : TimerHandler {
+    std::vector<std::uint64_t> cookies;
+    void on_timer_due(Handle, std::uint64_t cookie) override { cookies.push_back(cookie); }
 };
 
 }  // namespace
 
-TEST_CASE("deadlines are told in their order, and none that was dropped") {
-    std::knuth_b chance(GENERATE(range(1U, 11U)));
-    TimerQueue due;
-    Told told;
-    std::multimap<Nanos, std::uint64_t> plain;  // keeps the order of adding where times are equal
+TEST_CASE("timers fire in order of time and insertion, and cancelled ones never fire") {
+    std::knuth_b random(GENERATE(range(1U, 11U)));
+    TimerQueue queue;
+    RecordedTimers fired;
+    std::multimap<Nanos, std::uint64_t> model;  // keeps insertion order among equal times
     std::map<std::uint64_t, TimerQueue::TimerId> timers;
     Nanos now = 0;
     for (std::uint64_t i = 0; i < 1500; ++i) {
-        if (chance() % 3 > 0) {
-            const Nanos at = now + static_cast<Nanos>(chance() % 50);
-            timers[i] = due.add(at, told, {}, i);
-            plain.emplace(at, i);
-        } else if (!plain.empty() && chance() % 2 == 0) {
-            const auto it = std::next(plain.begin(), static_cast<std::ptrdiff_t>(chance() % plain.size()));
-            due.cancel(timers[it->second]);
+        if (random() % 3 > 0) {
+            const Nanos at = now + static_cast<Nanos>(random() % 50);
+            timers[i] = queue.add(at, fired, {}, i);
+            model.emplace(at, i);
+        } else if (!model.empty() && random() % 2 == 0) {
+            const auto it = std::next(model.begin(), static_cast<std::ptrdiff_t>(random() % model.size()));
+            queue.cancel(timers[it->second]);
             REQUIRE(timers[it->second] == TimerQueue::none);
-            plain.erase(it);
+            model.erase(it);
         }
-        REQUIRE(due.next() == (plain.empty() ? TimerQueue::never : plain.begin()->first));
-        if (chance() % 8 != 0) continue;
-        now += static_cast<Nanos>(chance() % 40);
-        told.all.clear();
-        due.fire_due(now);
+        REQUIRE(queue.next() == (model.empty() ? TimerQueue::never : model.begin()->first));
+        if (random() % 8 != 0) continue;
+        now += static_cast<Nanos>(random() % 40);
+        fired.cookies.clear();
+        queue.fire_due(now);
         std::vector<std::uint64_t> expected;
-        for (; !plain.empty() && plain.begin()->first <= now; plain.erase(plain.begin()))
-            expected.push_back(plain.begin()->second);
-        REQUIRE(told.all == expected);
-        REQUIRE(due.size() == plain.size());
+        for (; !model.empty() && model.begin()->first <= now; model.erase(model.begin()))
+            expected.push_back(model.begin()->second);
+        REQUIRE(fired.cookies == expected);
+        REQUIRE(queue.size() == model.size());
     }
 }
 
-TEST_CASE("the list of nodes keeps its numbers, and tells who leaves or moves") {
+TEST_CASE("NodeTable keeps indices stable and reports nodes that leave, move or are new") {
     NodeTable nodes;
-    const auto node = [](std::string id, std::string address, Lifecycle a, Nanos started = 0) {
-        return ListedEndpoint{std::move(id), std::move(address), "z", "k", 1, a, started};
+    const auto node = [](std::string id, std::string address, Lifecycle lifecycle, Nanos started_at = 0) {
+        return ListedEndpoint{std::move(id), std::move(address), "z", "k", 1, lifecycle, started_at};
     };
     using enum Lifecycle;
-    auto news = nodes.apply({1, true, {node("a", "h:1", ready), node("b", "h:2", ready)}, 0});
-    CHECK(news.entries.size() == 2);
-    CHECK(news.moved.empty());
+    auto changes = nodes.apply({1, true, {node("a", "h:1", ready), node("b", "h:2", ready)}, 0});
+    CHECK(changes.entries.size() == 2);
+    CHECK(changes.moved.empty());
     CHECK(nodes.ready() == 2);
-    news = nodes.apply({2, false, {node("b", "h:2", draining)}, 0});
-    CHECK(news.leaving == std::vector<std::uint32_t>{1});
+    changes = nodes.apply({2, false, {node("b", "h:2", draining)}, 0});
+    CHECK(changes.leaving == std::vector<std::uint32_t>{1});
     CHECK(nodes.ready() == 1);
-    // A new address or a new start means that connections lead to a process that is no more.
-    news = nodes.apply({3, false, {node("a", "h:9", ready), node("b", "h:2", ready, 5)}, 0});
-    CHECK(news.moved == std::vector<std::uint32_t>{0, 1});
-    CHECK(news.leaving.empty());
+    // With a new address or start time, old connections lead to a process that is gone.
+    changes = nodes.apply({3, false, {node("a", "h:9", ready), node("b", "h:2", ready, 5)}, 0});
+    CHECK(changes.moved == std::vector<std::uint32_t>{0, 1});
+    CHECK(changes.leaving.empty());
     CHECK(nodes.address(0) == "h:9");
-    news = nodes.apply({4, false, {node("a", "", removed)}, 0});
-    CHECK(news.entries[0].lifecycle == removed);
-    CHECK(news.leaving == std::vector<std::uint32_t>{0});
+    changes = nodes.apply({4, false, {node("a", "", removed)}, 0});
+    CHECK(changes.entries[0].lifecycle == removed);
+    CHECK(changes.leaving == std::vector<std::uint32_t>{0});
     CHECK(nodes.address(0) == "h:9");
-    // What a whole list does not name is gone; the next new node gets a number of its own.
-    news = nodes.apply({5, true, {node("c", "h:3", ready)}, 0});
-    CHECK(news.entries[0].node == 2);
-    CHECK(news.leaving == std::vector<std::uint32_t>{1});
+    // A node that a full list does not contain is removed, and a new node gets an unused index.
+    changes = nodes.apply({5, true, {node("c", "h:3", ready)}, 0});
+    CHECK(changes.entries[0].node == 2);
+    CHECK(changes.leaving == std::vector<std::uint32_t>{1});
     CHECK(nodes.ready() == 1);
-    // Two at a time were the most, so of those that are gone the last two are remembered.
-    news = nodes.apply({6, false, {node("b", "h:2", ready, 5), node("never met", "", removed)}, 0});
-    CHECK(news.added.empty());
-    CHECK(news.entries.size() == 1);
+    // At most two nodes were present at one time, so the last two removed nodes are remembered.
+    changes = nodes.apply({6, false, {node("b", "h:2", ready, 5), node("never listed", "", removed)}, 0});
+    CHECK(changes.added.empty());
+    CHECK(changes.entries.size() == 1);
     CHECK(nodes.size() == 3);
     nodes.apply({7, false, {node("d", "h:4", ready), node("b", "", removed), node("c", "", removed)}, 0});
-    news = nodes.apply({8, false, {node("a", "h:1", ready), node("d", "", removed)}, 0});
-    CHECK(news.added == std::vector<std::uint32_t>{4});  // a, forgotten meanwhile
+    changes = nodes.apply({8, false, {node("a", "h:1", ready), node("d", "", removed)}, 0});
+    CHECK(changes.added == std::vector<std::uint32_t>{4});  // node a was forgotten before
 }
 
-TEST_CASE("lists that bring ever new nodes leave nothing behind") {
+TEST_CASE("lists with ever new nodes do not grow the node table") {
     NodeTable nodes;
-    std::size_t held = 0;
-    for (std::uint64_t life = 0; life < 2000; ++life) {
-        const auto named = [&](std::uint64_t n, Lifecycle a) {
-            return ListedEndpoint{"node " + std::to_string(n), "h:1", "z", "k", 0, a, 0};
+    std::size_t allocated = 0;
+    for (std::uint64_t generation = 0; generation < 2000; ++generation) {
+        const auto listed = [&](std::uint64_t number, Lifecycle lifecycle) {
+            return ListedEndpoint{"node " + std::to_string(number), "h:1", "z", "k", 0, lifecycle, 0};
         };
-        std::vector<ListedEndpoint> list = {named(life, Lifecycle::ready)};
-        const bool whole = life % 3 == 0;  // which does not name the one before
-        if (life > 0 && !whole) list.push_back(named(life - 1, Lifecycle::removed));
-        nodes.apply({life, whole, list, 0});
+        std::vector<ListedEndpoint> list = {listed(generation, Lifecycle::ready)};
+        const bool full = generation % 3 == 0;  // does not contain the previous node
+        if (generation > 0 && !full) list.push_back(listed(generation - 1, Lifecycle::removed));
+        nodes.apply({generation, full, list, 0});
         REQUIRE(nodes.size() <= 4);
-        if (life == 100) held = test::allocated_bytes();
+        if (generation == 100) allocated = test::allocated_bytes();
     }
-    CHECK(test::allocated_bytes() <= held + 1000);
+    CHECK(test::allocated_bytes() <= allocated + 1000);
 }
