--- a/src/config/block_reader.cpp
+++ b/src/config/block_reader.cpp
@@ -11,8 +11,9 @@
 
 std::string quoted(std::string_view name) { return "'" + std::string(name) + "'"; }
 
-std::string outside(const HclAttribute& attribute, const std::string& min, const std::string& max) {
-    return quoted(attribute.name) + " is outside " + min + " to " + max;
+std::string out_of_range(const HclAttribute& attribute, const std::string& value, const std::string& min,
+                         const std::string& max) {
+    return quoted(attribute.name) + " is " + value + "; expected " + min + " to " + max;
 }
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
@@ -30,7 +31,7 @@
 
 void BlockReader::add_type_error(const HclAttribute& attribute, std::string_view expected) {
     add_error(attribute.value.position, quoted(attribute.name) + " is " + attribute.value.type_name() +
-                                            ", not " + std::string(expected));
+                                            "; expected " + std::string(expected));
 }
 
 Nanos BlockReader::duration(std::string_view name, Nanos fallback, Nanos min, Nanos max) {
@@ -38,17 +39,19 @@
     if (attribute == nullptr) return fallback;
     const auto* text = std::get_if<std::string>(&attribute->value.value);
     if (text == nullptr) {
-        add_type_error(*attribute, "a time such as \"250ms\"");
+        add_type_error(*attribute, "a duration such as \"250ms\"");
         return fallback;
     }
     const std::optional<Nanos> duration = parse_duration(*text);
     if (!duration) {
         add_error(attribute->value.position,
-                  quoted(name) + " is no time: a number with one of ns, us, ms, s, m, h");
+                  quoted(name) + " is \"" + *text +
+                      "\"; expected a duration: a number with one of ns, us, ms, s, m, h");
         return fallback;
     }
     if (*duration < min || *duration > max) {
-        add_error(attribute->value.position, outside(*attribute, format_duration(min), format_duration(max)));
+        add_error(attribute->value.position,
+                  out_of_range(*attribute, *text, format_duration(min), format_duration(max)));
         return fallback;
     }
     return *duration;
@@ -63,7 +66,8 @@
         return fallback;
     }
     if (!(*number >= min && *number <= max)) {
-        add_error(attribute->value.position, outside(*attribute, format_number(min), format_number(max)));
+        add_error(attribute->value.position,
+                  out_of_range(*attribute, format_number(*number), format_number(min), format_number(max)));
         return fallback;
     }
     return *number;
@@ -74,7 +78,8 @@
     const double value =
         number(name, static_cast<double>(fallback), static_cast<double>(min), static_cast<double>(max));
     if (value == std::floor(value)) return static_cast<std::int64_t>(value);
-    add_error(find(name)->value.position, quoted(name) + " is no whole number");
+    add_error(find(name)->value.position,
+              quoted(name) + " is " + format_number(value) + "; expected an integer");
     return fallback;
 }
 
@@ -86,12 +91,14 @@
     const auto bytes = text != nullptr ? parse_byte_size(*text) : std::nullopt;
     if (!bytes) {
         add_error(attribute->value.position,
-                  quoted(name) + " is no size such as \"4MiB\": a number with one of B, KiB, MiB, GiB");
+                  quoted(name) + " is " +
+                      (text != nullptr ? "\"" + *text + "\"" : attribute->value.type_name()) +
+                      "; expected a size such as \"4MiB\": a number with one of B, KiB, MiB, GiB");
         return fallback;
     }
     if (*bytes < min || *bytes > max) {
         add_error(attribute->value.position,
-                  outside(*attribute, format_byte_size(min), format_byte_size(max)));
+                  out_of_range(*attribute, *text, format_byte_size(min), format_byte_size(max)));
         return fallback;
     }
     return *bytes;
@@ -127,7 +134,7 @@
             strings.push_back(*text);
         else
             add_error(element.position,
-                      "in " + quoted(name) + " stands " + element.type_name() + ", not a string");
+                      "an element of " + quoted(name) + " is " + element.type_name() + "; expected a string");
     }
     return strings;
 }
@@ -145,8 +152,8 @@
         if (const auto* number = std::get_if<double>(&value.value))
             numbers.emplace_back(key, *number);
         else
-            add_error(value.position,
-                      "in " + quoted(name) + " stands " + value.type_name() + ", not a number");
+            add_error(value.position, "member " + quoted(key) + " of " + quoted(name) + " is " +
+                                          value.type_name() + "; expected a number");
     }
     return numbers;
 }
@@ -161,19 +168,23 @@
     if (found != words.end()) return static_cast<std::size_t>(found - words.begin());
     std::string all;
     for (const char* word : words) all.append(all.empty() ? "\"" : ", \"").append(word).append("\"");
-    add_error(attribute->value.position, quoted(name) + " is none of " + all);
+    add_error(attribute->value.position,
+              quoted(name) + " is " + (text != nullptr ? "\"" + *text + "\"" : attribute->value.type_name()) +
+                  "; expected one of " + all);
     return fallback;
 }
 
 std::string BlockReader::label(const char* what) {
     if (block_.labels.size() == 1 && !block_.labels[0].empty()) return block_.labels[0];
-    add_error(block_.position, "a " + quoted(block_.type) + " block has one label, " + what);
+    add_error(block_.position, "a " + quoted(block_.type) + " block has " +
+                                   std::to_string(block_.labels.size()) + " labels; expected one, " + what);
     return {};
 }
 
 void BlockReader::expect_no_label() {
     if (!block_.labels.empty())
-        add_error(block_.position, "a " + quoted(block_.type) + " block has no label");
+        add_error(block_.position, "a " + quoted(block_.type) + " block has " +
+                                       std::to_string(block_.labels.size()) + " labels; expected none");
 }
 
 std::vector<const HclBlock*> BlockReader::blocks(std::string_view type) {
@@ -187,17 +198,18 @@
 const HclBlock* BlockReader::single_block(std::string_view type) {
     const auto found = blocks(type);
     for (std::size_t i = 1; i < found.size(); ++i)
-        add_error(found[i]->position, "a second " + quoted(type) + " block");
+        add_error(found[i]->position,
+                  "there is more than one " + quoted(type) + " block; expected at most one");
     return found.empty() ? nullptr : found.front();
 }
 
 void BlockReader::reject_unknown() {
     for (const HclAttribute& attribute : block_.attributes)
         if (!contains(known_attributes_, attribute.name))
-            add_error(attribute.position, quoted(attribute.name) + " is not known here");
+            add_error(attribute.position, "attribute " + quoted(attribute.name) + " is not known here");
     for (const HclBlock& block : block_.blocks)
         if (!contains(known_blocks_, block.type))
-            add_error(block.position, "a block " + quoted(block.type) + " is not known here");
+            add_error(block.position, "block " + quoted(block.type) + " is not known here");
 }
 
 }  // namespace tealcart
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -1,4 +1,5 @@
-// The error of every reader of configuration: what the platform or the operators state, read at the start.
+// The error that readers of configuration throw at startup, for the platform's settings and for operators'
+// files.
 #pragma once
 
 #include <stdexcept>
@@ -6,8 +7,8 @@
 
 namespace tealcart {
 
-// A configuration that can't be used. `what()` is one plain line for the operator. Where the error is about
-// one setting, `setting()` is its key and `value()` its value as it was written, empty where it is missing.
+// An invalid configuration. `what()` is a single line for the operator. If the error concerns one setting,
+// `setting()` is its key and `value()` its value as written, which is empty if the setting is missing.
 class ConfigError : public std::runtime_error {
   public:
     explicit ConfigError(const std::string& message) : std::runtime_error(message) {}
--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -12,7 +12,6 @@
 
 namespace peg = tao::pegtl;
 
-// Rules are named in lower case, as PEGTL names its own.
 // NOLINTBEGIN(readability-identifier-naming): rules have the names of the grammar, as PEGTL does
 namespace grammar {
 
@@ -21,7 +20,7 @@
 struct comment_end : peg::until<peg::string<'*', '/'>> {};
 struct block_comment : peg::if_must<peg::string<'/', '*'>, comment_end> {};
 struct gap : peg::star<peg::sor<peg::blank, block_comment>> {};                  // within a line
-struct space : peg::star<peg::sor<peg::space, line_comment, block_comment>> {};  // over lines
+struct space : peg::star<peg::sor<peg::space, line_comment, block_comment>> {};  // across lines
 
 struct name
     : peg::seq<peg::sor<peg::alpha, peg::one<'_'>>, peg::star<peg::sor<peg::alnum, peg::one<'_', '-'>>>> {};
@@ -78,36 +77,43 @@
 template <typename>
 constexpr const char* error_message = nullptr;
 template <>
-constexpr auto error_message<grammar::comment_end> = "a comment that does not end";
+constexpr auto error_message<grammar::comment_end> = "comment is not terminated; expected '*/'";
 template <>
-constexpr auto error_message<grammar::digits> = "digits are missing in a number";
+constexpr auto error_message<grammar::digits> =
+    "number has no digits after '.' or its exponent; expected digits";
 template <>
-constexpr auto error_message<grammar::four_hex> = "\\u needs four hexadecimal digits";
+constexpr auto error_message<grammar::four_hex> =
+    "\\u escape is incomplete; expected four hexadecimal digits";
 template <>
 constexpr auto error_message<grammar::escape_code> =
-    "an escape that is not known; there are \\n \\r \\t \\\" \\\\ \\uNNNN";
+    "unknown escape sequence; expected one of \\n \\r \\t \\\" \\\\ \\uNNNN";
 template <>
 constexpr auto error_message<grammar::no_template> =
-    "templates in strings are not part of this file's language";
+    "string contains a template (\"${\" or \"%{\"), which is not supported";
 template <>
-constexpr auto error_message<grammar::text_end> = "a string that does not end on its line";
+constexpr auto error_message<grammar::text_end> = "string is not terminated on its line; expected '\"'";
 template <>
-constexpr auto error_message<grammar::list_end> = "a ',' or the list's ']' is missing";
+constexpr auto error_message<grammar::list_end> = "list is not terminated; expected ',' or ']'";
 template <>
-constexpr auto error_message<grammar::member_assign> = "a '=' or ':' is missing behind a key";
+constexpr auto error_message<grammar::member_assign> =
+    "object key has no value; expected '=' or ':' after it";
 template <>
-constexpr auto error_message<grammar::object_end> = "a ',', a new line or the object's '}' is missing";
+constexpr auto error_message<grammar::object_end> =
+    "object is not terminated; expected ',', a new line or '}'";
 template <>
 constexpr auto error_message<grammar::required_value> =
-    "a value is missing, or is none: strings, numbers, true, false, null, lists, objects";
+    "missing or invalid value; expected a string, number, true, false, null, list or object";
 template <>
-constexpr auto error_message<grammar::item_end> = "the line goes on where it should end";
+constexpr auto error_message<grammar::item_end> =
+    "unexpected text after a value or block; expected the end of the line";
 template <>
-constexpr auto error_message<grammar::block_end> = "neither an attribute, a block nor the block's '}'";
+constexpr auto error_message<grammar::block_end> =
+    "unexpected text in a block; expected an attribute, a block or '}'";
 template <>
-constexpr auto error_message<grammar::file_end> = "neither an attribute nor a block";
+constexpr auto error_message<grammar::file_end> =
+    "unexpected text in the file; expected an attribute or a block";
 template <>
-constexpr auto error_message<grammar::space> = "";  // these three always match
+constexpr auto error_message<grammar::space> = "";  // these three rules always match
 template <>
 constexpr auto error_message<grammar::gap> = "";
 template <>
@@ -122,7 +128,7 @@
 template <typename Rule>
 using ParseControl = peg::must_if<Messages, peg::normal, false>::control<Rule>;
 
-// The nodes of the parse tree that the builder uses.
+// Selects the nodes of the parse tree that TreeBuilder uses.
 template <typename Rule>
 using TreeSelector = peg::parse_tree::selector<
     Rule,
@@ -134,7 +140,7 @@
 
 HclPosition position_of(const Node& node) { return {node.begin().line, node.begin().column}; }
 
-// Appends a code point of the basic plane.
+// Appends a code point of the basic multilingual plane as UTF-8.
 void append_utf8(std::string& out, std::uint32_t code) {
     if (code < 0x80) {
         out += static_cast<char>(code);
@@ -161,7 +167,7 @@
     }
 }
 
-// The content of a quoted string. The grammar guarantees that every escape is complete.
+// Returns the content of a quoted string. The grammar guarantees that every escape sequence is complete.
 std::string unquote(std::string_view quoted) {
     std::string out;
     const std::string_view in = quoted.substr(1, quoted.size() - 2);
@@ -183,12 +189,12 @@
     return out;
 }
 
-// A label or key, which may be quoted.
+// Returns a label or key, which may be quoted.
 std::string name_of(const Node& node) {
     return node.is_type<grammar::text>() ? unquote(node.string_view()) : node.string();
 }
 
-// Turns the parse tree into blocks and values.
+// Converts the parse tree to blocks and values.
 class TreeBuilder {
   public:
     explicit TreeBuilder(std::string_view source) : source_(source) {}
@@ -238,7 +244,8 @@
         double number = 0;
         const std::string_view digits = node.string_view();
         if (std::from_chars(digits.data(), digits.data() + digits.size(), number).ec != std::errc())
-            throw HclErrors(source_, {{position_of(node), "a number out of range"}});
+            throw HclErrors(source_,
+                            {{position_of(node), "number " + std::string(digits) + " is out of range"}});
         return number;
     }
 
@@ -260,14 +267,14 @@
     }
 
     HclErrors duplicate(HclPosition position, const std::string& name) const {
-        return {source_, {{position, "'" + name + "' is given twice"}}};
+        return {source_, {{position, "'" + name + "' occurs twice; expected once"}}};
     }
 
     std::string source_;
 };
 
-// Where brackets nest deeper than `max_hcl_depth`. Bounds the parser's stack, so it may count brackets within
-// strings and comments too.
+// Returns the position at which brackets nest deeper than `max_hcl_depth`, if any. This bounds the parser's
+// stack, so that it may count brackets within strings and comments too.
 std::optional<HclPosition> find_too_deep(std::string_view text) {
     int depth = 0;
     HclPosition position;
@@ -297,7 +304,7 @@
     : std::runtime_error(error_lines(source, errors)), errors_(std::move(errors)) {}
 
 const char* HclValue::type_name() const {
-    constexpr std::array names = {"null", "a truth value", "a number", "a string", "a list", "an object"};
+    constexpr std::array names = {"null", "a boolean", "a number", "a string", "a list", "an object"};
     return names.at(value.index());
 }
 
@@ -311,10 +318,14 @@
 }
 
 HclBlock parse_hcl(std::string_view text, std::string_view source) {
-    if (text.size() > max_hcl_bytes) throw HclErrors(source, {{{}, "the file is over 1 MiB"}});
+    if (text.size() > max_hcl_bytes)
+        throw HclErrors(source, {{{}, "file has " + std::to_string(text.size()) + " bytes, over 1 MiB"}});
     if (const auto position = find_too_deep(text))
-        throw HclErrors(source, {{*position, "blocks, lists or objects too deep in each other"}});
-    if (text.find('\0') != text.npos) throw HclErrors(source, {{{}, "the file holds a zero byte"}});
+        throw HclErrors(source,
+                        {{*position, "blocks, lists or objects are nested too deep; expected at most " +
+                                         std::to_string(max_hcl_depth) + " levels"}});
+    if (text.find('\0') != text.npos)
+        throw HclErrors(source, {{{}, "file contains a zero byte; expected text"}});
     peg::memory_input in(text.data(), text.data() + text.size(), std::string(source));
     try {
         const auto root = peg::parse_tree::parse<grammar::file, TreeSelector, peg::nothing, ParseControl>(in);
--- a/src/config/hcl.hpp
+++ b/src/config/hcl.hpp
@@ -1,6 +1,6 @@
-// Parser of the operators' files: a subset of HCL's native syntax, as a tree in which every node knows its
-// line and column. docs/operator-file.md describes the subset. Pure functions on text; what a name means is
-// up to the readers (BlockReader).
+// Parser for operators' files, which are written in a subset of HCL's native syntax (docs/operator-file.md).
+// It produces a tree in which every node has its line and column. The meaning of names is left to the readers
+// (BlockReader).
 #pragma once
 
 #include <stdexcept>
@@ -11,7 +11,7 @@
 
 namespace tealcart {
 
-// A place in a file, both counted from 1.
+// A position in a file. Lines and columns are counted from 1.
 struct HclPosition {
     std::size_t line = 1;
     std::size_t column = 1;
@@ -19,15 +19,15 @@
 
 struct HclMember;
 
-// A literal: there are no expressions.
+// A literal value. The subset has no expressions.
 struct HclValue {
     using List = std::vector<HclValue>;
-    using Object = std::vector<HclMember>;  // in the order of the file; no key occurs twice
+    using Object = std::vector<HclMember>;  // in file order; keys are unique
 
     std::variant<std::monostate, bool, double, std::string, List, Object> value;  // monostate: null
     HclPosition position;
 
-    // "a string", "a number" ...: for error messages.
+    // The name of the type for error messages, such as "a string".
     const char* type_name() const;
 };
 
@@ -37,26 +37,29 @@
     HclValue value;
 };
 
+// An attribute of a block.
 struct HclAttribute {
     std::string name;
     HclValue value;
     HclPosition position;  // of the name
 };
 
+// A block with its labels, attributes and nested blocks.
 struct HclBlock {
     std::string type;  // empty for the file itself
     std::vector<std::string> labels;
-    std::vector<HclAttribute> attributes;  // no name occurs twice
+    std::vector<HclAttribute> attributes;  // names are unique
     std::vector<HclBlock> blocks;
     HclPosition position;
 };
 
+// An error and its position in the file.
 struct HclError {
     HclPosition position;
     std::string message;
 };
 
-// All errors of a file. `what()` has a line `SOURCE:LINE:COLUMN: MESSAGE` for each.
+// The errors of a file. `what()` has a line `SOURCE:LINE:COLUMN: MESSAGE` for each of them.
 class HclErrors : public std::runtime_error {
   public:
     HclErrors(std::string_view source, std::vector<HclError> errors);
@@ -67,11 +70,11 @@
     std::vector<HclError> errors_;
 };
 
-// Throws HclErrors with the errors in the order of the file; returns where there are none.
+// Throws HclErrors with the errors in file order. Does nothing if there are none.
 void throw_if_errors(std::string_view source, std::vector<HclError> errors);
 
 constexpr std::size_t max_hcl_bytes = 1 << 20;
-constexpr int max_hcl_depth = 24;  // of blocks, lists and objects in each other
+constexpr int max_hcl_depth = 24;  // nesting of blocks, lists and objects
 
 // Parses a file as one block without a type; `source` is its name in errors. Throws HclErrors with the first
 // syntax error.
--- a/src/config/host_port.hpp
+++ b/src/config/host_port.hpp
@@ -1,4 +1,4 @@
-// Addresses as the platform and operators write them.
+// Network addresses in settings and operators' files.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +8,7 @@
 
 namespace tealcart {
 
+// A host name or IP address, and a port.
 struct HostPort {
     std::string host;
     std::uint16_t port = 0;
@@ -15,7 +16,8 @@
     friend bool operator==(const HostPort&, const HostPort&) = default;
 };
 
-// "HOST:PORT" with a port above 0. None where the text is no such address; the host is not checked.
+// Parses "HOST:PORT" with a port above 0. Returns none if the text has another form. The host is not
+// validated.
 std::optional<HostPort> parse_host_port(std::string_view text);
 
 }  // namespace tealcart
--- a/src/config/member_config.hpp
+++ b/src/config/member_config.hpp
@@ -1,6 +1,6 @@
-// How a query router takes part in a fleet, which agrees on drains and on changes of configuration: the
-// `member` block of the operators' file (docs/fleet.md). Without the block it takes part in none. Durations
-// are ns.
+// The `member` block of the operators' file (docs/fleet.md): how a query router takes part in a fleet, which
+// coordinates drains and changes of configuration. A router without the block is not part of a fleet.
+// Durations are in nanoseconds.
 #pragma once
 
 #include <string>
@@ -11,18 +11,21 @@
 
 namespace tealcart {
 
+// The settings of a fleet member.
 struct MemberConfig {
-    bool enabled = false;    // fleet managers are named
-    std::string name, zone;  // empty name: the configuration's
+    bool enabled = false;    // true if fleet managers are given
+    std::string name, zone;  // an empty name stands for that of the startup configuration
     std::vector<HostPort> managers;
-    std::vector<HostPort> relays;  // of changes of configuration; empty: it follows none
-    // After its lease has expired, the router acts on what it last knew for so long ...
+    std::vector<HostPort> relays;  // sources of configuration changes; empty to follow none
+    // How long the router acts on its last known state after its lease has expired.
     Nanos lease_grace = 24 * 3600'000'000'000;
-    // ... and then is not ready, but serves the queries that come; or, with this, rejects them and sends no
-    // attempts.
+    // What it does after that: it is not ready but serves the queries that arrive, or, if this is true,
+    // rejects them and sends no attempts.
     bool stop_after_grace = false;
-    Nanos startup_wait = 5'000'000'000;         // not ready before the managers' first answer, or this long
-    Nanos config_startup_wait = 2'000'000'000;  // the same of the relays' first answer
+    // Longest time for which the router is not ready while it waits for the first answer of the fleet
+    // managers, and of the relays.
+    Nanos startup_wait = 5'000'000'000;
+    Nanos config_startup_wait = 2'000'000'000;
 };
 
 }  // namespace tealcart
--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -12,7 +12,7 @@
 
 constexpr double nanos_per_ms = 1e6;
 
-// The first line of each top-level attribute and block, in the order of the file.
+// Returns the first line of each top-level attribute and block, in ascending order.
 std::vector<std::size_t> first_lines(const HclBlock& root) {
     std::vector<std::size_t> lines;
     for (const HclAttribute& attribute : root.attributes) lines.push_back(attribute.position.line);
@@ -32,7 +32,8 @@
     return lines;
 }
 
-// Why a two-phase block is not valid in the new deployment; empty where it is.
+// Returns the reason why a two-phase block is invalid in the new deployment, or an empty string if it is
+// valid.
 std::string invalid_because(const HclBlock& block, const RouterConfig& config,
                             const std::vector<std::string>& query_classes) {
     if (block.labels.empty()) return "it names no vertical";
@@ -80,13 +81,13 @@
     return lines;
 }
 
-// The old text with each invalid block as a comment, under a line that says why.
+// Returns the old text with each invalid block turned into a comment that starts with the reason.
 std::string comment_out(std::string_view old_text, const HclBlock& root,
                         const std::vector<HclError>& invalid) {
     const auto lines = split_lines(old_text);
     const auto starts = first_lines(root);
     std::string out;
-    std::size_t commented_until = 0;  // the first line behind the invalid block that was met last
+    std::size_t commented_until = 0;  // the first line after the last invalid block so far
     for (std::size_t line = 1; line <= lines.size(); ++line) {
         for (const HclError& block : invalid) {
             if (block.position.line != line) continue;
@@ -101,7 +102,7 @@
     return out;
 }
 
-// A `calls` block with the new settings' values, as a comment, for operators to state if they like.
+// Returns a `calls` block with the new settings' values as a comment, which operators may uncomment.
 std::string suggested_calls_block(const RouterConfig& config) {
     return "\n# As the new deployment's settings state; stated here, they hold whatever the settings say.\n"
            "# calls {\n#   parts = " +
@@ -112,7 +113,7 @@
 }  // namespace
 
 OperatorFileMigration migrate(std::string_view old_text, std::string_view source, std::string_view settings) {
-    read_operator_config(old_text, source);  // throws where the old file is wrong
+    read_operator_config(old_text, source);  // throws if the old file is invalid
     const HclBlock root = parse_hcl(old_text, source);
     const RouterConfig config = read_router_config(settings);
     const ConnectionConfig connections = read_connection_config(settings);
--- a/src/config/migration.hpp
+++ b/src/config/migration.hpp
@@ -1,5 +1,5 @@
-// Rewrites an operators' file for a new deployment (`tealcart migrate`): what is valid there stays as it is,
-// what isn't becomes a comment, with its position and the reason. Pure: text in, text out.
+// Rewrites an operators' file for a new deployment (`tealcart migrate`). Blocks that are valid there stay
+// unchanged, and the others become comments with the reason. It works on text only and accesses no files.
 #pragma once
 
 #include <string>
@@ -11,15 +11,16 @@
 
 namespace tealcart {
 
+// The result of a migration.
 struct OperatorFileMigration {
     std::string text;  // the file for the new deployment
-    std::vector<HclError>
-        invalid_blocks;  // blocks that are not valid there, at their position in the old file
-    std::vector<std::string> settings_summary;  // what the new deployment's settings say, one line each
+    // The blocks that are invalid there, with their position in the old file.
+    std::vector<HclError> invalid_blocks;
+    std::vector<std::string> settings_summary;  // the new deployment's settings, one line each
 };
 
-// `settings` is the new deployment's JSON object of that name. Throws HclErrors where the old file is wrong,
-// ConfigError where the settings are.
+// `settings` is the JSON text of the new deployment's settings. Throws HclErrors if the old file is invalid
+// and ConfigError if the settings are.
 OperatorFileMigration migrate(std::string_view old_text, std::string_view source, std::string_view settings);
 
 }  // namespace tealcart
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -6,6 +6,7 @@
 
 #include "config/block_reader.hpp"
 #include "config/host_port.hpp"
+#include "config/units.hpp"
 
 namespace tealcart {
 namespace {
@@ -16,13 +17,15 @@
 constexpr Nanos day = 24 * hour;
 constexpr std::size_t max_name_length = 128;
 
-// A name as it is shown and counted: printable and without blanks. Empty is allowed, for "not stated".
+// Reads a name, which has to be printable and without blanks since it is shown in status output and metrics.
+// An empty name means that none is given.
 std::string read_name(BlockReader& in, const HclBlock& block, const char* attribute) {
     std::string name = in.string(attribute, "");
     const bool printable = std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 0x7f; });
     if (name.size() > max_name_length || !printable)
         in.add_error(block.position,
-                     std::string("'") + attribute + "' is no name of up to 128 letters without blanks");
+                     std::string("'") + attribute +
+                         "' is invalid; expected a printable name of up to 128 characters without blanks");
     return name;
 }
 
@@ -33,8 +36,8 @@
         if (const auto address = parse_host_port(text))
             addresses.push_back(*address);
         else
-            in.add_error(block.position,
-                         std::string("the ") + what + " '" + text + "' is no address with a port");
+            in.add_error(block.position, std::string("the ") + what + " address '" + text +
+                                             "' is invalid; expected HOST:PORT");
     }
     return addresses;
 }
@@ -43,7 +46,7 @@
     BlockReader in(block, errors);
     TwoPhaseBlock read;
     read.position = block.position;
-    read.query_class = in.label("the vertical's name");
+    read.query_class = in.label("the query class's name");
     TwoPhaseConfig& config = read.config;
     config.enabled = true;
     config.first_phase_share = in.number("share", config.first_phase_share, 0.01, 0.9);
@@ -54,7 +57,9 @@
     config.audit_share = in.number("audit", config.audit_share, 0, 1);
     config.cache_filters = in.boolean("remember", config.cache_filters);
     if (config.min_first_phase > config.max_first_phase)
-        in.add_error(block.position, "'least' is over 'most'");
+        in.add_error(block.position, "'least' is " + format_duration(config.min_first_phase) +
+                                         "; expected at most 'most', which is " +
+                                         format_duration(config.max_first_phase));
     in.reject_unknown();
     return read;
 }
@@ -92,7 +97,8 @@
     ControlConfig config;
     config.enabled = true;
     config.listen = in.string("listen", config.listen);
-    if (!parse_host_port(config.listen)) in.add_error(block.position, "'listen' is no address with a port");
+    if (!parse_host_port(config.listen))
+        in.add_error(block.position, "'listen' is '" + config.listen + "'; expected HOST:PORT");
     config.node_limit = static_cast<int>(in.integer("node_limit", config.node_limit, 1, max_count));
     config.panic_threshold = in.number("panic", config.panic_threshold, 0, 1);
     config.panic_window = in.duration("panic_window", config.panic_window, second, hour);
@@ -116,7 +122,7 @@
     config.relays = read_addresses(in, block, "relays", "relay");
     config.enabled = !config.managers.empty();
     if (config.managers.empty() && config.relays.empty())
-        in.add_error(block.position, "'stewards' and 'relays' name none");
+        in.add_error(block.position, "'stewards' and 'relays' are both empty; expected at least one address");
     config.lease_grace = in.duration("serve_on", config.lease_grace, 0, 365 * day);
     config.stop_after_grace = in.choice("then", 0, {"leave", "stop"}) == 1;
     config.startup_wait = in.duration("first_word", config.startup_wait, 0, hour);
@@ -133,7 +139,8 @@
             return other.query_class == two_phase.query_class;
         };
         if (!two_phase.query_class.empty() && std::any_of(read.begin(), read.end(), same))
-            in.add_error(block->position, "a second 'two_phase' block for '" + two_phase.query_class + "'");
+            in.add_error(block->position, "there is more than one 'two_phase' block for '" +
+                                              two_phase.query_class + "'; expected at most one");
         read.push_back(std::move(two_phase));
     }
     return read;
@@ -177,7 +184,7 @@
 OperatorConfig read_operator_file(const std::string& path) {
     std::ifstream file(path);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("the operators' file " + path + " can't be read");
+    if (!file) throw ConfigError("operators' file " + path + " can't be read");
     return read_operator_config(text, path);
 }
 
@@ -193,18 +200,22 @@
                                                  std::vector<HclError>& errors) {
     const auto found = std::find(query_classes.begin(), query_classes.end(), block.query_class);
     if (found == query_classes.end()) {
-        errors.push_back({block.position, "the settings name no vertical '" + block.query_class + "'"});
+        errors.push_back({block.position, "query class '" + block.query_class + "' is not in the settings"});
         return std::nullopt;
     }
     const auto index = static_cast<std::size_t>(found - query_classes.begin());
     const QueryClassConfig& query_class = config.query_classes[index];
     const std::string name = "'" + block.query_class + "'";
     if (query_class.effect != Effect::idempotent) {
-        errors.push_back({block.position, name + " is not repeatable and can't be put in two phases"});
+        errors.push_back(
+            {block.position,
+             "query class " + name +
+                 " can't run in two phases: its semantics in the settings are not \"repeatable\""});
         return std::nullopt;
     }
     if (query_class.second_step_requests > 0) {
-        errors.push_back({block.position, name + " has a second step and can't be put in two phases"});
+        errors.push_back(
+            {block.position, "query class " + name + " can't run in two phases: it has a second step"});
         return std::nullopt;
     }
     return index;
--- a/src/config/router_config_reader.cpp
+++ b/src/config/router_config_reader.cpp
@@ -18,7 +18,7 @@
     return {key, value.dump(), "setting '" + key + "' " + problem};
 }
 
-// The member of `object`, or null where it is absent or JSON's null.
+// Returns the member of `object`, or a null pointer if it is absent or JSON's null.
 const Json* find(const Json& object, const char* key) {
     const auto found = object.find(key);
     return found == object.end() || found->is_null() ? nullptr : &*found;
@@ -26,12 +26,12 @@
 
 const Json& required(const Json& object, const char* key) {
     const Json* value = object.is_object() ? find(object, key) : nullptr;
-    if (value == nullptr) throw ConfigError(key, "", std::string("the settings lack '") + key + "'");
+    if (value == nullptr) throw ConfigError(key, "", std::string("setting '") + key + "' is missing");
     return *value;
 }
 
 double as_number(const Json& value, const char* key) {
-    if (!value.is_number()) throw wrong_setting(key, value, "is not a number");
+    if (!value.is_number()) throw wrong_setting(key, value, "is " + value.dump() + "; expected a number");
     return value.get<double>();
 }
 
@@ -42,10 +42,12 @@
 
 double required_number(const Json& object, const char* key) { return as_number(required(object, key), key); }
 
-// Settings give durations in milliseconds, with fractions.
+// Converts a duration from the settings, where it is in fractional milliseconds.
 Nanos as_duration(double milliseconds, const char* key) {
     if (!(milliseconds >= 0 && milliseconds < max_duration_ms))
-        throw wrong_setting(key, milliseconds, "is not a time");
+        throw wrong_setting(
+            key, milliseconds,
+            "is " + Json(milliseconds).dump() + "; expected a duration from 0 to below 1e12 ms");
     return std::llround(milliseconds * nanos_per_ms);
 }
 
@@ -60,28 +62,31 @@
 int required_integer(const Json& object, const char* key, int min) {
     const double value = required_number(object, key);
     if (!(value >= min && value <= max_integer) || value != std::floor(value))
-        throw wrong_setting(key, value, "is out of range");
+        throw wrong_setting(key, value,
+                            "is " + Json(value).dump() + "; expected an integer from " + std::to_string(min) +
+                                " to " + std::to_string(max_integer));
     return static_cast<int>(value);
 }
 
-// False where the setting is absent or no truth value.
+// Returns false if the setting is absent or not a boolean.
 bool flag(const Json& object, const char* key) {
     const auto found = object.find(key);
     return found != object.end() && found->is_boolean() && found->get<bool>();
 }
 
-// The fallback where the setting is absent or no string.
+// Returns the fallback if the setting is absent or not a string.
 std::string text(const Json& object, const char* key, const char* fallback) {
     const auto found = object.find(key);
     return found != object.end() && found->is_string() ? found->get<std::string>() : fallback;
 }
 
-// An element of a list with one number for each query class; the fallback where the list is too short.
+// Returns an element of a list with one number per query class, or the fallback if the list is too short.
 double number_of_class(const Json& object, const char* key, std::size_t query_class, double fallback) {
     const auto found = object.find(key);
     if (found == object.end() || !found->is_array() || query_class >= found->size()) return fallback;
     const Json& value = (*found)[query_class];
-    if (!value.is_number()) throw wrong_setting(key, value, "holds no numbers");
+    if (!value.is_number())
+        throw wrong_setting(key, value, "has " + value.dump() + " as an element; expected numbers");
     return value.get<double>();
 }
 
@@ -89,14 +94,17 @@
     if (semantics == "repeatable") return Effect::idempotent;
     if (semantics == "by_key") return Effect::idempotent_with_key;
     if (semantics == "once") return Effect::not_idempotent;
-    throw ConfigError("semantics", semantics, "unknown semantics '" + semantics + "'");
+    throw ConfigError("semantics", semantics,
+                      "unknown semantics '" + semantics + "'; expected repeatable, by_key or once");
 }
 
 int read_max_requests_per_call(const Json& extra) {
     constexpr const char* key = "parts_a_call";
     const double value = optional_number(extra, key, 1);
     if (!(value >= 1 && value <= max_integer) || value != std::floor(value))
-        throw wrong_setting(key, value, "is not a whole number of at least 1");
+        throw wrong_setting(
+            key, value,
+            "is " + Json(value).dump() + "; expected an integer from 1 to " + std::to_string(max_integer));
     return static_cast<int>(value);
 }
 
@@ -115,7 +123,7 @@
 
 void read_query_classes(const Json& services, const Json& extra, RouterConfig& config) {
     if (!services.is_array() || services.empty())
-        throw wrong_setting("services", services, "is not a list of classes");
+        throw wrong_setting("services", services, "is not a non-empty list of query classes");
     for (std::size_t i = 0; i < services.size(); ++i)
         config.query_classes.push_back(read_query_class(services[i], extra, i));
 }
@@ -180,7 +188,8 @@
     const Json& limits = required(settings, "limits");
     for (const Json& service : required(settings, "services")) {
         config.query_classes.push_back(text(service, "name", ""));
-        if (config.query_classes.back().empty()) throw ConfigError("name", "", "a service has no name");
+        if (config.query_classes.back().empty())
+            throw ConfigError("name", "", "an element of 'services' has no name; expected a string");
         config.max_wait = std::max(config.max_wait, required_duration(service, "deadline"));
     }
     config.connect_timeout = required_duration(limits, "connect_timeout");
--- a/src/config/router_config_reader.hpp
+++ b/src/config/router_config_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the platform's settings (a JSON object) into typed configuration. The only place that knows the
-// settings' keys; docs/glossary.md lists which key becomes which field.
+// Reads the platform's settings (a JSON object) into typed configuration. Only this module knows the
+// settings' keys, and docs/glossary.md maps them to fields.
 #pragma once
 
 #include <string>
@@ -11,19 +11,19 @@
 
 namespace tealcart {
 
-// What the network code needs of the settings. Durations in nanoseconds.
+// The part of the settings that the network code uses. Durations are in nanoseconds.
 struct ConnectionConfig {
-    std::vector<std::string> query_classes;  // names, as request paths give them
+    std::vector<std::string> query_classes;  // names as they occur in request paths
     Nanos max_wait = 0;                      // the longest deadline of all query classes
-    Nanos connect_timeout = 0;               // a connection that isn't made by then has failed
-    Nanos idle_close = 0;                    // after which data nodes close an idle connection
+    Nanos connect_timeout = 0;               // a connection attempt that takes longer has failed
+    Nanos idle_close = 0;                    // idle time after which data nodes close a connection
     int max_calls_per_connection = 1;        // calls in flight on one connection
-    int max_requests_per_call = 1;           // shard requests that one call carries
+    int max_requests_per_call = 1;           // most shard requests in one call
     bool probing = false;                    // whether data nodes answer health checks
-    int max_in_flight = 1;  // queries and shard requests; beyond it, further queries are rejected
+    int max_in_flight = 1;                   // queries and shard requests; further queries are rejected
 };
 
-// Both throw ConfigError where the text is no JSON object, or a setting is missing or wrong.
+// Both throw ConfigError if the text is not a JSON object, or a setting is missing or invalid.
 RouterConfig read_router_config(std::string_view text);
 ConnectionConfig read_connection_config(std::string_view text);
 
--- a/src/config/units.cpp
+++ b/src/config/units.cpp
@@ -20,7 +20,7 @@
 constexpr double max_duration_ns = 365 * 24 * 3600e9;
 constexpr double max_bytes = 1e15;
 
-// A number with one of the units, as a multiple of the smallest unit.
+// Parses a number with one of the units, as a multiple of the smallest unit.
 std::optional<double> parse_with_unit(std::string_view text, std::span<const Unit> units, double max) {
     double number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -33,7 +33,7 @@
     return value <= max ? std::optional(value) : std::nullopt;
 }
 
-// The largest unit of which `value` is a whole multiple of at least one.
+// Returns the largest unit of which `value` is an integer multiple of at least one.
 const Unit& largest_exact_unit(double value, std::span<const Unit> units) {
     const Unit* exact = &units.front();
     for (const Unit& unit : units)
--- a/src/config/units.hpp
+++ b/src/config/units.hpp
@@ -1,4 +1,4 @@
-// Durations and sizes as operators write them: a number with a unit.
+// Durations and sizes in the notation of operators' files, which is a number with a unit.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,19 @@
 
 namespace tealcart {
 
-// "250ms" or "1.5s", with one of ns us ms s m h. None where the text is no such duration, or one over a year.
+// Parses a duration such as "250ms" or "1.5s", with one of the units ns us ms s m h. Returns none if the text
+// is not a duration or exceeds a year.
 std::optional<Nanos> parse_duration(std::string_view text);
-// The shortest text for a duration, in the largest unit of which it is a whole multiple.
+// Formats a duration in the largest unit of which it is an integer multiple.
 std::string format_duration(Nanos duration);
 
-// "64KiB", with one of B KiB MiB GiB, in bytes. None where the text is no such size, or one over 10^15 bytes.
+// Parses a size such as "64KiB", with one of the units B KiB MiB GiB, to bytes. Returns none if the text is
+// not a size or exceeds 10^15 bytes.
 std::optional<std::uint64_t> parse_byte_size(std::string_view text);
+// Formats a size in the largest unit of which it is an integer multiple.
 std::string format_byte_size(std::uint64_t bytes);
 
-// The shortest decimal text that reads back as this number.
+// Returns the shortest decimal text that parses to exactly this number.
 std::string format_number(double number);
 
 }  // namespace tealcart
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -70,14 +70,15 @@
                                  {"two_phase.other", ""},
                                  {"two_phase.part", "share = 0.95\nleast = 5"}}) ==
           "block calls holds at the start only; "
-          "log:2:10: 'level' is none of \"debug\", \"info\", \"warn\", \"error\"; "
-          "two_phase.keyed:1:1: 'keyed' is not repeatable and can't be put in two phases; "
-          "two_phase.other:1:1: the settings name no vertical 'other'; "
-          "two_phase.part:1:9: 'share' is outside 0.01 to 0.9;"
-          "two_phase.part:2:9: 'least' is a number, not a time such as \"250ms\"");
-    CHECK(rejection_of(overlay, {{"log.x", ""}}) == "log.x:1:1: a 'log' block has no label");
+          "log:2:10: 'level' is \"loud\"; expected one of \"debug\", \"info\", \"warn\", \"error\"; "
+          "two_phase.keyed:1:1: query class 'keyed' can't run in two phases: its semantics in the settings "
+          "are not \"repeatable\"; "
+          "two_phase.other:1:1: query class 'other' is not in the settings; "
+          "two_phase.part:1:9: 'share' is 0.95; expected 0.01 to 0.9;"
+          "two_phase.part:2:9: 'least' is a number; expected a duration such as \"250ms\"");
+    CHECK(rejection_of(overlay, {{"log.x", ""}}) == "log.x:1:1: a 'log' block has 1 labels; expected none");
     CHECK(rejection_of(overlay, {{"two_phase", ""}}) ==
-          "two_phase:1:1: a 'two_phase' block has one label, the vertical's name");
+          "two_phase:1:1: a 'two_phase' block has 0 labels; expected one, the query class's name");
     CHECK(rejection_of(overlay, {{"sharding", ""}}) == "sharding:1:1: a block 'sharding' is not known here");
     CHECK(rejection_of(overlay, {{"", ""}}) != "none");
     CHECK(rejection_of(overlay, {{"log", "level = "}}).rfind("log:1:", 0) == 0);
@@ -391,7 +392,7 @@
     fixture.until([&] { return relay.last_report_is(1, 2); });
     CHECK(relay.calls.back().position.known_version == 2);
     CHECK(relay.calls.back().report.refusal_reason.find(
-              "block calls holds at the start only; log:1:9: 'level' is none of") == 0);
+              "block calls holds at the start only; log:1:9: 'level' is \"loud\"; expected one of") == 0);
     fixture.ask(fixture.new_query());
     // No part of the rejected document was applied.
     CHECK(fixture.ask(fixture.new_query()).pruned.sections > 0);
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -1,4 +1,4 @@
-// The operators' files: what is read, and that every mistake is told with its place.
+// Tests of the parser and readers of operators' files, including the position of every error.
 #include "config/hcl.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-std::string wrong_in(const std::string& text) {
+std::string errors_in(const std::string& text) {
     try {
         read_operator_config(text, "f");
     } catch (const HclErrors& e) {
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("a file is read as blocks, attributes and literals with their places") {
+TEST_CASE("a file is parsed into blocks, attributes and literals with their positions") {
     const HclBlock file = parse_hcl(
         "a = 1 # one\n// two\nb \"x y\" z {\n  s = \"q\\n\\u00e9\\\\\" /* c */\n  l = [-1.5e1, true,\n "
         "null,]\n"
@@ -50,66 +50,66 @@
     CHECK(file.blocks[1].attributes.size() == 1);
 }
 
-TEST_CASE("what can't be read is told with line and column") {
-    const auto [text, told] = GENERATE(table<std::string, std::string>({
-        {"a = 1 2\n", "f:1:7: the line goes on where it should end"},
-        {"a {\n b = \"x\n}", "f:2:8: a string that does not end on its line"},
-        {"a {\n b = [1 2]\n}", "f:2:9: a ',' or the list's ']' is missing"},
-        {"a {\n b = 5\n", "f:3:1: neither an attribute, a block nor the block's '}'"},
-        {"a = \"${x}\"", "f:1:6: templates in strings are not part of this file's language"},
-        {"/* x", "f:1:5: a comment that does not end"},
-        {"a = 1\na = 2", "f:2:1: 'a' is given twice"},
-        {"a = { b = 1, b = 2 }", "f:1:14: 'b' is given twice"},
-        {"}", "f:1:1: neither an attribute nor a block"},
-        {"a = 1e999", "f:1:5: a number out of range"},
+TEST_CASE("a syntax error is reported with line and column") {
+    const auto [text, error] = GENERATE(table<std::string, std::string>({
+        {"a = 1 2\n", "f:1:7: unexpected text after a value or block; expected the end of the line"},
+        {"a {\n b = \"x\n}", "f:2:8: string is not terminated on its line; expected '\"'"},
+        {"a {\n b = [1 2]\n}", "f:2:9: list is not terminated; expected ',' or ']'"},
+        {"a {\n b = 5\n", "f:3:1: unexpected text in a block; expected an attribute, a block or '}'"},
+        {"a = \"${x}\"", "f:1:6: string contains a template (\"${\" or \"%{\"), which is not supported"},
+        {"/* x", "f:1:5: comment is not terminated; expected '*/'"},
+        {"a = 1\na = 2", "f:2:1: 'a' occurs twice; expected once"},
+        {"a = { b = 1, b = 2 }", "f:1:14: 'b' occurs twice; expected once"},
+        {"}", "f:1:1: unexpected text in the file; expected an attribute or a block"},
+        {"a = 1e999", "f:1:5: number 1e999 is out of range"},
     }));
-    CHECK(wrong_in(text) == told);
+    CHECK(errors_in(text) == error);
 }
 
-TEST_CASE("depth, size and bytes that are no text are bounded") {
-    CHECK(wrong_in("a = " + std::string(5000, '[')).find("too deep") != std::string::npos);
-    CHECK(wrong_in(std::string(max_hcl_bytes + 1, ' ')).find("over 1 MiB") != std::string::npos);
-    CHECK(wrong_in(std::string("a = 1\0", 6)).find("zero byte") != std::string::npos);
+TEST_CASE("files that nest too deep, are too large or contain a zero byte are rejected") {
+    CHECK(errors_in("a = " + std::string(5000, '[')).find("too deep") != std::string::npos);
+    CHECK(errors_in(std::string(max_hcl_bytes + 1, ' ')).find("over 1 MiB") != std::string::npos);
+    CHECK(errors_in(std::string("a = 1\0", 6)).find("zero byte") != std::string::npos);
 }
 
-TEST_CASE("every file that is cut, or has a byte changed, is read or told, never more") {
+TEST_CASE("a truncated or altered file either parses or throws HclErrors") {
     const std::string good =
         "two_phase \"part\" {\n  share = 0.3\n  least = \"5ms\" # x\n}\nlog { level = \"warn\" }\n";
-    REQUIRE(wrong_in(good).empty());
+    REQUIRE(errors_in(good).empty());
     for (std::size_t i = 0; i < good.size(); ++i) {
-        wrong_in(good.substr(0, i));
+        errors_in(good.substr(0, i));
         for (const char c : {'\0', '"', '{', '}', '\n', '\x80', '9'}) {
             std::string changed = good;
             changed[i] = c;
-            wrong_in(changed);
+            errors_in(changed);
         }
     }
 }
 
-TEST_CASE("all mistakes of a file are told at once, in their order") {
-    CHECK(wrong_in("log {\n  level = \"loud\"\n  form = \"text\"\n}\n"
-                   "two_phase {\n  share = \"0.3\"\n  least = \"5 ms\"\n  most = 7\n}\n"
-                   "two_phase \"v\" {\n  share = 0.95\n  most_rows = 1.5\n  keep = \"-1ms\"\n}\n"
-                   "section_memory { bytes = \"1KiB\" }\n"
-                   "two_phase \"v\" {}\nsharding {}\n") ==
-          "f:2:11: 'level' is none of \"debug\", \"info\", \"warn\", \"error\"\n"
-          "f:3:3: 'form' is not known here\n"
-          "f:5:1: a 'two_phase' block has one label, the vertical's name\n"
-          "f:6:11: 'share' is a string, not a number\n"
-          "f:7:11: 'least' is no time: a number with one of ns, us, ms, s, m, h\n"
-          "f:8:10: 'most' is a number, not a time such as \"250ms\"\n"
-          "f:11:11: 'share' is outside 0.01 to 0.9\n"
-          "f:12:15: 'most_rows' is no whole number\n"
-          "f:13:10: 'keep' is no time: a number with one of ns, us, ms, s, m, h\n"
-          "f:15:26: 'bytes' is outside 4KiB to 1GiB\n"
-          "f:16:1: a second 'two_phase' block for 'v'\n"
-          "f:17:1: a block 'sharding' is not known here");
+TEST_CASE("all errors of a file are reported at once, in file order") {
+    CHECK(errors_in("log {\n  level = \"loud\"\n  form = \"text\"\n}\n"
+                    "two_phase {\n  share = \"0.3\"\n  least = \"5 ms\"\n  most = 7\n}\n"
+                    "two_phase \"v\" {\n  share = 0.95\n  most_rows = 1.5\n  keep = \"-1ms\"\n}\n"
+                    "section_memory { bytes = \"1KiB\" }\n"
+                    "two_phase \"v\" {}\nsharding {}\n") ==
+          "f:2:11: 'level' is \"loud\"; expected one of \"debug\", \"info\", \"warn\", \"error\"\n"
+          "f:3:3: attribute 'form' is not known here\n"
+          "f:5:1: a 'two_phase' block has 0 labels; expected one, the query class's name\n"
+          "f:6:11: 'share' is a string; expected a number\n"
+          "f:7:11: 'least' is \"5 ms\"; expected a duration: a number with one of ns, us, ms, s, m, h\n"
+          "f:8:10: 'most' is a number; expected a duration such as \"250ms\"\n"
+          "f:11:11: 'share' is 0.95; expected 0.01 to 0.9\n"
+          "f:12:15: 'most_rows' is 1.5; expected an integer\n"
+          "f:13:10: 'keep' is \"-1ms\"; expected a duration: a number with one of ns, us, ms, s, m, h\n"
+          "f:15:26: 'bytes' is 1KiB; expected 4KiB to 1GiB\n"
+          "f:16:1: there is more than one 'two_phase' block for 'v'; expected at most one\n"
+          "f:17:1: block 'sharding' is not known here");
 }
 
-TEST_CASE("only verticals that are repeatable can be put in two phases") {
+TEST_CASE("only repeatable query classes of the settings can run in two phases") {
     const RouterConfig config = read_router_config(test::settings_text);
     const auto query_classes = read_connection_config(test::settings_text).query_classes;
-    const auto told = [&](const std::string& text) -> std::string {
+    const auto errors_of = [&](const std::string& text) -> std::string {
         try {
             two_phase_by_query_class(read_operator_config(text, "f"), config, query_classes);
         } catch (const HclErrors& e) {
@@ -117,18 +117,19 @@
         }
         return "";
     };
-    CHECK(told("two_phase \"part\" { least = \"7ms\" }").empty());
-    CHECK(told("\ntwo_phase \"keyed\" {}\n two_phase \"other\" {}") ==
-          "f:2:1: 'keyed' is not repeatable and can't be put in two phases\n"
-          "f:3:2: the settings name no vertical 'other'");
-    const auto stated = two_phase_by_query_class(
+    CHECK(errors_of("two_phase \"part\" { least = \"7ms\" }").empty());
+    CHECK(errors_of("\ntwo_phase \"keyed\" {}\n two_phase \"other\" {}") ==
+          "f:2:1: query class 'keyed' can't run in two phases: its semantics in the settings are not "
+          "\"repeatable\"\n"
+          "f:3:2: query class 'other' is not in the settings");
+    const auto by_query_class = two_phase_by_query_class(
         read_operator_config("two_phase \"part\" { least = \"7ms\" }", "f"), config, query_classes);
-    CHECK(stated[0].enabled);
-    CHECK(stated[0].min_first_phase == 7 * test::ms);
-    CHECK_FALSE(stated[1].enabled);
+    CHECK(by_query_class[0].enabled);
+    CHECK(by_query_class[0].min_first_phase == 7 * test::ms);
+    CHECK_FALSE(by_query_class[1].enabled);
 }
 
-TEST_CASE("times and sizes are read and written as operators do") {
+TEST_CASE("durations and sizes are parsed and formatted with units") {
     CHECK(parse_duration("1.5s") == 1500 * test::ms);
     CHECK(parse_duration("30us") == 30'000);
     CHECK_FALSE(
@@ -139,78 +140,81 @@
     CHECK(format_duration(120'000 * test::ms) == "2m");
 }
 
-TEST_CASE("a file of the earlier shape keeps what holds at the new deployment and tells what it leaves") {
+TEST_CASE("migration keeps the blocks that are valid in the new deployment and lists the invalid ones") {
     const std::string old_file =
         "log { level = \"warn\" }\n\ntwo_phase \"part\" {\n  share = 0.3\n}\n\n"
         "two_phase \"gone\" {\n  share = 0.2\n}\ntwo_phase \"keyed\" { share = 0.2 }\n"
         "section_memory { bytes = \"8MiB\" }\n";
-    const OperatorFileMigration m = migrate(old_file, "old.hcl", test::settings_text);
-    REQUIRE(m.invalid_blocks.size() == 2);
-    CHECK(m.invalid_blocks[0].position.line == 7);
-    CHECK(m.invalid_blocks[0].message == "the new deployment has no vertical 'gone'");
-    CHECK(m.invalid_blocks[1].position.line == 10);
-    CHECK(m.invalid_blocks[1].message.find("not repeatable") != std::string::npos);
-    // What is written reads back, with the left blocks as comments and the rest as it was.
-    const OperatorConfig back = read_operator_config(m.text, "new.hcl");
-    REQUIRE(back.phases.size() == 1);
-    CHECK(back.phases[0].query_class == "part");
-    CHECK(back.memory.max_bytes == 8u << 20);
-    CHECK(m.text.find("# two_phase \"gone\" {") != std::string::npos);
-    CHECK(m.text.find("# Not carried over: the new deployment has no vertical 'gone'.") != std::string::npos);
-    CHECK(m.settings_summary.at(0) == "parts in one call: 2");
+    const OperatorFileMigration migration = migrate(old_file, "old.hcl", test::settings_text);
+    REQUIRE(migration.invalid_blocks.size() == 2);
+    CHECK(migration.invalid_blocks[0].position.line == 7);
+    CHECK(migration.invalid_blocks[0].message == "the new deployment has no vertical 'gone'");
+    CHECK(migration.invalid_blocks[1].position.line == 10);
+    CHECK(migration.invalid_blocks[1].message.find("not repeatable") != std::string::npos);
+    // The written file can be read, with the invalid blocks as comments and the rest unchanged.
+    const OperatorConfig migrated = read_operator_config(migration.text, "new.hcl");
+    REQUIRE(migrated.phases.size() == 1);
+    CHECK(migrated.phases[0].query_class == "part");
+    CHECK(migrated.memory.max_bytes == 8u << 20);
+    CHECK(migration.text.find("# two_phase \"gone\" {") != std::string::npos);
+    CHECK(migration.text.find("# Not carried over: the new deployment has no vertical 'gone'.") !=
+          std::string::npos);
+    CHECK(migration.settings_summary.at(0) == "parts in one call: 2");
 }
 
-TEST_CASE("a file that can't be read is not carried over, and its mistakes are told by place") {
+TEST_CASE("migration throws on an invalid file or invalid settings") {
     CHECK_THROWS_AS(migrate("two_phase \"part\" { share = 2 }\n", "old.hcl", test::settings_text), HclErrors);
     CHECK_THROWS_AS(migrate("", "old.hcl", "{}"), ConfigError);
 }
 
-TEST_CASE("a call's own cost and its most parts come from the settings, checked, and default to none") {
+TEST_CASE("call overhead and requests per call are read from the settings, validated, and have defaults") {
     const RouterConfig plain = read_router_config(test::settings_text);
     CHECK(plain.max_requests_per_call == 2);
     CHECK(plain.call_overhead == 0);
     std::string costly = test::settings_text;
     costly.replace(costly.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 8, \"call_cost\": 45.0");
-    const RouterConfig t = read_router_config(costly);
-    CHECK(t.max_requests_per_call == 8);
-    CHECK(t.call_overhead == 45 * test::ms);
+    const RouterConfig config = read_router_config(costly);
+    CHECK(config.max_requests_per_call == 8);
+    CHECK(config.call_overhead == 45 * test::ms);
     std::string wrong = test::settings_text;
     wrong.replace(wrong.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 0.5");
     CHECK_THROWS_AS(read_router_config(wrong), ConfigError);
 }
 
-TEST_CASE("the operators may state what a call carries; a wrong value is told by line and column") {
-    const OperatorConfig stated = read_operator_config("calls {\n  parts = 8\n  cost = \"45ms\"\n}\n", "f");
+TEST_CASE("a calls block overrides the settings; an invalid value is reported with its position") {
+    const OperatorConfig operators =
+        read_operator_config("calls {\n  parts = 8\n  cost = \"45ms\"\n}\n", "f");
     RouterConfig config = read_router_config(test::settings_text);
-    ConnectionConfig link = read_connection_config(test::settings_text);
-    apply_call_config(stated.calls, config, link);
+    ConnectionConfig connections = read_connection_config(test::settings_text);
+    apply_call_config(operators.calls, config, connections);
     CHECK(config.max_requests_per_call == 8);
-    CHECK(link.max_requests_per_call == 8);
+    CHECK(connections.max_requests_per_call == 8);
     CHECK(config.call_overhead == 45 * test::ms);
-    // Not stated: the settings stand.
+    // Without a calls block, the settings apply.
     RouterConfig plain = read_router_config(test::settings_text);
-    apply_call_config(read_operator_config("", "f").calls, plain, link);
+    apply_call_config(read_operator_config("", "f").calls, plain, connections);
     CHECK(plain.max_requests_per_call == 2);
-    CHECK(wrong_in("calls {\n  parts = 0\n}\n").find("f:2:") == 0);
-    CHECK(wrong_in("calls {\n  cost = 45\n}\n").find("f:2:") == 0);
+    CHECK(errors_in("calls {\n  parts = 0\n}\n").find("f:2:") == 0);
+    CHECK(errors_in("calls {\n  cost = 45\n}\n").find("f:2:") == 0);
 }
 
-TEST_CASE("a new deployment whose calls cost work gets a calls block to state, left as a comment") {
+TEST_CASE("migration to a deployment with a call overhead adds a commented calls block") {
     std::string costly = test::settings_text;
     costly.replace(costly.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 8, \"call_cost\": 45.0");
-    const OperatorFileMigration m = migrate("log { level = \"warn\" }\n", "old.hcl", costly);
-    CHECK(m.text.find("#   parts = 8") != std::string::npos);
-    CHECK(m.text.find("#   cost  = \"45ms\"") != std::string::npos);
-    CHECK(read_operator_config(m.text, "new.hcl").calls.is_set == false);
+    const OperatorFileMigration migration = migrate("log { level = \"warn\" }\n", "old.hcl", costly);
+    CHECK(migration.text.find("#   parts = 8") != std::string::npos);
+    CHECK(migration.text.find("#   cost  = \"45ms\"") != std::string::npos);
+    CHECK(read_operator_config(migration.text, "new.hcl").calls.is_set == false);
 }
 
-TEST_CASE("the member block names relays, with stewards or without; mistakes are told by place") {
-    const MemberConfig t =
+TEST_CASE(
+    "a member block may have relays with or without stewards; errors are reported with their position") {
+    const MemberConfig relays_only =
         read_operator_config("member {\n relays = [\"127.0.0.1:7\", \"127.0.0.1:8\"]\n}", "f").member;
-    CHECK_FALSE(t.on);
-    CHECK(t.relays.size() == 2);
-    CHECK(t.relays.at(1).port == 8);
-    CHECK(t.config_startup_wait == 2000 * test::ms);
+    CHECK_FALSE(relays_only.on);
+    CHECK(relays_only.relays.size() == 2);
+    CHECK(relays_only.relays.at(1).port == 8);
+    CHECK(relays_only.config_startup_wait == 2000 * test::ms);
     CHECK(read_operator_config("member {\n stewards = [\"127.0.0.1:7\"]\n}", "f").member.relays.empty());
     const MemberConfig both = read_operator_config(
                                   "member {\n stewards = [\"127.0.0.1:7\"]\n"
@@ -219,11 +223,13 @@
                                   .member;
     CHECK(both.on);
     CHECK(both.config_startup_wait == 1000 * test::ms);
-    CHECK(wrong_in("member {}") == "f:1:1: 'stewards' and 'relays' name none");
-    CHECK(wrong_in("\n member {\n relays = [\"here\"]\n config_first_word = 2\n}") ==
-          "f:2:2: the relay 'here' is no address with a port\n"
-          "f:2:2: 'stewards' and 'relays' name none\n"
-          "f:4:22: 'config_first_word' is a number, not a time such as \"250ms\"");
-    CHECK(wrong_in("member {\n relays = \"127.0.0.1:7\"\n}") ==
-          "f:1:1: 'stewards' and 'relays' name none\nf:2:11: 'relays' is a string, not a list of strings");
+    CHECK(errors_in("member {}") ==
+          "f:1:1: 'stewards' and 'relays' are both empty; expected at least one address");
+    CHECK(errors_in("\n member {\n relays = [\"here\"]\n config_first_word = 2\n}") ==
+          "f:2:2: the relay address 'here' is invalid; expected HOST:PORT\n"
+          "f:2:2: 'stewards' and 'relays' are both empty; expected at least one address\n"
+          "f:4:22: 'config_first_word' is a number; expected a duration such as \"250ms\"");
+    CHECK(errors_in("member {\n relays = \"127.0.0.1:7\"\n}") ==
+          "f:1:1: 'stewards' and 'relays' are both empty; expected at least one address\nf:2:11: 'relays' is "
+          "a string; expected a list of strings");
 }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -988,8 +988,8 @@
     fails(without("127.0.0.1:1", "127.0.0.1"), "'listen'");
     fails(without("00ff", "xyz"), "'seed'");
     fails(without("\"limits\":{\"sockets\":64}", "\"limits\":{}"), "lacks 'sockets'");
-    fails(without("\"extra\"", "\"other\""), "lack 'extra'");
-    fails(without("\"connect_timeout\"", "\"other\""), "lack 'connect_timeout'");
+    fails(without("\"extra\"", "\"other\""), "setting 'extra' is missing");
+    fails(without("\"connect_timeout\"", "\"other\""), "setting 'connect_timeout' is missing");
 }
 
 TEST_CASE(
