--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -211,7 +211,7 @@
     "a member block may have relays with or without stewards; errors are reported with their position") {
     const MemberConfig relays_only =
         read_operator_config("member {\n relays = [\"127.0.0.1:7\", \"127.0.0.1:8\"]\n}", "f").member;
-    CHECK_FALSE(relays_only.on);
+    CHECK_FALSE(relays_only.enabled);
     CHECK(relays_only.relays.size() == 2);
     CHECK(relays_only.relays.at(1).port == 8);
     CHECK(relays_only.config_startup_wait == 2000 * test::ms);
@@ -221,7 +221,7 @@
                                   " relays = [\"127.0.0.1:8\"]\n config_first_word = \"1s\"\n}",
                                   "f")
                                   .member;
-    CHECK(both.on);
+    CHECK(both.enabled);
     CHECK(both.config_startup_wait == 1000 * test::ms);
     CHECK(errors_in("member {}") ==
           "f:1:1: 'stewards' and 'relays' are both empty; expected at least one address");
