--- a/measure/herd.cpp
+++ b/measure/herd.cpp
@@ -54,7 +54,7 @@
     t.places = t.shards = places;
     t.replicas_per_shard = 3;
     t.max_attempts = max_attempts;
-    t.may_cancel = t.may_hedge = t.retry_after = true;
+    t.may_cancel = t.may_hedge = t.sends_retry_after = true;
     t.max_retry_after = 500 * ms;
     t.drain_grace = second;
     t.slow_start_min_fraction = 0.3;
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -27,7 +27,7 @@
 
 MemberConfig member_config_of(const FollowerConfig& config, std::size_t number) {
     MemberConfig member;
-    member.on = true;
+    member.enabled = true;
     member.name = "r" + std::to_string(number);
     member.zone = config.zone;
     member.relays = config.relays;
