--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -27,7 +27,7 @@
 struct RunningServer {
     ControlConfig config = [] {
         ControlConfig made;
-        made.on = true;
+        made.enabled = true;
         made.node_limit = 20;
         made.leave_grace = 100 * ms;
         return made;
