--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -220,8 +220,9 @@
 TEST_CASE("a first try with a short client timeout is not treated as a late retry") {
     QueryRouter router = make_router();
     run_query(router, start, 10, 1, {0.5, 0.5}, Outcome::ok, 50 * ms);
-    const RecordedDecisions decisions =
-        play(router, start + 100 * ms, [](RoundEventHandler& h) { arrive(h, 20, 1, start + 600 * ms, {1}); });
+    const RecordedDecisions decisions = play(router, start + 100 * ms, [](RoundEventHandler& h) {
+        deliver_query(h, 20, 1, start + 600 * ms, {1});
+    });
     CHECK(decisions.of(Decision::reject).empty());
     CHECK(decisions.of(Decision::send_attempt).size() == 1);
 }
@@ -231,8 +232,9 @@
     run_query(router, start - 100 * ms, 500, 1, four_equal_weights, Outcome::ok, 50 * ms);
     end_attempts(router, start + 6000 * ms, start_query(router, start, 10, 1, four_equal_weights, 3),
                  Outcome::ok, 6000 * ms);
-    const RecordedDecisions decisions = play(
-        router, start + 6100 * ms, [](RoundEventHandler& h) { arrive(h, 900, 1, start + 10100 * ms, {1}); });
+    const RecordedDecisions decisions = play(router, start + 6100 * ms, [](RoundEventHandler& h) {
+        deliver_query(h, 900, 1, start + 10100 * ms, {1});
+    });
     CHECK(decisions.of(Decision::reject).at(0).wait > 0);
     CHECK(decisions.of(Decision::send_attempt).empty());
     // A router that rejects all queries sends again once its samples are old.
@@ -334,7 +336,8 @@
                     }
                 for (; next_arrival_at <= now;
                      next_arrival_at += static_cast<Nanos>(interval(random) * 1e9), id += 2)
-                    arrive(h, id, 1, now + 5000 * ms, {1.0}, 12, static_cast<std::uint32_t>(random() % 12));
+                    deliver_query(h, id, 1, now + 5000 * ms, {1.0}, 12,
+                                  static_cast<std::uint32_t>(random() % 12));
                 h.on_timer(0);
             });
             std::erase_if(in_flight, [&](auto& entry) { return now - entry.first > service_time + 10 * ms; });
@@ -384,7 +387,7 @@
     const RecordedDecisions decisions = play(router, start + 1900 * ms, [&](RoundEventHandler& h) {
         for (const Decision& attempt : attempts)
             h.on_attempt_result({attempt.id, attempt.node, 0, Outcome::ok, 60 * ms});
-        arrive(h, 90, 1, start + 5000 * ms, four_equal_weights);
+        deliver_query(h, 90, 1, start + 5000 * ms, four_equal_weights);
     });
     CHECK(decisions.of(Decision::answer).at(0).complete);
     CHECK(decisions.of(Decision::send_attempt).size() == 4);
@@ -407,7 +410,7 @@
     CHECK(decisions.of(Decision::send_attempt).size() == (one_answered ? 3 : 0));
     // A marked retry is sent one shard request at a time until one is answered.
     const auto repeat = [](RoundEventHandler& h) {
-        arrive(h, 70, 1, start + 4000 * ms, four_equal_weights, 4, 0, true);
+        deliver_query(h, 70, 1, start + 4000 * ms, four_equal_weights, 4, 0, true);
     };
     CHECK(play(router, start + 300 * ms, repeat).of(Decision::send_attempt).size() == 1);
 }
@@ -429,7 +432,7 @@
         end_attempts(router, now + 3000 * ms, {slow, attempts.end()}, Outcome::ok, 3000 * ms);
     }
     const auto arrive_all = [](RoundEventHandler& h) {
-        arrive(h, 900, 1, start + 36'000 * ms, four_equal_weights, 12, 6);
+        deliver_query(h, 900, 1, start + 36'000 * ms, four_equal_weights, 12, 6);
     };
     const auto attempts = play(router, start + 32'000 * ms, arrive_all).of(Decision::send_attempt);
     CHECK(attempts.size() == 4);
