--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -79,7 +79,7 @@
     CHECK(rejection_of(overlay, {{"log.x", ""}}) == "log.x:1:1: a 'log' block has 1 labels; expected none");
     CHECK(rejection_of(overlay, {{"two_phase", ""}}) ==
           "two_phase:1:1: a 'two_phase' block has 0 labels; expected one, the query class's name");
-    CHECK(rejection_of(overlay, {{"sharding", ""}}) == "sharding:1:1: a block 'sharding' is not known here");
+    CHECK(rejection_of(overlay, {{"sharding", ""}}) == "sharding:1:1: block 'sharding' is not known here");
     CHECK(rejection_of(overlay, {{"", ""}}) != "none");
     CHECK(rejection_of(overlay, {{"log", "level = "}}).rfind("log:1:", 0) == 0);
     CHECK(rejection_of(overlay, {{"log", "level = \"info\" } two_phase \"part\" {"}}).rfind("log:1:", 0) ==
@@ -406,8 +406,7 @@
     SECTION("another invalid version is rejected too") {
         relay.publish({{"sharding", ""}});
         fixture.until([&] { return relay.last_report_is(1, 3); });
-        CHECK(relay.calls.back().report.refusal_reason ==
-              "sharding:1:1: a block 'sharding' is not known here");
+        CHECK(relay.calls.back().report.refusal_reason == "sharding:1:1: block 'sharding' is not known here");
     }
 }
 
