--- a/src/changes/limits.hpp
+++ b/src/changes/limits.hpp
@@ -19,10 +19,10 @@
     std::size_t halt_min_refusals = 1;
     std::size_t max_entries = 1000;                        // entries of the document
     std::size_t max_entry_bytes = std::size_t{16} * 1024;  // key and value of one entry
-    std::size_t max_kept =
-        1000;  // versions whose deltas are kept, for followers that catch up and for rollbacks
-    std::size_t max_kept_bytes = std::size_t{64}
-                                 << 20;  // keys and values in these deltas, forward and backward
+    // Versions whose deltas are kept, for followers that catch up and for rollbacks.
+    std::size_t max_kept = 1000;
+    // Keys and values in these deltas, forward and backward.
+    std::size_t max_kept_bytes = std::size_t{64} << 20;
     std::size_t max_members = 100'000, max_relays = 10'000;
     std::size_t max_deduplicated = 10'000;  // commands in the history that deduplicates by id
 
--- a/src/changes/member_table.hpp
+++ b/src/changes/member_table.hpp
@@ -143,8 +143,8 @@
     Nanos now_ = 0;
     std::map<std::string, Entry> members_;
     AppliedIndex index_;
-    std::map<std::string, std::set<std::string>>
-        shared_members_;  // by relay: its members that have other relays too
+    // By relay: its members that have other relays too.
+    std::map<std::string, std::set<std::string>> shared_members_;
     std::map<std::string, std::set<std::string>> exceptions_;  // by relay: the exceptions of its last report
     Ends lease_ends_;                                          // of members that are attached to no relay
     Ends inactive_;                                            // inactive members by Entry::forget_at
--- a/src/changes/reports.hpp
+++ b/src/changes/reports.hpp
@@ -38,8 +38,8 @@
     std::string name;
     std::uint64_t incarnation = 0;  // a greater number at each process start
     Nanos lease_grace = 0;          // how long it may go on serving by its last known state after its lease
-    std::uint64_t applied_version =
-        0;  // the version that it acts on; 0: the configuration it was started with
+    // The version that it acts on; 0: the configuration it was started with.
+    std::uint64_t applied_version = 0;
     std::uint64_t refused_version = 0;  // the version that it can't apply; 0 if none
     std::string refusal_reason;         // truncated to `max_reason_bytes`
 
--- a/src/fleet/halt_switch.hpp
+++ b/src/fleet/halt_switch.hpp
@@ -12,8 +12,8 @@
 
 namespace tealcart::fleet {
 
-using HaltConditions =
-    std::map<std::string, std::string>;  // a description of each condition that holds, by its name
+// A description of each condition that holds, by its name.
+using HaltConditions = std::map<std::string, std::string>;
 
 // The conditions of Budgets that hold now.
 HaltConditions halt_conditions(const Budgets& budgets, const NodeCounts& nodes, const MemberCounts& members);
--- a/src/fleet/member_table.hpp
+++ b/src/fleet/member_table.hpp
@@ -27,8 +27,8 @@
     GroupCount routers;
     GroupCounts router_zones;
     std::size_t live_routers = 0;  // routers whose lease has not expired
-    std::size_t known_routers = 0,
-                lost_routers = 0;  // routers that have not left, and those of them whose lease has expired
+    // Routers that have not left, and those of them whose lease has expired.
+    std::size_t known_routers = 0, lost_routers = 0;
     std::uint64_t queries = 0, failed = 0;      // as reported by live routers that have not left
     std::set<End> live_leases, expired_leases;  // by Member::lease_until
     std::set<End> acting_ends;                  // members that may act, by the time until which they may
--- a/src/fleet_manager/endpoint_view.hpp
+++ b/src/fleet_manager/endpoint_view.hpp
@@ -54,8 +54,8 @@
     std::map<std::string, ListedEndpoint> nodes_;  // by name, as discovery lists them
     Nanos last_answer_at_ = 0;                     // 0: discovery has not answered yet
     std::set<std::string> to_compare_;
-    std::set<std::pair<Nanos, std::string>>
-        warm_up_ends_;  // when a node with agreed health `cold` ends its slow start
+    // When a node with agreed health `cold` ends its slow start.
+    std::set<std::pair<Nanos, std::string>> warm_up_ends_;
     bool compare_all_ = true, discovery_was_stale_ = false;
     std::size_t compared_count_ = 0;
 };
--- a/src/fleet_manager/fleet_manager_config.hpp
+++ b/src/fleet_manager/fleet_manager_config.hpp
@@ -34,7 +34,7 @@
 
 // Throws HclErrors with all mistakes of the text.
 FleetManagerConfig read_fleet_manager_config(std::string_view text, std::string_view source);
-FleetManagerConfig read_fleet_manager_file(
-    const std::string& path);  // also throws ConfigError if it cannot be read
+// Also throws ConfigError if it cannot be read.
+FleetManagerConfig read_fleet_manager_file(const std::string& path);
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/log_entries.cpp
+++ b/src/fleet_manager/log_entries.cpp
@@ -12,8 +12,8 @@
 constexpr std::uint8_t change_marker = 0x01;
 constexpr std::uint8_t snapshot_marker[] = {0x02, 't', 'c'};
 constexpr std::uint8_t snapshot_format = 1;
-constexpr std::size_t header_bytes =
-    sizeof snapshot_marker + 1 + 8;  // marker, format, length of the fleet part
+// Marker, format, length of the fleet part.
+constexpr std::size_t header_bytes = sizeof snapshot_marker + 1 + 8;
 
 }  // namespace
 
--- a/src/fleet_manager/main.cpp
+++ b/src/fleet_manager/main.cpp
@@ -54,8 +54,8 @@
 
 int serve(const Options& options) {
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGXFSZ,
-                SIG_IGN);  // a file size limit is then reported as an error of the write, like a full disk
+    // A file size limit is then reported as an error of the write, like a full disk.
+    std::signal(SIGXFSZ, SIG_IGN);
     const FleetManagerConfig config = read_fleet_manager_file(options.file);
     const ManagerAddresses& self = self_of(config, options.id);
     configure_log(config.log);
--- a/src/fleet_manager/status_page.hpp
+++ b/src/fleet_manager/status_page.hpp
@@ -10,8 +10,8 @@
 
 // What the page states about the fleet manager that serves it.
 struct ManagerStatus {
-    std::uint64_t id = 0, leader = 0,
-                  applied = 0;  // leader: 0 for none; applied: index of the last applied log entry
+    // `leader`: 0 for none; `applied`: index of the last applied log entry.
+    std::uint64_t id = 0, leader = 0, applied = 0;
     std::string fleet, leader_address;
     Nanos discovery_silent = 0;  // 0: discovery answers
 };
--- a/src/phases/two_phase_config.hpp
+++ b/src/phases/two_phase_config.hpp
@@ -15,8 +15,8 @@
 struct TwoPhaseConfig {
     bool enabled = false;
     double first_phase_share = 0.3;  // of the remaining time
-    Nanos min_first_phase =
-        10'000'000;  // lower bound of the first phase, which is skipped if that doesn't fit
+    // Lower bound of the first phase, which is skipped if that doesn't fit.
+    Nanos min_first_phase = 10'000'000;
     Nanos max_first_phase = 1'000'000'000;  // upper bound of the first phase
     Nanos response_reserve = 5'000'000;     // of the remaining time, set aside for sending the response
     int max_rows = 100;                     // a query that asks for more rows is executed in one phase
--- a/src/relay/relay_config.hpp
+++ b/src/relay/relay_config.hpp
@@ -16,8 +16,8 @@
     HostPort bind;                   // where followers reach it
     std::vector<HostPort> managers;  // the `http` addresses of the fleet managers
     std::size_t max_followers = 1000;
-    std::size_t page_bytes =
-        std::size_t{64} * 1024;  // of keys and values in a page, which has one entry at least
+    // Bytes of keys and values in a page, which has one entry at least.
+    std::size_t page_bytes = std::size_t{64} * 1024;
     double pages_a_second = 20;  // to all followers together
     LogConfig log;
 };
--- a/src/router/fan_out.hpp
+++ b/src/router/fan_out.hpp
@@ -5,6 +5,8 @@
 // maximum; under pressure it is cut by a share of the maximum each second. A query gets at least one shard
 // request, more if its two heaviest are close in weight, and always enough to reach its minimum answer
 // weight.
+//
+// docs/design.md and the on-call engineers call the current width `p` and the maximum width `k`.
 #pragma once
 
 #include <span>
--- a/src/router/pressure_detector.hpp
+++ b/src/router/pressure_detector.hpp
@@ -1,5 +1,5 @@
 // Detects pressure: so many attempts end as overloaded or timed out that the fleet has more load than it can
-// serve.
+// serve. "Pressure" is the term of docs/design.md.
 //
 // The eighth of the nodes with the most bad outcomes counts at most one bad outcome per node, since these
 // nodes may be faulty themselves. One each still counts, because a router of a large fleet sends many nodes
--- a/src/router/query_router.cpp
+++ b/src/router/query_router.cpp
@@ -3,7 +3,7 @@
 // The caller creates one QueryRouter for each incarnation of a router and calls round() with all events since
 // the last one, which the on_... handlers only record. The round then decides in this order: pressure and
 // fan-out, answers and early rejections, first attempts, retries and hedges. docs/design.md describes the
-// decisions and docs/on-call.md the log lines.
+// decisions, and also says when each departure from the design acts; docs/on-call.md describes the log lines.
 
 #include "router/query_router.hpp"
 
@@ -33,8 +33,8 @@
 
 namespace {
 
-constexpr double second_step_latencies =
-    2.0;  // duration of a second step, as a multiple of the usual latency
+// Duration of a second step, as a multiple of the usual latency.
+constexpr double second_step_latencies = 2.0;
 
 }  // namespace
 
--- a/src/service/attempt_dispatcher.hpp
+++ b/src/service/attempt_dispatcher.hpp
@@ -72,8 +72,8 @@
     // The attempts of one frame.
     struct Batch {
         std::vector<AttemptMessage> messages;
-        std::vector<Handle>
-            avoid;  // two attempts of a shard request on one connection would be indistinguishable
+        // Two attempts of a shard request on one connection would be indistinguishable.
+        std::vector<Handle> avoid;
     };
 
     bool is_queued(const Attempt* attempt) const {
--- a/src/service/config_follower.hpp
+++ b/src/service/config_follower.hpp
@@ -61,8 +61,8 @@
     std::uint64_t accepted_version_ = 0, applied_version_ = 0;
     std::uint64_t refused_version_ = 0;  // 0: none
     std::string refusal_reason_;
-    std::uint64_t logged_relay_version_ =
-        0;                           // an older version that the relay had; 0 if the relay is not behind
+    // An older version that the relay had; 0 if the relay is not behind.
+    std::uint64_t logged_relay_version_ = 0;
     Nanos wait_ = 0;                 // of the last call
     int answers_without_lease_ = 0;  // in a row
     const Nanos ready_by_;           // the router counts as ready then even without a relay's answer
--- a/src/service/event_queue.cpp
+++ b/src/service/event_queue.cpp
@@ -27,8 +27,8 @@
 
 void EventQueue::play_query(RoundEventHandler& handler, Handle handle) {
     Query* query = queries_.find(handle);
-    if (query == nullptr || query->ended)
-        return;  // its client disconnected before the router learned of the query
+    // The client may have disconnected before the router learned of the query.
+    if (query == nullptr || query->ended) return;
     query->announced = true;
     constexpr std::uint32_t no_tenant = UINT32_MAX;
     QueryArrival arrival{
--- a/src/service/main.cpp
+++ b/src/service/main.cpp
@@ -44,8 +44,8 @@
 
 int serve(const Options& options) {
     std::signal(SIGPIPE, SIG_IGN);  // a write to a log without a reader must not end the process
-    std::signal(SIGHUP,
-                SIG_IGN);  // until the service handles it, which it does before it reads the configuration
+    // SIGHUP is ignored until the service handles it, which it does before it reads the configuration.
+    std::signal(SIGHUP, SIG_IGN);
     boost::asio::io_context io(1);
     tealcart::Service service(io, [&options] { return read_startup_config(options); });
     service.run();
--- a/src/service/service.hpp
+++ b/src/service/service.hpp
@@ -48,8 +48,8 @@
     void close_all();
 
     boost::asio::io_context& io_;
-    boost::asio::signal_set
-        signals_;  // registered before the configuration is read, so that no SIGHUP is missed
+    // Registered before the configuration is read, so that no SIGHUP is missed.
+    boost::asio::signal_set signals_;
     const std::function<StartupConfig()> read_config_;
     StartupConfig startup_;
     EventClock clock_;
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -37,9 +37,9 @@
     std::vector<HostPort> managers;
     std::string zone, address;  // address: the address of every data node
     std::uint64_t generation = 0;
-    std::uint32_t places = min_places,
-                  known_nodes = 0;  // known_nodes: how many data nodes it knows at the start
-    bool full_list = false;         // every router reads the full list, not only the reader
+    // `known_nodes`: how many data nodes it knows at the start.
+    std::uint32_t places = min_places, known_nodes = 0;
+    bool full_list = false;  // every router reads the full list, not only the reader
 };
 
 // Writes the configuration as command line arguments, and reads it back. Reading throws std::runtime_error
--- a/src/wire/discovery_watch.cpp
+++ b/src/wire/discovery_watch.cpp
@@ -21,8 +21,8 @@
 constexpr Nanos first_poll_wait = 100 * millisecond;
 constexpr Nanos poll_slack = 500 * millisecond;  // beyond the poll's wait, before its connection is closed
 constexpr Nanos connect_timeout = 1000 * millisecond;
-constexpr Nanos first_backoff =
-    100 * millisecond;  // doubled for each consecutive failure; half of it is jitter
+// Doubled for each consecutive failure; half of it is jitter.
+constexpr Nanos first_backoff = 100 * millisecond;
 // In push mode the agent on this machine answers at once and at no cost. In poll mode one discovery service
 // handles the polls of all routers in sequence, rejects those that would wait for longer than 2 s, and spends
 // time on each rejection. A poll that its router abandons in that queue is still processed, to no benefit.
--- a/src/wire/http_server.cpp
+++ b/src/wire/http_server.cpp
@@ -20,8 +20,8 @@
 constexpr Nanos request_timeout = 2750 * millisecond;
 constexpr Nanos linger_timeout = 1000 * millisecond;     // for the client to read its last response
 constexpr Nanos accept_retry_pause = 100 * millisecond;  // after a failed accept
-constexpr std::size_t max_unread =
-    max_head_bytes + max_body_bytes;  // of further requests while one is in progress
+// Bytes of further requests while one is in progress.
+constexpr std::size_t max_unread = max_head_bytes + max_body_bytes;
 constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
 
 boost::asio::const_buffer buffer_of(std::string_view text) { return {text.data(), text.size()}; }
@@ -149,8 +149,8 @@
     if (connection.state == State::reading) parse(handle);
     if (failure && connection.state == State::waiting) handler_.on_client_disconnected(handle);
     if (failure && connection.state != State::writing) close(handle);
-    connection.read_pending =
-        false;  // cleared only now, so that the connection is not released while it is in use
+    // Cleared only now, so that the connection is not released while it is in use.
+    connection.read_pending = false;
     if (connection.state == State::closed) return release_if_ended(handle);
     read(handle);
 }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -185,8 +185,8 @@
     FakeServer discovery(io, [&](TestConnection& peer) {
         const auto end = peer.received.find("\r\n\r\n");
         if (end == std::string::npos) return;
-        const bool goes_on =
-            peer.received.find("index=5&") != std::string::npos;  // a poll for changes, which costs nothing
+        // A poll for changes, which costs nothing.
+        const bool goes_on = peer.received.find("index=5&") != std::string::npos;
         peer.received.erase(0, end + 4);
         if (goes_on) return;
         busy_until = std::max(busy_until, now);
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -177,8 +177,8 @@
 }  // namespace rc
 
 TEST_CASE("generated commands give the same state as the reference model") {
-    ::setenv("RC_PARAMS", "seed=20 max_success=400 max_size=200",
-             1);  // a fixed seed, so that every run is the same
+    // A fixed seed, so that every run is the same.
+    ::setenv("RC_PARAMS", "seed=20 max_success=400 max_size=200", 1);
     std::size_t granted = 0, done = 0, returned = 0;
     const bool held = rc::check([&](const std::vector<Operation>& operations) {
         FleetState state(budgets());
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -23,8 +23,8 @@
     int answers = 0;
     bool disconnected = false;
     int may_have_run = 0;  // number of attempts
-    std::map<std::uint32_t, std::set<std::string>>
-        values_by_shard;  // values that data nodes answered with, by shard
+    // Values that data nodes answered with, by shard.
+    std::map<std::uint32_t, std::set<std::string>> values_by_shard;
 };
 
 struct SentAttempt {
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -419,13 +419,12 @@
     std::vector<Endpoint> list = small_endpoint_list(12);
     for (std::size_t i = 0; i < 12; ++i) list[i].group = i % 3 == 0;
     QueryRouter router = make_router(small_config(Effect::idempotent, 12), list);
-    const auto in_group = [](const Decision& attempt) {
-        return attempt.node % 3 == 1;
-    };  // nodes 100, 103 and so on
+    // Nodes 100, 103 and so on.
+    const auto in_group = [](const Decision& attempt) { return attempt.node % 3 == 1; };
     for (std::uint32_t i = 0; i < 8; ++i) {
         const Nanos now = start + i * 4000 * ms;
-        auto attempts =
-            start_query(router, now, 10 + 20 * i, 1, four_equal_weights);  // shards 0 to 3: nodes 100 to 105
+        // Shards 0 to 3: nodes 100 to 105.
+        auto attempts = start_query(router, now, 10 + 20 * i, 1, four_equal_weights);
         const auto slow = std::partition(attempts.begin(), attempts.end(),
                                          [&](auto& attempt) { return !in_group(attempt); });
         end_attempts(router, now + 50 * ms, {attempts.begin(), slow}, Outcome::ok, 50 * ms);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -898,8 +898,8 @@
     HttpServerRig rig(5);
     boost::asio::ip::tcp::socket socket(rig.io);
     socket.connect({boost::asio::ip::address_v4::loopback(), rig.server.port()});
-    const auto c = std::make_shared<TestConnection>(std::move(socket),
-                                                    TestConnection::OnChange());  // it does not read yet
+    // It does not read yet.
+    const auto c = std::make_shared<TestConnection>(std::move(socket), TestConnection::OnChange());
     c->send("GET /held HTTP/1.1\r\n\r\n");
     rig.run_until([&] { return rig.request_paths.size() == 1; });
     rig.server.begin_stop();
@@ -1117,8 +1117,8 @@
 TEST_CASE("idle clients that use up the client descriptors don't keep discovery from being polled") {
     ServiceRig rig(2, 64);  // 32 descriptors are for clients
     rig.run_until([&] { return rig.discovery_polls.size() == 1; });
-    const std::size_t before =
-        open_descriptors() - rig.discovery.peers.size() - 1;  // without the watch's own connection
+    // Without the watch's own connection.
+    const std::size_t before = open_descriptors() - rig.discovery.peers.size() - 1;
     rig.discovery_silent = true;
     rig.discovery_polls[0].second->reset();
     std::vector<std::shared_ptr<TestConnection>> idle;
