--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -6,7 +6,6 @@
 #include <csignal>
 #include <filesystem>
 #include <fstream>
-#include <random>
 #include <sstream>
 
 #include "fleet_manager/manager_client.hpp"
@@ -69,33 +68,11 @@
     return f;
 }
 
-std::vector<std::uint16_t> free_non_ephemeral_ports(std::size_t count) {
-    std::random_device random;
-    std::uint32_t next = 12'000 + random() % 16'000;
-    boost::asio::io_context io;
-    std::vector<boost::asio::ip::tcp::acceptor> held;
-    std::vector<std::uint16_t> ports;
-    for (int attempts = 0; ports.size() < count && attempts < 4000; ++attempts) {
-        boost::asio::ip::tcp::acceptor candidate(io);
-        boost::system::error_code ec;
-        const auto port = static_cast<std::uint16_t>(next++);
-        candidate.open(boost::asio::ip::tcp::v4(), ec);
-        if (!ec) candidate.bind({boost::asio::ip::address_v4::any(), port}, ec);
-        if (ec) continue;
-        held.push_back(std::move(candidate));
-        ports.push_back(port);
-    }
-    if (ports.size() < count)
-        throw std::runtime_error("only " + std::to_string(ports.size()) + " free ports found; expected " +
-                                 std::to_string(count));
-    return ports;
-}
-
 HollowRig::HollowRig(boost::asio::io_context& in, HollowPlan p) : io(in), plan(std::move(p)) {
     fleet = std::make_unique<Fleet>(io, read_script(script_text(), "hollow"));
     std::vector<std::string> addresses;
     for (const DataNode& n : fleet->nodes) addresses.push_back(n.address());
-    const auto ports = free_non_ephemeral_ports(2 * plan.managers + 2 + plan.witnesses);
+    const auto ports = free_ports(2 * plan.managers + 2 + plan.witnesses);
     discovery = std::make_unique<HollowDiscovery>(io, ports[0], plan.nodes, addresses);
     control_connections_.resize(plan.processes);
     responses_.resize(plan.processes);
--- a/src/testing/hollow_rig.hpp
+++ b/src/testing/hollow_rig.hpp
@@ -42,9 +42,6 @@
 };
 ProcessFigures process_figures(pid_t pid);
 
-// Ports that are free at present, below the range that the kernel assigns to outgoing connections.
-std::vector<std::uint16_t> free_non_ephemeral_ports(std::size_t count);
-
 // Figures of one hollow process.
 struct HollowFigures {
     pid_t pid = -1;  // -1 if the process does not answer
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -24,7 +24,7 @@
 
 RelayRig::RelayRig(boost::asio::io_context& context, RelayRigOptions rig_options)
     : io(context), options(std::move(rig_options)) {
-    const auto ports = free_non_ephemeral_ports(2 * options.managers + 2 + options.relays());
+    const auto ports = free_ports(2 * options.managers + 2 + options.relays());
     discovery_ =
         std::make_unique<HollowDiscovery>(io, ports[0], nodes, std::vector<std::string>(1, "127.0.0.1:1"));
     lines_.resize(options.zones);
--- a/src/testing/rig.cpp
+++ b/src/testing/rig.cpp
@@ -10,6 +10,7 @@
 #include <cstring>
 #include <filesystem>
 #include <fstream>
+#include <random>
 #include <stdexcept>
 
 #include "config/host_port.hpp"
@@ -227,13 +228,27 @@
 }
 
 std::vector<std::uint16_t> free_ports(std::size_t count) {
+    constexpr std::uint32_t lowest_port = 12'000, highest_port = 32'000;
+    constexpr std::uint32_t range = highest_port - lowest_port;
+    // The search starts at a random port, so that processes that run at the same time rarely try the same
+    // ones. It goes on from call to call, since an earlier call's ports may not be in use yet.
+    static std::uint32_t next_offset = std::random_device()() % range;
     boost::asio::io_context io;
-    std::vector<tcp::acceptor> acceptors;
+    std::vector<tcp::acceptor> reserved;
     std::vector<std::uint16_t> ports;
-    for (std::size_t i = 0; i < count; ++i) {
-        acceptors.emplace_back(io, tcp::endpoint(boost::asio::ip::address_v4::any(), 0));
-        ports.push_back(acceptors.back().local_endpoint().port());
+    for (std::uint32_t attempts = 0; ports.size() < count && attempts < range; ++attempts) {
+        tcp::acceptor candidate(io);
+        error_code ec;
+        const auto port = static_cast<std::uint16_t>(lowest_port + next_offset++ % range);
+        candidate.open(tcp::v4(), ec);
+        if (!ec) candidate.bind({boost::asio::ip::address_v4::any(), port}, ec);
+        if (ec) continue;
+        reserved.push_back(std::move(candidate));
+        ports.push_back(port);
     }
+    if (ports.size() < count)
+        throw std::runtime_error("only " + std::to_string(ports.size()) + " free ports found; expected " +
+                                 std::to_string(count));
     return ports;
 }
 
--- a/src/testing/rig.hpp
+++ b/src/testing/rig.hpp
@@ -110,7 +110,9 @@
 std::string caller_name_in_body(const std::string& first_bytes);
 std::string sender_id_in_handshake(const std::string& first_bytes);
 
-// Returns `count` ports that were free just now.
+// Returns `count` ports that are free at present and were not returned before. They are below the range that
+// Linux assigns to outgoing connections, so that no connection takes one before the process that is to listen
+// on it starts. Throws std::runtime_error if there are not enough.
 std::vector<std::uint16_t> free_ports(std::size_t count);
 
 // A temporary directory that the destructor removes.
