--- a/measure/relays.cpp
+++ b/measure/relays.cpp
@@ -94,7 +94,9 @@
     c.follow /= static_cast<double>(b.managers.size() - 1);
     if (b.leader < b.managers.size()) {
         c.lead_mb = b.managers[b.leader].dirty_mb;
-        c.lead_disk = static_cast<double>(b.managers[b.leader].disk - a.managers[b.leader].disk) / c.s;
+        c.lead_disk = static_cast<double>(b.managers[b.leader].disk_write_bytes -
+                                          a.managers[b.leader].disk_write_bytes) /
+                      c.s;
     }
     const auto relays = static_cast<double>(b.relays.size()), n = static_cast<double>(followers);
     for (std::size_t i = 0; i < b.relays.size(); ++i) {
--- a/measure/scale.cpp
+++ b/measure/scale.cpp
@@ -56,13 +56,13 @@
 };
 Sample sample(HollowRig& rig) {
     Sample s;
-    s.hollow = rig.hollow();
+    s.hollow = rig.hollow_figures();
     s.leader = rig.leader();
     for (const auto& p : rig.managers) s.pids.push_back(p ? p->pid() : -1);
     for (const auto& p : rig.managers) s.managers.push_back(p ? process_figures(p->pid()) : ProcessFigures());
     s.own_cpu_s = process_figures(::getpid()).cpu_s;
     s.discovery = rig.discovery->counts();
-    s.answers = rig.answers;
+    s.answers = rig.responses_by_status;
     s.at = Clock::now();
     return s;
 }
@@ -84,7 +84,8 @@
     // Processes that were there all the time; one that was started anew has other counts.
     HollowFigures was, is;
     const auto sum = [](HollowFigures& to, const HollowFigures& f) {
-        to.routers += f.routers, to.lapses += f.lapses, to.cpu_s += f.cpu_s, to.dirty_mb += f.dirty_mb;
+        to.routers += f.routers, to.lease_lapses += f.lease_lapses, to.cpu_s += f.cpu_s,
+            to.dirty_mb += f.dirty_mb;
         for (const auto of : {&HollowFigures::manager, &HollowFigures::discovery}) {
             (to.*of).requests += (f.*of).requests, (to.*of).bytes_received += (f.*of).bytes_received,
                 (to.*of).bytes_sent += (f.*of).bytes_sent;
@@ -98,8 +99,8 @@
     for (std::size_t i = 0; i < b.managers.size(); ++i) {
         if (a.pids[i] != b.pids[i]) continue;  // started anew
         const double cpu = 1000 * rate(a.managers[i].cpu_s, b.managers[i].cpu_s);
-        const double disk =
-            rate(static_cast<double>(a.managers[i].disk), static_cast<double>(b.managers[i].disk));
+        const double disk = rate(static_cast<double>(a.managers[i].disk_write_bytes),
+                                 static_cast<double>(b.managers[i].disk_write_bytes));
         if (i == b.leader) {
             c.lead_cpu = cpu, c.lead_disk = disk, c.lead_mb = b.managers[i].rss_mb;
             c.lead_dirty_mb = b.managers[i].dirty_mb;
@@ -126,7 +127,7 @@
     c.router_mb = is.dirty_mb / routers;
     c.own_cpu = 1000 * rate(a.own_cpu_s, b.own_cpu_s);
     c.discovery_bytes = rate(static_cast<double>(a.discovery.bytes), static_cast<double>(b.discovery.bytes));
-    c.lapses = is.lapses - was.lapses;
+    c.lapses = is.lease_lapses - was.lease_lapses;
     for (const auto& [status, n] : b.answers) {
         const auto before = a.answers.find(status);
         (status == 200 ? c.good : c.bad) += n - (before == a.answers.end() ? 0 : before->second);
@@ -160,18 +161,18 @@
     double drain_ms = -1;  // the slowest
 };
 
-HollowPlan plan_of(std::size_t routers, std::uint32_t nodes) {
-    HollowPlan plan;
-    plan.programs = PROGRAMS;
-    plan.self = program();
-    plan.routers = routers;
-    plan.nodes = nodes;
-    return plan;
+HollowRigOptions options_for(std::size_t routers, std::uint32_t nodes) {
+    HollowRigOptions options;
+    options.programs = PROGRAMS;
+    options.self = program();
+    options.routers = routers;
+    options.nodes = nodes;
+    return options;
 }
 
 Rung climb(HollowRig& rig, std::chrono::seconds window, int drains) {
     Rung r;
-    r.routers = rig.plan.routers, r.nodes = rig.plan.nodes;
+    r.routers = rig.options.routers, r.nodes = rig.options.nodes;
     const auto began = Clock::now();
     r.list_bytes = rig.discovery->full_list_bytes();
     r.up = rig.until(
@@ -184,7 +185,8 @@
     std::printf("%zu routers, %u nodes (a list of %zu bytes): %s after %.1f s\n", r.routers, r.nodes,
                 r.list_bytes, r.up ? "all hold a lease" : "NOT all hold a lease", r.up_s);
     if (!r.up) {
-        std::printf("%zu hold one; what was said last:\n%s", rig.holding(), rig.event_log.text(40).c_str());
+        std::printf("%zu hold one; what was said last:\n%s", rig.lease_holders(),
+                    rig.event_log.text(40).c_str());
         return r;
     }
     rig.run_for(Ms(12'000));  // past the hold after the start
@@ -202,15 +204,15 @@
                             e.source.c_str(), e.message.c_str());
     r.heard = true;
     for (int i = 0; i < drains; ++i) {
-        r.drains.push_back(rig.drain(static_cast<std::uint32_t>(i) % rig.plan.known_nodes, Ms(40'000)));
+        r.drains.push_back(rig.drain(static_cast<std::uint32_t>(i) % rig.options.known_nodes, Ms(40'000)));
         const auto& d = r.drains.back();
         r.heard &= d.granted;
-        r.drain_ms = d.done ? std::max(r.drain_ms, d.ms) : 1e9;
+        r.drain_ms = d.done ? std::max(r.drain_ms, d.grant_to_done_ms) : 1e9;
         std::printf("  drain %d: %s, %.0f ms from grant to done%s%s\n", i + 1,
                     d.done      ? "done"
                     : d.granted ? "granted, NOT done"
                                 : "NOT granted",
-                    d.ms, d.done ? "" : ": ", d.done ? "" : d.response.substr(0, 160).c_str());
+                    d.grant_to_done_ms, d.done ? "" : ": ", d.done ? "" : d.response.substr(0, 160).c_str());
         if (!d.granted) break;
     }
     if (!r.heard) std::printf("  the stewards never heard of these nodes\n");
@@ -257,10 +259,11 @@
         d.name = std::move(name), d.may_lapse = may_lapse, d.is_ordinary = is_ordinary;
         const Sample before = sample(rig_);
         what(d);
-        if (d.drain.ms < 0) d.drain = rig_.drain(next_++ % rig_.plan.known_nodes, Ms(40'000));
+        if (d.drain.grant_to_done_ms < 0)
+            d.drain = rig_.drain(next_++ % rig_.options.known_nodes, Ms(40'000));
         d.cost = cost(before, sample(rig_));
         print(d.name.c_str(), d.cost);
-        std::printf("    drain: %s, %.0f ms", d.drain.done ? "done" : "NOT done", d.drain.ms);
+        std::printf("    drain: %s, %.0f ms", d.drain.done ? "done" : "NOT done", d.drain.grant_to_done_ms);
         if (d.back_s >= 0) std::printf("; all hold a lease again after %.1f s", d.back_s);
         if (d.leaderless_s >= 0) std::printf("; %.2f s without a leader", d.leaderless_s);
         std::printf("\n");
@@ -279,7 +282,7 @@
             if (now - began < span && s * restarts_a_s * times > begun) {
                 ++begun;
                 const std::uint32_t n =
-                    rig_.plan.known_nodes + turn_++ % (rig_.plan.nodes - rig_.plan.known_nodes);
+                    rig_.options.known_nodes + turn_++ % (rig_.options.nodes - rig_.options.known_nodes);
                 for (int i = 0; i < 3; ++i) due.push_back({now + Ms(300 * i), {n, i}});
                 std::sort(due.begin(), due.end());
             }
@@ -299,25 +302,25 @@
 
     void zone(Day& d) {
         const auto all = [&](Lifecycle a, Nanos started) {
-            for (std::uint32_t n = 0; n < rig_.plan.nodes; ++n)
+            for (std::uint32_t n = 0; n < rig_.options.nodes; ++n)
                 if (n % hollow_zones == 3) rig_.discovery->set_lifecycle(n, a, started);
             rig_.discovery->publish();
         };
-        for (std::size_t i = 3; i < rig_.plan.processes; i += hollow_zones)
+        for (std::size_t i = 3; i < rig_.options.processes; i += hollow_zones)
             rig_.processes[i]->signal(SIGKILL);
         all(Lifecycle::removed, 0);
         rig_.run_for(Ms(20'000));
         all(Lifecycle::ready, epoch_now());
-        for (std::size_t i = 3; i < rig_.plan.processes; i += hollow_zones) rig_.start_hollow(i);
+        for (std::size_t i = 3; i < rig_.options.processes; i += hollow_zones) rig_.start_hollow_process(i);
         d.back_s = back();
     }
 
     void leader(Day& d) {
         const std::size_t old = rig_.leader();
-        if (old == rig_.plan.managers) return;
+        if (old == rig_.options.managers) return;
         const auto from = Clock::now();
         rig_.managers[old]->signal(SIGKILL);
-        if (rig_.until([&] { return rig_.leader() < rig_.plan.managers && rig_.leader() != old; },
+        if (rig_.until([&] { return rig_.leader() < rig_.options.managers && rig_.leader() != old; },
                        Ms(30'000)))
             d.leaderless_s = seconds_since(from);
         rig_.run_for(Ms(15'000));
@@ -327,16 +330,17 @@
     }
 
     void third(Day& d) {
-        for (std::size_t i = 0; i < rig_.plan.processes; ++i)
-            rig_.send_command(i, "restart " + std::to_string(rig_.plan.routers / rig_.plan.processes / 3));
+        for (std::size_t i = 0; i < rig_.options.processes; ++i)
+            rig_.send_command(i,
+                              "restart " + std::to_string(rig_.options.routers / rig_.options.processes / 3));
         d.back_s = back();
         rig_.run_for(Ms(10'000));
     }
 
     void cut(Day& d) {
-        const std::size_t some = rig_.plan.processes / 6;
+        const std::size_t some = rig_.options.processes / 6;
         for (std::size_t i = 0; i < some; ++i) rig_.send_command(i, "cut");
-        d.drain = rig_.drain(next_++ % rig_.plan.known_nodes, Ms(40'000));
+        d.drain = rig_.drain(next_++ % rig_.options.known_nodes, Ms(40'000));
         rig_.run_for(Ms(5000));
         for (std::size_t i = 0; i < some; ++i) rig_.send_command(i, "heal");
         d.back_s = back();
@@ -392,27 +396,27 @@
 // For CI: counts alone, which hold on a machine that has little time for it.
 int quickly(Aims& aim) {
     boost::asio::io_context io(1);
-    HollowPlan plan = plan_of(120, 2000);
-    plan.processes = 4;
-    plan.lease = "60s";  // no lease ends in the run, however late a process is woken
-    HollowRig rig(io, std::move(plan));
+    HollowRigOptions options = options_for(120, 2000);
+    options.processes = 4;
+    options.lease = "60s";  // no lease ends in the run, however late a process is woken
+    HollowRig rig(io, std::move(options));
     const bool up = rig.until([&] { return rig.run_for(Ms(100)), rig.all_hold_leases(); }, Ms(60'000));
     aim(up, "120 routers hold a lease");
     const auto read = [&] {
-        for (const HollowFigures& f : rig.hollow())
-            if (f.reader_nodes != rig.plan.nodes) return false;
+        for (const HollowFigures& f : rig.hollow_figures())
+            if (f.reader_nodes != rig.options.nodes) return false;
         return true;
     };
     aim(rig.until([&] { return rig.run_for(Ms(100)), read(); }, Ms(60'000)), "each reader has 2,000 nodes");
     const HollowRig::Drain drain = rig.drain(5, Ms(60'000));
     aim(drain.done, "a drain is done");
     // Until all have acted on the node's way back, which is an entry of the list too.
-    const Json agreed = rig.status(rig.leader() % rig.plan.managers);
+    const Json agreed = rig.status(rig.leader() % rig.options.managers);
     const std::uint64_t generation =
         agreed.is_object() ? agreed["generation"].get<std::uint64_t>() : UINT64_MAX;
     const auto acted = [&] {
-        for (const HollowFigures& f : rig.hollow())
-            if (f.acts_on_least != generation) return false;
+        for (const HollowFigures& f : rig.hollow_figures())
+            if (f.min_applied_generation != generation) return false;
         return true;
     };
     aim(rig.until([&] { return rig.run_for(Ms(100)), acted(); }, Ms(60'000)),
@@ -425,30 +429,30 @@
     rig.discovery->publish();
     const auto entries = [](const std::vector<HollowFigures>& all) {
         std::uint64_t sum = 0;
-        for (const HollowFigures& f : all) sum += f.entries;
+        for (const HollowFigures& f : all) sum += f.list_entries;
         return sum;
     };
-    const std::uint64_t due = entries(before.hollow) + changed * rig.plan.routers;
+    const std::uint64_t due = entries(before.hollow) + changed * rig.options.routers;
     const bool told =
-        rig.until([&] { return rig.run_for(Ms(100)), entries(rig.hollow()) >= due; }, Ms(60'000));
+        rig.until([&] { return rig.run_for(Ms(100)), entries(rig.hollow_figures()) >= due; }, Ms(60'000));
     const Sample after = sample(rig);
     const std::uint64_t got = entries(after.hollow) - entries(before.hollow);
-    aim(told && got == changed * rig.plan.routers, "each change of the list reaches each router once");
+    aim(told && got == changed * rig.options.routers, "each change of the list reaches each router once");
     std::uint64_t bytes = 0, lapses = 0, calls = 0;
     for (std::size_t i = 0; i < after.hollow.size(); ++i) {
         const HollowFigures &a = before.hollow[i], &b = after.hollow[i];
         bytes += b.discovery.bytes_received - a.discovery.bytes_received;
         calls += b.manager.requests;
-        lapses += b.lapses;
+        lapses += b.lease_lapses;
     }
-    const double each = static_cast<double>(bytes) / static_cast<double>(rig.plan.routers * changed);
+    const double each = static_cast<double>(bytes) / static_cast<double>(rig.options.routers * changed);
     aim(each > 100 && each < 400, "bytes of a changed node to a router");
-    aim(calls >= rig.plan.routers, "each router has called the stewards");
+    aim(calls >= rig.options.routers, "each router has called the stewards");
     aim(lapses == 0, "leases that ended wrongly");
     std::printf(
         "scale: quick routers=120 nodes=2000 entries=%llu of %llu, %.0f bytes each, wrong=%llu, drain %s; "
         "%s\n",
-        static_cast<unsigned long long>(got), static_cast<unsigned long long>(changed * rig.plan.routers),
+        static_cast<unsigned long long>(got), static_cast<unsigned long long>(changed * rig.options.routers),
         each, static_cast<unsigned long long>(lapses), drain.done ? "done" : "NOT done",
         aim.kept ? "kept" : "MISSED");
     return aim.kept ? 0 : 1;
@@ -491,17 +495,17 @@
         "nodes and what\nchanges, and have no module and no queries; one reader a process has the whole "
         "list. "
         "Discovery is a script, data\nnodes are its entries, twelve listeners answer for them all.\n",
-        plan_of(1, 1).known_nodes);
+        options_for(1, 1).known_nodes);
     Aims aim;
     if (quick) return quickly(aim);
     std::vector<Rung> rungs;
     std::vector<Day> days;
     for (const auto& [routers, nodes] : ladder) {
         boost::asio::io_context io(1);
-        HollowPlan plan = plan_of(routers, nodes);
-        plan.witnesses = witnesses;
-        plan.processes = processes;
-        HollowRig rig(io, std::move(plan));
+        HollowRigOptions options = options_for(routers, nodes);
+        options.real_routers = witnesses;
+        options.processes = processes;
+        HollowRig rig(io, std::move(options));
         rungs.push_back(climb(rig, std::chrono::seconds(20), 3));
         const bool last = rungs.size() == ladder.size();
         if (last && with_days && rungs.back().up) days = Days(rig).all(day);
@@ -520,7 +524,7 @@
     for (const Day& d : days) {
         const std::string at = ": " + d.name;
         aim(d.may_lapse || d.cost.lapses == 0, "leases that ended wrongly" + at);
-        aim(d.drain.done && d.drain.ms <= done_within_ms, "a drain done within 19 s" + at);
+        aim(d.drain.done && d.drain.grant_to_done_ms <= done_within_ms, "a drain done within 19 s" + at);
         aim(d.back_s <= cold_start_s, "all hold a lease again within 5 minutes" + at);
         const double share = d.is_ordinary ? ordinary : 1;
         aim(d.cost.router_cpu <= router_cpu_ms_s * share, "a router's processor time" + at);
@@ -582,8 +586,8 @@
         std::printf(
             " [%s]=lead_ms_s:%.1f,router_ms_s:%.3f,router_B_s:%.0f,drain_ms:%.0f,back_s:%.1f,wrong:%llu",
             d.name.c_str(), d.cost.lead_cpu, d.cost.router_cpu,
-            d.cost.manager_in + d.cost.manager_out + d.cost.discovery_in + d.cost.discovery_out, d.drain.ms,
-            d.back_s, static_cast<unsigned long long>(d.cost.lapses));
+            d.cost.manager_in + d.cost.manager_out + d.cost.discovery_in + d.cost.discovery_out,
+            d.drain.grant_to_done_ms, d.back_s, static_cast<unsigned long long>(d.cost.lapses));
     std::printf(" %s\n", aim.kept ? "kept" : "MISSED");
     return aim.kept ? 0 : 1;
 }
--- a/src/testing/hollow_discovery.hpp
+++ b/src/testing/hollow_discovery.hpp
@@ -21,7 +21,7 @@
 // The server, and the nodes that it lists.
 class HollowDiscovery {
   public:
-    // Lists `nodes` data nodes, all of them up. They get the addresses in turn.
+    // Lists `nodes` data nodes, all of them ready. The nodes get the addresses in turn.
     HollowDiscovery(boost::asio::io_context& io, std::uint16_t port, std::uint32_t nodes,
                     std::vector<std::string> addresses);
     ~HollowDiscovery();
@@ -29,43 +29,46 @@
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
     std::uint64_t generation() const { return generation_; }
     std::size_t nodes() const { return nodes_.size(); }
-    const ListedEndpoint& node(std::uint32_t n) const { return nodes_[n]; }
+    const ListedEndpoint& node(std::uint32_t index) const { return nodes_[index]; }
     // Changes a node. The change takes effect with the next publish().
-    void set_lifecycle(std::uint32_t node, Lifecycle lifecycle, Nanos started_at = 0);
+    void set_lifecycle(std::uint32_t index, Lifecycle lifecycle, Nanos started_at = 0);
     // Publishes all pending changes as one generation.
     void publish();
-    // The size of a response with the full list.
+    // Returns the size of a response with the full list.
     std::size_t full_list_bytes();
 
-    // Requests, responses with the full list, bytes sent, and generations published.
+    // The requests received, full lists and bytes sent, and generations published since the start.
     struct Counts {
-        std::uint64_t calls = 0, full_lists = 0, bytes = 0, generations = 0;
+        std::uint64_t requests = 0, full_lists = 0, bytes = 0, generations = 0;
     };
     const Counts& counts() const { return counts_; }
 
   private:
+    // A client's connection, its received bytes and its pending response.
     struct Connection;
-    using Text = std::shared_ptr<const std::string>;
+    using SharedText = std::shared_ptr<const std::string>;
 
     void accept();
     void read(const std::shared_ptr<Connection>& connection);
     bool handle_request(const std::shared_ptr<Connection>& connection);
-    void answer(const std::shared_ptr<Connection>& connection);
-    Text text(std::uint64_t after, bool full);
+    void respond(const std::shared_ptr<Connection>& connection);
+    SharedText response_text(std::uint64_t after, bool full);
 
     boost::asio::io_context& io_;
     boost::asio::ip::tcp::acceptor acceptor_;
     std::vector<ListedEndpoint> nodes_;
     std::set<std::uint32_t> pending_changes_;
+    // A change of one node, and the generation that published it.
     struct Change {
         std::uint64_t generation = 0;
         std::uint32_t node = 0;
     };
     std::deque<Change> changes_;  // the most recent changes, oldest first
     std::uint64_t generation_ = 1;
-    std::uint64_t dropped_generation_ = 0;  // a client with an earlier generation gets the full list
-    std::map<std::uint64_t, Text> deltas_;  // responses for this generation, by the client's generation
-    Text full_text_;
+    std::uint64_t dropped_generation_ = 0;        // a client with an earlier generation gets the full list
+    std::map<std::uint64_t, SharedText> deltas_;  // responses for this generation, by the client's generation
+    SharedText full_text_;
+    // Connections whose request waits for the next generation, by their address.
     std::map<Connection*, std::shared_ptr<Connection>> waiting_;
     Counts counts_;
 };
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -49,7 +49,7 @@
                 "\"\n }\n";
     }
     fleet_file_ = directory.write("fleet.hcl", text + "}\n");
-    const int places = static_cast<int>(hollow_places(nodes));
+    const int places = static_cast<int>(hollow_place_count(nodes));
     const Json config = {{"name", "steward"},
                          {"listen", "127.0.0.1:1"},
                          {"discovery", "127.0.0.1:" + std::to_string(discovery_->port())},
