--- a/measure/capacity/capacity.cpp
+++ b/measure/capacity/capacity.cpp
@@ -14,89 +14,95 @@
 
 using Json = nlohmann::ordered_json;
 
-[[noreturn]] void fail(const std::string& what) { throw std::runtime_error(what); }
+[[noreturn]] void fail(const std::string& message) { throw std::runtime_error(message); }
 
-Json parse(std::string_view text, const char* what) {
-    Json in = Json::parse(text, nullptr, false);
-    if (!in.is_array()) fail(std::string(what) + " is no JSON list");
-    return in;
+Json parse_array(std::string_view text, const char* name) {
+    Json array = Json::parse(text, nullptr, false);
+    if (!array.is_array()) fail(std::string(name) + " is no JSON list");
+    return array;
 }
 
-std::string text_of(const Json& in, const char* key, bool needed) {
-    const auto it = in.is_object() ? in.find(key) : in.end();
-    if (!in.is_object() || it == in.end()) {
-        if (needed) fail(std::string("an entry lacks '") + key + "': " + in.dump());
+std::string read_string(const Json& entry, const char* key, bool required) {
+    const auto it = entry.is_object() ? entry.find(key) : entry.end();
+    if (!entry.is_object() || it == entry.end()) {
+        if (required) fail(std::string("an entry lacks '") + key + "': " + entry.dump());
         return {};
     }
-    if (!it->is_string()) fail(std::string("'") + key + "' is no string: " + in.dump());
+    if (!it->is_string()) fail(std::string("'") + key + "' is no string: " + entry.dump());
     return it->get<std::string>();
 }
 
-double number_of(const Json& in, const char* key) {
-    const auto it = in.find(key);
-    if (it == in.end() || !it->is_number()) fail(std::string("'") + key + "' is no number: " + in.dump());
+double read_number(const Json& entry, const char* key) {
+    const auto it = entry.find(key);
+    if (it == entry.end() || !it->is_number())
+        fail(std::string("'") + key + "' is no number: " + entry.dump());
     return it->get<double>();
 }
 
 // Four digits, as they stand in the file.
-double rounded(double value) {
+double round_to_4_digits(double value) {
     char text[32];
     std::snprintf(text, sizeof text, "%.4g", value);
     return std::strtod(text, nullptr);
 }
 
-bool same(double stated, double found, double scale) {
-    return std::abs(stated - found) <= 1e-3 * std::max(std::abs(found), 1e-3 * scale);
+bool nearly_equal(double stated, double fitted, double scale) {
+    return std::abs(stated - fitted) <= 1e-3 * std::max(std::abs(fitted), 1e-3 * scale);
 }
 
 }  // namespace
 
 Fit fit(const Points& points) {
     if (points.empty()) return {};
-    double sx = 0, sy = 0;
-    for (const auto& [x, y] : points) sx += x, sy += y;
-    const auto n = static_cast<double>(points.size());
-    double xx = 0, xy = 0;
-    for (const auto& [x, y] : points) xx += (x - sx / n) * (x - sx / n), xy += (x - sx / n) * (y - sy / n);
-    Fit f;
-    f.slope = xx > 0 ? xy / xx : 0;
-    f.fixed = sy / n - f.slope * sx / n;
-    for (const auto& [x, y] : points) f.residual = std::max(f.residual, std::abs(y - f.fixed - f.slope * x));
-    return f;
+    double size_sum = 0, figure_sum = 0;
+    for (const auto& [size, figure] : points) size_sum += size, figure_sum += figure;
+    const auto count = static_cast<double>(points.size());
+    double sum_of_squares = 0, sum_of_products = 0;
+    for (const auto& [size, figure] : points)
+        sum_of_squares += (size - size_sum / count) * (size - size_sum / count),
+            sum_of_products += (size - size_sum / count) * (figure - figure_sum / count);
+    Fit line;
+    line.slope = sum_of_squares > 0 ? sum_of_products / sum_of_squares : 0;
+    line.fixed = figure_sum / count - line.slope * size_sum / count;
+    for (const auto& [size, figure] : points)
+        line.residual = std::max(line.residual, std::abs(figure - line.fixed - line.slope * size));
+    return line;
 }
 
-double Slope::at(double size) const {
+double Slope::value_at(double size) const {
     if (!measured()) return std::numeric_limits<double>::quiet_NaN();
     return std::max(0.0, stated.fixed + stated.slope * size);
 }
 
-bool Slope::bends() const {
-    double most = 0;
-    for (const auto& [x, y] : points) most = std::max(most, std::abs(y));
-    return points.size() > 2 && stated.residual > most / 10;
+bool Slope::is_nonlinear() const {
+    double largest = 0;
+    for (const auto& [size, figure] : points) largest = std::max(largest, std::abs(figure));
+    return points.size() > 2 && stated.residual > largest / 10;
 }
 
-double Size::of(std::string_view name) const {
-    for (const Stated& s : all)
-        if (s.name == name) return s.value;
+double Size::value_of(std::string_view name) const {
+    for (const SizeParameter& parameter : parameters)
+        if (parameter.name == name) return parameter.value;
     fail("the size lacks '" + std::string(name) + "'");
 }
 
-const Slope& Slopes::of(std::string_view name) const {
-    for (const Slope& s : all)
-        if (s.name == name) return s;
+const Slope& Slopes::slope_of(std::string_view name) const {
+    for (const Slope& slope : all)
+        if (slope.name == name) return slope;
     fail("the slopes lack '" + std::string(name) + "'");
 }
 
 Size read_size(std::string_view json) {
     Size size;
-    for (const Json& in : parse(json, "the size")) {
-        Stated s{text_of(in, "name", true), text_of(in, "unit", false), text_of(in, "words", true),
-                 text_of(in, "from", true), number_of(in, "value")};
-        if (!(s.value > 0) || !std::isfinite(s.value)) fail("'" + s.name + "' is not above nothing");
-        for (const Stated& other : size.all)
-            if (other.name == s.name) fail("'" + s.name + "' is stated twice");
-        size.all.push_back(std::move(s));
+    for (const Json& entry : parse_array(json, "the size")) {
+        SizeParameter parameter{read_string(entry, "name", true), read_string(entry, "unit", false),
+                                read_string(entry, "words", true), read_string(entry, "from", true),
+                                read_number(entry, "value")};
+        if (!(parameter.value > 0) || !std::isfinite(parameter.value))
+            fail("'" + parameter.name + "' is not above nothing");
+        for (const SizeParameter& other : size.parameters)
+            if (other.name == parameter.name) fail("'" + parameter.name + "' is stated twice");
+        size.parameters.push_back(std::move(parameter));
     }
     return size;
 }
@@ -104,201 +110,216 @@
 Slopes read_slopes(std::string_view json) {
     static const std::array<std::string_view, 4> kinds{"measured", "worked out", "published", "not measured"};
     Slopes slopes;
-    for (const Json& in : parse(json, "the file of slopes")) {
-        Slope s;
-        s.name = text_of(in, "name", true), s.unit = text_of(in, "unit", true);
-        s.per = text_of(in, "per", true), s.by = text_of(in, "by", true);
-        s.kind = text_of(in, "kind", true), s.words = text_of(in, "words", true);
-        if (std::find(kinds.begin(), kinds.end(), s.kind) == kinds.end())
-            fail("'" + s.name + "' is of no known kind: " + s.kind);
-        if (s.measured()) {
-            s.stated = {number_of(in, "fixed"), number_of(in, "slope"), number_of(in, "residual")};
-            s.from = number_of(in, "from"), s.to = number_of(in, "to");
-            const auto points = in.find("points");
-            if (points == in.end() || !points->is_array() || points->empty())
-                fail("'" + s.name + "' has no points");
-            for (const Json& p : *points) {
-                if (!p.is_array() || p.size() != 2 || !p[0].is_number() || !p[1].is_number())
-                    fail("a point of '" + s.name + "' is no pair of numbers");
-                s.points.emplace_back(p[0].get<double>(), p[1].get<double>());
+    for (const Json& entry : parse_array(json, "the file of slopes")) {
+        Slope slope;
+        slope.name = read_string(entry, "name", true), slope.unit = read_string(entry, "unit", true);
+        slope.per = read_string(entry, "per", true), slope.by = read_string(entry, "by", true);
+        slope.kind = read_string(entry, "kind", true), slope.words = read_string(entry, "words", true);
+        if (std::find(kinds.begin(), kinds.end(), slope.kind) == kinds.end())
+            fail("'" + slope.name + "' is of no known kind: " + slope.kind);
+        if (slope.measured()) {
+            slope.stated = {read_number(entry, "fixed"), read_number(entry, "slope"),
+                            read_number(entry, "residual")};
+            slope.from = read_number(entry, "from"), slope.to = read_number(entry, "to");
+            const auto points = entry.find("points");
+            if (points == entry.end() || !points->is_array() || points->empty())
+                fail("'" + slope.name + "' has no points");
+            for (const Json& point : *points) {
+                if (!point.is_array() || point.size() != 2 || !point[0].is_number() || !point[1].is_number())
+                    fail("a point of '" + slope.name + "' is no pair of numbers");
+                slope.points.emplace_back(point[0].get<double>(), point[1].get<double>());
             }
         }
         for (const Slope& other : slopes.all)
-            if (other.name == s.name) fail("'" + s.name + "' stands twice");
-        slopes.all.push_back(std::move(s));
+            if (other.name == slope.name) fail("'" + slope.name + "' stands twice");
+        slopes.all.push_back(std::move(slope));
     }
     return slopes;
 }
 
 std::string write_slopes(const Slopes& slopes) {
     std::string out = "[\n";
-    for (const Slope& s : slopes.all) {
-        Json one = {{"name", s.name}, {"unit", s.unit}, {"per", s.per}};
-        if (s.measured()) {
-            one["fixed"] = s.stated.fixed, one["slope"] = s.stated.slope, one["residual"] = s.stated.residual;
-            one["from"] = s.from, one["to"] = s.to;
+    for (const Slope& slope : slopes.all) {
+        Json entry = {{"name", slope.name}, {"unit", slope.unit}, {"per", slope.per}};
+        if (slope.measured()) {
+            entry["fixed"] = slope.stated.fixed, entry["slope"] = slope.stated.slope,
+            entry["residual"] = slope.stated.residual;
+            entry["from"] = slope.from, entry["to"] = slope.to;
             Json points = Json::array();
-            for (const auto& [x, y] : s.points) points.push_back({x, y});
-            one["points"] = std::move(points);
+            for (const auto& [size, figure] : slope.points) points.push_back({size, figure});
+            entry["points"] = std::move(points);
         }
-        one["by"] = s.by, one["kind"] = s.kind, one["words"] = s.words;
-        out += ' ' + one.dump() + (&s == &slopes.all.back() ? "\n" : ",\n");
+        entry["by"] = slope.by, entry["kind"] = slope.kind, entry["words"] = slope.words;
+        out += ' ' + entry.dump() + (&slope == &slopes.all.back() ? "\n" : ",\n");
     }
     return out + "]\n";
 }
 
-std::vector<std::string> misfits(const Slopes& slopes) {
+std::vector<std::string> outdated_fits(const Slopes& slopes) {
     std::vector<std::string> names;
-    for (const Slope& s : slopes.all) {
-        if (!s.measured()) continue;
-        const Fit f = fit(s.points);
-        double most = 0, from = s.points.front().first, to = from;
-        for (const auto& [x, y] : s.points)
-            most = std::max(most, std::abs(y)), from = std::min(from, x), to = std::max(to, x);
-        if (!same(s.stated.fixed, f.fixed, most) || !same(s.stated.slope * to, f.slope * to, most) ||
-            !same(s.stated.residual, f.residual, most) || s.from != from || s.to != to)
-            names.push_back(s.name);
+    for (const Slope& slope : slopes.all) {
+        if (!slope.measured()) continue;
+        const Fit line = fit(slope.points);
+        double largest = 0, from = slope.points.front().first, to = from;
+        for (const auto& [size, figure] : slope.points)
+            largest = std::max(largest, std::abs(figure)), from = std::min(from, size),
+            to = std::max(to, size);
+        if (!nearly_equal(slope.stated.fixed, line.fixed, largest) ||
+            !nearly_equal(slope.stated.slope * to, line.slope * to, largest) ||
+            !nearly_equal(slope.stated.residual, line.residual, largest) || slope.from != from ||
+            slope.to != to)
+            names.push_back(slope.name);
     }
     return names;
 }
 
 void take_points(Slopes& slopes, std::string_view lines) {
-    std::map<std::string, std::map<double, double>> taken;
+    std::map<std::string, std::map<double, double>> points_by_name;
     std::istringstream in{std::string(lines)};
-    for (std::string line; std::getline(in, line);) {
-        std::istringstream words(line);
-        std::string first, name;
+    for (std::string text; std::getline(in, text);) {
+        std::istringstream words(text);
+        std::string keyword, name;
         double size = 0, value = 0;
-        if (!(words >> first) || first != "point") continue;
-        if (!(words >> name >> size >> value)) fail("not 'point NAME SIZE FIGURE': " + line);
-        const auto [it, fresh] = taken[name].try_emplace(size, value);
-        if (!fresh) it->second = std::min(it->second, value);
+        if (!(words >> keyword) || keyword != "point") continue;
+        if (!(words >> name >> size >> value)) fail("not 'point NAME SIZE FIGURE': " + text);
+        const auto [it, inserted] = points_by_name[name].try_emplace(size, value);
+        if (!inserted) it->second = std::min(it->second, value);
     }
-    for (const auto& [name, points] : taken) {
+    for (const auto& [name, points] : points_by_name) {
         const auto it = std::find_if(slopes.all.begin(), slopes.all.end(),
-                                     [&n = name](const Slope& s) { return s.name == n; });
+                                     [&wanted = name](const Slope& slope) { return slope.name == wanted; });
         if (it == slopes.all.end()) continue;  // of no use to the page
         it->points.assign(points.begin(), points.end());
         if (!it->measured()) it->kind = "measured";
     }
-    for (Slope& s : slopes.all) {
-        if (!s.measured()) continue;
-        const Fit f = fit(s.points);
-        s.stated = {rounded(f.fixed), rounded(f.slope), rounded(f.residual)};
-        s.from = s.to = s.points.front().first;
-        for (const auto& [x, y] : s.points) s.from = std::min(s.from, x), s.to = std::max(s.to, x);
+    for (Slope& slope : slopes.all) {
+        if (!slope.measured()) continue;
+        const Fit line = fit(slope.points);
+        slope.stated = {round_to_4_digits(line.fixed), round_to_4_digits(line.slope),
+                        round_to_4_digits(line.residual)};
+        slope.from = slope.to = slope.points.front().first;
+        for (const auto& [point_size, point_figure] : slope.points)
+            slope.from = std::min(slope.from, point_size), slope.to = std::max(slope.to, point_size);
     }
 }
 
 Load::Load(const Size& size) {
-    const auto of = [&size](const char* name) { return size.of(name); };
-    constexpr double day = 86'400;
-    const double routers = of("routers"), nodes = of("nodes");
-    attempts = of("queries") * of("parts");
-    router_queries = of("queries") / routers;
-    router_calls = attempts / routers;
-    node_calls = attempts / nodes;
-    pair_calls = attempts / routers / nodes;
+    const auto value_of = [&size](const char* name) { return size.value_of(name); };
+    constexpr double seconds_per_day = 86'400;
+    const double routers = value_of("routers"), nodes = value_of("nodes");
+    attempts = value_of("queries") * value_of("parts");
+    router_queries = value_of("queries") / routers;
+    router_attempts = attempts / routers;
+    node_attempts = attempts / nodes;
+    pair_attempts = attempts / routers / nodes;
     connections = routers * nodes;
     router_connections = nodes;
     node_connections = routers;
-    calls_out = router_calls * of("leaf_ms") / 1e3;
-    late_share = 1 - std::pow(of("slo_share"), 1 / of("parts"));
-    changes = of("changes_a_day") / day;
-    restarts = of("restarts_a_day") / day;
-    list_changes = restarts * of("list_changes");
+    router_attempts_in_flight = router_attempts * value_of("leaf_ms") / 1e3;
+    max_late_share = 1 - std::pow(value_of("slo_share"), 1 / value_of("parts"));
+    changes = value_of("changes_a_day") / seconds_per_day;
+    restarts = value_of("restarts_a_day") / seconds_per_day;
+    list_changes = restarts * value_of("list_changes");
     generations = restarts * 2;  // it goes out and comes back by agreement
-    zone_nodes = nodes / of("zones");
-    zone_routers = routers / of("zones");
+    zone_nodes = nodes / value_of("zones");
+    zone_routers = routers / value_of("zones");
     other_routers = routers - zone_routers;
-    zone_node_bytes = of("control_kb_s") * 1e3 * of("in_force_s") / zone_nodes;
-    control_mb_s = of("control_kb_s") * routers / 1e3;
-    zone_machines = std::ceil(of("machines") / of("zones"));
-    renewals = routers / (of("lease_s") / 5);
+    zone_node_bytes = value_of("control_kb_s") * 1e3 * value_of("in_force_s") / zone_nodes;
+    control_mb_s = value_of("control_kb_s") * routers / 1e3;
+    zone_machines = std::ceil(value_of("machines") / value_of("zones"));
+    renewals = routers / (value_of("lease_s") / 5);
 }
 
-double waiting_calls(double news, double wait) {
-    return news * wait < 1e-9 ? 1 / wait : news / (1 - std::exp(-news * wait));
+double long_poll_rate(double updates_per_second, double timeout) {
+    return updates_per_second * timeout < 1e-9
+               ? 1 / timeout
+               : updates_per_second / (1 - std::exp(-updates_per_second * timeout));
 }
 
-double all_on_time(double late, double parts) { return std::pow(1 - late, parts); }
+double probability_all_on_time(double late_share, double parts) { return std::pow(1 - late_share, parts); }
 
-double but_few_on_time(double late, int parts, int missing) {
-    double sum = 0, chance = std::pow(1 - late, parts);
-    for (int k = 0; k <= missing && k <= parts; ++k) {
-        sum += chance;
-        chance *= (parts - k) / (k + 1.0) * late / (1 - late);
+double probability_few_late(double late_share, int parts, int max_late) {
+    double sum = 0, probability = std::pow(1 - late_share, parts);
+    for (int late_count = 0; late_count <= max_late && late_count <= parts; ++late_count) {
+        sum += probability;
+        probability *= (parts - late_count) / (late_count + 1.0) * late_share / (1 - late_share);
     }
     return std::min(1.0, sum);
 }
 
-double calls_to_tell(double slow, double sound, double odds) {
-    const double each =
-        slow * std::log(slow / sound) + (slow < 1 ? (1 - slow) * std::log((1 - slow) / (1 - sound)) : 0);
-    return std::max(1.0, std::log(odds) / each);
+double calls_to_distinguish(double slow_share, double normal_share, double error_odds) {
+    const double divergence =
+        slow_share * std::log(slow_share / normal_share) +
+        (slow_share < 1 ? (1 - slow_share) * std::log((1 - slow_share) / (1 - normal_share)) : 0);
+    return std::max(1.0, std::log(error_odds) / divergence);
 }
 
 namespace {
 
-struct Marked {
+struct MarkedTable {
     std::string name;
     std::size_t from = 0, to = 0;  // of what stands between the marks
 };
 
-std::vector<Marked> marked(std::string_view page) {
-    constexpr std::string_view begin = "<!-- table: ", close = " -->\n", end = "<!-- end -->";
-    std::vector<Marked> all;
-    for (std::size_t at = 0; (at = page.find(begin, at)) != page.npos;) {
-        const std::size_t name = at + begin.size(), ends = page.find(close, name);
-        const std::size_t line = page.find('\n', name);
-        if (ends == page.npos || line != ends + close.size() - 1)
+std::vector<MarkedTable> find_marked_tables(std::string_view page) {
+    constexpr std::string_view begin_mark = "<!-- table: ", begin_mark_end = " -->\n",
+                               end_mark = "<!-- end -->";
+    std::vector<MarkedTable> tables;
+    for (std::size_t position = 0; (position = page.find(begin_mark, position)) != page.npos;) {
+        const std::size_t name_begin = position + begin_mark.size(),
+                          name_end = page.find(begin_mark_end, name_begin);
+        const std::size_t line_end = page.find('\n', name_begin);
+        if (name_end == page.npos || line_end != name_end + begin_mark_end.size() - 1)
             fail("a mark of the page is not '<!-- table: NAME -->' on a line of its own");
-        Marked m{std::string(page.substr(name, ends - name)), ends + close.size(), 0};
-        m.to = page.find(end, m.from);
-        if (m.to == page.npos || page.substr(m.from, m.to - m.from).find(begin) != page.npos)
-            fail("table '" + m.name + "' of the page has no end");
-        at = m.to + end.size();
-        all.push_back(std::move(m));
+        MarkedTable table{std::string(page.substr(name_begin, name_end - name_begin)),
+                          name_end + begin_mark_end.size(), 0};
+        table.to = page.find(end_mark, table.from);
+        if (table.to == page.npos ||
+            page.substr(table.from, table.to - table.from).find(begin_mark) != page.npos)
+            fail("table '" + table.name + "' of the page has no end");
+        position = table.to + end_mark.size();
+        tables.push_back(std::move(table));
     }
-    return all;
+    return tables;
 }
 
-const Table& table_of(const std::vector<Table>& tables, const std::string& name) {
-    for (const Table& t : tables)
-        if (t.name == name) return t;
+const Table& find_table(const std::vector<Table>& tables, const std::string& name) {
+    for (const Table& table : tables)
+        if (table.name == name) return table;
     fail("the page has a mark for '" + name + "', which is no table");
 }
 
 }  // namespace
 
-std::string rewritten(std::string_view page, const std::vector<Table>& tables) {
+std::string rewrite_page(std::string_view page, const std::vector<Table>& tables) {
     std::string out;
-    std::size_t done = 0;
-    std::map<std::string, int> met;
-    for (const Marked& m : marked(page)) {
-        if (++met[m.name] > 1) fail("table '" + m.name + "' stands twice on the page");
-        out.append(page.substr(done, m.from - done)).append(table_of(tables, m.name).text);
-        done = m.to;
+    std::size_t copied_to = 0;
+    std::map<std::string, int> mark_counts;
+    for (const MarkedTable& mark : find_marked_tables(page)) {
+        if (++mark_counts[mark.name] > 1) fail("table '" + mark.name + "' stands twice on the page");
+        out.append(page.substr(copied_to, mark.from - copied_to)).append(find_table(tables, mark.name).text);
+        copied_to = mark.to;
     }
-    for (const Table& t : tables)
-        if (!met.contains(t.name)) fail("table '" + t.name + "' has no mark on the page");
-    return out.append(page.substr(done));
+    for (const Table& table : tables)
+        if (!mark_counts.contains(table.name)) fail("table '" + table.name + "' has no mark on the page");
+    return out.append(page.substr(copied_to));
 }
 
-std::vector<std::string> differing(std::string_view page, const std::vector<Table>& tables) {
+std::vector<std::string> differing_tables(std::string_view page, const std::vector<Table>& tables) {
     std::vector<std::string> names;
-    for (const Marked& m : marked(page))
-        if (page.substr(m.from, m.to - m.from) != table_of(tables, m.name).text) names.push_back(m.name);
-    for (const Table& t : tables)
-        if (page.find("<!-- table: " + t.name + " -->") == page.npos) names.push_back(t.name);
+    for (const MarkedTable& mark : find_marked_tables(page))
+        if (page.substr(mark.from, mark.to - mark.from) != find_table(tables, mark.name).text)
+            names.push_back(mark.name);
+    for (const Table& table : tables)
+        if (page.find("<!-- table: " + table.name + " -->") == page.npos) names.push_back(table.name);
     return names;
 }
 
-std::string figure(double value) {
+std::string format_figure(double value) {
     if (std::isnan(value)) return "not measured";
-    if (value < 0) return "-" + figure(-value);
-    if (value >= 999.5e6) return figure(value / 1e9) + " billion";
-    if (value >= 999.5e3) return figure(value / 1e6) + " million";
+    if (value < 0) return "-" + format_figure(-value);
+    if (value >= 999.5e6) return format_figure(value / 1e9) + " billion";
+    if (value >= 999.5e3) return format_figure(value / 1e6) + " million";
     char text[48];
     if (value >= 999.5) {
         const auto whole = std::llround(value);
@@ -320,23 +341,23 @@
     return out;
 }
 
-std::string bytes(double value) {
-    if (std::isnan(value)) return figure(value);
-    const auto [by, unit] = value >= 999.5e6   ? std::pair(1e9, " GB")
-                            : value >= 999.5e3 ? std::pair(1e6, " MB")
-                            : value >= 999.5   ? std::pair(1e3, " KB")
-                                               : std::pair(1.0, " B");
-    return figure(value / by) + unit;
+std::string format_bytes(double value) {
+    if (std::isnan(value)) return format_figure(value);
+    const auto [divisor, unit] = value >= 999.5e6   ? std::pair(1e9, " GB")
+                                 : value >= 999.5e3 ? std::pair(1e6, " MB")
+                                 : value >= 999.5   ? std::pair(1e3, " KB")
+                                                    : std::pair(1.0, " B");
+    return format_figure(value / divisor) + unit;
 }
 
-std::string span(double seconds) {
-    if (std::isnan(seconds)) return figure(seconds);
-    const auto [by, unit] = seconds >= 5400     ? std::pair(3600.0, " h")
-                            : seconds >= 119.5  ? std::pair(60.0, " min")
-                            : seconds >= 0.9995 ? std::pair(1.0, " s")
-                            : seconds >= 1e-3   ? std::pair(1e-3, " ms")
-                                                : std::pair(1e-6, " us");
-    return figure(seconds / by) + unit;
+std::string format_duration(double seconds) {
+    if (std::isnan(seconds)) return format_figure(seconds);
+    const auto [divisor, unit] = seconds >= 5400     ? std::pair(3600.0, " h")
+                                 : seconds >= 119.5  ? std::pair(60.0, " min")
+                                 : seconds >= 0.9995 ? std::pair(1.0, " s")
+                                 : seconds >= 1e-3   ? std::pair(1e-3, " ms")
+                                                     : std::pair(1e-6, " us");
+    return format_figure(seconds / divisor) + unit;
 }
 
 }  // namespace tealcart::capacity
