--- a/measure/capacity.cpp
+++ b/measure/capacity.cpp
@@ -1,5 +1,6 @@
-// Writes the tables of docs/CAPACITY.md out of a size and measured slopes: `make capacity`. With --check it
-// writes nothing and ends with 1 where the page, a slope's line or the marks differ, naming them.
+// Writes the tables of docs/CAPACITY.md and docs/capacity-slopes.md from a size and measured slopes: `make
+// capacity`. With --check it writes nothing; if a table, a mark or a slope's line differs, it prints the
+// names and exits with status 1.
 #include "capacity/capacity.hpp"
 
 #include <CLI/CLI.hpp>
@@ -14,14 +15,14 @@
 
 std::string read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
-    if (!file) throw std::runtime_error(path + " can't be read");
+    if (!file) throw std::runtime_error("cannot read file " + path);
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
 void write_file(const std::string& path, const std::string& text) {
     std::ofstream file(path, std::ios::binary);
     file << text;
-    if (!file.flush()) throw std::runtime_error(path + " can't be written");
+    if (!file.flush()) throw std::runtime_error("cannot write file " + path);
 }
 
 }  // namespace
@@ -31,15 +32,15 @@
                 page_path = "docs/CAPACITY.md", slopes_page_path = "docs/capacity-slopes.md", output_path,
                 measurement_path;
     bool check = false;
-    CLI::App app("Writes the tables of the capacity page out of a size and measured slopes");
-    app.add_option("--size", size_path, "the deployment's size");
-    app.add_option("--slopes", slopes_path, "measured slopes");
-    app.add_option("--page", page_path, "the page with the marks");
-    app.add_option("--slopes-page", slopes_page_path, "the page with the slopes' mark");
-    app.add_option("--out", output_path, "where the page is written, if not over itself");
+    CLI::App app("Writes the tables of the capacity pages from a deployment's size and measured slopes");
+    app.add_option("--size", size_path, "file with the deployment's size");
+    app.add_option("--slopes", slopes_path, "file with the measured slopes");
+    app.add_option("--page", page_path, "page whose tables are written");
+    app.add_option("--slopes-page", slopes_page_path, "page whose table of slopes is written");
+    app.add_option("--out", output_path, "file to which the page is written instead of --page");
     app.add_option("--take", measurement_path,
-                   "a measurement's output, whose points go into the file of slopes first");
-    app.add_flag("--check", check, "write nothing, and end with 1 where something differs");
+                   "output of a measurement whose points first replace those of the slopes file");
+    app.add_flag("--check", check, "write nothing; exit with status 1 if a table or slope differs");
     CLI11_PARSE(app, argc, argv);
     try {
         Slopes slopes = read_slopes(read_file(slopes_path));
@@ -49,7 +50,7 @@
         }
         bool consistent = true;
         for (const std::string& name : outdated_fits(slopes)) {
-            std::fprintf(stderr, "slope '%s': what is stated is not the line through its points\n",
+            std::fprintf(stderr, "slope '%s': the stated line or range differs from the fit of its points\n",
                          name.c_str());
             consistent = false;
         }
@@ -60,8 +61,10 @@
             const std::string page = read_file(path);
             if (check) {
                 for (const std::string& name : differing_tables(page, page_tables)) {
-                    std::fprintf(stderr, "table '%s' of %s is not what size and slopes give: make capacity\n",
-                                 name.c_str(), path.c_str());
+                    std::fprintf(
+                        stderr,
+                        "table '%s' of %s differs from the size and the slopes; run 'make capacity'\n",
+                        name.c_str(), path.c_str());
                     consistent = false;
                 }
             } else if (consistent) {
--- a/measure/capacity/capacity.cpp
+++ b/measure/capacity/capacity.cpp
@@ -18,34 +18,36 @@
 
 Json parse_array(std::string_view text, const char* name) {
     Json array = Json::parse(text, nullptr, false);
-    if (!array.is_array()) fail(std::string(name) + " is no JSON list");
+    if (!array.is_array()) fail(std::string(name) + " is not a JSON array of entries");
     return array;
 }
 
 std::string read_string(const Json& entry, const char* key, bool required) {
     const auto it = entry.is_object() ? entry.find(key) : entry.end();
     if (!entry.is_object() || it == entry.end()) {
-        if (required) fail(std::string("an entry lacks '") + key + "': " + entry.dump());
+        if (required) fail(std::string("entry has no member '") + key + "': " + entry.dump());
         return {};
     }
-    if (!it->is_string()) fail(std::string("'") + key + "' is no string: " + entry.dump());
+    if (!it->is_string()) fail(std::string("member '") + key + "' is not a string: " + entry.dump());
     return it->get<std::string>();
 }
 
 double read_number(const Json& entry, const char* key) {
     const auto it = entry.find(key);
     if (it == entry.end() || !it->is_number())
-        fail(std::string("'") + key + "' is no number: " + entry.dump());
+        fail(std::string("member '") + key + "' is missing or not a number: " + entry.dump());
     return it->get<double>();
 }
 
-// Four digits, as they stand in the file.
+// Rounds to four significant digits, the precision of the slopes file.
 double round_to_4_digits(double value) {
     char text[32];
     std::snprintf(text, sizeof text, "%.4g", value);
     return std::strtod(text, nullptr);
 }
 
+// Whether a stated figure equals the fitted one within 0.1%, which allows for the rounding to four digits.
+// The tolerance of a figure near 0 follows from `scale`, the largest figure of the slope.
 bool nearly_equal(double stated, double fitted, double scale) {
     return std::abs(stated - fitted) <= 1e-3 * std::max(std::abs(fitted), 1e-3 * scale);
 }
@@ -83,25 +85,26 @@
 double Size::value_of(std::string_view name) const {
     for (const SizeParameter& parameter : parameters)
         if (parameter.name == name) return parameter.value;
-    fail("the size lacks '" + std::string(name) + "'");
+    fail("the size file has no entry '" + std::string(name) + "'");
 }
 
 const Slope& Slopes::slope_of(std::string_view name) const {
     for (const Slope& slope : all)
         if (slope.name == name) return slope;
-    fail("the slopes lack '" + std::string(name) + "'");
+    fail("the slopes file has no entry '" + std::string(name) + "'");
 }
 
 Size read_size(std::string_view json) {
     Size size;
-    for (const Json& entry : parse_array(json, "the size")) {
+    for (const Json& entry : parse_array(json, "the size file")) {
         SizeParameter parameter{read_string(entry, "name", true), read_string(entry, "unit", false),
                                 read_string(entry, "words", true), read_string(entry, "from", true),
                                 read_number(entry, "value")};
         if (!(parameter.value > 0) || !std::isfinite(parameter.value))
-            fail("'" + parameter.name + "' is not above nothing");
+            fail("size '" + parameter.name + "' is " + entry.at("value").dump() +
+                 ", expected a number above 0");
         for (const SizeParameter& other : size.parameters)
-            if (other.name == parameter.name) fail("'" + parameter.name + "' is stated twice");
+            if (other.name == parameter.name) fail("size '" + parameter.name + "' is defined twice");
         size.parameters.push_back(std::move(parameter));
     }
     return size;
@@ -110,28 +113,30 @@
 Slopes read_slopes(std::string_view json) {
     static const std::array<std::string_view, 4> kinds{"measured", "worked out", "published", "not measured"};
     Slopes slopes;
-    for (const Json& entry : parse_array(json, "the file of slopes")) {
+    for (const Json& entry : parse_array(json, "the slopes file")) {
         Slope slope;
         slope.name = read_string(entry, "name", true), slope.unit = read_string(entry, "unit", true);
         slope.per = read_string(entry, "per", true), slope.by = read_string(entry, "by", true);
         slope.kind = read_string(entry, "kind", true), slope.words = read_string(entry, "words", true);
         if (std::find(kinds.begin(), kinds.end(), slope.kind) == kinds.end())
-            fail("'" + slope.name + "' is of no known kind: " + slope.kind);
+            fail("slope '" + slope.name + "' has the unknown kind '" + slope.kind +
+                 "', expected 'measured', 'worked out', 'published' or 'not measured'");
         if (slope.measured()) {
             slope.stated = {read_number(entry, "fixed"), read_number(entry, "slope"),
                             read_number(entry, "residual")};
             slope.from = read_number(entry, "from"), slope.to = read_number(entry, "to");
             const auto points = entry.find("points");
             if (points == entry.end() || !points->is_array() || points->empty())
-                fail("'" + slope.name + "' has no points");
+                fail("slope '" + slope.name + "' has no points, expected a non-empty array 'points'");
             for (const Json& point : *points) {
                 if (!point.is_array() || point.size() != 2 || !point[0].is_number() || !point[1].is_number())
-                    fail("a point of '" + slope.name + "' is no pair of numbers");
+                    fail("slope '" + slope.name +
+                         "' has a point that is not a pair of numbers: " + point.dump());
                 slope.points.emplace_back(point[0].get<double>(), point[1].get<double>());
             }
         }
         for (const Slope& other : slopes.all)
-            if (other.name == slope.name) fail("'" + slope.name + "' stands twice");
+            if (other.name == slope.name) fail("slope '" + slope.name + "' is defined twice");
         slopes.all.push_back(std::move(slope));
     }
     return slopes;
@@ -181,14 +186,14 @@
         std::string keyword, name;
         double size = 0, value = 0;
         if (!(words >> keyword) || keyword != "point") continue;
-        if (!(words >> name >> size >> value)) fail("not 'point NAME SIZE FIGURE': " + text);
+        if (!(words >> name >> size >> value)) fail("expected a line 'point NAME SIZE FIGURE': " + text);
         const auto [it, inserted] = points_by_name[name].try_emplace(size, value);
         if (!inserted) it->second = std::min(it->second, value);
     }
     for (const auto& [name, points] : points_by_name) {
         const auto it = std::find_if(slopes.all.begin(), slopes.all.end(),
                                      [&wanted = name](const Slope& slope) { return slope.name == wanted; });
-        if (it == slopes.all.end()) continue;  // of no use to the page
+        if (it == slopes.all.end()) continue;  // no entry of the slopes file has this name
         it->points.assign(points.begin(), points.end());
         if (!it->measured()) it->kind = "measured";
     }
@@ -220,7 +225,7 @@
     changes = value_of("changes_a_day") / seconds_per_day;
     restarts = value_of("restarts_a_day") / seconds_per_day;
     list_changes = restarts * value_of("list_changes");
-    generations = restarts * 2;  // it goes out and comes back by agreement
+    generations = restarts * 2;  // a drain and an undrain
     zone_nodes = nodes / value_of("zones");
     zone_routers = routers / value_of("zones");
     other_routers = routers - zone_routers;
@@ -256,9 +261,10 @@
 
 namespace {
 
+// The place of a table on a page.
 struct MarkedTable {
     std::string name;
-    std::size_t from = 0, to = 0;  // of what stands between the marks
+    std::size_t from = 0, to = 0;  // range of the text between the marks
 };
 
 std::vector<MarkedTable> find_marked_tables(std::string_view page) {
@@ -270,13 +276,13 @@
                           name_end = page.find(begin_mark_end, name_begin);
         const std::size_t line_end = page.find('\n', name_begin);
         if (name_end == page.npos || line_end != name_end + begin_mark_end.size() - 1)
-            fail("a mark of the page is not '<!-- table: NAME -->' on a line of its own");
+            fail("a table mark of the page is not '<!-- table: NAME -->' on its own line");
         MarkedTable table{std::string(page.substr(name_begin, name_end - name_begin)),
                           name_end + begin_mark_end.size(), 0};
         table.to = page.find(end_mark, table.from);
         if (table.to == page.npos ||
             page.substr(table.from, table.to - table.from).find(begin_mark) != page.npos)
-            fail("table '" + table.name + "' of the page has no end");
+            fail("table '" + table.name + "' of the page has no end mark '<!-- end -->'");
         position = table.to + end_mark.size();
         tables.push_back(std::move(table));
     }
@@ -286,7 +292,7 @@
 const Table& find_table(const std::vector<Table>& tables, const std::string& name) {
     for (const Table& table : tables)
         if (table.name == name) return table;
-    fail("the page has a mark for '" + name + "', which is no table");
+    fail("the page has a mark for the unknown table '" + name + "'");
 }
 
 }  // namespace
@@ -296,7 +302,8 @@
     std::size_t copied_to = 0;
     std::map<std::string, int> mark_counts;
     for (const MarkedTable& mark : find_marked_tables(page)) {
-        if (++mark_counts[mark.name] > 1) fail("table '" + mark.name + "' stands twice on the page");
+        if (++mark_counts[mark.name] > 1)
+            fail("table '" + mark.name + "' has two marks on the page, expected one");
         out.append(page.substr(copied_to, mark.from - copied_to)).append(find_table(tables, mark.name).text);
         copied_to = mark.to;
     }
--- a/measure/capacity/capacity.hpp
+++ b/measure/capacity/capacity.hpp
@@ -30,7 +30,7 @@
     bool measured() const { return kind != "not measured"; }
     // Returns the figure at this size, at least 0; NaN if the slope was not measured.
     double value_at(double size) const;
-    // Whether the residual is over a tenth of the largest figure.
+    // Whether there are more than two points and the residual is over a tenth of the largest figure.
     bool is_nonlinear() const;
 };
 
@@ -40,7 +40,8 @@
     double value = 0;
 };
 
-// The functions below that read text throw std::runtime_error with a message of one line if it is malformed.
+// The functions below throw std::runtime_error with a message of one line for malformed text or an unknown
+// name.
 
 // The size of a deployment, such as its numbers of routers and nodes, and the limits and aims that it has.
 struct Size {
