--- a/measure/fleet_cost.cpp
+++ b/measure/fleet_cost.cpp
@@ -1,5 +1,6 @@
-// Measures what the fleet's state machine costs by the size of the fleet: `make measure-fleet_cost`. Each
-// case is a time per command, by data nodes and query routers; snapshots tell their size in MB.
+// Measures the cost of the fleet's replicated state by the size of the fleet: `make measure-fleet_cost`. Each
+// case states the time of one operation, by the numbers of data nodes and of query routers; snapshots and
+// status pages also state their size in MB.
 
 #include <benchmark/benchmark.h>
 
@@ -15,155 +16,159 @@
 using tealcart::fleet_manager::ManagerStatus;
 
 constexpr Nanos second = 1'000'000'000;
-constexpr int width = 3, zones = 12, words = 6;
+constexpr int replicas_per_shard = 3, zones = 12, renewals_per_batch = 6;
 
-std::string node_name(std::int64_t n) { return "node-" + std::to_string(n); }
-std::string router_name(std::int64_t r) { return "router-" + std::to_string(r); }
-std::string zone_name(std::int64_t n) { return "zone-" + std::to_string(n % zones); }
+std::string node_name(std::int64_t node) { return "node-" + std::to_string(node); }
+std::string router_name(std::int64_t router) { return "router-" + std::to_string(router); }
+std::string zone_name(std::int64_t index) { return "zone-" + std::to_string(index % zones); }
 
-// Each shard is held by three nodes, four machine kinds; all whole, all routers go by the last generation.
+// The state of a fleet with healthy data nodes of four machine kinds and with routers that have all applied
+// the latest generation. Each shard has three replicas.
 struct Fleet {
-    Fleet(std::int64_t n, std::int64_t r, std::size_t max_out)
-        : nodes(n), routers(r), state(budgets(max_out)) {
-        EndpointsObserved seen;
-        for (std::int64_t i = 0; i < nodes; ++i) seen.nodes[node_name(i)] = node(i, Health::healthy);
-        tell(std::move(seen));
-        ReportBatch all;
+    Fleet(std::int64_t node_count, std::int64_t router_count, std::size_t max_out)
+        : nodes(node_count), routers(router_count), state(budgets(max_out)) {
+        EndpointsObserved endpoints;
+        for (std::int64_t i = 0; i < nodes; ++i) endpoints.nodes[node_name(i)] = node(i, Health::healthy);
+        apply(std::move(endpoints));
+        ReportBatch joins;
         for (std::int64_t i = 0; i < routers; ++i)
-            all.joins.push_back({router_name(i), Role::router, zone_name(i), "1.0", "d1", 1, 0});
-        tell(std::move(all));
+            joins.joins.push_back({router_name(i), Role::router, zone_name(i), "1.0", "d1", 1, 0});
+        apply(std::move(joins));
     }
 
     static Budgets budgets(std::size_t max_out) {
-        Budgets b;
-        b.nodes = {max_out, 1};
-        b.halt_failed_share = 0.5, b.halt_lost_share = 0.5;
-        return b;
+        Budgets budgets;
+        budgets.nodes = {max_out, 1};
+        budgets.halt_failed_share = 0.5, budgets.halt_lost_share = 0.5;
+        return budgets;
     }
-    Node node(std::int64_t i, Health health) const {
-        Node n{zone_name(i), "kind-" + std::to_string(i % 4), {}, health, 0};
-        for (std::int64_t j = 0; j < width; ++j)
-            n.shards.push_back(static_cast<std::uint32_t>((i + nodes - j) % nodes));
-        return n;
+    Node node(std::int64_t index, Health health) const {
+        Node node{zone_name(index), "kind-" + std::to_string(index % 4), {}, health, 0};
+        for (std::int64_t j = 0; j < replicas_per_shard; ++j)
+            node.shards.push_back(static_cast<std::uint32_t>((index + nodes - j) % nodes));
+        return node;
     }
-    template <typename What>
-    Effects tell(What what) {
-        return state.apply({"", now, std::move(what)});
+    template <typename Payload>
+    Effects apply(Payload payload) {
+        return state.apply({"", now, std::move(payload)});
     }
-    // The next six members in turn; time goes on so that each renews well within its lease.
-    Command batch() {
-        ReportBatch some;
-        for (int i = 0; i < words; ++i) {
-            some.renewals.push_back({router_name(next), 1, {state.generation(), {}, {}, 1000, 1}});
-            next = (next + 1) % routers;
+    // The renewals of the next six routers in turn. The time advances so that each router renews well within
+    // its lease.
+    Command next_renewals() {
+        ReportBatch batch;
+        for (int i = 0; i < renewals_per_batch; ++i) {
+            batch.renewals.push_back({router_name(next_router), 1, {state.generation(), {}, {}, 1000, 1}});
+            next_router = (next_router + 1) % routers;
         }
-        now += second * 2 * words / routers;
-        return {"", now, std::move(some)};
+        now += second * 2 * renewals_per_batch / routers;
+        return {"", now, std::move(batch)};
     }
 
     const std::int64_t nodes, routers;
     Nanos now = 1000 * second;
-    std::int64_t next = 0;
+    std::int64_t next_router = 0;
     FleetState state;
 };
 
-template <typename Work>
-double seconds_of(Work work) {
-    const auto began = std::chrono::steady_clock::now();
-    work();
-    return std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+template <typename Operation>
+double elapsed_s(Operation operation) {
+    const auto started_at = std::chrono::steady_clock::now();
+    operation();
+    return std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
 }
 
-void batch_of_words(benchmark::State& run) {
+void renewal_batch(benchmark::State& run) {
     Fleet fleet(run.range(0), run.range(1), 20);
     for (auto _ : run) {
-        const Command c = fleet.batch();
-        run.SetIterationTime(seconds_of([&] { fleet.state.apply(c); }));
+        const Command command = fleet.next_renewals();
+        run.SetIterationTime(elapsed_s([&] { fleet.state.apply(command); }));
     }
 }
 
-// One is out, and a second waits since no more may be.
-void batch_of_words_while_one_waits(benchmark::State& run) {
+// One node is out, and the removal of a second one is queued because the budget allows one.
+void renewal_batch_with_queued_removal(benchmark::State& run) {
     Fleet fleet(run.range(0), run.range(1), 1);
-    fleet.tell(RequestRemoval{"a", {false, node_name(0)}});
-    fleet.tell(RequestRemoval{"a", {false, node_name(100)}});
+    fleet.apply(RequestRemoval{"a", {false, node_name(0)}});
+    fleet.apply(RequestRemoval{"a", {false, node_name(100)}});
     for (auto _ : run) {
-        const Command c = fleet.batch();
-        run.SetIterationTime(seconds_of([&] { fleet.state.apply(c); }));
+        const Command command = fleet.next_renewals();
+        run.SetIterationTime(elapsed_s([&] { fleet.state.apply(command); }));
     }
 }
 
-// A drain that is granted at once, and its way back, each time of another node.
-void ask(benchmark::State& run, bool back) {
+// Requests a drain that is granted at once, and undoes it, each time for another node. States the time of the
+// undrain or that of the drain.
+void drain_and_undrain(benchmark::State& run, bool time_undrain) {
     Fleet fleet(run.range(0), run.range(1), 20);
-    std::int64_t n = 0;
+    std::int64_t node = 0;
     for (auto _ : run) {
-        const Command c{"", fleet.now, RequestRemoval{"a", {false, node_name(n++ % fleet.nodes)}}};
-        const double asked = seconds_of([&] { fleet.state.apply(c); });
-        const Command undo{"", fleet.now, UndoRemoval{fleet.state.requests().begin()->first}};
-        const double undone = seconds_of([&] { fleet.state.apply(undo); });
-        run.SetIterationTime(back ? undone : asked);
+        const Command drain{"", fleet.now, RequestRemoval{"a", {false, node_name(node++ % fleet.nodes)}}};
+        const double drain_s = elapsed_s([&] { fleet.state.apply(drain); });
+        const Command undrain{"", fleet.now, UndoRemoval{fleet.state.requests().begin()->first}};
+        const double undrain_s = elapsed_s([&] { fleet.state.apply(undrain); });
+        run.SetIterationTime(time_undrain ? undrain_s : drain_s);
     }
 }
-void drain_asked(benchmark::State& run) { ask(run, false); }
-void drain_undone(benchmark::State& run) { ask(run, true); }
+void drain(benchmark::State& run) { drain_and_undrain(run, false); }
+void undrain(benchmark::State& run) { drain_and_undrain(run, true); }
 
-void news_of_one_node(benchmark::State& run) {
+void health_update_of_one_node(benchmark::State& run) {
     Fleet fleet(run.range(0), run.range(1), 20);
-    fleet.tell(RequestRemoval{"a", {false, node_name(0)}});
+    fleet.apply(RequestRemoval{"a", {false, node_name(0)}});
     bool cold = false;
     for (auto _ : run) {
         cold = !cold;
-        const Command c{
+        const Command command{
             "", fleet.now,
             EndpointsObserved{
                 {{node_name(7), fleet.node(7, cold ? Health::cold : Health::healthy)}}, false, {}}};
-        run.SetIterationTime(seconds_of([&] { fleet.state.apply(c); }));
+        run.SetIterationTime(elapsed_s([&] { fleet.state.apply(command); }));
     }
 }
 
-void snapshot_saved(benchmark::State& run) {
+void save_snapshot(benchmark::State& run) {
     Fleet fleet(run.range(0), run.range(1), 20);
     std::size_t bytes = 0;
     for (auto _ : run) bytes = fleet.state.save().size();
     run.counters["MB"] = static_cast<double>(bytes) / 1e6;
 }
 
-void snapshot_loaded(benchmark::State& run) {
+void load_snapshot(benchmark::State& run) {
     Fleet fleet(run.range(0), run.range(1), 20);
     const auto bytes = fleet.state.save();
     for (auto _ : run) fleet.state.load(bytes);
     run.counters["MB"] = static_cast<double>(bytes.size()) / 1e6;
 }
 
-void status(benchmark::State& run, bool all) {
+void write_status_page(benchmark::State& run, bool all) {
     Fleet fleet(run.range(0), run.range(1), 20);
     std::size_t bytes = 0;
     for (auto _ : run)
         bytes = tealcart::fleet_manager::write_status(fleet.state, ManagerStatus{}, all).size();
     run.counters["MB"] = static_cast<double>(bytes) / 1e6;
 }
-void status_of_all(benchmark::State& run) { status(run, true); }
-void status_of_exceptions(benchmark::State& run) { status(run, false); }
+void status_page_of_all(benchmark::State& run) { write_status_page(run, true); }
+void status_page_of_exceptions(benchmark::State& run) { write_status_page(run, false); }
 
-void sizes(benchmark::internal::Benchmark* b) {
-    b->Args({1000, 300})->Args({10'000, 300})->Args({10'000, 3600})->Args({81'000, 3600});
-    b->Unit(benchmark::kMillisecond)->MinTime(0.2);
+// The numbers of data nodes and of query routers.
+void fleet_sizes(benchmark::internal::Benchmark* benchmark) {
+    benchmark->Args({1000, 300})->Args({10'000, 300})->Args({10'000, 3600})->Args({81'000, 3600});
+    benchmark->Unit(benchmark::kMillisecond)->MinTime(0.2);
 }
-void timed(benchmark::internal::Benchmark* b) {
-    sizes(b);
-    b->UseManualTime();
+void fleet_sizes_with_manual_time(benchmark::internal::Benchmark* benchmark) {
+    fleet_sizes(benchmark);
+    benchmark->UseManualTime();
 }
 
-BENCHMARK(batch_of_words)->Apply(timed);
-BENCHMARK(batch_of_words_while_one_waits)->Apply(timed);
-BENCHMARK(drain_asked)->Apply(timed);
-BENCHMARK(drain_undone)->Apply(timed);
-BENCHMARK(news_of_one_node)->Apply(timed);
-BENCHMARK(snapshot_saved)->Apply(sizes);
-BENCHMARK(snapshot_loaded)->Apply(sizes);
-BENCHMARK(status_of_all)->Apply(sizes);
-BENCHMARK(status_of_exceptions)->Apply(sizes);
+BENCHMARK(renewal_batch)->Apply(fleet_sizes_with_manual_time);
+BENCHMARK(renewal_batch_with_queued_removal)->Apply(fleet_sizes_with_manual_time);
+BENCHMARK(drain)->Apply(fleet_sizes_with_manual_time);
+BENCHMARK(undrain)->Apply(fleet_sizes_with_manual_time);
+BENCHMARK(health_update_of_one_node)->Apply(fleet_sizes_with_manual_time);
+BENCHMARK(save_snapshot)->Apply(fleet_sizes);
+BENCHMARK(load_snapshot)->Apply(fleet_sizes);
+BENCHMARK(status_page_of_all)->Apply(fleet_sizes);
+BENCHMARK(status_page_of_exceptions)->Apply(fleet_sizes);
 
 }  // namespace
 
