--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -1,7 +1,8 @@
-// What members' calls cost three real managers on loopback: processor time and bytes written by the one that
-// leads and one that follows, by calls a second: `make measure-leader-cost`. A member is the program's own
-// watch of the managers, with nothing behind it. Lines `point NAME CALLS FIGURE` are what `capacity --take`
-// reads; status 1 where a member lost its lease.
+// Measures what members' calls cost three fleet manager processes on loopback: the CPU time and the written
+// bytes of the leader and of one follower, by calls per second: `make measure-leader-cost`. A member is the
+// router's own ManagerWatch with no router behind it. `capacity --take` reads the lines `point NAME CALLS
+// FIGURE`. The exit status is 1 if no fleet manager leads, if the leader changes while it is measured, if a
+// member loses its lease, or if not more than 0.3 calls per second and member are answered.
 #include <cstdio>
 #include <fstream>
 #include <memory>
@@ -18,66 +19,77 @@
 
 namespace {
 
+constexpr Nanos lease_grace = 86'400'000'000'000;  // a day
+constexpr Nanos wait_without_lease = 200'000'000;  // how long a call may wait before the first lease
+constexpr std::uint64_t reported_queries = 5560;   // of the last ten seconds
+constexpr double min_calls_per_member = 0.3;       // answered calls per second
+
+// A member that renews its lease and counts how often it expired or was superseded.
 struct Member final : ManagerObserver {
-    Member(boost::asio::io_context& io, EventClock& clock, std::vector<HostPort> managers, std::size_t number)
-        : time(clock), name("m" + std::to_string(number)), watch(io, clock, *this, std::move(managers)) {}
+    Member(boost::asio::io_context& io, EventClock& event_clock, std::vector<HostPort> managers,
+           std::size_t number)
+        : clock(event_clock), name("m" + std::to_string(number)),
+          watch(io, event_clock, *this, std::move(managers)) {}
 
     MemberCall member_call() override {
         MemberCall call;
         call.name = name, call.role = "router", call.zone = "a", call.version = "1",
         call.digest = "0123456789abcdef";
-        call.incarnation = 1, call.lease_grace = 86'400'000'000'000;
-        call.applied_generation = call.known_generation = known;
-        call.wait = lease > 0 ? lease / 5 : 200'000'000;
-        call.queries = 5560;
+        call.incarnation = 1, call.lease_grace = lease_grace;
+        call.applied_generation = call.known_generation = known_generation;
+        call.wait = lease > 0 ? lease / 5 : wait_without_lease;
+        call.queries = reported_queries;
         return call;
     }
     void on_grant(Nanos sent, const MemberAnswer& answer) override {
-        if (until > 0 && time.now() > until) ++lapses;
-        lease = answer.lease, until = sent + lease, known = answer.generation;
+        if (lease_until > 0 && clock.now() > lease_until) ++lease_lapses;
+        lease = answer.lease, lease_until = sent + lease, known_generation = answer.generation;
         ++answers;
         watch.next();
     }
-    void on_superseded(std::uint64_t) override { ++lapses; }
+    void on_superseded(std::uint64_t) override { ++lease_lapses; }
 
-    EventClock& time;
+    EventClock& clock;
     const std::string name;
     ManagerWatch watch;
-    Nanos lease = 0, until = 0;
-    std::uint64_t known = 0, answers = 0, lapses = 0;
+    Nanos lease = 0, lease_until = 0;
+    std::uint64_t known_generation = 0, answers = 0, lease_lapses = 0;
 };
 
-struct Used {
-    double cpu_ms = 0, written = 0;
+// What a process has used since its start.
+struct ProcessUsage {
+    double cpu_ms = 0, written_bytes = 0;
 };
-Used used(pid_t pid) {
-    Used u;
-    const std::string at = "/proc/" + std::to_string(pid) + "/";
-    std::ifstream run(at + "schedstat");
-    double ns = 0;
-    if (run >> ns) u.cpu_ms = ns / 1e6;
-    std::ifstream io(at + "io");
+ProcessUsage process_usage(pid_t pid) {
+    ProcessUsage usage;
+    const std::string directory = "/proc/" + std::to_string(pid) + "/";
+    std::ifstream schedstat(directory + "schedstat");
+    double cpu_ns = 0;
+    if (schedstat >> cpu_ns) usage.cpu_ms = cpu_ns / 1e6;
+    std::ifstream io(directory + "io");
     for (std::string key; io >> key;) {
         double value = 0;
         io >> value;
-        if (key == "write_bytes:") u.written = value;
+        if (key == "write_bytes:") usage.written_bytes = value;
     }
-    return u;
+    return usage;
 }
 
-std::vector<HostPort> managers_of(const FleetRig& rig) {
+// The fleet managers' addresses: the quoted texts of the first list in the first router's file.
+std::vector<HostPort> manager_addresses(const FleetRig& rig) {
     std::ifstream file(rig.directory.path("r0.hcl"));
-    std::stringstream all;
-    all << file.rdbuf();
-    std::vector<HostPort> found;
-    const std::string text = all.str();
-    for (std::size_t at = text.find('['), end; (at = text.find('"', at + 1)) != text.npos; at = end) {
-        end = text.find('"', at + 1);
-        const auto address = parse_host_port(text.substr(at + 1, end - at - 1));
+    std::stringstream content;
+    content << file.rdbuf();
+    std::vector<HostPort> addresses;
+    const std::string text = content.str();
+    for (std::size_t begin = text.find('['), end; (begin = text.find('"', begin + 1)) != text.npos;
+         begin = end) {
+        end = text.find('"', begin + 1);
+        const auto address = parse_host_port(text.substr(begin + 1, end - begin - 1));
         if (!address) break;
-        found.push_back(*address);
+        addresses.push_back(*address);
     }
-    return found;
+    return addresses;
 }
 
 }  // namespace
@@ -91,70 +103,80 @@
     options.lease = "10s", options.drift = "1s", options.election = "2s";
     FleetRig rig(io, options);
     if (!rig.until([&] { return rig.all_ready(); })) {
-        std::printf("the stewards did not come up\n%s", rig.event_log.text().c_str());
+        std::printf("the fleet managers and the router did not become ready within 20 s\n%s",
+                    rig.event_log.text().c_str());
         return 1;
     }
-    const auto at = managers_of(rig);
-    EventClock time;
+    const auto managers = manager_addresses(rig);
+    EventClock clock;
     std::vector<std::unique_ptr<Member>> members;
-    std::string line;
+    std::string figures;
     const auto answers = [&members] {
         std::uint64_t sum = 0;
-        for (const auto& m : members) sum += m->answers;
+        for (const auto& member : members) sum += member->answers;
         return sum;
     };
-    // The rig's loop knows nothing of the watches' own deadlines.
+    // The rig runs the io_context but not the clock's timers, which end the members' calls at their
+    // deadlines.
     const auto run_for = [&](Ms span) {
         const auto end = std::chrono::steady_clock::now() + span;
         while (std::chrono::steady_clock::now() < end) {
             rig.run_for(Ms(10));
-            time.timers.fire_due(time.now());
+            clock.timers.fire_due(clock.now());
         }
     };
-    bool sound = true;
+    bool passed = true;
     for (const std::size_t count : {0, 300, 900, 3000}) {
         while (members.size() < count) {
-            members.push_back(std::make_unique<Member>(io, time, at, members.size()));
+            members.push_back(std::make_unique<Member>(io, clock, managers, members.size()));
             members.back()->watch.start();
             if (members.size() % 50 == 0) run_for(Ms(30));
         }
         run_for(Ms(6000));
-        // A look that is not answered in time, while this process is busy, is no word of who leads.
+        // A status request that times out because this process is busy does not show that there is no leader.
         rig.until([&rig] { return rig.leader() < 3; });
         const std::size_t leader = rig.leader();
         if (leader >= 3) {
-            std::printf("no steward leads\n%s", rig.event_log.text(40).c_str());
+            std::printf("no fleet manager is the leader\n%s", rig.event_log.text(40).c_str());
             return 1;
         }
-        const std::size_t other = (leader + 1) % 3;
-        const Used a = used(rig.managers[leader]->pid()), b = used(rig.managers[other]->pid());
-        const std::uint64_t before = answers();
-        const auto began = std::chrono::steady_clock::now();
+        const std::size_t follower = (leader + 1) % 3;
+        const ProcessUsage leader_before = process_usage(rig.managers[leader]->pid()),
+                           follower_before = process_usage(rig.managers[follower]->pid());
+        const std::uint64_t answers_before = answers();
+        const auto started_at = std::chrono::steady_clock::now();
         run_for(Ms(10'000));
-        const double s = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-        const Used c = used(rig.managers[leader]->pid()), d = used(rig.managers[other]->pid());
-        const double calls = static_cast<double>(answers() - before) / s;
+        const double seconds =
+            std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
+        const ProcessUsage leader_after = process_usage(rig.managers[leader]->pid()),
+                           follower_after = process_usage(rig.managers[follower]->pid());
+        const double calls_per_second = static_cast<double>(answers() - answers_before) / seconds;
         rig.until([&rig] { return rig.leader() < 3; });
-        sound &= rig.leader() == leader && calls > 0.3 * static_cast<double>(count);
+        passed &=
+            rig.leader() == leader && calls_per_second > min_calls_per_member * static_cast<double>(count);
         std::printf(
             "%zu members, %.0f calls/s: leader %.2f ms/s, %.1f KB/s written; follower %.2f ms/s, %.1f KB/s\n",
-            count, calls, (c.cpu_ms - a.cpu_ms) / s, (c.written - a.written) / s / 1e3,
-            (d.cpu_ms - b.cpu_ms) / s, (d.written - b.written) / s / 1e3);
-        const auto point = [&](const char* name, double figure) {
-            std::printf("point %s %.0f %.4g\n", name, calls, figure);
+            count, calls_per_second, (leader_after.cpu_ms - leader_before.cpu_ms) / seconds,
+            (leader_after.written_bytes - leader_before.written_bytes) / seconds / 1e3,
+            (follower_after.cpu_ms - follower_before.cpu_ms) / seconds,
+            (follower_after.written_bytes - follower_before.written_bytes) / seconds / 1e3);
+        const auto print_point = [&](const char* name, double figure) {
+            std::printf("point %s %.0f %.4g\n", name, calls_per_second, figure);
             char text[96];
-            std::snprintf(text, sizeof text, " %s@%.0f=%.4g", name, calls, figure);
-            line += text;
+            std::snprintf(text, sizeof text, " %s@%.0f=%.4g", name, calls_per_second, figure);
+            figures += text;
         };
-        point("steward.lead", (c.cpu_ms - a.cpu_ms) / s);
-        point("steward.follow", (d.cpu_ms - b.cpu_ms) / s);
-        point("steward.lead_written", (c.written - a.written) / s / 1e3);
-        point("steward.follow_written", (d.written - b.written) / s / 1e3);
+        print_point("steward.lead", (leader_after.cpu_ms - leader_before.cpu_ms) / seconds);
+        print_point("steward.follow", (follower_after.cpu_ms - follower_before.cpu_ms) / seconds);
+        print_point("steward.lead_written",
+                    (leader_after.written_bytes - leader_before.written_bytes) / seconds / 1e3);
+        print_point("steward.follow_written",
+                    (follower_after.written_bytes - follower_before.written_bytes) / seconds / 1e3);
     }
-    std::uint64_t lapses = 0;
-    for (const auto& m : members) lapses += m->lapses, m->watch.stop();
-    sound &= lapses == 0;
-    std::printf("leader_cost:%s lapses=%llu %s\n", line.c_str(), static_cast<unsigned long long>(lapses),
-                sound ? "kept" : "MISSED");
-    return sound ? 0 : 1;
+    std::uint64_t lease_lapses = 0;
+    for (const auto& member : members) lease_lapses += member->lease_lapses, member->watch.stop();
+    passed &= lease_lapses == 0;
+    std::printf("leader_cost:%s lapses=%llu %s\n", figures.c_str(),
+                static_cast<unsigned long long>(lease_lapses), passed ? "kept" : "MISSED");
+    return passed ? 0 : 1;
 }
