--- a/measure/two_phase.cpp
+++ b/measure/two_phase.cpp
@@ -26,7 +26,7 @@
 // A scripted fleet and the queries that clients send to it.
 struct Scenario {
     std::string script, operators_file;
-    double top_share = 1;  // share of the sections whose rows rank above the others'
+    double top_share = 1;  // share of the sections that have top-ranked rows and so are worth querying
     bool two_phase = true;
     int queries = 200;
     int clients = 4;
@@ -238,8 +238,8 @@
                       static_cast<double>(results[1].work.bytes_in + results[1].work.bytes_out));
     }
 
-    // Each of these attributes makes two nodes faulty: slow or missing summaries, no two-phase capability,
-    // wrong summaries, two shards without answers, and rejected requests.
+    // Each of these attributes makes two nodes faulty after 20 queries: slow or missing summaries, no
+    // two-phase capability, wrong summaries, two shards without answers, and rejected requests.
     const char* faults[] = {"word_delay = \"60ms\"\n",       "silent_words = true\n",
                             "refuses_phases = \"close\"\n",  "bound_error = 9000\n",
                             "silent_on = [\"3\", \"77\"]\n", "rejects = true\n"};
@@ -265,7 +265,8 @@
             static_cast<unsigned long long>(result.counters.wrong_summaries));
     }
 
-    // Each query has a different term that no section contains; without and with the filter cache.
+    // Measures queries for terms that no section contains, each for a different one, without and with the
+    // filter cache.
     std::uint64_t summaries[2] = {};
     std::size_t filter_cache_bytes = 0;
     for (const bool cache_filters : {false, true}) {
@@ -291,8 +292,7 @@
         times.ns_by_name.at("exact"));
     std::printf(
         "filter cache: %llu first-phase calls without it, %llu with it (%.1f%% saved; an exact set would "
-        "save "
-        "%.1f%%), %zu B for %d sections\n",
+        "save %.1f%%), %zu B for %d sections\n",
         static_cast<unsigned long long>(summaries[0]), static_cast<unsigned long long>(summaries[1]),
         100 * calls_saved, 100 * exact_set_saved, filter_cache_bytes, shards);
 
