--- a/measure/list_cost.cpp
+++ b/measure/list_cost.cpp
@@ -1,6 +1,7 @@
 // Measures what lists of data nodes cost by the number of nodes, in one process without sockets: `make
-// measure-list-cost`. Times are the least of several runs, in ms; bytes are those made with new at the worst
-// moment, beyond what stood before. Prints a table and one last line; 1 where reading 81,000 nodes fails.
+// measure-list-cost`. Times are the least of several runs, in ms; memory is what operator new has allocated
+// beyond what was allocated before, at its peak and after the read. Prints a table and one last line. The
+// exit status is 1 if a list could not be read.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -19,21 +20,21 @@
 #include "wire/endpoint_list_codec.hpp"
 
 namespace {
-std::size_t held = 0, max_in_flight = 0;
+std::size_t allocated_bytes = 0, peak_bytes = 0;
 }  // namespace
 
 [[gnu::noinline]] void* operator new(std::size_t size) {
-    void* const at = std::malloc(size > 0 ? size : 1);
-    if (at == nullptr) throw std::bad_alloc();
-    held += malloc_usable_size(at);
-    max_in_flight = std::max(max_in_flight, held);
-    return at;
+    void* const memory = std::malloc(size > 0 ? size : 1);
+    if (memory == nullptr) throw std::bad_alloc();
+    allocated_bytes += malloc_usable_size(memory);
+    peak_bytes = std::max(peak_bytes, allocated_bytes);
+    return memory;
 }
-[[gnu::noinline]] void operator delete(void* at) noexcept {
-    if (at != nullptr) held -= malloc_usable_size(at);
-    std::free(at);
+[[gnu::noinline]] void operator delete(void* memory) noexcept {
+    if (memory != nullptr) allocated_bytes -= malloc_usable_size(memory);
+    std::free(memory);
 }
-void operator delete(void* at, std::size_t) noexcept { operator delete(at); }
+void operator delete(void* memory, std::size_t) noexcept { operator delete(memory); }
 
 namespace {
 
@@ -41,52 +42,57 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int zones = 12;
+constexpr Nanos round_interval = 5'000'000;
 
-std::string name(int n) { return "s-" + std::to_string(0x5be20000 + n); }
+std::string node_name(int node) { return "s-" + std::to_string(0x5be20000 + node); }
 
-std::string list_of(int nodes) {
-    std::string out = R"({"generation":41,"reset":true,"instances":[)";
+// Discovery's full list of ready nodes, as JSON.
+std::string endpoint_list_json(int nodes) {
+    std::string json = R"({"generation":41,"reset":true,"instances":[)";
     for (int n = 0; n < nodes; ++n) {
         char entry[256];
         std::snprintf(entry, sizeof entry,
                       R"(%s{"instanceId":"%s","hostPort":"10.%d.%d.%d:9000","zone":"zone-%d",)"
                       R"("machineType":"m%d","cell":%d,"lifecycle":"up","weight":1.0,"startedAtMs":0})",
-                      n > 0 ? "," : "", name(n).c_str(), n >> 16, n >> 8 & 255, n & 255, n % zones, n % 3, n);
-        out += entry;
+                      n > 0 ? "," : "", node_name(n).c_str(), n >> 16, n >> 8 & 255, n & 255, n % zones,
+                      n % 3, n);
+        json += entry;
     }
-    return out += "]}";
+    return json += "]}";
 }
 
-double ms_of(Clock::duration took) { return std::chrono::duration<double, std::milli>(took).count(); }
-
-// The least time of `times` runs of `run`, each after `before`.
-template <typename Before, typename Run>
-double least(int times, Before before, Run run) {
-    double best = 1e9;
-    for (int i = 0; i < times; ++i) {
-        auto with = before(i);
-        const auto began = Clock::now();
-        run(with);
-        best = std::min(best, ms_of(Clock::now() - began));
-        benchmark::DoNotOptimize(with);
+double milliseconds(Clock::duration duration) {
+    return std::chrono::duration<double, std::milli>(duration).count();
+}
+
+// The least time of `runs` calls of `operation`, each with what an untimed call of `prepare` returned.
+template <typename Prepare, typename Operation>
+double least_ms(int runs, Prepare prepare, Operation operation) {
+    double least = 1e9;
+    for (int i = 0; i < runs; ++i) {
+        auto input = prepare(i);
+        const auto started_at = Clock::now();
+        operation(input);
+        least = std::min(least, milliseconds(Clock::now() - started_at));
+        benchmark::DoNotOptimize(input);
     }
-    return best;
+    return least;
 }
 
-// The same, many at a time, for what takes microseconds: the mean of the best run.
-template <typename Run>
-double mean(int times, Run run) {
-    double best = 1e9;
+// For operations that take microseconds: the least mean time of five batches of `runs` calls.
+template <typename Operation>
+double least_mean_ms(int runs, Operation operation) {
+    double least = 1e9;
     for (int batch = 0; batch < 5; ++batch) {
-        const auto began = Clock::now();
-        for (int i = 0; i < times; ++i) run(batch * times + i);
-        best = std::min(best, ms_of(Clock::now() - began) / times);
+        const auto started_at = Clock::now();
+        for (int i = 0; i < runs; ++i) operation(batch * runs + i);
+        least = std::min(least, milliseconds(Clock::now() - started_at) / runs);
     }
-    return best;
+    return least;
 }
 
-// A list played to the module, and nothing else.
-struct ListNews final : RoundEvents, DecisionSink {
+// Delivers an endpoint list to the decision module as the only event of a round, and ignores its decisions.
+struct EndpointListRound final : RoundEvents, DecisionSink {
     ListKind kind = ListKind::full;
     std::vector<Endpoint> entries;
 
@@ -101,113 +107,123 @@
     void log(const std::string&) override {}
 };
 
-RouterConfig router_config_of(int nodes) {
-    RouterConfig t;
-    t.query_classes.push_back({});
-    t.query_classes[0].latency_objective = t.query_classes[0].deadline = 1'000'000'000;
-    t.round_interval = 5'000'000;
-    t.places = t.shards = nodes;
-    t.replicas_per_shard = 3;
-    return t;
+RouterConfig router_config(int nodes) {
+    RouterConfig config;
+    config.query_classes.push_back({});
+    config.query_classes[0].latency_objective = config.query_classes[0].deadline = 1'000'000'000;
+    config.round_interval = round_interval;
+    config.places = config.shards = nodes;
+    config.replicas_per_shard = 3;
+    return config;
 }
 
+// Prints the costs of lists of this many nodes. Returns false if the list could not be read.
 bool measure(int nodes) {
-    const std::string body = list_of(nodes);
+    const std::string body = endpoint_list_json(nodes);
     const auto places = static_cast<std::uint32_t>(nodes);
-    const int times = nodes > 20'000 ? 5 : 20, changes = nodes > 20'000 ? 40 : 400;
+    const int runs = nodes > 20'000 ? 5 : 20, change_runs = nodes > 20'000 ? 40 : 400;
     std::optional<EndpointList> list;
-    const std::size_t before = held;
-    max_in_flight = held;
+    const std::size_t bytes_before = allocated_bytes;
+    peak_bytes = allocated_bytes;
     list = read_endpoint_list(body, places);
     if (!list || list->nodes.size() != static_cast<std::size_t>(nodes)) return false;
-    const std::size_t read_most = max_in_flight - before, read_left = held - before;
-    const double read = least(
-        times, [](int) { return 0; }, [&](int) { list = read_endpoint_list(body, places); });
-
-    const auto change = [&](int i) {
-        EndpointList one{list->generation + 1, false, {list->nodes[static_cast<std::size_t>(i % nodes)]}, 0};
-        one.nodes[0].lifecycle = i / nodes % 2 == 0 ? Lifecycle::draining : Lifecycle::ready;
-        return one;
+    const std::size_t read_peak_bytes = peak_bytes - bytes_before,
+                      list_bytes = allocated_bytes - bytes_before;
+    const double read_ms = least_ms(
+        runs, [](int) { return 0; }, [&](int) { list = read_endpoint_list(body, places); });
+
+    // A delta in which one node is draining, or ready again.
+    const auto one_change = [&](int i) {
+        EndpointList delta{
+            list->generation + 1, false, {list->nodes[static_cast<std::size_t>(i % nodes)]}, 0};
+        delta.nodes[0].lifecycle = i / nodes % 2 == 0 ? Lifecycle::draining : Lifecycle::ready;
+        return delta;
     };
-    const double whole = least(
-        times, [](int) { return NodeTable(); }, [&](NodeTable& to) { to.apply(*list); });
-    NodeTable known;
-    known.apply(*list);
-    const double again = least(
-        times, [](int) { return 0; }, [&](int) { known.apply(*list); });
-    const double delta = mean(changes, [&](int i) { known.apply(change(i)); });
-    const double ready = mean(changes, [&](int) { benchmark::DoNotOptimize(known.ready()); });
-    // One zone goes and comes back.
+    const double full_list_ms = least_ms(
+        runs, [](int) { return NodeTable(); }, [&](NodeTable& table) { table.apply(*list); });
+    NodeTable table;
+    table.apply(*list);
+    const double unchanged_list_ms = least_ms(
+        runs, [](int) { return 0; }, [&](int) { table.apply(*list); });
+    const double delta_ms = least_mean_ms(change_runs, [&](int i) { table.apply(one_change(i)); });
+    const double ready_ms = least_mean_ms(change_runs, [&](int) { benchmark::DoNotOptimize(table.ready()); });
+    // One zone is removed and returns.
     EndpointList zone{list->generation + 2, false, {}, 0};
     for (int n = 0; n < nodes; n += zones) zone.nodes.push_back(list->nodes[static_cast<std::size_t>(n)]);
-    const auto turn = [&](Lifecycle to) {
-        for (ListedEndpoint& n : zone.nodes) n.lifecycle = to;
+    const auto set_zone_lifecycle = [&](Lifecycle lifecycle) {
+        for (ListedEndpoint& node : zone.nodes) node.lifecycle = lifecycle;
     };
-    turn(Lifecycle::removed);
-    const auto zone_went = Clock::now();
-    known.apply(zone);
-    const double zone_gone = ms_of(Clock::now() - zone_went);
-    turn(Lifecycle::ready);
-    const auto zone_came = Clock::now();
-    known.apply(zone);
-    const double zone_back = ms_of(Clock::now() - zone_came);
-
-    ListNews news;
-    news.entries = NodeTable().apply(*list).entries;
-    QueryRouter router(router_config_of(nodes), 1);
+    set_zone_lifecycle(Lifecycle::removed);
+    const auto zone_removed_at = Clock::now();
+    table.apply(zone);
+    const double zone_removed_ms = milliseconds(Clock::now() - zone_removed_at);
+    set_zone_lifecycle(Lifecycle::ready);
+    const auto zone_returned_at = Clock::now();
+    table.apply(zone);
+    const double zone_returned_ms = milliseconds(Clock::now() - zone_returned_at);
+
+    EndpointListRound list_round;
+    list_round.entries = NodeTable().apply(*list).entries;
+    QueryRouter router(router_config(nodes), 1);
     Nanos now = 1'000'000'000;
-    const auto tell = [&](int) { router.round(now += 5'000'000, news, news); };
-    const double module = least(
-        times, [](int) { return 0; }, tell);
-    news.kind = ListKind::delta;
-    news.entries.resize(1);
-    const double module_one = mean(changes, tell);
-
-    EndpointOverlay agreed;
-    const double joined = least(
-        times, [](int) { return 0; }, [&](int) { agreed.apply_discovered(*list); });
-    const double joined_one = mean(changes, [&](int i) { agreed.apply_discovered(change(i)); });
-    std::set<std::string> out;
-    for (int n = 0; n < nodes / 10; ++n) out.insert(name(n));
-    agreed.apply_drains(out);
-    const double agreed_one = least(
-        changes,
+    const auto run_round = [&](int) { router.round(now += round_interval, list_round, list_round); };
+    const double module_full_list_ms = least_ms(
+        runs, [](int) { return 0; }, run_round);
+    list_round.kind = ListKind::delta;
+    list_round.entries.resize(1);
+    const double module_delta_ms = least_mean_ms(change_runs, run_round);
+
+    EndpointOverlay overlay;
+    const double overlay_full_list_ms = least_ms(
+        runs, [](int) { return 0; }, [&](int) { overlay.apply_discovered(*list); });
+    const double overlay_delta_ms =
+        least_mean_ms(change_runs, [&](int i) { overlay.apply_discovered(one_change(i)); });
+    std::set<std::string> drained;
+    for (int n = 0; n < nodes / 10; ++n) drained.insert(node_name(n));
+    overlay.apply_drains(drained);
+    // One drain ends; from the second run on, the one that ended before begins again.
+    const double one_undrain_ms = least_ms(
+        change_runs,
         [&](int i) {
-            std::set<std::string> next = out;
-            next.erase(name(i % std::max(1, nodes / 10)));
-            return next;
+            std::set<std::string> remaining = drained;
+            remaining.erase(node_name(i % std::max(1, nodes / 10)));
+            return remaining;
         },
-        [&](std::set<std::string>& next) { agreed.apply_drains(std::move(next)); });
-    const double agreed_same = least(
-        times, [&](int) { return agreed.drained(); },
-        [&](std::set<std::string>& same) { agreed.apply_drains(std::move(same)); });
-    bool cut = false;
-    const double cuts = least(
-        times, [](int) { return 0; }, [&](int) { agreed.set_fenced(cut = !cut); });
-    const double same = least(
-        times, [](int) { return 0; }, [&](int) { agreed.set_fenced(cut); });
-    rusage used{};
-    getrusage(RUSAGE_SELF, &used);
-    std::printf("%d nodes, %.2f MB of list\n", nodes, static_cast<double>(body.size()) / 1e6);
-    std::printf("  read_targets %.2f ms, most %.1f MB, left %.1f MB; process at most %.0f MB\n", read,
-                static_cast<double>(read_most) / 1e6, static_cast<double>(read_left) / 1e6,
-                static_cast<double>(used.ru_maxrss) / 1e3);
-    std::printf("  NodeList whole %.2f ms, whole again %.2f, one change %.5f, ready %.5f\n", whole, again,
-                delta, ready);
-    std::printf("  NodeList a zone of %zu gone %.2f ms, back %.2f ms\n", zone.nodes.size(), zone_gone,
-                zone_back);
-    std::printf("  the module's round with a whole list %.2f ms, with one change %.5f\n", module, module_one);
-    std::printf("  EndpointOverlay whole %.2f ms, one change %.5f; one name of %zu out %.5f, none %.5f\n",
-                joined, joined_one, out.size(), agreed_one, agreed_same);
-    std::printf("  EndpointOverlay cut %.2f ms, cut that is so already %.5f\n", cuts, same);
+        [&](std::set<std::string>& remaining) { overlay.apply_drains(std::move(remaining)); });
+    const double unchanged_drains_ms = least_ms(
+        runs, [&](int) { return overlay.drained(); },
+        [&](std::set<std::string>& unchanged) { overlay.apply_drains(std::move(unchanged)); });
+    bool fenced = false;
+    const double fence_change_ms = least_ms(
+        runs, [](int) { return 0; }, [&](int) { overlay.set_fenced(fenced = !fenced); });
+    const double unchanged_fence_ms = least_ms(
+        runs, [](int) { return 0; }, [&](int) { overlay.set_fenced(fenced); });
+    rusage usage{};
+    getrusage(RUSAGE_SELF, &usage);
+    std::printf("%d nodes, list of %.2f MB\n", nodes, static_cast<double>(body.size()) / 1e6);
+    std::printf("  read_endpoint_list %.2f ms, peak %.1f MB, list %.1f MB; peak of the process %.0f MB\n",
+                read_ms, static_cast<double>(read_peak_bytes) / 1e6, static_cast<double>(list_bytes) / 1e6,
+                static_cast<double>(usage.ru_maxrss) / 1e3);
+    std::printf("  NodeTable full list %.2f ms, unchanged full list %.2f, one change %.5f, ready %.5f\n",
+                full_list_ms, unchanged_list_ms, delta_ms, ready_ms);
+    std::printf("  NodeTable zone of %zu nodes removed %.2f ms, returned %.2f ms\n", zone.nodes.size(),
+                zone_removed_ms, zone_returned_ms);
+    std::printf("  decision module round with a full list %.2f ms, with one change %.5f\n",
+                module_full_list_ms, module_delta_ms);
+    std::printf(
+        "  EndpointOverlay full list %.2f ms, one change %.5f; one of %zu drains ended %.5f, unchanged "
+        "%.5f\n",
+        overlay_full_list_ms, overlay_delta_ms, drained.size(), one_undrain_ms, unchanged_drains_ms);
+    std::printf("  EndpointOverlay fence changed %.2f ms, unchanged %.5f\n", fence_change_ms,
+                unchanged_fence_ms);
     return true;
 }
 
 }  // namespace
 
 int main() {
-    bool met = true;
-    for (const int nodes : {1'000, 10'000, 81'000}) met &= measure(nodes);
-    std::printf("list cost: %s\n", met ? "all lists read" : "a list could not be read");
-    return met ? 0 : 1;
+    bool all_read = true;
+    for (const int nodes : {1'000, 10'000, 81'000}) all_read &= measure(nodes);
+    std::printf("list cost: %s\n", all_read ? "all lists read" : "a list could not be read");
+    return all_read ? 0 : 1;
 }
