--- a/src/testing/hollow_rig.hpp
+++ b/src/testing/hollow_rig.hpp
@@ -38,7 +38,7 @@
 struct ProcessFigures {
     double cpu_s = 0, rss_mb = 0, dirty_mb = 0;  // dirty: private memory that was written to
     std::size_t descriptors = 0;
-    std::uint64_t disk_write_bytes = 0;  // bytes written to storage
+    std::uint64_t disk_write_bytes = 0;
 };
 ProcessFigures process_figures(pid_t pid);
 
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -15,23 +15,26 @@
 using Ms = std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::uint32_t nodes = 222;  // nodes of discovery's list, which this rig does not use
-constexpr std::size_t max_answer = 32u << 20;
+// The number of nodes in the discovery service's list, which this rig does not use.
+constexpr std::uint32_t discovery_nodes = 222;
+constexpr std::size_t max_response_bytes = 32u << 20;
 
-std::string text_of(const HostPort& at) { return at.host + ":" + std::to_string(at.port); }
+std::string format_address(const HostPort& address) {
+    return address.host + ":" + std::to_string(address.port);
+}
 
 }  // namespace
 
 RelayRig::RelayRig(boost::asio::io_context& context, RelayRigOptions rig_options)
     : io(context), options(std::move(rig_options)) {
     const auto ports = free_ports(2 * options.managers + 2 + options.relays());
-    discovery_ =
-        std::make_unique<HollowDiscovery>(io, ports[0], nodes, std::vector<std::string>(1, "127.0.0.1:1"));
-    lines_.resize(options.zones);
-    answers_.resize(options.zones);
-    control_ = std::make_unique<LoopbackListener>(io, ports[1], [this] {
-        return [this, process = std::make_shared<std::size_t>(SIZE_MAX)](Connection& c) {
-            return take(c, process);
+    discovery_ = std::make_unique<HollowDiscovery>(io, ports[0], discovery_nodes,
+                                                   std::vector<std::string>(1, "127.0.0.1:1"));
+    control_connections_.resize(options.zones);
+    responses_.resize(options.zones);
+    control_listener_ = std::make_unique<LoopbackListener>(io, ports[1], [this] {
+        return [this, process = std::make_shared<std::size_t>(SIZE_MAX)](Connection& connection) {
+            return receive_lines(connection, process);
         };
     });
     std::string text = "fleet \"relays\" {\n lease = \"" + options.lease + "\"\n drift = \"" + options.drift +
@@ -39,17 +42,17 @@
                        options.lease + "\"\n  drift = \"" + options.drift +
                        "\"\n }\n data_nodes {\n  share = 0.2\n  least_holders = 1\n }\n routers {\n"
                        "  share = 0.1\n }\n";
-    std::string list;
+    std::string manager_list;
     for (std::size_t i = 0; i < options.managers; ++i) {
-        http_.push_back({"127.0.0.1", ports[2 + 2 * i]});
-        list += (list.empty() ? "\"" : ", \"") + text_of(http_[i]) + "\"";
+        manager_addresses_.push_back({"127.0.0.1", ports[2 + 2 * i]});
+        manager_list += (manager_list.empty() ? "\"" : ", \"") + format_address(manager_addresses_[i]) + "\"";
         text += " steward \"" + std::to_string(i + 1) +
                 "\" {\n  raft = \"127.0.0.1:" + std::to_string(ports[3 + 2 * i]) + "\"\n  http = \"" +
-                text_of(http_[i]) + "\"\n  folder = \"" + directory.path("s" + std::to_string(i + 1)) +
-                "\"\n }\n";
+                format_address(manager_addresses_[i]) + "\"\n  folder = \"" +
+                directory.path("s" + std::to_string(i + 1)) + "\"\n }\n";
     }
     fleet_file_ = directory.write("fleet.hcl", text + "}\n");
-    const int places = static_cast<int>(hollow_place_count(nodes));
+    const int places = static_cast<int>(hollow_place_count(discovery_nodes));
     const Json config = {{"name", "steward"},
                          {"listen", "127.0.0.1:1"},
                          {"discovery", "127.0.0.1:" + std::to_string(discovery_->port())},
@@ -72,14 +75,15 @@
         start_manager(i);
     }
     for (std::size_t i = 0; i < relays.size(); ++i) {
-        relay_at_.push_back({"127.0.0.1", ports[2 + 2 * options.managers + i]});
+        relay_addresses_.push_back({"127.0.0.1", ports[2 + 2 * options.managers + i]});
         directory.write("relay" + std::to_string(i) + ".hcl",
                         "relay \"relay" + std::to_string(i) + "\" {\n zone = \"z" +
-                            std::to_string(i / options.relays_a_zone) + "\"\n bind = \"" +
-                            text_of(relay_at_[i]) + "\"\n stewards = [" + list + "]\n}\n");
+                            std::to_string(i / options.relays_per_zone) + "\"\n bind = \"" +
+                            format_address(relay_addresses_[i]) + "\"\n stewards = [" + manager_list +
+                            "]\n}\n");
         start_relay(i);
     }
-    if (!until([this] { return run_for(Ms(100)), relays_up(); }, Ms(60'000)))
+    if (!until([this] { return run_for(Ms(100)), all_relays_hold_leases(); }, Ms(60'000)))
         throw std::runtime_error("the relays did not become ready:\n" + event_log.text());
 }
 
@@ -104,48 +108,51 @@
     for (std::size_t i = 0; i < options.zones; ++i) {
         if (processes[i]) continue;
         FollowerConfig config;
-        config.first_router = first_of(i);
-        config.count = first_of(i + 1) - config.first_router;
-        config.control = control_->port();
+        config.first_router = first_follower(i);
+        config.follower_count = first_follower(i + 1) - config.first_router;
+        config.control_port = control_listener_->port();
         config.zone = "z" + std::to_string(i);
-        for (std::size_t r = 0; r < options.relays_a_zone; ++r)
-            config.relays.push_back(relay_at_[i * options.relays_a_zone + r]);
-        std::vector<std::string> words = write_follower_arguments(config);
-        words.insert(words.begin(), options.self);
-        processes[i] = std::make_unique<Process>(io, event_log, "h" + std::to_string(i), std::move(words));
+        for (std::size_t relay = 0; relay < options.relays_per_zone; ++relay)
+            config.relays.push_back(relay_addresses_[i * options.relays_per_zone + relay]);
+        std::vector<std::string> arguments = write_follower_arguments(config);
+        arguments.insert(arguments.begin(), options.self);
+        processes[i] =
+            std::make_unique<Process>(io, event_log, "h" + std::to_string(i), std::move(arguments));
     }
 }
 
-bool RelayRig::relays_up() {
+bool RelayRig::all_relays_hold_leases() {
     for (std::size_t i = 0; i < relays.size(); ++i) {
         if (!relays[i] || relays[i]->ended()) continue;
-        const auto reply = fleet_manager::query_manager(io, relay_at_[i], "/relay/status", "", Ms(2000));
-        const Json s = reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
-        if (!s.is_object() || s["lease_left_ms"] <= 0) return false;
+        const auto reply =
+            fleet_manager::query_manager(io, relay_addresses_[i], "/relay/status", "", Ms(2000));
+        const Json status = reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
+        if (!status.is_object() || status["lease_left_ms"] <= 0) return false;
     }
     return true;
 }
 
-bool RelayRig::take(Connection& c, const std::shared_ptr<std::size_t>& process) {
-    for (std::size_t end = 0; (end = c.in.find('\n')) != c.in.npos; c.in.erase(0, end + 1)) {
-        const std::string line = c.in.substr(0, end);
+bool RelayRig::receive_lines(Connection& connection, const std::shared_ptr<std::size_t>& process) {
+    for (std::size_t end = 0; (end = connection.in.find('\n')) != connection.in.npos;
+         connection.in.erase(0, end + 1)) {
+        const std::string line = connection.in.substr(0, end);
         if (*process != SIZE_MAX) {
-            answers_[*process] = line;
+            responses_[*process] = line;
             continue;
         }
         if (line.rfind("hello ", 0) != 0) return false;
         const std::size_t from = std::stoull(line.substr(6));
         for (std::size_t i = 0; i < options.zones; ++i)
-            if (first_of(i) == from) *process = i;
+            if (first_follower(i) == from) *process = i;
         if (*process == SIZE_MAX) return false;
-        lines_[*process] = c.weak_from_this();
+        control_connections_[*process] = connection.weak_from_this();
     }
-    return c.in.size() < max_answer;
+    return connection.in.size() < max_response_bytes;
 }
 
-bool RelayRig::until(const std::function<bool()>& holds, Ms within) {
+bool RelayRig::until(const std::function<bool()>& condition, Ms within) {
     const auto end = Clock::now() + within;
-    while (!holds()) {
+    while (!condition()) {
         if (Clock::now() > end) return false;
         io.run_for(Ms(5));
     }
@@ -155,11 +162,11 @@
 void RelayRig::run_for(Ms span) { io.run_for(span); }
 
 std::size_t RelayRig::leader() const {
-    for (auto e = event_log.events.rbegin(); e != event_log.events.rend(); ++e) {
-        if (e->source[0] != 's' || e->message.rfind("steward ", 0) != 0 ||
-            e->message.find(" leads") == e->message.npos)
+    for (auto event = event_log.events.rbegin(); event != event_log.events.rend(); ++event) {
+        if (event->source[0] != 's' || event->message.rfind("steward ", 0) != 0 ||
+            event->message.find(" leads") == event->message.npos)
             continue;
-        const std::size_t leading = std::stoull(e->message.substr(8)) - 1;
+        const std::size_t leading = std::stoull(event->message.substr(8)) - 1;
         return leading < options.managers && managers[leading] && !managers[leading]->ended()
                    ? leading
                    : options.managers;
@@ -169,71 +176,81 @@
 
 Json RelayRig::changes(std::size_t manager) {
     if (!managers[manager] || managers[manager]->ended()) return {};
-    const auto reply = fleet_manager::query_manager(io, http_[manager], "/fleet/changes", "", Ms(5000));
+    const auto reply =
+        fleet_manager::query_manager(io, manager_addresses_[manager], "/fleet/changes", "", Ms(5000));
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
 Json RelayRig::changes() {
     const std::size_t leading = leader();
-    Json s = leading < options.managers ? changes(leading) : Json();
-    return s.is_object() && s["leader"] == s["steward"] ? s : Json();
+    Json page = leading < options.managers ? changes(leading) : Json();
+    return page.is_object() && page["leader"] == page["steward"] ? page : Json();
 }
 
-std::vector<Json> RelayRig::ask(const std::string& line) {
-    for (std::string& a : answers_) a.clear();
-    for (const auto& weak_connection : lines_)
-        if (const auto c = weak_connection.lock(); c && c->open) c->send(line + "\n");
+std::vector<Json> RelayRig::broadcast_command(const std::string& line) {
+    for (std::string& response : responses_) response.clear();
+    for (const auto& weak_connection : control_connections_)
+        if (const auto connection = weak_connection.lock(); connection && connection->open)
+            connection->send(line + "\n");
     until(
-        [this] { return std::none_of(answers_.begin(), answers_.end(), [](auto& a) { return a.empty(); }); },
+        [this] {
+            return std::none_of(responses_.begin(), responses_.end(),
+                                [](auto& response) { return response.empty(); });
+        },
         Ms(20'000));
     std::vector<Json> all;
-    for (const std::string& a : answers_) all.push_back(a.empty() ? Json() : Json::parse(a, nullptr, false));
+    for (const std::string& response : responses_)
+        all.push_back(response.empty() ? Json() : Json::parse(response, nullptr, false));
     return all;
 }
 
 FollowerFigures RelayRig::followers() {
     FollowerFigures sum;
-    for (const Json& s : ask("report")) {
-        if (!s.is_object()) {
-            sum.least = 0;  // unknown, as the process did not answer
+    for (const Json& report : broadcast_command("report")) {
+        if (!report.is_object()) {
+            sum.min_version = 0;  // unknown, as the process did not respond
             continue;
         }
-        sum.followers += s["followers"].get<std::size_t>(), sum.holding += s["holding"].get<std::size_t>();
-        sum.lapses += s["lapses"].get<std::uint64_t>(), sum.faults += s["faults"].get<std::uint64_t>();
-        sum.refused += s["refused"].get<std::uint64_t>();
-        sum.calls += s["calls"].get<std::uint64_t>();
-        sum.least = std::min(sum.least, s["least"].get<std::uint64_t>());
-        sum.min_held = std::min(sum.min_held, s["least_held"].get<std::uint64_t>());
-        for (const Json& d : s["digests"])
-            if (std::find(sum.digests.begin(), sum.digests.end(), d) == sum.digests.end())
-                sum.digests.push_back(d.get<std::uint64_t>());
+        sum.followers += report["followers"].get<std::size_t>(),
+            sum.lease_holders += report["holding"].get<std::size_t>();
+        sum.lease_lapses += report["lapses"].get<std::uint64_t>(),
+            sum.order_violations += report["faults"].get<std::uint64_t>();
+        sum.rejected += report["refused"].get<std::uint64_t>();
+        sum.calls += report["calls"].get<std::uint64_t>();
+        sum.min_version = std::min(sum.min_version, report["least"].get<std::uint64_t>());
+        sum.min_version_of_holders =
+            std::min(sum.min_version_of_holders, report["least_held"].get<std::uint64_t>());
+        for (const Json& digest : report["digests"])
+            if (std::find(sum.digests.begin(), sum.digests.end(), digest) == sum.digests.end())
+                sum.digests.push_back(digest.get<std::uint64_t>());
     }
     return sum;
 }
 
-RelayRig::Published RelayRig::publish(const std::string& id,
-                                      const std::map<std::string, std::string>& entries, Ms within) {
+RelayRig::PublishResult RelayRig::publish(const std::string& id,
+                                          const std::map<std::string, std::string>& entries, Ms within) {
     const std::string body = Json{{"id", id}, {"asker", "measure"}, {"set", entries}}.dump();
-    Published p;
-    p.asked = Clock::now();
-    while (Clock::now() - p.asked < within) {
-        if (const std::size_t leading = leader(); p.calls == 0 && leading < options.managers)
+    PublishResult result;
+    result.requested_at = Clock::now();
+    while (Clock::now() - result.requested_at < within) {
+        if (const std::size_t leading = leader(); result.calls == 0 && leading < options.managers)
             publish_manager_ = leading;
-        ++p.calls;
-        const auto reply =
-            fleet_manager::query_manager(io, http_[publish_manager_], "/fleet/publish", body, Ms(2000));
-        p.answered = Clock::now();
+        ++result.calls;
+        const auto reply = fleet_manager::query_manager(io, manager_addresses_[publish_manager_],
+                                                        "/fleet/publish", body, Ms(2000));
+        result.answered_at = Clock::now();
         if (reply.status == 200) {
             const Json answer = Json::parse(reply.body, nullptr, false);
-            for (const Json& e : answer.value("effects", Json::array()))
-                if (e.value("what", "") == "published") p.version = e.value("version", std::uint64_t{0});
-            return p;
+            for (const Json& effect : answer.value("effects", Json::array()))
+                if (effect.value("what", "") == "published")
+                    result.version = effect.value("version", std::uint64_t{0});
+            return result;
         }
-        if (reply.status == 400 || reply.status == 404) return p;
+        if (reply.status == 400 || reply.status == 404) return result;
         publish_manager_ = (publish_manager_ + 1) % options.managers;
         run_for(Ms(50));
     }
-    return p;
+    return result;
 }
 
 }  // namespace tealcart::testing
