--- a/measure/changes.cpp
+++ b/measure/changes.cpp
@@ -13,6 +13,7 @@
 namespace {
 
 constexpr Nanos second = 1'000'000'000;
+constexpr Nanos lease = 10 * second, drift = second, publish_interval = second / 5;
 constexpr int relays = 24, members_per_relay = 150, entries = 1000, changes = 17'000, max_exceptions = 16;
 
 // The mean wall-clock time of repeated calls.
@@ -64,10 +65,10 @@
     const auto send_report = [&](int relay, CallTimer& timer, std::size_t& max_bytes) {
         ReportAggregator& aggregator = aggregators[static_cast<std::size_t>(relay)];
         const RelayReport report =
-            aggregation_timer.measure([&] { return aggregator.next_report(now, second); });
+            aggregation_timer.measure([&] { return aggregator.next_report(now, drift); });
         max_bytes = std::max(max_bytes, write_command({"", now, ReportBatch{{report}}}).size());
         const auto effects = timer.measure([&] { return apply(ReportBatch{{report}}); });
-        aggregator.acknowledge(report.number, now, 10 * second);
+        aggregator.acknowledge(report.number, now, lease);
         return effects;
     };
     for (int relay = 0; relay < relays; ++relay) {
@@ -79,7 +80,7 @@
     }
     std::size_t applied_everywhere = 0;
     for (int i = 0; i < changes; ++i) {
-        now += second / 5;
+        now += publish_interval;
         const std::string key = "service/entry-" + std::to_string(i * 7 % entries);
         const Command command{"", now,
                               Publish{"ann", {{key, std::to_string(i) + std::string(200, 'b')}}, {}, {}}};
@@ -128,10 +129,10 @@
             ReportAggregator& aggregator = aggregators[static_cast<std::size_t>(relay)];
             for (int member = 0; member < members_per_relay; ++member)
                 aggregator.record_report(now, member_report(relay, member, state.version()));
-            const RelayReport report = aggregator.next_report(now, second);
+            const RelayReport report = aggregator.next_report(now, drift);
             apply(ReportBatch{{report}});
             expiry_visited = std::max(expiry_visited, state.visited_count());
-            aggregator.acknowledge(report.number, now, 10 * second);
+            aggregator.acknowledge(report.number, now, lease);
         }
     }
     const bool passed = unchanged_report_visited == 1 && applied_everywhere == changes &&
--- a/measure/drains.cpp
+++ b/measure/drains.cpp
@@ -23,6 +23,7 @@
 constexpr int fault_plans = 200;
 constexpr int process_drains = 30;  // with 100 router processes
 constexpr int traffic_routers = 6;
+constexpr int traffic_warm_up_ms = 2000, traffic_ms = 8000;
 constexpr double max_leaderless_s = 2;
 // What membership may cost: a fraction of the CPU time per query, and memory of each router.
 constexpr double max_cpu_overhead = 0.02, max_memory_overhead_mb = 0.5;
@@ -54,11 +55,11 @@
 ProcessUsage process_usage(pid_t pid) {
     ProcessUsage usage;
     std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
-    std::string word;
+    std::string field;
     double ticks = 0;
     // Fields 14 and 15 are the user and the system time.
-    for (int i = 1; i <= 15 && stat >> word; ++i)
-        if (i >= 14) ticks += std::stod(word);
+    for (int i = 1; i <= 15 && stat >> field; ++i)
+        if (i >= 14) ticks += std::stod(field);
     usage.cpu_s = ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
     std::ifstream smaps("/proc/" + std::to_string(pid) + "/smaps_rollup");
     for (std::string line; std::getline(smaps, line);)
@@ -82,16 +83,16 @@
     double cpu_ms_per_query = 0, dirty_mb = 0;
     std::uint64_t succeeded = 0, failed = 0;
 };
-// Runs routers with steady traffic for 8 s, after 2 s that are not measured.
+// Runs routers with steady traffic and measures it after a warm-up.
 TrafficResult run_traffic(bool membership) {
     boost::asio::io_context io(1);
     FleetRig rig(io, rig_options(traffic_routers, membership, 2));
     if (!rig.until([&] { return rig.all_ready(); })) return {};
-    rig.run_for(Ms(2000));
+    rig.run_for(Ms(traffic_warm_up_ms));
     double cpu_s_before = 0, cpu_s_after = 0;
     for (auto& router : rig.routers) cpu_s_before += process_usage(router->pid()).cpu_s;
     rig.answers.clear();
-    rig.run_for(Ms(8000));
+    rig.run_for(Ms(traffic_ms));
     TrafficResult result;
     for (const auto& [status, count] : rig.answers)
         (status == 200 ? result.succeeded : result.failed) += count;
--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -19,6 +19,7 @@
 
 namespace {
 
+constexpr int settle_ms = 6000, measured_ms = 10'000;
 constexpr Nanos lease_grace = 86'400'000'000'000;  // a day
 constexpr Nanos wait_without_lease = 200'000'000;  // how long a call may wait before the first lease
 constexpr std::uint64_t reported_queries = 5560;   // of the last ten seconds
@@ -132,7 +133,7 @@
             members.back()->watch.start();
             if (members.size() % 50 == 0) run_for(Ms(30));
         }
-        run_for(Ms(6000));
+        run_for(Ms(settle_ms));
         // A status request that times out because this process is busy does not show that there is no leader.
         rig.until([&rig] { return rig.leader() < 3; });
         const std::size_t leader = rig.leader();
@@ -145,7 +146,7 @@
                            follower_before = process_usage(rig.managers[follower]->pid());
         const std::uint64_t answers_before = answers();
         const auto started_at = std::chrono::steady_clock::now();
-        run_for(Ms(10'000));
+        run_for(Ms(measured_ms));
         const double seconds =
             std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
         const ProcessUsage leader_after = process_usage(rig.managers[leader]->pid()),
