--- a/measure/drains.cpp
+++ b/measure/drains.cpp
@@ -20,6 +20,7 @@
 
 namespace {
 
+constexpr std::size_t manager_count = 3;  // the default of FleetRigOptions
 constexpr int fault_plans = 200;
 constexpr int process_drains = 30;  // with 100 router processes
 constexpr int traffic_routers = 6;
@@ -202,10 +203,10 @@
         }
         for (int i = 0; i < 5; ++i) {
             const std::size_t old_leader = rig.leader();
-            if (old_leader >= 3) break;
+            if (old_leader >= manager_count) break;
             const auto killed_at = Clock::now();
             rig.managers[old_leader]->signal(SIGKILL);
-            rig.until([&] { return rig.leader() < 3; });
+            rig.until([&] { return rig.leader() < manager_count; });
             longest_leaderless_s = std::max(longest_leaderless_s,
                                             std::chrono::duration<double>(Clock::now() - killed_at).count());
             rig.start_manager(old_leader);
--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -19,6 +19,7 @@
 
 namespace {
 
+constexpr std::size_t manager_count = 3;  // the default of FleetRigOptions
 constexpr int settle_ms = 6000, measured_ms = 10'000;
 constexpr Nanos lease_grace = 86'400'000'000'000;  // a day
 constexpr Nanos wait_without_lease = 200'000'000;  // how long a call may wait before the first lease
@@ -135,13 +136,13 @@
         }
         run_for(Ms(settle_ms));
         // A status request that times out because this process is busy does not show that there is no leader.
-        rig.until([&rig] { return rig.leader() < 3; });
+        rig.until([&rig] { return rig.leader() < manager_count; });
         const std::size_t leader = rig.leader();
-        if (leader >= 3) {
+        if (leader >= manager_count) {
             std::printf("no fleet manager is the leader\n%s", rig.event_log.text(40).c_str());
             return 1;
         }
-        const std::size_t follower = (leader + 1) % 3;
+        const std::size_t follower = (leader + 1) % manager_count;
         const ProcessUsage leader_before = process_usage(rig.managers[leader]->pid()),
                            follower_before = process_usage(rig.managers[follower]->pid());
         const std::uint64_t answers_before = answers();
@@ -152,7 +153,7 @@
         const ProcessUsage leader_after = process_usage(rig.managers[leader]->pid()),
                            follower_after = process_usage(rig.managers[follower]->pid());
         const double calls_per_second = static_cast<double>(answers() - answers_before) / seconds;
-        rig.until([&rig] { return rig.leader() < 3; });
+        rig.until([&rig] { return rig.leader() < manager_count; });
         passed &=
             rig.leader() == leader && calls_per_second > min_calls_per_member * static_cast<double>(count);
         std::printf(
