--- a/examples/fleet.hcl
+++ b/examples/fleet.hcl
@@ -1,4 +1,4 @@
-# Four data nodes on loopback, two at each of two places of every shard. docs/standin.md lists what may stand here.
+# Four data nodes on loopback, one at each place. Each shard is at two places. docs/testing.md describes the format.
 fleet {
   shards         = 8
   places         = 4
--- a/examples/tealcart.hcl
+++ b/examples/tealcart.hcl
@@ -1,4 +1,4 @@
-# What the example's operators state: its vertical "search" may be asked in two phases.
+# The operators' file of the example: queries of the class "search" may have two phases.
 two_phase "search" {
   share = 0.3
   least = "20ms"
