--- a/measure/leaf_times.cpp
+++ b/measure/leaf_times.cpp
@@ -113,6 +113,7 @@
     boost::asio::io_context io{1};
     Service service(io, [&] { return startup_config(fleet, may_hedge); });
     QueryResults results;
+    // A client and when it sent its last query; busy until that one is answered.
     struct ClientState {
         std::unique_ptr<Client> client;
         Clock::time_point sent_at;
