--- a/src/config/hcl.cpp
+++ b/src/config/hcl.cpp
@@ -319,7 +319,8 @@
 
 HclBlock parse_hcl(std::string_view text, std::string_view source) {
     if (text.size() > max_hcl_bytes)
-        throw HclErrors(source, {{{}, "file has " + std::to_string(text.size()) + " bytes, over 1 MiB"}});
+        throw HclErrors(source,
+                        {{{}, "file has " + std::to_string(text.size()) + " bytes; expected at most 1 MiB"}});
     if (const auto position = find_too_deep(text))
         throw HclErrors(source,
                         {{*position, "blocks, lists or objects are nested too deep; expected at most " +
--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -36,15 +36,16 @@
 // valid.
 std::string invalid_because(const HclBlock& block, const RouterConfig& config,
                             const std::vector<std::string>& query_classes) {
-    if (block.labels.empty()) return "it names no vertical";
-    const std::string name = "'" + block.labels[0] + "'";
+    if (block.labels.empty()) return "the block has no label; expected the query class's name";
+    const std::string name = "query class '" + block.labels[0] + "'";
     const auto found = std::find(query_classes.begin(), query_classes.end(), block.labels[0]);
-    if (found == query_classes.end()) return "the new deployment has no vertical " + name;
+    if (found == query_classes.end()) return name + " is not in the new deployment's settings";
     const auto index = static_cast<std::size_t>(found - query_classes.begin());
     const QueryClassConfig& query_class = config.query_classes[index];
     if (query_class.effect != Effect::idempotent)
-        return name + " is not repeatable there and can't be put in two phases";
-    if (query_class.second_step_requests > 0) return name + " has a second step there";
+        return name + " can't run in two phases: its semantics in the new deployment are not \"repeatable\"";
+    if (query_class.second_step_requests > 0)
+        return name + " can't run in two phases: it has a second step in the new deployment";
     return {};
 }
 
@@ -68,13 +69,13 @@
 std::vector<std::string> describe_settings(const RouterConfig& config) {
     const bool polled = config.discovery == Discovery::poll;
     std::vector<std::string> lines;
-    lines.push_back("parts in one call: " + std::to_string(config.max_requests_per_call));
-    lines.push_back("a call's own cost: " + milliseconds(config.call_overhead));
-    lines.push_back(std::string("the list of data nodes: ") + (polled ? "asked for" : "pushed"));
-    lines.push_back("drains kept within " + milliseconds(config.drain_grace));
+    lines.push_back("shard requests in one call: at most " + std::to_string(config.max_requests_per_call));
+    lines.push_back("call overhead: " + milliseconds(config.call_overhead));
+    lines.push_back(std::string("endpoint list: ") + (polled ? "polled" : "pushed"));
+    lines.push_back("drain grace period: " + milliseconds(config.drain_grace));
     if (config.retry_budget_enabled) {
         char budget[96];
-        std::snprintf(budget, sizeof budget, "further leaf calls: %g + %g a request within ",
+        std::snprintf(budget, sizeof budget, "retry budget: %g + %g per arrival within ",
                       config.retry_budget_base, config.retry_budget_ratio);
         lines.push_back(budget + milliseconds(config.retry_budget_window));
     }
@@ -104,7 +105,8 @@
 
 // Returns a `calls` block with the new settings' values as a comment, which operators may uncomment.
 std::string suggested_calls_block(const RouterConfig& config) {
-    return "\n# As the new deployment's settings state; stated here, they hold whatever the settings say.\n"
+    return "\n# The values of the new deployment's settings. If uncommented, the block overrides the "
+           "settings.\n"
            "# calls {\n#   parts = " +
            std::to_string(config.max_requests_per_call) + "\n#   cost  = \"" +
            format_duration(config.call_overhead) + "\"\n# }\n";
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -23,9 +23,9 @@
     std::string name = in.string(attribute, "");
     const bool printable = std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 0x7f; });
     if (name.size() > max_name_length || !printable)
-        in.add_error(block.position,
-                     std::string("'") + attribute +
-                         "' is invalid; expected a printable name of up to 128 characters without blanks");
+        in.add_error(block.position, std::string("'") + attribute + "' is \"" + name + "\"; expected up to " +
+                                         std::to_string(max_name_length) +
+                                         " printable characters without blanks");
     return name;
 }
 
@@ -98,7 +98,7 @@
     config.enabled = true;
     config.listen = in.string("listen", config.listen);
     if (!parse_host_port(config.listen))
-        in.add_error(block.position, "'listen' is '" + config.listen + "'; expected HOST:PORT");
+        in.add_error(block.position, "'listen' is \"" + config.listen + "\"; expected HOST:PORT");
     config.node_limit = static_cast<int>(in.integer("node_limit", config.node_limit, 1, max_count));
     config.panic_threshold = in.number("panic", config.panic_threshold, 0, 1);
     config.panic_window = in.duration("panic_window", config.panic_window, second, hour);
@@ -122,7 +122,7 @@
     config.relays = read_addresses(in, block, "relays", "relay");
     config.enabled = !config.managers.empty();
     if (config.managers.empty() && config.relays.empty())
-        in.add_error(block.position, "'stewards' and 'relays' are both empty; expected at least one address");
+        in.add_error(block.position, "'stewards' and 'relays' have no valid address; expected at least one");
     config.lease_grace = in.duration("serve_on", config.lease_grace, 0, 365 * day);
     config.stop_after_grace = in.choice("then", 0, {"leave", "stop"}) == 1;
     config.startup_wait = in.duration("first_word", config.startup_wait, 0, hour);
@@ -184,7 +184,7 @@
 OperatorConfig read_operator_file(const std::string& path) {
     std::ifstream file(path);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("operators' file " + path + " can't be read");
+    if (!file) throw ConfigError("failed to read the operators' file " + path);
     return read_operator_config(text, path);
 }
 
--- a/src/config/router_config_reader.cpp
+++ b/src/config/router_config_reader.cpp
@@ -94,8 +94,9 @@
     if (semantics == "repeatable") return Effect::idempotent;
     if (semantics == "by_key") return Effect::idempotent_with_key;
     if (semantics == "once") return Effect::not_idempotent;
-    throw ConfigError("semantics", semantics,
-                      "unknown semantics '" + semantics + "'; expected repeatable, by_key or once");
+    throw ConfigError(
+        "semantics", semantics,
+        "setting 'semantics' is \"" + semantics + "\"; expected one of \"repeatable\", \"by_key\", \"once\"");
 }
 
 int read_max_requests_per_call(const Json& extra) {
@@ -123,7 +124,8 @@
 
 void read_query_classes(const Json& services, const Json& extra, RouterConfig& config) {
     if (!services.is_array() || services.empty())
-        throw wrong_setting("services", services, "is not a non-empty list of query classes");
+        throw wrong_setting("services", services,
+                            "is " + services.dump() + "; expected a non-empty list of query classes");
     for (std::size_t i = 0; i < services.size(); ++i)
         config.query_classes.push_back(read_query_class(services[i], extra, i));
 }
--- a/src/fleet_manager/fleet_manager_config.cpp
+++ b/src/fleet_manager/fleet_manager_config.cpp
@@ -7,6 +7,7 @@
 
 #include "config/block_reader.hpp"
 #include "config/operator_config.hpp"
+#include "config/units.hpp"
 
 namespace tealcart::fleet_manager {
 namespace {
@@ -15,8 +16,6 @@
 constexpr Nanos min_lease = 500 * millisecond, year = 365 * 24 * hour;
 constexpr std::int64_t unlimited = 1'000'000'000;
 constexpr std::size_t max_name_length = 128;
-constexpr const char* short_lease =
-    "'lease' must be at least twice 'election', so that a leader can be elected within one lease";
 
 using Errors = std::vector<HclError>;
 
@@ -25,6 +24,12 @@
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
+// The error for a lease that is shorter than two election timeouts.
+std::string short_lease_error(Nanos lease, Nanos election) {
+    return "'lease' is " + format_duration(lease) + "; expected at least " + format_duration(2 * election) +
+           ", twice 'election', so that a leader can be elected within one lease";
+}
+
 // Reads the id of a block `steward "ID"`; 0 if it is not a valid id.
 std::uint64_t read_id(const HclBlock& block, BlockReader& in) {
     const std::string label = in.label("the fleet manager's id");
@@ -32,7 +37,8 @@
     std::uint64_t id = 0;
     const auto [parsed_to, error] = std::from_chars(label.data(), end, id);
     if (error != std::errc() || parsed_to != end || id == 0)
-        in.add_error(block.position, "the label of a 'steward' block must be an id: a whole number above 0");
+        in.add_error(block.position, "the label of a 'steward' block is \"" + label +
+                                         "\"; expected an id: an integer above 0");
     return id;
 }
 
@@ -46,7 +52,9 @@
     const std::string text = in.string(name, "");
     const auto at = parse_host_port(text);
     if (!at && (required || !text.empty()))
-        in.add_error(block.position, std::string("'") + name + "' must be an address with a port");
+        in.add_error(block.position, std::string("'") + name +
+                                         (text.empty() ? "' is missing" : "' is \"" + text + "\"") +
+                                         "; expected HOST:PORT");
     return {text, at.value_or(HostPort{})};
 }
 
@@ -61,17 +69,22 @@
     if (self.http_bind.port == 0) self.http_bind = self.http;
     self.data_directory = in.string("folder", "");
     if (self.data_directory.empty())
-        in.add_error(block.position, "'folder' is missing: expected the path of the data directory");
+        in.add_error(block.position, "'folder' is missing; expected the path of the data directory");
     for (const auto& [other_id, other] : config.managers) {
         const bool same_directory =
             other.data_directory == self.data_directory && !self.data_directory.empty();
-        if (other.raft == self.raft || other.http == self.http || same_directory)
-            in.add_error(block.position, "an address or the folder is the same as that of steward " +
-                                             std::to_string(other_id));
+        const char* const shared = other.raft == self.raft   ? "raft"
+                                   : other.http == self.http ? "http"
+                                   : same_directory          ? "folder"
+                                                             : nullptr;
+        if (shared != nullptr)
+            in.add_error(block.position, std::string("'") + shared + "' is the same as that of steward " +
+                                             std::to_string(other_id) + "; expected a different value");
     }
     in.reject_unknown();
     if (!config.managers.emplace(id, std::move(self)).second)
-        in.add_error(block.position, "a second 'steward' block with the id " + std::to_string(id));
+        in.add_error(block.position, "there is more than one 'steward' block with the id " +
+                                         std::to_string(id) + "; expected at most one");
 }
 
 // Reads the limits of one group of targets: `PREFIXmost` and `PREFIXshare`.
@@ -129,7 +142,7 @@
     read_count("most_kept", limits.max_kept, 100'000);
     read_count("most_members", limits.max_members, 1'000'000);
     read_count("most_relays", limits.max_relays, 100'000);
-    if (limits.lease < 2 * election) in.add_error(block.position, short_lease);
+    if (limits.lease < 2 * election) in.add_error(block.position, short_lease_error(limits.lease, election));
     in.reject_unknown();
 }
 
@@ -138,21 +151,25 @@
     fleet::Budgets& budgets = config.budgets;
     config.fleet = in.label("the fleet's name");
     if (!is_name(config.fleet))
-        in.add_error(block.position, "the fleet's name must have 1 to 128 characters and no blanks");
+        in.add_error(block.position, "the fleet's name is \"" + config.fleet + "\"; expected 1 to " +
+                                         std::to_string(max_name_length) +
+                                         " printable characters without blanks");
     config.election = in.duration("election", config.election, 100 * millisecond, 60 * second);
     budgets.lease = in.duration("lease", budgets.lease, min_lease, hour);
     budgets.drift = in.duration("drift", budgets.drift, 0, hour);
     budgets.forget_after = in.duration("forget", budgets.forget_after, 0, year);
     budgets.wait_for_lost = in.boolean("wait_for_lost", budgets.wait_for_lost);
     budgets.max_open_requests = static_cast<std::size_t>(in.integer("most_open", 1000, 1, 1'000'000));
-    if (budgets.lease < 2 * config.election) in.add_error(block.position, short_lease);
+    if (budgets.lease < 2 * config.election)
+        in.add_error(block.position, short_lease_error(budgets.lease, config.election));
 }
 
 void read_fleet(const HclBlock& block, Errors& errors, FleetManagerConfig& config) {
     BlockReader in(block, errors);
     read_fleet_values(block, in, config);
     for (const HclBlock* manager : in.blocks("steward")) read_manager(*manager, errors, config);
-    if (config.managers.empty()) in.add_error(block.position, "the 'fleet' block has no 'steward' block");
+    if (config.managers.empty())
+        in.add_error(block.position, "the 'fleet' block has no 'steward' block; expected at least one");
     if (const HclBlock* nodes = in.single_block("data_nodes"))
         read_data_nodes(*nodes, errors, config.budgets);
     if (const HclBlock* routers = in.single_block("routers")) read_routers(*routers, errors, config.budgets);
@@ -185,7 +202,7 @@
 FleetManagerConfig read_fleet_manager_file(const std::string& path) {
     std::ifstream file(path);
     std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("cannot read the fleet managers' file " + path);
+    if (!file) throw ConfigError("failed to read the fleet managers' file " + path);
     return read_fleet_manager_config(text, path);
 }
 
--- a/src/service/startup_config.cpp
+++ b/src/service/startup_config.cpp
@@ -24,15 +24,17 @@
 std::string required_text(const Json& in, const char* key) {
     const Json& value = required_member(in, key);
     if (!value.is_string())
-        throw ConfigError(std::string("'") + key + "' in the configuration is not a string");
+        throw ConfigError(std::string("'") + key + "' in the configuration is " + value.dump() +
+                          "; expected a string");
     return value.get<std::string>();
 }
 
 HostPort required_address(const Json& in, const char* key) {
-    const auto found = parse_host_port(required_text(in, key));
+    const std::string address = required_text(in, key);
+    const auto found = parse_host_port(address);
     if (!found)
-        throw ConfigError(std::string("'") + key +
-                          "' in the configuration is not an address with a port, such as 127.0.0.1:8080");
+        throw ConfigError(std::string("'") + key + "' in the configuration is \"" + address +
+                          "\"; expected HOST:PORT, such as 127.0.0.1:8080");
     return *found;
 }
 
@@ -42,8 +44,8 @@
     const char* const last = digits.data() + digits.size();
     const auto [end, failure] = std::from_chars(digits.data(), last, number, 16);
     if (failure != std::errc() || end != last)
-        throw ConfigError(std::string("'") + key +
-                          "' in the configuration is not a hexadecimal number of up to 64 bits");
+        throw ConfigError(std::string("'") + key + "' in the configuration is \"" + digits +
+                          "\"; expected a hexadecimal number of up to 64 bits");
     return number;
 }
 
@@ -53,7 +55,8 @@
 void read_limits(const Json& limits, StartupConfig& startup) {
     const Json& sockets = required_member(limits, "sockets");
     if (!sockets.is_number_unsigned() || sockets.get<std::uint64_t>() < min_sockets)
-        throw ConfigError("'limits.sockets' in the configuration is not a whole number of at least 64");
+        throw ConfigError("'limits.sockets' in the configuration is " + sockets.dump() +
+                          "; expected an integer of at least " + std::to_string(min_sockets));
     startup.max_descriptors = sockets.get<std::size_t>();
     if (const auto memory = limits.find("memory_mb"); memory != limits.end() && memory->is_number_unsigned())
         startup.memory_bytes = std::min(memory->get<std::size_t>(), max_memory_mb) * bytes_per_mb;
@@ -66,9 +69,10 @@
     startup.endpoint_list_limit = endpoint_list_size_limit(startup.config, startup.memory_bytes);
     startup.manager_response_limit = manager_response_size_limit(startup.config, startup.memory_bytes);
     startup.two_phase_configs.resize(startup.connection_config.query_classes.size());
-    for (const QueryClassConfig& query_class : startup.config.query_classes)
-        if (query_class.second_step_requests > 0)
-            throw ConfigError("a vertical has a second step, which the service does not support");
+    for (std::size_t i = 0; i < startup.config.query_classes.size(); ++i)
+        if (startup.config.query_classes[i].second_step_requests > 0)
+            throw ConfigError("query class '" + startup.connection_config.query_classes[i] +
+                              "' has a second step, which the service does not support");
 }
 
 EndpointList read_cached_endpoints(const Json& known, const StartupConfig& startup) {
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -68,7 +68,8 @@
 
 TEST_CASE("files that nest too deep, are too large or contain a zero byte are rejected") {
     CHECK(errors_in("a = " + std::string(5000, '[')).find("too deep") != std::string::npos);
-    CHECK(errors_in(std::string(max_hcl_bytes + 1, ' ')).find("over 1 MiB") != std::string::npos);
+    CHECK(errors_in(std::string(max_hcl_bytes + 1, ' ')) ==
+          "f:1:1: file has 1048577 bytes; expected at most 1 MiB");
     CHECK(errors_in(std::string("a = 1\0", 6)).find("zero byte") != std::string::npos);
 }
 
@@ -148,18 +149,22 @@
     const OperatorFileMigration migration = migrate(old_file, "old.hcl", test::settings_text);
     REQUIRE(migration.invalid_blocks.size() == 2);
     CHECK(migration.invalid_blocks[0].position.line == 7);
-    CHECK(migration.invalid_blocks[0].message == "the new deployment has no vertical 'gone'");
+    CHECK(migration.invalid_blocks[0].message ==
+          "query class 'gone' is not in the new deployment's settings");
     CHECK(migration.invalid_blocks[1].position.line == 10);
-    CHECK(migration.invalid_blocks[1].message.find("not repeatable") != std::string::npos);
+    CHECK(migration.invalid_blocks[1].message ==
+          "query class 'keyed' can't run in two phases: its semantics in the new deployment are not "
+          "\"repeatable\"");
     // The written file can be read, with the invalid blocks as comments and the rest unchanged.
     const OperatorConfig migrated = read_operator_config(migration.text, "new.hcl");
     REQUIRE(migrated.phases.size() == 1);
     CHECK(migrated.phases[0].query_class == "part");
     CHECK(migrated.memory.max_bytes == 8u << 20);
     CHECK(migration.text.find("# two_phase \"gone\" {") != std::string::npos);
-    CHECK(migration.text.find("# Not carried over: the new deployment has no vertical 'gone'.") !=
+    CHECK(migration.text.find(
+              "# Not carried over: query class 'gone' is not in the new deployment's settings.") !=
           std::string::npos);
-    CHECK(migration.settings_summary.at(0) == "parts in one call: 2");
+    CHECK(migration.settings_summary.at(0) == "shard requests in one call: at most 2");
 }
 
 TEST_CASE("migration throws on an invalid file or invalid settings") {
@@ -223,13 +228,15 @@
                                   .member;
     CHECK(both.enabled);
     CHECK(both.config_startup_wait == 1000 * test::ms);
+    CHECK(errors_in("member {\n name = \"a b\"\n stewards = [\"127.0.0.1:7\"]\n}") ==
+          "f:1:1: 'name' is \"a b\"; expected up to 128 printable characters without blanks");
     CHECK(errors_in("member {}") ==
-          "f:1:1: 'stewards' and 'relays' are both empty; expected at least one address");
+          "f:1:1: 'stewards' and 'relays' have no valid address; expected at least one");
     CHECK(errors_in("\n member {\n relays = [\"here\"]\n config_first_word = 2\n}") ==
           "f:2:2: the relay address 'here' is invalid; expected HOST:PORT\n"
-          "f:2:2: 'stewards' and 'relays' are both empty; expected at least one address\n"
+          "f:2:2: 'stewards' and 'relays' have no valid address; expected at least one\n"
           "f:4:22: 'config_first_word' is a number; expected a duration such as \"250ms\"");
     CHECK(errors_in("member {\n relays = \"127.0.0.1:7\"\n}") ==
-          "f:1:1: 'stewards' and 'relays' are both empty; expected at least one address\nf:2:11: 'relays' is "
+          "f:1:1: 'stewards' and 'relays' have no valid address; expected at least one\nf:2:11: 'relays' is "
           "a string; expected a list of strings");
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -303,11 +303,18 @@
     const std::string all = mistakes(
         "fleet \"x\" {\n lease = \"700ms\"\n election = \"600ms\"\n steward \"0\" {\n"
         "  raft = \"here\"\n  http = \"127.0.0.1:1\"\n  folder = \"f\"\n }\n nodes {\n }\n}\n");
-    CHECK(all.find("f:1:1: 'lease' must be at least twice 'election'") != std::string::npos);
-    CHECK(all.find("f:4:2: the label of a 'steward' block must be an id: a whole number above 0") !=
+    CHECK(all.find("f:1:1: 'lease' is 700ms; expected at least 1200ms, twice 'election', so that a leader "
+                   "can be elected within one lease\n") != std::string::npos);
+    CHECK(all.find("f:4:2: the label of a 'steward' block is \"0\"; expected an id: an integer above 0\n") !=
           std::string::npos);
-    CHECK(all.find("f:4:2: 'raft' must be an address with a port") != std::string::npos);
+    CHECK(all.find("f:4:2: 'raft' is \"here\"; expected HOST:PORT\n") != std::string::npos);
     CHECK(all.find("f:9:2: ") != std::string::npos);
+    CHECK(
+        mistakes("fleet \"a b\" {\n steward \"1\" {\n raft = \"h:1\"\n http = \"h:2\"\n folder = \"f\"\n }\n"
+                 " steward \"1\" {\n raft = \"h:3\"\n http = \"h:2\"\n folder = \"f\"\n }\n}\n") ==
+        "f:1:1: the fleet's name is \"a b\"; expected 1 to 128 printable characters without blanks\n"
+        "f:7:2: 'http' is the same as that of steward 1; expected a different value\n"
+        "f:7:2: there is more than one 'steward' block with the id 1; expected at most one");
 }
 
 TEST_CASE("the endpoint view derives shards and health, and health is unknown while discovery is silent") {
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -57,14 +57,15 @@
     CHECK(relay_config_errors("") == "relay.hcl:1:1: the 'relay' block is missing");
     CHECK(relay_config_errors("relay \"r1\" {\n zone = \"a\"\n bind = \"x\"\n stewards = [\"127.0.0.1:1\", "
                               "\"127.0.0.1:1\"]\n pages = 3\n most_followers = 0\n}") ==
-          "relay.hcl:1:1: 'bind' must be an address with a port\n"
-          "relay.hcl:1:1: the steward '127.0.0.1:1' is listed twice\n"
+          "relay.hcl:1:1: 'bind' is \"x\"; expected HOST:PORT\n"
+          "relay.hcl:1:1: the steward address '127.0.0.1:1' is listed twice; expected once\n"
           "relay.hcl:5:2: attribute 'pages' is not known here\n"
           "relay.hcl:6:19: 'most_followers' is 0; expected 1 to 5000");
-    CHECK(relay_config_errors("relay \"a b\" {\n bind = \"127.0.0.1:1\"\n}") ==
-          "relay.hcl:1:1: the relay's name must have 1 to 128 characters and no blanks\n"
-          "relay.hcl:1:1: 'zone' must be a name of 1 to 128 characters without blanks\n"
-          "relay.hcl:1:1: 'stewards' must list at least one address");
+    CHECK(
+        relay_config_errors("relay \"a b\" {\n bind = \"127.0.0.1:1\"\n}") ==
+        "relay.hcl:1:1: the relay's name is \"a b\"; expected 1 to 128 printable characters without blanks\n"
+        "relay.hcl:1:1: 'zone' is missing; expected 1 to 128 printable characters without blanks\n"
+        "relay.hcl:1:1: 'stewards' has no valid address; expected at least one");
 }
 
 TEST_CASE("the block `changes` is read, and changes are off without it") {
@@ -80,8 +81,8 @@
     CHECK(config.changes.max_kept == 9);
     CHECK(config.changes.drift == changes::Limits{}.drift);
     CHECK(manager_config_errors("changes {\n lease = \"1s\"\n halt_refused = 2\n most_pages = 1\n}") ==
-          "fleet.hcl:7:1: 'lease' must be at least twice 'election', so that a leader can be elected within "
-          "one lease\n"
+          "fleet.hcl:7:1: 'lease' is 1s; expected at least 1200ms, twice 'election', so that a leader can be "
+          "elected within one lease\n"
           "fleet.hcl:9:17: 'halt_refused' is 2; expected 0 to 1\n"
           "fleet.hcl:10:2: attribute 'most_pages' is not known here");
 }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -985,9 +985,12 @@
     };
     fails("{", "not JSON");
     fails("[]", "lacks 'name'");
-    fails(without("127.0.0.1:1", "127.0.0.1"), "'listen'");
-    fails(without("00ff", "xyz"), "'seed'");
+    fails(without("127.0.0.1:1", "127.0.0.1"),
+          "'listen' in the configuration is \"127.0.0.1\"; expected HOST:PORT");
+    fails(without("00ff", "xyz"), "'seed' in the configuration is \"xyz\"; expected a hexadecimal number");
     fails(without("\"limits\":{\"sockets\":64}", "\"limits\":{}"), "lacks 'sockets'");
+    fails(without("\"limits\":{\"sockets\":64}", "\"limits\":{\"sockets\":63}"),
+          "'limits.sockets' in the configuration is 63; expected an integer of at least 64");
     fails(without("\"extra\"", "\"other\""), "setting 'extra' is missing");
     fails(without("\"connect_timeout\"", "\"other\""), "setting 'connect_timeout' is missing");
 }
