--- a/measure/capacity/capacity.cpp
+++ b/measure/capacity/capacity.cpp
@@ -232,13 +232,13 @@
     zone_node_bytes = value_of("control_kb_s") * 1e3 * value_of("in_force_s") / zone_nodes;
     control_mb_s = value_of("control_kb_s") * routers / 1e3;
     zone_machines = std::ceil(value_of("machines") / value_of("zones"));
-    renewals = routers / (value_of("lease_s") / 5);
+    renewals = routers / (value_of("lease_s") / renewals_per_lease);
 }
 
-double long_poll_rate(double updates_per_second, double timeout) {
-    return updates_per_second * timeout < 1e-9
-               ? 1 / timeout
-               : updates_per_second / (1 - std::exp(-updates_per_second * timeout));
+double long_poll_rate(double updates_per_second, double timeout_s) {
+    return updates_per_second * timeout_s < 1e-9
+               ? 1 / timeout_s
+               : updates_per_second / (1 - std::exp(-updates_per_second * timeout_s));
 }
 
 double probability_all_on_time(double late_share, double parts) { return std::pow(1 - late_share, parts); }
--- a/measure/capacity/capacity.hpp
+++ b/measure/capacity/capacity.hpp
@@ -61,8 +61,8 @@
 // Returns the names of slopes whose stated line or range differs from the fit of their points.
 std::vector<std::string> outdated_fits(const Slopes& slopes);
 // Replaces the points of each slope that the lines `point NAME SIZE FIGURE` of a measurement name, and fits
-// all slopes again. Of several lines for the same size it takes the smallest figure, since other work on a
-// shared machine only increases it.
+// all slopes again. A slope that was not measured becomes measured. Of several lines for the same size it
+// takes the smallest figure, since other work on a shared machine only increases it.
 void take_points(Slopes& slopes, std::string_view lines);
 
 // The load that follows from the size alone. Rates are per second.
@@ -80,9 +80,12 @@
     double control_mb_s, zone_machines, renewals;
 };
 
-// Returns the calls per second of a long poll that is repeated at once: a call ends at the first update,
-// which come at random at this rate, or after `timeout` seconds.
-double long_poll_rate(double updates_per_second, double timeout);
+// A member renews its lease this many times within the lease's duration.
+constexpr double renewals_per_lease = 5;
+
+// Returns the calls per second of a long poll that is repeated at once. A call ends at the first update or
+// after `timeout_s` seconds; updates come at random at this rate.
+double long_poll_rate(double updates_per_second, double timeout_s);
 
 // Returns the probability that all parts of a query are on time if each is late with `late_share`,
 // independently of the others.
--- a/measure/capacity/tables.cpp
+++ b/measure/capacity/tables.cpp
@@ -79,7 +79,8 @@
     // Calls of all members per second: each generation ends the poll of every member, and without a
     // generation each member renews its lease.
     double member_call_rate(double load_factor) const {
-        return routers * long_poll_rate(load.generations * load_factor, value_of("lease_s") / 5);
+        return routers *
+               long_poll_rate(load.generations * load_factor, value_of("lease_s") / renewals_per_lease);
     }
     double leader_core_share(double calls) const { return value_at("steward.lead", calls) / 1e3; }
     double list_poll_rate(double load_factor) const {
@@ -441,7 +442,7 @@
     const Load& load = model.load;
     const double relays = model.value_of("relays_a_zone") * model.value_of("zones");
     const double members_each = model.routers / relays, zone_members = load.zone_routers,
-                 poll_timeout_s = model.value_of("lease_s") / 5;
+                 poll_timeout_s = model.value_of("lease_s") / renewals_per_lease;
     const double update_bytes = model.value_of("change_bytes") + model.response_head_bytes(),
                  updates_per_second = load.changes + load.generations;
     TableBuilder builder("relay", {"of a relay (calculated, not measured)", "mean", "peak",
@@ -597,19 +598,19 @@
             "restarts, now " + format_duration(model.value_at("relay.told_all", model.routers)) + " at worst",
             std::pair(needed_restarts / model.value_of("restarts_a_day"),
                       model.value_at("relay.told_all", model.routers) / model.in_force_s),
-            "versioned changes through relays"),
-        make_need("a change of any other setting without a restart, " + format_figure(needed_restarts) +
+            "versioned changes by relays"),
+        make_need("a change of another setting without a restart, " + format_figure(needed_restarts) +
                       " times a day",
                   format_figure(model.value_of("restarts_a_day")) + " restarts a day",
                   unchanged(needed_restarts / model.value_of("restarts_a_day")),
-                  "**none**: it takes effect only at the start"),
+                  "**none**: applied only at start"),
         make_need(format_figure(model.nodes) + " connections of a router to nodes",
                   format_figure(max_connections) + ", a third of " +
                       format_figure(model.value_of("sockets")) + " descriptors",
                   unchanged(model.nodes / max_connections),
                   "`limits.sockets`, and " +
                       format_megabytes(model.value_at("router.link_memory", model.nodes)) +
-                      " of heap; subsets are not implemented"),
+                      " of heap; no subsets"),
         make_need(
             format_figure(load.router_attempts_in_flight) + " attempts in flight, each on its own connection",
             format_figure(max_connections), unchanged(load.router_attempts_in_flight / max_connections),
@@ -633,7 +634,7 @@
                   format_core_share(status_core_before) + ", now " + format_core_share(status_core_now),
                   std::pair(status_core_before / model.value_of("leader_core"),
                             status_core_now / model.value_of("leader_core")),
-                  "the status of a large fleet lists only exceptions"),
+                  "a large fleet's status lists only exceptions"),
         make_need("drained targets, to each router at the peak, in " + byte_rate_text,
                   format_byte_rate(grants_kb_s_at_peak * 1e3),
                   unchanged(grants_kb_s_at_peak / model.value_of("control_kb_s")),
@@ -645,7 +646,7 @@
         make_need("return of a zone's " + format_figure(load.zone_nodes) + " nodes, entry by entry, within " +
                       in_force_text,
                   format_duration(zone_return_s), unchanged(zone_return_s / model.in_force_s),
-                  "**none**: discovery sends a full entry for each node"),
+                  "**none**: discovery sends each entry in full"),
         make_need("changes of a zone's nodes, one answer per entry, in " +
                       format_core_share(model.value_of("control_core")) + " of a core",
                   format_core_share(zone_changes_core),
@@ -666,7 +667,7 @@
                       format_core_share(model.value_of("control_core")) + " of a core",
                   format_core_share(list_changes_core),
                   unchanged(list_changes_core / model.value_of("control_core")),
-                  "a change's cost grows with the number of all nodes"),
+                  "its cost grows with the number of nodes"),
         make_need(format_figure(model.value_of("control_mb")) + " MB, while a full list is read",
                   format_megabytes(memory_before) + ", now " + format_megabytes(memory_now),
                   std::pair(memory_before / model.value_of("control_mb"),
