--- a/measure/relays.cpp
+++ b/measure/relays.cpp
@@ -249,7 +249,8 @@
         for (const Json& report : rig_.broadcast_command("acted " + std::to_string(version_before + 1) + " " +
                                                          std::to_string(last_version_))) {
             for (std::size_t version = 0; report.is_array() && version < applied_at.size(); ++version)
-                for (const Json& us : report[version]) applied_at[version].push_back(us.get<std::int64_t>());
+                for (const Json& time_us : report[version])
+                    applied_at[version].push_back(time_us.get<std::int64_t>());
         }
         std::vector<double> all_ms;
         for (const RelayRig::PublishResult& result : period.published) {
--- a/src/testing/hollow.cpp
+++ b/src/testing/hollow.cpp
@@ -256,12 +256,12 @@
 }
 
 std::string HollowProcess::report() const {
-    std::size_t holding = 0, reader_nodes = nodes_.size();
+    std::size_t lease_holders = 0, reader_nodes = nodes_.size();
     std::uint64_t lease_lapses = replaced_lease_lapses_, list_entries = 0, min_generation = UINT64_MAX,
                   max_generation = 0;
     TrafficCounters manager = replaced_manager_traffic_, discovery = replaced_discovery_traffic_;
     for (const auto& router : routers_) {
-        holding += router->holds_lease();
+        lease_holders += router->holds_lease();
         lease_lapses += router->lease_lapses();
         list_entries += router->list_entries();
         min_generation = std::min(min_generation, router->member().applied_generation());
@@ -276,7 +276,7 @@
     };
     return Json{{"from", config_.first_router},
                 {"routers", routers_.size()},
-                {"holding", holding},
+                {"holding", lease_holders},
                 {"lapses", lease_lapses},
                 {"entries", list_entries},
                 {"acts_on_least", min_generation},
--- a/src/testing/hollow.hpp
+++ b/src/testing/hollow.hpp
@@ -21,8 +21,8 @@
 
 namespace tealcart::testing {
 
-// A hollow fleet has one place for every three data nodes, and one shard per place, which is replicated at
-// three places.
+// A hollow fleet has one place for every three data nodes, but at least `min_places`, and one shard per
+// place, which is replicated at three places.
 constexpr std::uint32_t hollow_zones = 12, hollow_replicas = 3, min_places = 74;
 // Returns the number of places in a fleet with this many data nodes.
 std::uint32_t hollow_place_count(std::uint32_t nodes);
--- a/src/testing/hollow_follower.cpp
+++ b/src/testing/hollow_follower.cpp
@@ -203,13 +203,13 @@
 }
 
 std::string FollowerProcess::report() const {
-    std::size_t holding = 0;
+    std::size_t lease_holders = 0;
     std::uint64_t lease_lapses = 0, order_violations = 0, rejected = 0, calls = 0, min_version = UINT64_MAX,
                   min_version_of_holders = UINT64_MAX;
     std::set<std::uint64_t> digests;
     for (const auto& follower : followers_) {
         const bool holds_lease = follower->holds_lease();
-        holding += holds_lease;
+        lease_holders += holds_lease;
         lease_lapses += follower->lease_lapses(), order_violations += follower->order_violations(),
             rejected += follower->rejected(), calls += follower->calls();
         min_version = std::min(min_version, follower->applied_version());
@@ -218,7 +218,7 @@
         digests.insert(follower->copy().digest());
     }
     return Json{{"followers", followers_.size()},
-                {"holding", holding},
+                {"holding", lease_holders},
                 {"lapses", lease_lapses},
                 {"faults", order_violations},
                 {"refused", rejected},
--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -20,6 +20,7 @@
 
 constexpr int queried_shards = 74;  // the number of shards that the real routers' clients query
 constexpr std::uint32_t shards_per_query = 4;
+constexpr std::size_t max_response_bytes = 65'536;  // of one line of a hollow process
 constexpr std::size_t listener_count = 12;  // all data nodes share the addresses of this many listeners
 
 std::string fleet_script() {
@@ -171,7 +172,7 @@
         if (*process == SIZE_MAX) return false;
         control_connections_[*process] = connection.weak_from_this();
     }
-    return connection.in.size() < 65'536;
+    return connection.in.size() < max_response_bytes;
 }
 
 bool HollowRig::until(const std::function<bool()>& condition, Ms within) {
@@ -209,12 +210,12 @@
 }
 
 std::vector<HollowFigures> HollowRig::hollow_figures() {
-    std::vector<HollowFigures> all(options.processes);
+    std::vector<HollowFigures> figures_by_process(options.processes);
     for (std::size_t index = 0; index < options.processes; ++index) {
         if (!processes[index] || processes[index]->ended()) continue;
         const Json report = send_command(index, "report");
         if (!report.is_object()) continue;
-        HollowFigures& figures = all[index];
+        HollowFigures& figures = figures_by_process[index];
         figures.pid = processes[index]->pid();
         figures.routers = report["routers"], figures.lease_holders = report["holding"],
         figures.reader_nodes = report["reader_nodes"];
@@ -227,7 +228,7 @@
             *counters = {report[key]["calls"], report[key]["in"], report[key]["out"]};
         figures.dirty_mb = process_figures(figures.pid).dirty_mb;
     }
-    return all;
+    return figures_by_process;
 }
 
 std::size_t HollowRig::lease_holders() {
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -166,9 +166,9 @@
         if (event->source[0] != 's' || event->message.rfind("steward ", 0) != 0 ||
             event->message.find(" leads") == event->message.npos)
             continue;
-        const std::size_t leading = std::stoull(event->message.substr(8)) - 1;
-        return leading < options.managers && managers[leading] && !managers[leading]->ended()
-                   ? leading
+        const std::size_t leader_index = std::stoull(event->message.substr(8)) - 1;
+        return leader_index < options.managers && managers[leader_index] && !managers[leader_index]->ended()
+                   ? leader_index
                    : options.managers;
     }
     return options.managers;
@@ -182,8 +182,8 @@
 }
 
 Json RelayRig::changes() {
-    const std::size_t leading = leader();
-    Json page = leading < options.managers ? changes(leading) : Json();
+    const std::size_t leader_index = leader();
+    Json page = leader_index < options.managers ? changes(leader_index) : Json();
     return page.is_object() && page["leader"] == page["steward"] ? page : Json();
 }
 
@@ -198,10 +198,10 @@
                                 [](auto& response) { return response.empty(); });
         },
         Ms(20'000));
-    std::vector<Json> all;
+    std::vector<Json> parsed;
     for (const std::string& response : responses_)
-        all.push_back(response.empty() ? Json() : Json::parse(response, nullptr, false));
-    return all;
+        parsed.push_back(response.empty() ? Json() : Json::parse(response, nullptr, false));
+    return parsed;
 }
 
 FollowerFigures RelayRig::followers() {
@@ -233,8 +233,8 @@
     PublishResult result;
     result.requested_at = Clock::now();
     while (Clock::now() - result.requested_at < within) {
-        if (const std::size_t leading = leader(); result.calls == 0 && leading < options.managers)
-            publish_manager_ = leading;
+        if (const std::size_t leader_index = leader(); result.calls == 0 && leader_index < options.managers)
+            publish_manager_ = leader_index;
         ++result.calls;
         const auto reply = fleet_manager::query_manager(io, manager_addresses_[publish_manager_],
                                                         "/fleet/publish", body, Ms(2000));
