--- a/measure/relays.cpp
+++ b/measure/relays.cpp
@@ -456,21 +456,27 @@
         }
         slopes.all.push_back(std::move(slope));
     };
-    add_slope("relay.cpu", "ms/s", 1, &Cost::relay_cpu, "a relay, 24 to all members, 4 changes a second");
-    add_slope("relay.memory", "MB", 1, &Cost::relay_mb, "the same: private memory that was written");
-    add_slope("relay.down_bytes", "KB/s", 1000, &Cost::relay_bytes_out, "the same: bytes to its followers");
-    add_slope("relay.from_bytes", "KB/s", 1000, &Cost::relay_bytes_in, "the same: bytes from its followers");
+    add_slope("relay.cpu", "ms/s", 1, &Cost::relay_cpu,
+              "processor time of a relay, with 24 relays for all members and 4 changes per second");
+    add_slope("relay.memory", "MB", 1, &Cost::relay_mb,
+              "private memory that a relay has written, with 24 relays and 4 changes per second");
+    add_slope("relay.down_bytes", "KB/s", 1000, &Cost::relay_bytes_out,
+              "bytes from a relay to its followers, with 24 relays and 4 changes per second");
+    add_slope("relay.from_bytes", "KB/s", 1000, &Cost::relay_bytes_in,
+              "bytes from its followers to a relay, with 24 relays and 4 changes per second");
     add_slope("steward.changes_lead", "ms/s", 1, &Cost::leader_cpu,
-              "the leader, 24 relays, 4 changes a second");
+              "processor time of the leader, with 24 relays and 4 changes per second");
     add_slope("steward.changes_lead_memory", "MB", 1, &Cost::leader_mb,
-              "the same: private memory that was written");
+              "private memory that the leader has written, with 24 relays and 4 changes per second");
     add_slope("steward.changes_follow", "ms/s", 1, &Cost::follower_manager_cpu,
-              "a following steward, the same");
-    add_slope(
-        "router.changes_cpu", "ms/s", 1, &Cost::follower_cpu,
-        "a follower's watch, copy and lease, 4 changes a second, without settings that are read from it");
-    add_slope("router.changes_in", "KB/s", 1000, &Cost::follower_bytes_in, "the same: bytes to it");
-    add_slope("router.changes_out", "KB/s", 1000, &Cost::follower_bytes_out, "the same: bytes from it");
+              "processor time of a following fleet manager, with 24 relays and 4 changes per second");
+    add_slope("router.changes_cpu", "ms/s", 1, &Cost::follower_cpu,
+              "processor time of a follower's watch, document copy and lease at 4 changes per second; it "
+              "reads no settings from the document");
+    add_slope("router.changes_in", "KB/s", 1000, &Cost::follower_bytes_in,
+              "bytes to a follower at 4 changes per second");
+    add_slope("router.changes_out", "KB/s", 1000, &Cost::follower_bytes_out,
+              "bytes from a follower at 4 changes per second");
     std::printf("%s", points.c_str());
     if (!points.empty()) {
         capacity::take_points(slopes, points);
