--- a/measure/herd.cpp
+++ b/measure/herd.cpp
@@ -1,7 +1,7 @@
 // Simulates 150 query routers that send to one shared set of data nodes through a release, during which most
 // of the routers restart and lose their state: `make measure-herd`. Each router's decision module sees only
 // the results of its own attempts. The simulation has a virtual clock and no sockets. It prints a table and
-// one last line of figures, and exits with status 1 if an aim is missed. docs/serving_state.md has the
+// one last line of figures, and exits with status 1 if an aim is missed. docs/standing.md has the
 // benchmark's figures.
 
 #include <algorithm>
