--- a/measure/drains.cpp
+++ b/measure/drains.cpp
@@ -1,8 +1,8 @@
 // Measures agreed drains across the fleet: 200 seeded fault plans on a virtual clock, compared with
 // operators' tools that each act on their own view; the time from a grant to the last acknowledgement with
 // 300 and 10,000 simulated members and with 100 router processes; the time without a leader after the leader
-// is killed; and what membership costs a router. The last line has the figures. The exit status is 1 if a
-// requirement is missed.
+// is killed; and what membership costs a router. The last line has the figures. The exit status is 1 if an
+// aim is missed.
 #include <unistd.h>
 
 #include <algorithm>
@@ -111,10 +111,10 @@
 }  // namespace
 
 int main() {
-    bool passed = true;
-    const auto require = [&passed](bool holds, const char* requirement) {
-        if (!holds) std::printf("requirement missed: %s\n", requirement);
-        passed &= holds;
+    bool aims_met = true;
+    const auto check_aim = [&aims_met](bool met, const char* aim) {
+        if (!met) std::printf("missed: %s\n", aim);
+        aims_met &= met;
     };
     SimulationResult with_consensus, without_consensus;
     for (int i = 0; i < fault_plans; ++i) {
@@ -145,14 +145,14 @@
     std::printf("tools without consensus: %llu drains, %llu over budget\n",
                 static_cast<unsigned long long>(without_consensus.grants),
                 static_cast<unsigned long long>(without_consensus.budget_violations));
-    require(with_consensus.budget_violations == 0, "no grant exceeds the budget (over_budget is 0)");
-    require(with_consensus.attempts_after_done == 0,
-            "no attempt goes to a node whose removal is done (after_done is 0)");
-    require(with_consensus.late_attempts == 0,
-            "no attempt goes to a node more than 1 s after its removal was received (late is 0)");
-    require(with_consensus.removals_done > fault_plans && without_consensus.budget_violations > 0,
-            "more removals are done than there are fault plans, and the tools without consensus exceed the "
-            "budget");
+    check_aim(with_consensus.budget_violations == 0, "no grant exceeds the budget (over_budget is 0)");
+    check_aim(with_consensus.attempts_after_done == 0,
+              "no attempt goes to a node whose removal is done (after_done is 0)");
+    check_aim(with_consensus.late_attempts == 0,
+              "no attempt goes to a node more than 1 s after its removal was received (late is 0)");
+    check_aim(with_consensus.removals_done > fault_plans && without_consensus.budget_violations > 0,
+              "more removals are done than there are fault plans, and the tools without consensus exceed the "
+              "budget");
     double simulated_ms[2][2];  // by the number of members; median and 99th percentile
     for (const int i : {0, 1}) {
         SimulationPlan plan = simulation_plan(7);
@@ -173,8 +173,8 @@
     {
         boost::asio::io_context io(1);
         FleetRig rig(io, rig_options(100, true, 500));
-        require(rig.until([&] { return rig.all_ready(); }, std::chrono::seconds(60)),
-                "100 router processes are ready within 60 s");
+        check_aim(rig.until([&] { return rig.all_ready(); }, std::chrono::seconds(60)),
+                  "100 router processes are ready within 60 s");
         std::size_t first_event = 0;
         // When the leader logged the first line with this prefix since `first_event`.
         const auto logged_at = [&](const char* prefix) -> TimePoint {
@@ -216,9 +216,9 @@
             });
         }
     }
-    require(grant_to_done.size() == process_drains, "all 30 drains with 100 router processes are done");
-    require(longest_leaderless_s > 0 && longest_leaderless_s < max_leaderless_s,
-            "a new leader is elected within 2 s (leaderless_s)");
+    check_aim(grant_to_done.size() == process_drains, "all 30 drains with 100 router processes are done");
+    check_aim(longest_leaderless_s > 0 && longest_leaderless_s < max_leaderless_s,
+              "a new leader is elected within 2 s (leaderless_s)");
     const TrafficResult without = run_traffic(false), with = run_traffic(true);
     const double cpu_overhead =
         without.cpu_ms_per_query > 0 ? with.cpu_ms_per_query / without.cpu_ms_per_query - 1 : 1;
@@ -228,12 +228,12 @@
         without.cpu_ms_per_query, without.dirty_mb, static_cast<unsigned long long>(without.succeeded),
         static_cast<unsigned long long>(without.failed), with.cpu_ms_per_query, with.dirty_mb,
         static_cast<unsigned long long>(with.succeeded), static_cast<unsigned long long>(with.failed));
-    require(with.succeeded > 0 && with.failed <= without.failed,
-            "queries succeed with membership, and no more fail than without it (bad)");
-    require(with.dirty_mb - without.dirty_mb < max_memory_overhead_mb,
-            "membership costs a router less than 0.5 MB (mb)");
-    require(cpu_overhead < max_cpu_overhead,
-            "membership costs a router less than 2% of the CPU time per query (cpu)");
+    check_aim(with.succeeded > 0 && with.failed <= without.failed,
+              "queries succeed with membership, and no more fail than without it (bad)");
+    check_aim(with.dirty_mb - without.dirty_mb < max_memory_overhead_mb,
+              "membership costs a router less than 0.5 MB (mb)");
+    check_aim(cpu_overhead < max_cpu_overhead,
+              "membership costs a router less than 2% of the CPU time per query (cpu)");
     std::printf(
         "drains: plans=%d over_budget=%llu alone_over_budget=%llu after_done=%llu late=%llu "
         "ack_100_p50_ms=%.1f "
@@ -247,6 +247,6 @@
         percentile_ms(grant_to_done, 0.99), simulated_ms[0][0], simulated_ms[0][1], simulated_ms[1][0],
         simulated_ms[1][1], longest_leaderless_s, static_cast<unsigned long long>(with.failed),
         static_cast<unsigned long long>(without.failed), cpu_overhead, with.dirty_mb - without.dirty_mb,
-        passed ? "kept" : "MISSED");
-    return passed ? 0 : 1;
+        aims_met ? "kept" : "MISSED");
+    return aims_met ? 0 : 1;
 }
