--- a/src/members/member_lease.hpp
+++ b/src/members/member_lease.hpp
@@ -13,7 +13,7 @@
 // The state of a router's lease.
 enum class ServingState : std::uint8_t {
     unregistered,   // no renewal has been answered yet
-    leased,         // the lease holds
+    leased,         // the lease is valid
     lease_expired,  // in the grace period: it acts on the state that it last knew
     fenced          // the grace period is over, or another process uses its name: it sends no attempts
 };
--- a/src/relay/document_source.cpp
+++ b/src/relay/document_source.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t max_deltas = 1000;
-constexpr std::size_t max_delta_bytes = 8u << 20;  // of all kept deltas together
+constexpr std::size_t max_delta_bytes = 8u << 20;  // of all retained deltas together
 // Bytes of a delta to a follower; beyond it the follower gets pages.
 constexpr std::size_t max_delta = 256 * 1024;
 constexpr std::size_t max_merged = 16;  // cached deltas, for followers at different versions
--- a/src/relay/follower_service.cpp
+++ b/src/relay/follower_service.cpp
@@ -64,16 +64,16 @@
         }
         // If the rate limit delays the page that it needs, the follower still gets its lease renewed when its
         // wait ends.
-        auto news = documents_.answer_for(waiting.position, now);
-        if (!news && now < waiting.until) {
+        auto update = documents_.answer_for(waiting.position, now);
+        if (!update && now < waiting.until) {
             ++it;
             continue;
         }
-        if (!news) news = documents_.empty_answer();
-        news->lease = reports_.grant_lease(now, waiting.name);
+        if (!update) update = documents_.empty_answer();
+        update->lease = reports_.grant_lease(now, waiting.name);
         const Handle client = waiting.client;
         it = waiting_.erase(it);
-        answer(client, *news);
+        answer(client, *update);
     }
 }
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -46,8 +46,8 @@
         if (!ec) stopping_ = true;
     });
     managers_.start();
-    log_line("relay %s of zone %s, life %llu: followers at %s:%u", config_.name.c_str(), config_.zone.c_str(),
-             printable(incarnation_), config_.bind.host.c_str(), server_.port());
+    log_line("relay %s of zone %s, incarnation %llu: followers at %s:%u", config_.name.c_str(),
+             config_.zone.c_str(), printable(incarnation_), config_.bind.host.c_str(), server_.port());
 }
 
 void Relay::run() {
@@ -145,13 +145,15 @@
 void Relay::apply(const ChangesAnswer& answer) {
     switch (documents_.apply(answer)) {
         case DocumentSource::Applied::new_version:
-            log_line("applied version %llu", printable(documents_.copy().version()));
+            log_line("applied configuration version %llu", printable(documents_.copy().version()));
             wrong_digest_logged_ = false;
             break;
         case DocumentSource::Applied::wrong_digest:
             if (!std::exchange(wrong_digest_logged_, true))
-                log_line("the delta or page for version %llu does not match its digest; requesting pages",
-                         printable(answer.version));
+                log_line(
+                    "the delta or page of configuration version %llu does not match its digest; requesting "
+                    "all pages",
+                    printable(answer.version));
             break;
         case DocumentSource::Applied::nothing:
             break;
@@ -160,7 +162,7 @@
 
 void Relay::on_superseded(std::uint64_t last_incarnation) {
     if (had_lease_) {
-        superseded_reason_ = "another process uses the name of relay " + config_.name;
+        superseded_reason_ = "another process uses the relay's name " + config_.name;
         return;
     }
     // An earlier process of this name had a clock that was ahead, so a later incarnation is needed.
@@ -191,9 +193,9 @@
     if (std::exchange(has_lease_, has_lease) == has_lease) return;
     had_lease_ |= has_lease;
     if (has_lease)
-        log_line("has a lease of the fleet managers; granting leases to followers");
+        log_line("the relay has a lease from the fleet managers and grants leases to its followers");
     else
-        log_line("its lease has expired; serving version %llu without granting leases",
+        log_line("the relay's lease has expired; it serves configuration version %llu and grants no leases",
                  printable(documents_.copy().version()));
 }
 
--- a/src/service/config_follower.cpp
+++ b/src/service/config_follower.cpp
@@ -15,11 +15,12 @@
 // After its lease has expired, the follower moves to another relay after this many consecutive answers
 // without a lease.
 constexpr int max_answers_without_lease = 3;
-// Between calls if the relay answers at once and without news.
+// Least time between calls if the relay answers at once and without an update.
 constexpr Nanos min_pause = 200 * millisecond;
-const char* const serving_states[] = {"no relay has answered yet", "its lease holds",
-                                      "its lease is over; it continues with its last configuration version",
-                                      "cut off from the relays; it serves no queries"};
+const char* const serving_states[] = {
+    "no relay has answered yet", "it has a lease from a relay",
+    "its lease has expired; it continues with its last configuration version",
+    "cut off from the relays; it is not ready for queries"};
 
 // A follower's lease differs from a member's lease only in how long the router waits for the first answer.
 MemberConfig follower_lease_config(MemberConfig config) {
@@ -81,7 +82,7 @@
 void ConfigFollower::refuse(std::string reason) {
     refused_version_ = copy_.version();
     refusal_reason_ = std::move(reason);
-    log_query(LogLevel::warn, {}, "configuration version %llu is refused, %llu stands: %s",
+    log_query(LogLevel::warn, {}, "refused configuration version %llu, version %llu stays in force: %s",
               printable(refused_version_), printable(accepted_version_), refusal_reason_.c_str());
 }
 
@@ -99,7 +100,7 @@
     const bool less_verbose = settings.log.level > log_.level;
     log_ = settings.log;
     if (!less_verbose) configure_log(log_);
-    log_line("configuration version %llu: %zu entries, %zu changed", printable(accepted_version_),
+    log_line("accepted configuration version %llu: %zu entries, %zu changed", printable(accepted_version_),
              copy_.document().size(), overlay_.on_applied(copy_.document()));
     if (less_verbose) configure_log(log_);
     dispatcher_.set_two_phase_config(std::move(settings.phases));
@@ -147,7 +148,7 @@
     answers_without_lease_ = has_lease ? 0 : answers_without_lease_ + 1;
     caught_up_ |= answer.lease > 0 && copy_.version() >= answer.version;
     update_serving_state();
-    // A relay that answers at once and without news is not called again before a pause.
+    // A relay that answers at once and without an update is not called again before a pause.
     const Nanos earliest = sent + std::max(wait_, min_pause);
     if (!further && time_.now() < earliest)
         time_.timers.reschedule(pause_, earliest, *this, Handle{});
--- a/src/service/membership.cpp
+++ b/src/service/membership.cpp
@@ -12,9 +12,10 @@
 namespace {
 
 constexpr Nanos leave_timeout = 300'000'000;  // ns
-const char* const serving_states[] = {"no fleet manager has answered yet", "a member",
-                                      "its lease is over; it continues with its last known generation",
-                                      "cut off from the fleet; it serves no queries"};
+const char* const serving_states[] = {"no fleet manager has answered yet",
+                                      "it has a lease from the fleet managers",
+                                      "its lease has expired; it continues with its last known generation",
+                                      "cut off from the fleet; it is not ready for queries"};
 
 // Returns a digest of the settings and the operators' file that the router started with.
 std::string digest_of(const StartupConfig& startup) {
@@ -125,9 +126,9 @@
             drained_ = true;
     }
     if (answer.generation != known_generation_)
-        log_line("generation %llu: %zu data nodes are out by agreement%s",
+        log_line("received fleet generation %llu: %zu data nodes are drained, %zu before%s",
                  static_cast<unsigned long long>(answer.generation), drained_nodes.size(),
-                 drained_ ? ", and this router" : "");
+                 endpoints_.drained().size(), drained_ ? "; this router is drained" : "");
     known_generation_ = answer.generation;
     update_host(endpoints_.apply_drains(std::move(drained_nodes)));
 }
--- a/src/service/query_completion.cpp
+++ b/src/service/query_completion.cpp
@@ -15,8 +15,10 @@
 
 void QueryCompletion::respond_with_results(std::uint32_t id, std::string body) {
     if (body.size() > max_body_bytes) {
-        log_query(LogLevel::warn, queries_.find_active(id)->text->id,
-                  "the response of %zu bytes is longer than the protocol allows", body.size());
+        log_query(
+            LogLevel::warn, queries_.find_active(id)->text->id,
+            "the response has %zu bytes, over the limit of %zu bytes; the query is answered with status 500",
+            body.size(), max_body_bytes);
         return respond(id, {500, write_error("the answer is too long"), 0});
     }
     respond(id, {200, std::move(body), 0});
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -99,7 +99,7 @@
     NodeTable::Changes changes = nodes_.apply(list);
     two_phase_.on_endpoints(changes, kind);
     for (const std::uint32_t node : changes.added)
-        log_line("node %u is data node %s at %s", node, nodes_.name(node).c_str(),
+        log_line("added data node %u: %s at %s", node, nodes_.name(node).c_str(),
                  nodes_.address(node).c_str());
     events_.push(EndpointsChanged{kind, std::move(changes.entries)});
     for (const std::uint32_t node : changes.moved) sender_->retire(node, false);
--- a/src/service/service.cpp
+++ b/src/service/service.cpp
@@ -89,16 +89,16 @@
 }
 
 // Reads the configuration again. Guards against ending the process at SIGHUP; if the new configuration is
-// invalid, the old one stays in force. Only discovery's address can change while the service runs. Other
+// invalid, the previous one stays in force. Only discovery's address can change while the service runs. Other
 // changes are logged and take effect at the next start.
 void Service::reload_config() {
     try {
         const StartupConfig next = read_config_();
-        log_line("SIGHUP: discovery at %s:%u%s", next.discovery.host.c_str(), next.discovery.port,
-                 changes_for_next_start(next).c_str());
+        log_line("SIGHUP: the configuration was read again; discovery is at %s:%u%s",
+                 next.discovery.host.c_str(), next.discovery.port, changes_for_next_start(next).c_str());
         discovery_.change_address(next.discovery);
     } catch (const std::exception& e) {
-        log_line("SIGHUP: the new configuration is invalid, the old one stays in force: %s", e.what());
+        log_line("SIGHUP: the new configuration is invalid; the previous one stays in force: %s", e.what());
     }
 }
 
--- a/tests/drains_test.cpp
+++ b/tests/drains_test.cpp
@@ -77,7 +77,8 @@
     explicit DrainFixture(FleetRigOptions options) : rig(io, std::move(options)) {
         const bool up = rig.until([this] {
             for (const auto& r : rig.routers)
-                if (rig.options.membership && !r->has_printed(": a member")) return false;
+                if (rig.options.membership && !r->has_printed(": it has a lease from the fleet managers"))
+                    return false;
             return rig.all_ready();
         });
         INFO(rig.event_log.text());
@@ -229,7 +230,7 @@
     CHECK(fixture.rig.request_for("n6")["unheard"].empty());
     fixture.check_no_calls_to(6);
     INFO(fixture.rig.event_log.text());
-    CHECK(fixture.rig.routers[3]->has_printed("cut off"));
+    CHECK(fixture.rig.routers[3]->has_printed("cut off from the fleet; it is not ready for queries"));
     // Clients get answers at once while it is cut off, and it recovers by itself.
     fixture.rig.heal();
     CHECK(fixture.rig.until([&] { return fixture.rig.all_ready(); }));
@@ -248,7 +249,7 @@
     fixture.check_traffic_continues();
     INFO(fixture.rig.event_log.text());
     CHECK(fixture.calls_to(8, over) == 0);
-    CHECK(fixture.rig.routers[2]->has_printed("cut off"));
+    CHECK(fixture.rig.routers[2]->has_printed("cut off from the fleet; it is not ready for queries"));
 }
 
 TEST_CASE(
@@ -258,7 +259,10 @@
     REQUIRE(fixture.becomes_done("n5"));
     const Json before = fixture.rig.leader_status();
     for (auto& s : fixture.rig.managers) s->signal(SIGKILL);
-    REQUIRE(fixture.rig.until([&] { return fixture.rig.routers[0]->has_printed("its lease is over"); }));
+    REQUIRE(fixture.rig.until([&] {
+        return fixture.rig.routers[0]->has_printed(
+            "its lease has expired; it continues with its last known generation");
+    }));
     fixture.check_no_calls_to(5);
     CHECK(fixture.run({"drain", "n9", "--within", "0.5"}, {0, 1, 2}) == 1);
     for (std::size_t i = 0; i < 3; ++i) fixture.rig.start_manager(i);
@@ -345,7 +349,7 @@
     DrainFixture fixture(rig_options());
     CHECK(fixture.run({"drain", "--router", "r1"}, {0, 1, 2}) == 0);
     CHECK(fixture.run({"drain", "--router", "r2"}, {2, 1, 0}) == 0);
-    CHECK(fixture.rig.until([&] { return fixture.rig.routers[1]->has_printed("and this router"); }));
+    CHECK(fixture.rig.until([&] { return fixture.rig.routers[1]->has_printed("; this router is drained"); }));
     CHECK(fixture.rig.request_for("r2")["held_by"] == "routers: 1 of 6 are out, 1 may be");
     // A killed router uses up the budget as well.
     fixture.rig.routers[4]->signal(SIGKILL);
--- a/tests/follow_fleet_test.cpp
+++ b/tests/follow_fleet_test.cpp
@@ -55,17 +55,17 @@
 TEST_CASE(
     "a change comes into force at a router, an invalid one is refused, and the rollback comes into force") {
     RouterFixture fixture;
-    REQUIRE(fixture.until([&] { return fixture.router().has_printed("its lease holds"); }));
+    REQUIRE(fixture.until([&] { return fixture.router().has_printed("it has a lease from a relay"); }));
     REQUIRE(fixture.is_live());
     REQUIRE(fixture.rig.config({"set", fixture.rig.entry("log", "level = \"warn\"\n"), "--wait"}) == 0);
-    CHECK(fixture.router().has_printed("configuration version 1: 1 entries, 1 changed"));
+    CHECK(fixture.router().has_printed("accepted configuration version 1: 1 entries, 1 changed"));
     CHECK(fixture.rig.changes()["in_force"] == 1);
     fixture.rig.fleet_rig.answers.clear();  // queries fail until the router knows the data nodes
     CHECK(fixture.traffic_continues());
     // The only live router refuses the version, so publishing halts.
     CHECK(fixture.rig.config({"set", fixture.rig.entry("calls", "parts = 2\n"), "--wait"}) == 3);
     CHECK(fixture.router().has_printed(
-        "configuration version 2 is refused, 1 stands: block calls holds at the start only"));
+        "refused configuration version 2, version 1 stays in force: block calls holds at the start only"));
     REQUIRE(fixture.until([&] {
         const Json s = fixture.rig.changes();
         return s.is_object() && s["reach"]["refusing"] == Json::array({"r0"});
@@ -80,7 +80,7 @@
     CHECK_FALSE(fixture.router().has_printed("configuration version 3"));
     CHECK(fixture.rig.config({"resume"}) == 0);
     CHECK(fixture.rig.config({"set", "--remove", "log", "--wait"}) == 0);
-    CHECK(fixture.router().has_printed("configuration version 4: 0 entries, 1 changed"));
+    CHECK(fixture.router().has_printed("accepted configuration version 4: 0 entries, 1 changed"));
     CHECK(fixture.traffic_continues());
     CHECK(fixture.rig.fleet_rig.answers.size() == 1);
 }
@@ -98,7 +98,7 @@
     fixture.rig.relays[own]->signal(SIGKILL);
     REQUIRE(fixture.until([&] { return members_of(1 - own) == 1; }));
     CHECK(fixture.rig.config({"set", fixture.rig.entry("two_phase.search", "audit = 1\n"), "--wait"}) == 0);
-    CHECK(fixture.router().has_printed("configuration version 2: 1 entries, 1 changed"));
+    CHECK(fixture.router().has_printed("accepted configuration version 2: 1 entries, 1 changed"));
     fixture.rig.fleet_rig.stop_traffic();
     fixture.router().signal(SIGTERM);
     REQUIRE(fixture.until([&] { return fixture.router().ended(); }));
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -160,8 +160,10 @@
     fixture.publish_first_version();
     fixture.rig.fleet_rig.cut_off_member("relay0", false, true);
     REQUIRE(fixture.config({"set", fixture.rig.entry("limits", "two")}) == 0);
-    REQUIRE(fixture.until(
-        [&] { return fixture.rig.relays[0]->has_printed("its lease has expired; serving version 1"); }));
+    REQUIRE(fixture.until([&] {
+        return fixture.rig.relays[0]->has_printed(
+            "the relay's lease has expired; it serves configuration version 1 and grants no leases");
+    }));
     REQUIRE(fixture.until([&] {
         return fixture.rig.followers[1]->applied_version == 2 && !fixture.rig.followers[0]->has_lease();
     }));
@@ -357,15 +359,15 @@
     };
     REQUIRE(fixture.all_live(1));
     CHECK(fixture.config({"set", fixture.rig.entry("log", "level = \"info\""), "--wait"}) == 0);
-    CHECK(router_logs("configuration version 1: 1 entries, 1 changed"));
+    CHECK(router_logs("accepted configuration version 1: 1 entries, 1 changed"));
     REQUIRE(fixture.config({"set", fixture.rig.entry("log", "volume = 11")}) == 0);
-    CHECK(router_logs("configuration version 2 is refused, 1 stands"));
+    CHECK(router_logs("refused configuration version 2, version 1 stays in force"));
     CHECK(fixture.until([&] { return fixture.is_listed("refusing", "r0"); }));
     CHECK(fixture.rig.changes()["in_force"] == 1);
     // Kill the relay that the router follows.
     const std::size_t at = fixture.rig.relay_status(0)["members"] == 1 ? 0 : 1;
     fixture.rig.relays[at]->signal(SIGKILL);
     CHECK(fixture.config({"back", "1", "--wait"}) == 0);
-    CHECK(router_logs("configuration version 3: 1 entries"));
+    CHECK(router_logs("accepted configuration version 3: 1 entries"));
     CHECK(fixture.until([&] { return !fixture.is_listed("refusing", "r0"); }));
 }
