--- a/measure/scale.cpp
+++ b/measure/scale.cpp
@@ -38,6 +38,7 @@
 constexpr double ordinary_share = 0.1;       // of a router's limits above; the ordinary day stays within it
 constexpr double max_leader_cpu_ms_s = 250;  // a quarter of a core
 constexpr double max_cold_start_s = 300;
+constexpr Ms lease_timeout{300'000}, drain_timeout{40'000}, settle_time{12'000}, quick_check_timeout{60'000};
 
 std::string own_program_path() {
     char path[4096];
@@ -200,7 +201,7 @@
             rig.run_for(Ms(200));
             return rig.all_hold_leases();
         },
-        Ms(300'000));
+        lease_timeout);
     step.cold_start_s = std::chrono::duration<double>(Clock::now() - started_at).count();
     std::printf("%zu routers, %u nodes (a list of %zu bytes): %s after %.1f s\n", step.routers, step.nodes,
                 step.list_bytes, step.started ? "all hold a lease" : "NOT all hold a lease",
@@ -210,7 +211,8 @@
                     rig.event_log.text(40).c_str());
         return step;
     }
-    rig.run_for(Ms(12'000));  // past the time after the start in which the fleet managers grant nothing
+    // Waits until the time after the start in which the fleet managers grant nothing has passed.
+    rig.run_for(settle_time);
     const Sample before = take_sample(rig);
     rig.run_for(window);
     const Sample after = take_sample(rig);
@@ -226,7 +228,8 @@
                             event.source.c_str(), event.message.c_str());
     step.nodes_known = true;
     for (int i = 0; i < drains; ++i) {
-        step.drains.push_back(rig.drain(static_cast<std::uint32_t>(i) % rig.options.known_nodes, Ms(40'000)));
+        step.drains.push_back(
+            rig.drain(static_cast<std::uint32_t>(i) % rig.options.known_nodes, drain_timeout));
         const auto& drain = step.drains.back();
         step.nodes_known &= drain.granted;
         step.max_drain_ms = drain.done ? std::max(step.max_drain_ms, drain.grant_to_done_ms) : 1e9;
@@ -295,7 +298,7 @@
         const Sample before = take_sample(rig_);
         action(scenario);
         if (scenario.drain.grant_to_done_ms < 0)
-            scenario.drain = rig_.drain(next_drained_node_++ % rig_.options.known_nodes, Ms(40'000));
+            scenario.drain = rig_.drain(next_drained_node_++ % rig_.options.known_nodes, drain_timeout);
         scenario.cost = cost_between(before, take_sample(rig_));
         print(scenario.name.c_str(), scenario.cost);
         std::printf("    drain: %s, %.0f ms", scenario.drain.done ? "done" : "NOT done",
@@ -385,7 +388,7 @@
     void run_router_partition(Scenario& scenario) {
         const std::size_t process_count = rig_.options.processes / 6;
         for (std::size_t i = 0; i < process_count; ++i) rig_.send_command(i, "cut");
-        scenario.drain = rig_.drain(next_drained_node_++ % rig_.options.known_nodes, Ms(40'000));
+        scenario.drain = rig_.drain(next_drained_node_++ % rig_.options.known_nodes, drain_timeout);
         rig_.run_for(Ms(5000));
         for (std::size_t i = 0; i < process_count; ++i) rig_.send_command(i, "heal");
         scenario.recovery_s = wait_for_all_leases();
@@ -395,7 +398,7 @@
     double wait_for_all_leases() {
         const auto from = Clock::now();
         const bool all_hold =
-            rig_.until([&] { return rig_.run_for(Ms(100)), rig_.all_hold_leases(); }, Ms(300'000));
+            rig_.until([&] { return rig_.run_for(Ms(100)), rig_.all_hold_leases(); }, lease_timeout);
         return all_hold ? seconds_since(from) : 1e9;
     }
     static double seconds_since(TimePoint from) {
@@ -447,16 +450,17 @@
     options.processes = 4;
     options.lease = "60s";  // so that no lease lapses during the run, however late a process is scheduled
     HollowRig rig(io, std::move(options));
-    const bool started = rig.until([&] { return rig.run_for(Ms(100)), rig.all_hold_leases(); }, Ms(60'000));
+    const bool started =
+        rig.until([&] { return rig.run_for(Ms(100)), rig.all_hold_leases(); }, quick_check_timeout);
     aims.check(started, "120 routers hold a lease within 60 s");
     const auto all_readers_done = [&] {
         for (const HollowFigures& figures : rig.hollow_figures())
             if (figures.reader_nodes != rig.options.nodes) return false;
         return true;
     };
-    aims.check(rig.until([&] { return rig.run_for(Ms(100)), all_readers_done(); }, Ms(60'000)),
+    aims.check(rig.until([&] { return rig.run_for(Ms(100)), all_readers_done(); }, quick_check_timeout),
                "each reader has 2,000 nodes within 60 s");
-    const HollowRig::Drain drain = rig.drain(5, Ms(60'000));
+    const HollowRig::Drain drain = rig.drain(5, quick_check_timeout);
     aims.check(drain.done, "a drain is granted and done");
     // Waits until all routers have applied the node's return, which is an entry of the list too.
     const Json status = rig.status(rig.leader() % rig.options.managers);
@@ -467,7 +471,7 @@
             if (figures.min_applied_generation != generation) return false;
         return true;
     };
-    aims.check(rig.until([&] { return rig.run_for(Ms(100)), all_applied(); }, Ms(60'000)),
+    aims.check(rig.until([&] { return rig.run_for(Ms(100)), all_applied(); }, quick_check_timeout),
                "all routers apply the last agreed generation within 60 s");
     // Each change reaches each router once: a router gets as many entries as nodes changed, and their bytes.
     const Sample before = take_sample(rig);
@@ -483,7 +487,7 @@
     const std::uint64_t expected_entries = count_entries(before.hollow) + changed_nodes * rig.options.routers;
     const bool received = rig.until(
         [&] { return rig.run_for(Ms(100)), count_entries(rig.hollow_figures()) >= expected_entries; },
-        Ms(60'000));
+        quick_check_timeout);
     const Sample after = take_sample(rig);
     const std::uint64_t new_entries = count_entries(after.hollow) - count_entries(before.hollow);
     aims.check(received && new_entries == changed_nodes * rig.options.routers,
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -71,8 +71,8 @@
     struct Member {
         std::unique_ptr<MemberLease> lease;
         std::uint64_t incarnation = 0, applied_generation = 0, known_generation = 0;
-        std::uint64_t call_number = 0;  // the pending call
-        std::set<std::string> removed_nodes;
+        std::uint64_t call_number = 0;        // of the pending call
+        std::set<std::string> removed_nodes;  // as the member knows, from its last applied response
         // The removed nodes in the last response that reached its socket, and when each was first received.
         std::map<std::string, Nanos> received_removals;
         std::map<std::string, int> in_flight;
--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -20,6 +20,7 @@
 
 constexpr int queried_shards = 74;  // the number of shards that the real routers' clients query
 constexpr std::uint32_t shards_per_query = 4;
+constexpr Ms init_timeout{20'000}, command_timeout{20'000};
 constexpr std::size_t max_response_bytes = 65'536;  // of one line of a hollow process
 constexpr std::size_t listener_count = 12;  // all data nodes share the addresses of this many listeners
 
@@ -111,7 +112,7 @@
         Process init(io, event_log, "init",
                      {options.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(index + 1)});
-        if (!until([&] { return init.ended(); }, Ms(20'000)) || init.status() != 0)
+        if (!until([&] { return init.ended(); }, init_timeout) || init.status() != 0)
             throw std::runtime_error("cannot create the data directory of a fleet manager:\n" +
                                      event_log.text());
         start_manager(index);
@@ -205,7 +206,7 @@
     if (!connection || !connection->open) return {};
     responses_[process].clear();
     connection->send(line + "\n");
-    if (!until([&] { return !responses_[process].empty(); }, Ms(20'000))) return {};
+    if (!until([&] { return !responses_[process].empty(); }, command_timeout)) return {};
     return Json::parse(responses_[process], nullptr, false);
 }
 
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -18,6 +18,7 @@
 // The number of nodes in the discovery service's list, which this rig does not use.
 constexpr std::uint32_t discovery_nodes = 222;
 constexpr std::size_t max_response_bytes = 32u << 20;
+constexpr Ms init_timeout{20'000}, command_timeout{20'000}, relay_start_timeout{60'000};
 
 std::string format_address(const HostPort& address) {
     return address.host + ":" + std::to_string(address.port);
@@ -69,7 +70,7 @@
         Process init(io, event_log, "init",
                      {options.programs + "/tealcart-fleet-manager", "init", "--file", fleet_file_, "--id",
                       std::to_string(i + 1)});
-        if (!until([&] { return init.ended(); }, Ms(20'000)) || init.status() != 0)
+        if (!until([&] { return init.ended(); }, init_timeout) || init.status() != 0)
             throw std::runtime_error("cannot create the data directory of a fleet manager:\n" +
                                      event_log.text());
         start_manager(i);
@@ -83,7 +84,7 @@
                             "]\n}\n");
         start_relay(i);
     }
-    if (!until([this] { return run_for(Ms(100)), all_relays_hold_leases(); }, Ms(60'000)))
+    if (!until([this] { return run_for(Ms(100)), all_relays_hold_leases(); }, relay_start_timeout))
         throw std::runtime_error("the relays did not become ready:\n" + event_log.text());
 }
 
@@ -197,7 +198,7 @@
             return std::none_of(responses_.begin(), responses_.end(),
                                 [](auto& response) { return response.empty(); });
         },
-        Ms(20'000));
+        command_timeout);
     std::vector<Json> parsed;
     for (const std::string& response : responses_)
         parsed.push_back(response.empty() ? Json() : Json::parse(response, nullptr, false));
