--- a/measure/leader_cost.cpp
+++ b/measure/leader_cost.cpp
@@ -1,8 +1,8 @@
 // Measures what members' calls cost three fleet manager processes on loopback: the CPU time and the written
-// bytes of the leader and of one follower, by calls per second: `make measure-leader-cost`. A member is the
-// router's own ManagerWatch with no router behind it. `capacity --take` reads the lines `point NAME CALLS
-// FIGURE`. The exit status is 1 if no fleet manager leads, if the leader changes while it is measured, if a
-// member loses its lease, or if not more than 0.3 calls per second and member are answered.
+// bytes of the leader and of one following fleet manager, by calls per second: `make measure-leader-cost`. A
+// member is the router's own ManagerWatch with no router behind it. `capacity --take` reads the lines `point
+// NAME CALLS FIGURE`. The exit status is 1 if no fleet manager leads, if the leader changes while it is
+// measured, if a member loses its lease, or if not more than 0.3 calls per second and member are answered.
 #include <cstdio>
 #include <fstream>
 #include <memory>
--- a/measure/relays.cpp
+++ b/measure/relays.cpp
@@ -81,9 +81,9 @@
 }
 
 // The cost of the time between two samples: processor time in ms/s, bytes in bytes/s, and private memory that
-// was written to. The figures of a relay, a follower and a follower manager are averages.
+// was written to, in MB. The figures of a relay, a follower and a following fleet manager are averages.
 struct Cost {
-    double span_s = 0, leader_cpu = 0, follower_manager_cpu = 0, leader_mb = 0, leader_disk_bytes = 0;
+    double span_s = 0, leader_cpu = 0, following_manager_cpu = 0, leader_mb = 0, leader_disk_bytes = 0;
     double relay_cpu = 0, max_relay_cpu = 0, relay_mb = 0, max_relay_mb = 0;
     double relay_bytes_out = 0, relay_bytes_in = 0;  // to its followers, and from them
     double follower_cpu = 0, follower_bytes_in = 0, follower_bytes_out = 0, follower_mb = 0;
@@ -95,9 +95,9 @@
         return 1000 * (to.cpu_s - from.cpu_s) / cost.span_s;
     };
     for (std::size_t i = 0; i < after.managers.size(); ++i)
-        (i == after.leader ? cost.leader_cpu : cost.follower_manager_cpu) +=
+        (i == after.leader ? cost.leader_cpu : cost.following_manager_cpu) +=
             cpu_ms_per_s(before.managers[i], after.managers[i]);
-    cost.follower_manager_cpu /= static_cast<double>(after.managers.size() - 1);
+    cost.following_manager_cpu /= static_cast<double>(after.managers.size() - 1);
     if (after.leader < after.managers.size()) {
         cost.leader_mb = after.managers[after.leader].dirty_mb;
         cost.leader_disk_bytes = static_cast<double>(after.managers[after.leader].disk_write_bytes -
@@ -125,11 +125,11 @@
 
 void print(const char* period, const Cost& cost) {
     std::printf(
-        "  %s (%.1f s): leader %.1f ms/s, %.1f MB, log %.0f B/s; a follower manager %.1f ms/s\n"
+        "  %s (%.1f s): leader %.1f ms/s, %.1f MB, log %.0f B/s; a following fleet manager %.1f ms/s\n"
         "    a relay: %.2f ms/s (maximum %.2f), %.2f MB (maximum %.2f), to followers %.0f B/s, from them "
         "%.0f\n    a follower: %.3f ms/s, %.2f MB, %.0f B/s in, %.0f out\n",
         period, cost.span_s, cost.leader_cpu, cost.leader_mb, cost.leader_disk_bytes,
-        cost.follower_manager_cpu, cost.relay_cpu, cost.max_relay_cpu, cost.relay_mb, cost.max_relay_mb,
+        cost.following_manager_cpu, cost.relay_cpu, cost.max_relay_cpu, cost.relay_mb, cost.max_relay_mb,
         cost.relay_bytes_out, cost.relay_bytes_in, cost.follower_cpu, cost.follower_mb,
         cost.follower_bytes_in, cost.follower_bytes_out);
     std::fflush(stdout);
@@ -146,7 +146,7 @@
     double median_apply_ms = 0;           // of all followers and versions
     std::size_t missed_applications = 0;  // followers that never applied a version, summed over versions
     // From the last publish response until all followers have applied the last version, and until the leader
-    // reports it as in force.
+    // reports it as in force; 1e9 if that timed out.
     double last_apply_s = -1, last_in_force_s = -1;
     // Checks that found a follower with a lease behind the version in force, and all checks.
     std::uint64_t in_force_violations = 0, in_force_checks = 0;
@@ -432,8 +432,9 @@
     std::printf(
         "Real: the fleet managers with their logs, and 24 relays. Hollow: the followers run the program's\n"
         "watch, document copy and lease on sockets, with one process and thread per zone. A version counts\n"
-        "as applied once it is in the follower's copy. The followers read no settings from it and have no\n"
-        "decision module and no queries. All processes run on one machine, which may be shared.\n");
+        "as applied once it is in the follower's document copy. The followers read no settings from that\n"
+        "copy and have no decision module and no queries. All processes run on one machine, which may be\n"
+        "shared.\n");
     Aims aims;
     std::vector<SizeStep> steps;
     for (const std::size_t followers : sizes) {
@@ -468,7 +469,7 @@
               "processor time of the leader, with 24 relays and 4 changes per second");
     add_slope("steward.changes_lead_memory", "MB", 1, &Cost::leader_mb,
               "private memory that the leader has written, with 24 relays and 4 changes per second");
-    add_slope("steward.changes_follow", "ms/s", 1, &Cost::follower_manager_cpu,
+    add_slope("steward.changes_follow", "ms/s", 1, &Cost::following_manager_cpu,
               "processor time of a following fleet manager, with 24 relays and 4 changes per second");
     add_slope("router.changes_cpu", "ms/s", 1, &Cost::follower_cpu,
               "processor time of a follower's watch, document copy and lease at 4 changes per second; it "
@@ -491,7 +492,7 @@
         std::printf(
             " %zu=cold_s:%.1f,lead_ms_s:%.1f,follow_ms_s:%.1f,relay_ms_s:%.2f,follower_ms_s:%.3f,"
             "follower_B_s:%.0f",
-            step.followers, step.cold_start_s, step.steady.leader_cpu, step.steady.follower_manager_cpu,
+            step.followers, step.cold_start_s, step.steady.leader_cpu, step.steady.following_manager_cpu,
             step.steady.relay_cpu, step.steady.follower_cpu,
             step.steady.follower_bytes_in + step.steady.follower_bytes_out);
         for (const PublishPeriod& period : step.periods)
--- a/measure/scale.cpp
+++ b/measure/scale.cpp
@@ -6,6 +6,9 @@
 //   measure_scale [--quick] [--only ROUTERSxNODES] [--no-days | --day WORDS] [--processes N] [--witnesses N]
 //                 [--json FILE]
 //
+// --only runs one step, --day only the scenarios whose name contains WORDS, and --no-days no scenario.
+// --processes is the number of processes with hollow routers, and --witnesses the number of real routers.
+//
 // The outage and return of a zone sends two deltas of 0.9 MB to each router of the largest step, and reading
 // them takes a router some 20 ms. All routers together need more processor time for that than one machine has
 // within a lease, so leases that lapse there are reported as missed although the program is not at fault.
@@ -35,7 +38,8 @@
 constexpr double max_router_cpu_ms_s = 18;     // 1.8% of a core
 constexpr double max_router_bytes_s = 26'000;  // in both directions
 constexpr double router_mb = 256;
-constexpr double ordinary_share = 0.1;       // of a router's limits above; the ordinary day stays within it
+// The share of a router's limits above that it may use on the ordinary day.
+constexpr double ordinary_share = 0.1;
 constexpr double max_leader_cpu_ms_s = 250;  // a quarter of a core
 constexpr double max_cold_start_s = 300;
 constexpr Ms lease_timeout{300'000}, drain_timeout{40'000}, settle_time{12'000}, quick_check_timeout{60'000};
@@ -71,13 +75,14 @@
     return sample;
 }
 
-// The cost of the time between two samples. The figures of a router and a follower manager are averages.
+// The cost of the time between two samples. The figures of a router and a following fleet manager are
+// averages.
 struct Cost {
-    double span_s = 0, leader_cpu = 0, follower_manager_cpu = 0, router_cpu = 0;  // cpu: ms/s
-    double leader_disk_bytes = 0, follower_manager_disk_bytes = 0;                // bytes/s
+    double span_s = 0, leader_cpu = 0, following_manager_cpu = 0, router_cpu = 0;  // cpu: ms/s
+    double leader_disk_bytes = 0, following_manager_disk_bytes = 0;                // bytes/s
     double manager_in = 0, manager_out = 0;  // bytes/s of a router, to it and from it
     double discovery_in = 0, discovery_out = 0, manager_calls = 0, discovery_calls = 0;
-    double leader_rss_mb = 0, leader_dirty_mb = 0, follower_manager_dirty_mb = 0, router_mb = 0,
+    double leader_rss_mb = 0, leader_dirty_mb = 0, following_manager_dirty_mb = 0, router_mb = 0,
            leader_descriptors = 0;
     double own_cpu = 0, discovery_bytes = 0;
     std::uint64_t lease_lapses = 0;
@@ -104,7 +109,7 @@
         if (before.hollow[i].pid == after.hollow[i].pid && after.hollow[i].pid > 0)
             add(sum_before, before.hollow[i]), add(sum_after, after.hollow[i]);
     const double routers = std::max<double>(1, static_cast<double>(sum_after.routers));
-    std::size_t follower_manager_count = 0;
+    std::size_t following_manager_count = 0;
     for (std::size_t i = 0; i < after.managers.size(); ++i) {
         if (before.manager_pids[i] != after.manager_pids[i]) continue;  // restarted
         const double cpu = 1000 * rate(before.managers[i].cpu_s, after.managers[i].cpu_s);
@@ -116,15 +121,15 @@
             cost.leader_dirty_mb = after.managers[i].dirty_mb;
             cost.leader_descriptors = static_cast<double>(after.managers[i].descriptors);
         } else {
-            cost.follower_manager_cpu += cpu, cost.follower_manager_disk_bytes += disk,
-                cost.follower_manager_dirty_mb += after.managers[i].dirty_mb;
-            ++follower_manager_count;
+            cost.following_manager_cpu += cpu, cost.following_manager_disk_bytes += disk,
+                cost.following_manager_dirty_mb += after.managers[i].dirty_mb;
+            ++following_manager_count;
         }
     }
-    if (follower_manager_count > 0) {
-        const auto divisor = static_cast<double>(follower_manager_count);
-        cost.follower_manager_cpu /= divisor, cost.follower_manager_disk_bytes /= divisor,
-            cost.follower_manager_dirty_mb /= divisor;
+    if (following_manager_count > 0) {
+        const auto divisor = static_cast<double>(following_manager_count);
+        cost.following_manager_cpu /= divisor, cost.following_manager_disk_bytes /= divisor,
+            cost.following_manager_dirty_mb /= divisor;
     }
     const auto router_rate = [&](std::uint64_t TrafficCounters::*counter,
                                  TrafficCounters HollowFigures::*traffic) {
@@ -153,13 +158,13 @@
 
 void print(const char* period, const Cost& cost) {
     std::printf(
-        "  %s (%.0f s): leader %.1f ms/s, a follower manager %.1f ms/s; leader %.1f MB private, "
+        "  %s (%.0f s): leader %.1f ms/s, a following fleet manager %.1f ms/s; leader %.1f MB private, "
         "%.0f descriptors, log %.0f and %.0f B/s\n"
         "    a router: %.3f ms/s, %.2f MB; fleet managers %.2f calls/s, %.0f B/s in, %.0f out; "
         "discovery %.2f calls/s, %.0f B/s in, %.0f out; lapsed leases: %llu; this process %.0f ms/s; "
         "real routers: %llu responses with status 200, %llu others\n",
-        period, cost.span_s, cost.leader_cpu, cost.follower_manager_cpu, cost.leader_dirty_mb,
-        cost.leader_descriptors, cost.leader_disk_bytes, cost.follower_manager_disk_bytes, cost.router_cpu,
+        period, cost.span_s, cost.leader_cpu, cost.following_manager_cpu, cost.leader_dirty_mb,
+        cost.leader_descriptors, cost.leader_disk_bytes, cost.following_manager_disk_bytes, cost.router_cpu,
         cost.router_mb, cost.manager_calls, cost.manager_in, cost.manager_out, cost.discovery_calls,
         cost.discovery_in, cost.discovery_out, static_cast<unsigned long long>(cost.lease_lapses),
         cost.own_cpu, static_cast<unsigned long long>(cost.successful_queries),
@@ -171,7 +176,8 @@
 struct SizeStep {
     std::size_t routers = 0;
     std::uint32_t nodes = 0;
-    bool started = false, nodes_known = false;  // all routers hold a lease; the managers know the nodes
+    bool started = false;      // all routers hold a lease
+    bool nodes_known = false;  // the fleet managers granted all drains, so they know the nodes
     double cold_start_s = -1;
     std::size_t list_bytes = 0;
     std::size_t reader_nodes = 0;  // the fewest nodes that a reader knows
@@ -253,14 +259,16 @@
 struct Scenario {
     std::string name;
     Cost cost;
-    double recovery_s = -1;    // from the end of the faults until all routers hold a lease
-    double leaderless_s = -1;  // the time without a leader
+    // From the end of the faults until all routers hold a lease; -1 if not measured, 1e9 if it timed out.
+    double recovery_s = -1;
+    double leaderless_s = -1;  // the time without a leader; -1 if not measured
     HollowRig::Drain drain;
-    bool may_lapse = false;    // leases may lapse
+    bool may_lapse = false;    // lapsed leases miss no aim
     bool is_ordinary = false;  // the limits of the ordinary day apply
 };
 
 constexpr double node_restarts_per_s = 18'000.0 / 86'400;  // of data nodes, on the ordinary day
+constexpr std::uint32_t failed_zone = 3;                   // the zone that run_zone_outage() takes out
 
 // Runs the scenarios on a rig.
 class ScenarioRunner {
@@ -347,31 +355,32 @@
     void run_zone_outage(Scenario& scenario) {
         const auto set_zone_lifecycle = [&](Lifecycle lifecycle, Nanos process_started_at) {
             for (std::uint32_t node = 0; node < rig_.options.nodes; ++node)
-                if (node % hollow_zones == 3)
+                if (node % hollow_zones == failed_zone)
                     rig_.discovery->set_lifecycle(node, lifecycle, process_started_at);
             rig_.discovery->publish();
         };
-        for (std::size_t i = 3; i < rig_.options.processes; i += hollow_zones)
+        for (std::size_t i = failed_zone; i < rig_.options.processes; i += hollow_zones)
             rig_.processes[i]->signal(SIGKILL);
         set_zone_lifecycle(Lifecycle::removed, 0);
         rig_.run_for(Ms(20'000));
         set_zone_lifecycle(Lifecycle::ready, epoch_now());
-        for (std::size_t i = 3; i < rig_.options.processes; i += hollow_zones) rig_.start_hollow_process(i);
+        for (std::size_t i = failed_zone; i < rig_.options.processes; i += hollow_zones)
+            rig_.start_hollow_process(i);
         scenario.recovery_s = wait_for_all_leases();
     }
 
     // Kills the leader, and starts it again once all routers hold a lease under the next one.
     void run_leader_failure(Scenario& scenario) {
-        const std::size_t old = rig_.leader();
-        if (old == rig_.options.managers) return;
+        const std::size_t old_leader = rig_.leader();
+        if (old_leader == rig_.options.managers) return;
         const auto from = Clock::now();
-        rig_.managers[old]->signal(SIGKILL);
-        if (rig_.until([&] { return rig_.leader() < rig_.options.managers && rig_.leader() != old; },
+        rig_.managers[old_leader]->signal(SIGKILL);
+        if (rig_.until([&] { return rig_.leader() < rig_.options.managers && rig_.leader() != old_leader; },
                        Ms(30'000)))
             scenario.leaderless_s = seconds_since(from);
         rig_.run_for(Ms(15'000));
         scenario.recovery_s = wait_for_all_leases();
-        rig_.start_manager(old);
+        rig_.start_manager(old_leader);
         rig_.run_for(Ms(5000));
     }
 
@@ -462,7 +471,7 @@
                "each reader has 2,000 nodes within 60 s");
     const HollowRig::Drain drain = rig.drain(5, quick_check_timeout);
     aims.check(drain.done, "a drain is granted and done");
-    // Waits until all routers have applied the node's return, which is an entry of the list too.
+    // Waits until all routers have applied the undrain, so that its entry is not counted below.
     const Json status = rig.status(rig.leader() % rig.options.managers);
     const std::uint64_t generation =
         status.is_object() ? status["generation"].get<std::uint64_t>() : UINT64_MAX;
@@ -473,7 +482,7 @@
     };
     aims.check(rig.until([&] { return rig.run_for(Ms(100)), all_applied(); }, quick_check_timeout),
                "all routers apply the last agreed generation within 60 s");
-    // Each change reaches each router once: a router gets as many entries as nodes changed, and their bytes.
+    // Each router has to receive one entry for each changed node. Counts the entries and their bytes.
     const Sample before = take_sample(rig);
     constexpr std::uint32_t changed_nodes = 100;
     for (std::uint32_t node = 1000; node < 1000 + changed_nodes; ++node)
@@ -616,9 +625,9 @@
     add_slope("steward_lead.mb_per_member", "MB", "member", &Cost::leader_dirty_mb);
     add_slope("steward_lead.descriptors_per_member", "descriptors", "member", &Cost::leader_descriptors);
     add_slope("steward_lead.log_per_member", "B/s", "member", &Cost::leader_disk_bytes);
-    add_slope("steward_follow.cpu_per_member", "ms/s", "member", &Cost::follower_manager_cpu);
-    add_slope("steward_follow.mb_per_member", "MB", "member", &Cost::follower_manager_dirty_mb);
-    add_slope("steward_follow.log_per_member", "B/s", "member", &Cost::follower_manager_disk_bytes);
+    add_slope("steward_follow.cpu_per_member", "ms/s", "member", &Cost::following_manager_cpu);
+    add_slope("steward_follow.mb_per_member", "MB", "member", &Cost::following_manager_dirty_mb);
+    add_slope("steward_follow.log_per_member", "B/s", "member", &Cost::following_manager_disk_bytes);
     add_slope("router.cpu_per_member", "ms/s", "member", &Cost::router_cpu);
     add_slope("router.steward_in_per_member", "B/s", "member", &Cost::manager_in);
     add_slope("router.steward_out_per_member", "B/s", "member", &Cost::manager_out);
@@ -626,8 +635,8 @@
     add_slope("router.discovery_out_per_member", "B/s", "member", &Cost::discovery_out);
     add_slope("steward_lead.cpu_per_node", "ms/s", "node", &Cost::leader_cpu);
     add_slope("steward_lead.mb_per_node", "MB", "node", &Cost::leader_dirty_mb);
-    add_slope("steward_follow.cpu_per_node", "ms/s", "node", &Cost::follower_manager_cpu);
-    add_slope("steward_follow.mb_per_node", "MB", "node", &Cost::follower_manager_dirty_mb);
+    add_slope("steward_follow.cpu_per_node", "ms/s", "node", &Cost::following_manager_cpu);
+    add_slope("steward_follow.mb_per_node", "MB", "node", &Cost::following_manager_dirty_mb);
     Json list = Json::array();
     for (const Slope& slope : slopes) {
         std::printf("slope %s: %.4g + %.4g a %s (%s), largest residual %.3g, over %zu sizes\n",
@@ -650,8 +659,9 @@
     for (const SizeStep& step : steps)
         std::printf(
             " %zux%u=up_s:%.1f,lead_ms_s:%.1f,follow_ms_s:%.1f,router_ms_s:%.3f,drain_ms:%.0f,wrong:%llu",
-            step.routers, step.nodes, step.cold_start_s, step.idle.leader_cpu, step.idle.follower_manager_cpu,
-            step.idle.router_cpu, step.max_drain_ms, static_cast<unsigned long long>(step.idle.lease_lapses));
+            step.routers, step.nodes, step.cold_start_s, step.idle.leader_cpu,
+            step.idle.following_manager_cpu, step.idle.router_cpu, step.max_drain_ms,
+            static_cast<unsigned long long>(step.idle.lease_lapses));
     for (const Scenario& scenario : scenarios)
         std::printf(
             " [%s]=lead_ms_s:%.1f,router_ms_s:%.3f,router_B_s:%.0f,drain_ms:%.0f,back_s:%.1f,wrong:%llu",
--- a/src/testing/fleet_sim.cpp
+++ b/src/testing/fleet_sim.cpp
@@ -218,7 +218,7 @@
         member.incarnation = incarnation, member.call_number = call_number, member.running = true;
         member.lease = std::make_unique<MemberLease>(config, now_, incarnation);
         call_managers(index);
-        send_request(index, incarnation);
+        send_attempt(index, incarnation);
     }
 
     bool is_running(const Member& member, std::uint64_t incarnation) const {
@@ -290,17 +290,17 @@
         });
     }
 
-    // Sends requests one after the other, each to a node that the member may use according to what it knows.
-    void send_request(std::size_t index, std::uint64_t incarnation) {
+    // Sends attempts one after the other, each to a node that the member may use according to what it knows.
+    void send_attempt(std::size_t index, std::uint64_t incarnation) {
         Member& member = members_[index];
         if (!is_running(member, incarnation)) return;
         // A process that resumes first reads its sockets: a decision round comes after the reads.
         if (postpone(member, [this, index, incarnation] {
-                schedule(1, [this, index, incarnation] { send_request(index, incarnation); });
+                schedule(1, [this, index, incarnation] { send_attempt(index, incarnation); });
             }))
             return;
         schedule(20 * ms + random_below(60 * ms),
-                 [this, index, incarnation] { send_request(index, incarnation); });
+                 [this, index, incarnation] { send_attempt(index, incarnation); });
         const std::string& node = node_names_[static_cast<std::size_t>(random_below(plan_.nodes))];
         if (member.removed_nodes.contains(node) || now_ >= member.lease->attempts_until(now_)) return;
         ++result_.attempts;
--- a/src/testing/fleet_sim.hpp
+++ b/src/testing/fleet_sim.hpp
@@ -27,12 +27,12 @@
 struct SimulationResult {
     std::uint64_t grants = 0, removals_done = 0;
     std::uint64_t budget_violations = 0;  // checks that found more nodes out than the budget allows
-    // Requests to a node after its removal was done, by members that stop without a lease and by members with
+    // Attempts to a node after its removal was done, by members that stop without a lease and by members with
     // a valid lease.
     std::uint64_t attempts_after_done = 0;
-    // Requests to a node more than 1 s after the member had received its removal.
+    // Attempts to a node more than 1 s after the member had received its removal.
     std::uint64_t late_attempts = 0;
-    // All requests to nodes, and the injected faults.
+    // All attempts, and the injected faults.
     std::uint64_t attempts = 0, crashes = 0, pauses = 0, partitions = 0, leader_losses = 0;
     std::vector<fleet::Nanos> grant_to_done;  // for each removal that was done
 };
--- a/src/testing/hollow_rig.hpp
+++ b/src/testing/hollow_rig.hpp
@@ -24,8 +24,9 @@
     std::string programs;  // directory of the built programs
     std::string self;      // the program that runs a hollow process when started with `--hollow ...`
     std::size_t routers = 300, processes = 12;  // one zone per process
-    std::uint32_t nodes = 1000, known_nodes = 64;
-    bool full_list = false;  // if true, every hollow router reads the full list
+    std::uint32_t nodes = 1000;                 // in discovery's list
+    std::uint32_t known_nodes = 64;             // that each hollow router knows at the start
+    bool full_list = false;                     // if true, every hollow router reads the full list
     std::string lease = "10s", drift = "1s", election = "600ms";
     std::size_t managers = 3;
     // Real routers in addition to the hollow ones, each with one client that sends queries for four shards,
@@ -45,7 +46,8 @@
 // What one hollow process reports of its routers, and its memory.
 struct HollowFigures {
     pid_t pid = -1;  // -1 if the process does not respond
-    std::size_t routers = 0, lease_holders = 0, reader_nodes = 0;
+    std::size_t routers = 0, lease_holders = 0;
+    std::size_t reader_nodes = 0;  // nodes that its reader knows
     std::uint64_t lease_lapses = 0, list_entries = 0;
     std::uint64_t min_applied_generation = 0, max_applied_generation = 0;
     TrafficCounters manager, discovery;
@@ -90,6 +92,7 @@
     TemporaryDirectory directory;
     std::unique_ptr<Fleet> fleet;  // the data nodes' listeners
     std::unique_ptr<HollowDiscovery> discovery;
+    // `processes` run the hollow routers.
     std::vector<std::unique_ptr<Process>> managers, processes, real_routers;
     // The responses to the clients of the real routers.
     std::map<int, std::uint64_t> responses_by_status;
@@ -106,6 +109,7 @@
     void send_query(std::size_t index);
     bool receive_lines(Connection& connection, const std::shared_ptr<std::size_t>& process);
     nlohmann::json call_operator_api(const std::string& operation, nlohmann::json body);
+    // Returns when a fleet manager logged the first line since event `from` that begins with this text.
     TimePoint first_event(std::size_t from, const std::string& text) const;
 
     std::vector<HostPort> manager_addresses_;
--- a/src/testing/relay_rig.hpp
+++ b/src/testing/relay_rig.hpp
@@ -75,6 +75,7 @@
     const RelayRigOptions options;
     EventLog event_log;
     TemporaryDirectory directory;
+    // `processes` run the hollow followers.
     std::vector<std::unique_ptr<Process>> managers, relays, processes;
 
   private:
