--- a/src/fleet_manager/config_command.cpp
+++ b/src/fleet_manager/config_command.cpp
@@ -58,7 +58,7 @@
     try {
         return call.dump();
     } catch (const Json::exception&) {
-        throw ConfigError("a value to set is not valid UTF-8 text");
+        throw ConfigError("the request is not valid UTF-8; expected UTF-8 in keys, values and --asker");
     }
 }
 
@@ -97,7 +97,7 @@
 std::string read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("cannot read the file " + path);
+    if (!file) throw ConfigError("failed to read the file " + path);
     return text;
 }
 
@@ -106,7 +106,7 @@
     const Reply reply =
         query_managers(client.manager_addresses(), "/fleet/entry", call.dump(), client.timeout());
     const Json body = body_of(reply);
-    if (!body.is_object()) return report_failure(reply, "-");
+    if (!body.is_object()) return report_failure(reply, "");
     if (client.json) return std::printf("%s\n", reply.body.c_str()) < 0;
     const std::string value = text_of(body, "value");
     return std::fwrite(value.data(), 1, value.size(), stdout) != value.size();
@@ -134,14 +134,15 @@
 
 int set_entries(const ClientOptions& client, const ConfigOptions& options) {
     if (options.entries.empty() && options.removed.empty()) {
-        std::fprintf(stderr, "tealcart: nothing to publish: expected KEY=FILE or --remove KEY\n");
+        std::fprintf(stderr, "tealcart: nothing to publish; expected KEY=FILE or --remove KEY\n");
         return exit_usage;
     }
     Json call = {{"set", Json::object()}};
     for (const std::string& entry : options.entries) {
         const auto separator = entry.find('=');
         if (separator == 0 || separator == entry.npos) {
-            std::fprintf(stderr, "tealcart: the argument '%s' is not of the form KEY=FILE\n", entry.c_str());
+            std::fprintf(stderr, "tealcart: the argument '%s' is invalid; expected KEY=FILE\n",
+                         entry.c_str());
             return exit_usage;
         }
         call["set"][entry.substr(0, separator)] = read_file(entry.substr(separator + 1));
@@ -158,7 +159,7 @@
     if (!state.is_object()) {
         // One more request, for the error to report, such as a file without a `changes` block.
         constexpr auto timeout = std::chrono::milliseconds(1000);
-        return report_failure(query_managers(managers, changes_path, "", timeout), "-");
+        return report_failure(query_managers(managers, changes_path, "", timeout), "");
     }
     if (client.json) return print_json(state);
     print_changes(state);
--- a/src/fleet_manager/data_directory.cpp
+++ b/src/fleet_manager/data_directory.cpp
@@ -32,7 +32,7 @@
     std::filesystem::create_directories(directory, ec);
     if (ec) fail(directory, "cannot be created: " + ec.message());
     if (std::filesystem::exists(marker_path(directory)))
-        fail(directory, "already belongs to a fleet manager");
+        fail(directory, "already has a steward.json; expected a directory that no fleet manager uses");
     std::ofstream out(marker_path(directory));
     out << Json{{"form", marker_format}, {"fleet", fleet}, {"id", id}}.dump() << '\n';
     if (!out.flush()) fail(directory, "cannot be written");
@@ -45,13 +45,14 @@
     const Json marker = Json::parse(text, nullptr, false);
     if (!marker.is_object() || !marker.contains("form") || !marker.contains("fleet") ||
         !marker.contains("id"))
-        fail(directory, "has a steward.json that cannot be read");
+        fail(directory, "has a steward.json that is not a JSON object with 'form', 'fleet' and 'id'");
     if (marker["form"] != marker_format)
-        fail(directory, "has data of form " + marker["form"].dump() + "; this program reads form " +
-                            std::to_string(marker_format));
+        fail(directory, "has data of format version " + marker["form"].dump() +
+                            "; this program reads version " + std::to_string(marker_format));
     if (marker["fleet"] != fleet || marker["id"] != id)
-        fail(directory,
-             "belongs to fleet manager " + marker["id"].dump() + " of the fleet " + marker["fleet"].dump());
+        fail(directory, "belongs to fleet manager " + marker["id"].dump() + " of the fleet " +
+                            marker["fleet"].dump() + "; expected fleet manager " + std::to_string(id) +
+                            " of the fleet " + Json(fleet).dump());
     if (::access(directory.c_str(), W_OK) != 0) fail(directory, "cannot be written");
 }
 
--- a/src/fleet_manager/drain_command.cpp
+++ b/src/fleet_manager/drain_command.cpp
@@ -103,7 +103,7 @@
 
 int run_on_targets(const ClientOptions& client, const DrainOptions& options, const std::string& path) {
     if (options.names_targets()) return run(client, options, path);
-    std::fprintf(stderr, "tealcart: no target given: expected data nodes, --zone or --router\n");
+    std::fprintf(stderr, "tealcart: no target is given; expected data nodes, --zone or --router\n");
     return exit_usage;
 }
 
--- a/src/fleet_manager/log_entries.cpp
+++ b/src/fleet_manager/log_entries.cpp
@@ -27,13 +27,13 @@
     return {false, bytes, size};
 }
 
-Bytes write_snapshot(const Snapshot& s) {
+Bytes write_snapshot(const Snapshot& snapshot) {
     Bytes out(std::begin(snapshot_marker), std::end(snapshot_marker));
     out.push_back(snapshot_format);
     for (unsigned shift = 0; shift < 64; shift += 8)
-        out.push_back(static_cast<std::uint8_t>(std::uint64_t{s.fleet.size()} >> shift));
-    out.insert(out.end(), s.fleet.begin(), s.fleet.end());
-    if (s.changes) out.insert(out.end(), s.changes->begin(), s.changes->end());
+        out.push_back(static_cast<std::uint8_t>(std::uint64_t{snapshot.fleet.size()} >> shift));
+    out.insert(out.end(), snapshot.fleet.begin(), snapshot.fleet.end());
+    if (snapshot.changes) out.insert(out.end(), snapshot.changes->begin(), snapshot.changes->end());
     return out;
 }
 
@@ -42,17 +42,18 @@
         !std::equal(std::begin(snapshot_marker), std::end(snapshot_marker), in.begin()))
         return {in, std::nullopt};
     if (in.size() < header_bytes) throw std::runtime_error("the snapshot of the replicated log is truncated");
-    if (const int form = in[sizeof snapshot_marker]; form != snapshot_format)
-        throw std::runtime_error("the snapshot of the replicated log has form " + std::to_string(form) +
-                                 "; this program reads form " + std::to_string(snapshot_format));
+    if (const int format = in[sizeof snapshot_marker]; format != snapshot_format)
+        throw std::runtime_error("the snapshot of the replicated log has format version " +
+                                 std::to_string(format) + "; this program reads version " +
+                                 std::to_string(snapshot_format));
     std::uint64_t length = 0;
     for (unsigned i = 0; i < 8; ++i) length |= std::uint64_t{in[sizeof snapshot_marker + 1 + i]} << 8 * i;
     if (length > in.size() - header_bytes)
         throw std::runtime_error("the snapshot of the replicated log is truncated");
     const auto split = in.begin() + static_cast<std::ptrdiff_t>(header_bytes + length);
-    Snapshot s{{in.begin() + header_bytes, split}, std::nullopt};
-    if (split != in.end()) s.changes = Bytes(split, in.end());
-    return s;
+    Snapshot snapshot{{in.begin() + header_bytes, split}, std::nullopt};
+    if (split != in.end()) snapshot.changes = Bytes(split, in.end());
+    return snapshot;
 }
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/log_entries.hpp
+++ b/src/fleet_manager/log_entries.hpp
@@ -28,7 +28,8 @@
     std::optional<Bytes> changes;  // nullopt: written by a program without a change state
 };
 Bytes write_snapshot(const Snapshot& snapshot);
-// Throws std::runtime_error on an unknown form and on truncated bytes. The states check their own parts.
+// Throws std::runtime_error on an unknown format version and on truncated bytes. The states check their own
+// parts.
 Snapshot read_snapshot(const Bytes& bytes);
 
 }  // namespace tealcart::fleet_manager
--- a/src/fleet_manager/operator_client.cpp
+++ b/src/fleet_manager/operator_client.cpp
@@ -29,14 +29,17 @@
     std::vector<HostPort> addresses;
     for (const std::string& text : managers) {
         const auto address = parse_host_port(text);
-        if (!address) throw ConfigError("the fleet manager '" + text + "' must be an address with a port");
+        if (!address)
+            throw ConfigError("the fleet manager address '" + text + "' is invalid; expected HOST:PORT");
         addresses.push_back(*address);
     }
     if (addresses.empty() && !file.empty())
         for (const auto& [manager_id, manager] : read_fleet_manager_file(file).managers)
             addresses.push_back(manager.http);
     if (addresses.empty())
-        throw ConfigError("no fleet managers given: expected --stewards, TEALCART_STEWARDS or --file");
+        throw ConfigError(
+            "no fleet manager is given; expected --stewards, TEALCART_STEWARDS, --file or "
+            "TEALCART_FLEET_FILE");
     return addresses;
 }
 
@@ -60,9 +63,9 @@
         std::fprintf(stderr, "tealcart: %s\n", reason.c_str());
         return exit_refused;
     }
-    std::fprintf(stderr,
-                 "tealcart: no fleet manager could commit the request in time%s%s; retry with --id %s\n",
-                 reason.empty() ? "" : ": ", reason.c_str(), id.c_str());
+    std::fprintf(stderr, "tealcart: no fleet manager served the request in time%s%s%s%s\n",
+                 reason.empty() ? "" : ": ", reason.c_str(), id.empty() ? "" : "; retry with --id ",
+                 id.c_str());
     return exit_unreachable;
 }
 
--- a/src/fleet_manager/operator_client.hpp
+++ b/src/fleet_manager/operator_client.hpp
@@ -37,7 +37,7 @@
 
 // The JSON object of an answer with status 200; null for any other answer.
 nlohmann::ordered_json body_of(const Reply& reply);
-// Prints why a request failed, and the `id` to retry it with. Returns the exit status.
+// Prints why a request failed, and the `id` to retry it with unless that is empty. Returns the exit status.
 int report_failure(const Reply& reply, const std::string& id);
 
 // The leader's state; if no fleet manager reports that it leads, the state of any of them. Null if none
--- a/src/fleet_manager/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -25,20 +25,20 @@
 raft_buffer buffer_of(const std::vector<std::uint8_t>& bytes) {
     const std::uint64_t size = bytes.size();
     const std::size_t padded_size = word_bytes + (bytes.size() + word_bytes - 1) / word_bytes * word_bytes;
-    raft_buffer buf{raft_malloc(padded_size), padded_size};
-    if (buf.base == nullptr) throw std::bad_alloc();
-    std::memset(buf.base, 0, padded_size);
-    std::memcpy(buf.base, &size, word_bytes);
-    std::memcpy(static_cast<std::uint8_t*>(buf.base) + word_bytes, bytes.data(), bytes.size());
-    return buf;
+    raft_buffer buffer{raft_malloc(padded_size), padded_size};
+    if (buffer.base == nullptr) throw std::bad_alloc();
+    std::memset(buffer.base, 0, padded_size);
+    std::memcpy(buffer.base, &size, word_bytes);
+    std::memcpy(static_cast<std::uint8_t*>(buffer.base) + word_bytes, bytes.data(), bytes.size());
+    return buffer;
 }
 
-std::span<const std::uint8_t> bytes_of(const raft_buffer& buf) {
+std::span<const std::uint8_t> bytes_of(const raft_buffer& buffer) {
     std::uint64_t size = 0;
-    if (buf.len >= word_bytes) std::memcpy(&size, buf.base, word_bytes);
-    if (buf.len < word_bytes || size > buf.len - word_bytes)
+    if (buffer.len >= word_bytes) std::memcpy(&size, buffer.base, word_bytes);
+    if (buffer.len < word_bytes || size > buffer.len - word_bytes)
         throw std::runtime_error("an entry of the replicated log is truncated");
-    return {static_cast<const std::uint8_t*>(buf.base) + word_bytes, size};
+    return {static_cast<const std::uint8_t*>(buffer.base) + word_bytes, size};
 }
 
 [[noreturn]] void fail(const std::string& directory, const std::string& problem) {
@@ -66,15 +66,16 @@
 
 // Callbacks of the C library must not throw, so their errors are stored until `run_ready_events` throws them.
 void RaftNode::open(const RaftConfig& config) {
-    if (const int rv = uv_loop_init(&loop_); rv != 0)
+    if (const int result = uv_loop_init(&loop_); result != 0)
         throw std::runtime_error(std::string("cannot start the event loop of the replicated log: ") +
-                                 uv_strerror(rv));
+                                 uv_strerror(result));
     transport_.data = this;
     if (raft_uv_tcp_init(&transport_, &loop_) != 0) fail(config.data_directory, transport_.errmsg);
     if (!config.bind.empty() && raft_uv_tcp_set_bind_address(&transport_, config.bind.c_str()) != 0)
         fail(config.data_directory, "cannot listen at " + config.bind);
-    if (const int rv = raft_uv_init(&raft_io_, &loop_, config.data_directory.c_str(), &transport_); rv != 0)
-        fail(config.data_directory, raft_io_.errmsg[0] != 0 ? raft_io_.errmsg : raft_strerror(rv));
+    if (const int result = raft_uv_init(&raft_io_, &loop_, config.data_directory.c_str(), &transport_);
+        result != 0)
+        fail(config.data_directory, raft_io_.errmsg[0] != 0 ? raft_io_.errmsg : raft_strerror(result));
     raft_uv_set_segment_size(&raft_io_, segment_bytes);
     // Unreadable files are an error and are not set aside: a fleet manager that forgot entries it had
     // acknowledged would break the consensus.
@@ -82,10 +83,10 @@
     raft_uv_set_connect_retry_delay(&raft_io_, connect_retry_ms);
     fsm_.version = 1;
     fsm_.data = this;
-    fsm_.apply = [](raft_fsm* fsm, const raft_buffer* buf, void**) {
+    fsm_.apply = [](raft_fsm* fsm, const raft_buffer* buffer, void**) {
         auto& self = *static_cast<RaftNode*>(fsm->data);
         try {
-            const auto bytes = bytes_of(*buf);
+            const auto bytes = bytes_of(*buffer);
             if (self.failure_.empty()) self.machine_.apply(bytes.data(), bytes.size());
         } catch (const std::exception& e) {
             self.failure_ = e.what();
@@ -94,27 +95,29 @@
         // state.
         return self.failure_.empty() ? 0 : RAFT_MALFORMED;
     };
-    fsm_.snapshot = [](raft_fsm* fsm, raft_buffer* bufs[], unsigned* n) -> int {
-        *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-        if (*bufs == nullptr) return RAFT_NOMEM;
-        (*bufs)[0] = buffer_of(static_cast<RaftNode*>(fsm->data)->machine_.save());
+    fsm_.snapshot = [](raft_fsm* fsm, raft_buffer* buffers[], unsigned* n) -> int {
+        *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
+        if (*buffers == nullptr) return RAFT_NOMEM;
+        (*buffers)[0] = buffer_of(static_cast<RaftNode*>(fsm->data)->machine_.save());
         *n = 1;
         return 0;
     };
-    fsm_.restore = [](raft_fsm* fsm, raft_buffer* buf) -> int {
+    fsm_.restore = [](raft_fsm* fsm, raft_buffer* buffer) -> int {
         auto& self = *static_cast<RaftNode*>(fsm->data);
         try {
-            const auto bytes = bytes_of(*buf);
+            const auto bytes = bytes_of(*buffer);
             self.machine_.load({bytes.begin(), bytes.end()});
         } catch (const std::exception& e) {
             self.failure_ = e.what();
             return RAFT_MALFORMED;
         }
-        raft_free(buf->base);
+        raft_free(buffer->base);
         return 0;
     };
-    if (const int rv = raft_init(&raft_, &raft_io_, &fsm_, config.id, config.address.c_str()); rv != 0)
-        fail(config.data_directory, raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_) : raft_strerror(rv));
+    if (const int result = raft_init(&raft_, &raft_io_, &fsm_, config.id, config.address.c_str());
+        result != 0)
+        fail(config.data_directory,
+             raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_) : raft_strerror(result));
     raft_.data = this;
     append_ = std::exchange(raft_io_.append, append);
     raft_set_election_timeout(&raft_, static_cast<unsigned>(config.election / millisecond));
@@ -137,21 +140,21 @@
     };
     self.appending_[request] = callback;
     nodes[request] = &self;
-    const int rv = self.append_(io, request, entries, n, [](raft_io_append* ended, int status) {
+    const int result = self.append_(io, request, entries, n, [](raft_io_append* ended, int status) {
         RaftNode& node = *nodes.at(ended);
         nodes.erase(ended);
         const auto it = node.appending_.find(ended);
-        const raft_io_append_cb cb = it->second;
+        const raft_io_append_cb on_appended = it->second;
         node.appending_.erase(it);
         fail(node, status);
-        cb(ended, status);
+        on_appended(ended, status);
     });
-    if (rv != 0) {
+    if (result != 0) {
         self.appending_.erase(request);
         nodes.erase(request);
-        fail(self, rv);
+        fail(self, result);
     }
-    return rv;
+    return result;
 }
 
 void RaftNode::bootstrap(const RaftConfig& config, const std::vector<RaftServer>& servers) {
@@ -164,23 +167,23 @@
     RaftNode node(io, config, nothing);
     raft_configuration all;
     raft_configuration_init(&all);
-    int rv = 0;
+    int result = 0;
     for (const RaftServer& server : servers)
-        if (rv == 0) rv = raft_configuration_add(&all, server.id, server.address.c_str(), RAFT_VOTER);
-    if (rv == 0) rv = raft_bootstrap(&node.raft_, &all);
+        if (result == 0) result = raft_configuration_add(&all, server.id, server.address.c_str(), RAFT_VOTER);
+    if (result == 0) result = raft_bootstrap(&node.raft_, &all);
     raft_configuration_close(&all);
-    const std::string error = rv == RAFT_CANTBOOTSTRAP ? "contains a log already" : raft_strerror(rv);
+    const std::string error = result == RAFT_CANTBOOTSTRAP ? "contains a log already" : raft_strerror(result);
     node.close();
-    if (rv != 0) fail(config.data_directory, error);
+    if (result != 0) fail(config.data_directory, error);
 }
 
 RaftNode::~RaftNode() { close(); }
 
 void RaftNode::start() {
-    if (const int rv = raft_start(&raft_); rv != 0) {
+    if (const int result = raft_start(&raft_); result != 0) {
         const std::string reason = !failure_.empty()             ? failure_
                                    : raft_errmsg(&raft_)[0] != 0 ? raft_errmsg(&raft_)
-                                                                 : raft_strerror(rv);
+                                                                 : raft_strerror(result);
         throw std::runtime_error("cannot read the replicated log: " + reason);
     }
     started_ = true;
@@ -217,14 +220,14 @@
     auto proposal = std::make_unique<Proposal>();
     proposal->done = std::move(done);
     proposal->request.data = proposal.get();
-    raft_buffer buf = buffer_of(bytes);
-    const int rv =
-        raft_apply(&raft_, &proposal->request, &buf, 1, [](struct raft_apply* request, int status, void*) {
+    raft_buffer buffer = buffer_of(bytes);
+    const int result =
+        raft_apply(&raft_, &proposal->request, &buffer, 1, [](struct raft_apply* request, int status, void*) {
             const std::unique_ptr<Proposal> ended(static_cast<Proposal*>(request->data));
             ended->done(status == 0);
         });
-    if (rv != 0) {
-        raft_free(buf.base);
+    if (result != 0) {
+        raft_free(buffer.base);
         return false;
     }
     static_cast<void>(proposal.release());  // owned by the library until its callback
@@ -256,7 +259,7 @@
     change->changed = std::move(changed);
     change->request.data = change.get();
     // The server first receives the log as a non-voter, and then becomes a voter.
-    const int rv = raft_add(
+    const int result = raft_add(
         &raft_, &change->request, server.id, server.address.c_str(), [](raft_change* request, int status) {
             std::unique_ptr<Change> added(static_cast<Change*>(request->data));
             if (status != 0) return added->changed(raft_strerror(status));
@@ -269,7 +272,7 @@
             if (next != 0) return added->changed(raft_strerror(next));
             static_cast<void>(added.release());  // owned by the library until the second callback
         });
-    if (rv != 0) return change->changed(raft_strerror(rv));
+    if (result != 0) return change->changed(raft_strerror(result));
     static_cast<void>(change.release());  // owned by the library until its callback
 }
 
@@ -277,11 +280,11 @@
     auto change = std::make_unique<Change>();
     change->changed = std::move(changed);
     change->request.data = change.get();
-    const int rv = raft_remove(&raft_, &change->request, id, [](raft_change* request, int status) {
+    const int result = raft_remove(&raft_, &change->request, id, [](raft_change* request, int status) {
         const std::unique_ptr<Change> ended(static_cast<Change*>(request->data));
         ended->changed(status == 0 ? "" : raft_strerror(status));
     });
-    if (rv != 0) return change->changed(raft_strerror(rv));
+    if (result != 0) return change->changed(raft_strerror(result));
     static_cast<void>(change.release());  // owned by the library until its callback
 }
 
--- a/src/fleet_manager/relay_service.cpp
+++ b/src/fleet_manager/relay_service.cpp
@@ -71,10 +71,10 @@
     if (const std::string reason = permanent_refusal(effects, report.relay); !reason.empty())
         return responder_.error(client, 503, reason);
     // The relay's lease has expired or it is unknown, even if an earlier full report was applied before that.
-    ask_for_full_report(client);
+    request_full_report(client);
 }
 
-void RelayService::ask_for_full_report(Handle client) {
+void RelayService::request_full_report(Handle client) {
     ChangesAnswer answer;
     answer.version = state_.changes().version();
     answer.full_report_required = true;
--- a/src/fleet_manager/relay_service.hpp
+++ b/src/fleet_manager/relay_service.hpp
@@ -45,7 +45,7 @@
     void propose_batch();
     void on_report_committed(Handle client, const RelayCall& call, const changes::Effects& effects);
     // Answers that the relay's next report must be a full one.
-    void ask_for_full_report(Handle client);
+    void request_full_report(Handle client);
     void answer(const WaitingCall& waiting);
 
     EventClock& time_;
--- a/src/fleet_manager/status_command.cpp
+++ b/src/fleet_manager/status_command.cpp
@@ -72,7 +72,7 @@
 
 void print_left_out(const Json& listing) {
     if (const auto left_out = number_of(listing, "exceptions_left_out"); left_out > 0)
-        std::printf("  and %llu more: fleet status --all\n", left_out);
+        std::printf("  and %llu more; 'tealcart fleet status --all' lists them\n", left_out);
 }
 
 void print_members(const Json& state) {
@@ -95,18 +95,19 @@
 }
 
 int change_group(const ClientOptions& client, const char* path, std::uint64_t id,
-                 const std::string& raft_address) {
+                 const std::string& raft_address, const char* outcome) {
     const Json call = {
         {"id", new_call_id()}, {"asker", client.requested_by}, {"requests", {id}}, {"name", raft_address}};
     const Reply reply = query_managers(client.manager_addresses(), path, call.dump(), client.timeout());
-    return reply.status == 200 ? std::puts("done") < 0 : report_failure(reply, "-");
+    if (reply.status != 200) return report_failure(reply, "");
+    return std::printf("%s fleet manager %llu\n", outcome, static_cast<unsigned long long>(id)) < 0;
 }
 
 }  // namespace
 
 int show_status(const ClientOptions& client, bool all) {
     const Json state = fetch_state(client.manager_addresses(), all ? "/fleet/status?all=1" : "/fleet/status");
-    if (!state.is_object()) return report_failure({}, "-");
+    if (!state.is_object()) return report_failure({}, "");
     if (client.json) return print_json(state);
     if (!state.contains("nodes_counted")) {
         std::fprintf(stderr,
@@ -123,11 +124,11 @@
 }
 
 int add_manager(const ClientOptions& client, std::uint64_t id, const std::string& raft_address) {
-    return change_group(client, "/fleet/stewards/add", id, raft_address);
+    return change_group(client, "/fleet/stewards/add", id, raft_address, "added");
 }
 
 int remove_manager(const ClientOptions& client, std::uint64_t id) {
-    return change_group(client, "/fleet/stewards/remove", id, "");
+    return change_group(client, "/fleet/stewards/remove", id, "", "removed");
 }
 
 }  // namespace tealcart::fleet_manager
--- a/tests/drains_test.cpp
+++ b/tests/drains_test.cpp
@@ -310,9 +310,10 @@
     stop();
     const std::string mark = directory + "/steward.json";
     std::ofstream(mark) << R"({"form":1,"fleet":"rig","id":9})";
-    fails_with("belongs to fleet manager 9 of the fleet \"rig\"");
+    fails_with("belongs to fleet manager 9 of the fleet \"rig\"; expected fleet manager " +
+               std::to_string(i + 1) + " of the fleet \"rig\"");
     std::ofstream(mark) << R"({"form":7,"fleet":"rig","id":1})";
-    fails_with("has data of form 7; this program reads form 1");
+    fails_with("has data of format version 7; this program reads version 1");
     std::filesystem::remove_all(directory);
     fails_with("has no steward.json; 'tealcart fleet-manager init' creates one");
     fixture.check_traffic_continues();
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -118,8 +118,9 @@
     CHECK_FALSE(old.changes);
     auto unknown_format = bytes;
     unknown_format[3] = 2;
-    CHECK_THROWS_WITH(fleet_manager::read_snapshot(unknown_format),
-                      "the snapshot of the replicated log has form 2; this program reads form 1");
+    CHECK_THROWS_WITH(
+        fleet_manager::read_snapshot(unknown_format),
+        "the snapshot of the replicated log has format version 2; this program reads version 1");
     CHECK_THROWS_AS(state.load(bytes), std::runtime_error);  // as a program without a change state does
     for (std::size_t n = 3; n < 12; ++n)
         CHECK_THROWS_WITH(fleet_manager::read_snapshot({bytes.begin(), bytes.begin() + static_cast<long>(n)}),
