--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -14,9 +14,9 @@
 }  // namespace
 
 Follower::Follower(boost::asio::io_context& io, EventClock& time, EventLog& event_log,
-                   std::string follower_name, std::vector<HostPort> relays, Refuses refuses)
-    : name(std::move(follower_name)), time_(time), event_log_(event_log), refuses_(std::move(refuses)),
-      incarnation_(start_of(time)),
+                   std::string follower_name, std::vector<HostPort> relays, RefusalCheck refusal_check)
+    : name(std::move(follower_name)), time_(time), event_log_(event_log),
+      check_refusal_(std::move(refusal_check)), incarnation_(start_of(time)),
       watch_(io, time, *this, follower_path, "relay", std::move(relays), 0, incarnation_) {
     watch_.start();
 }
@@ -51,7 +51,7 @@
         result = copy.apply(*answer.page);
     }
     if (result == ApplyResult::applied) {
-        const std::string refusal_reason = refuses_ ? refuses_(copy.document()) : "";
+        const std::string refusal_reason = check_refusal_ ? check_refusal_(copy.document()) : "";
         if (refusal_reason.empty()) {
             version_decreased |= copy.version() < applied_version;
             applied_version = copy.version();
@@ -68,18 +68,19 @@
 }
 
 FleetRigOptions ChangeRig::fleet_rig_options() const {
-    FleetRigOptions fleet;
-    fleet.programs = options.programs;
-    fleet.routers = 1;
-    fleet.nodes = 4;
-    fleet.gap_ms = 500;
-    fleet.budgets = " changes {\n  lease = \"" + options.lease + "\"\n  drift = \"" + options.drift + "\"\n" +
-                    options.changes + "\n }";
-    std::string list;
+    FleetRigOptions fleet_options;
+    fleet_options.programs = options.programs;
+    fleet_options.routers = 1;
+    fleet_options.nodes = 4;
+    fleet_options.gap_ms = 500;
+    fleet_options.budgets = " changes {\n  lease = \"" + options.lease + "\"\n  drift = \"" + options.drift +
+                            "\"\n" + options.changes + "\n }";
+    std::string relay_addresses;
     for (const std::uint16_t port : ports_)
-        list += (list.empty() ? "\"" : ", \"") + std::string("127.0.0.1:") + std::to_string(port) + "\"";
-    if (options.router) fleet.member = " relays = [" + list + "]\n";
-    return fleet;
+        relay_addresses += (relay_addresses.empty() ? "\"" : ", \"") + std::string("127.0.0.1:") +
+                           std::to_string(port) + "\"";
+    if (options.router) fleet_options.member = " relays = [" + relay_addresses + "]\n";
+    return fleet_options;
 }
 
 ChangeRig::ChangeRig(boost::asio::io_context& io, ChangeRigOptions rig_options)
@@ -97,14 +98,15 @@
         start_relay(i);
     }
     fire_timers();
-    const bool up = until([this] {
+    const bool relays_ready = until([this] {
         for (std::size_t i = 0; i < options.relays; ++i) {
             const Json status = relay_status(i);
             if (!status.is_object() || status["lease_left_ms"] <= 0) return false;
         }
         return changes().is_object();
     });
-    if (!up) throw std::runtime_error("the relays did not become ready:\n" + fleet_rig.event_log.text());
+    if (!relays_ready)
+        throw std::runtime_error("the relays did not become ready:\n" + fleet_rig.event_log.text());
 }
 
 // Fires the followers' timers every 2 ms, so each fires at most this much late.
@@ -127,11 +129,12 @@
     until([&] { return relays[i]->has_printed(": followers at ") || relays[i]->ended(); });
 }
 
-Follower& ChangeRig::follow(const std::string& name, std::vector<std::size_t> at, Follower::Refuses refuses) {
+Follower& ChangeRig::follow(const std::string& name, std::vector<std::size_t> relay_indexes,
+                            Follower::RefusalCheck refusal_check) {
     std::vector<HostPort> addresses;
-    for (const std::size_t i : at) addresses.push_back({"127.0.0.1", ports_[i]});
+    for (const std::size_t i : relay_indexes) addresses.push_back({"127.0.0.1", ports_[i]});
     followers.push_back(std::make_unique<Follower>(io_, time_, fleet_rig.event_log, name,
-                                                   std::move(addresses), std::move(refuses)));
+                                                   std::move(addresses), std::move(refusal_check)));
     return *followers.back();
 }
 
@@ -139,16 +142,16 @@
     return fleet_rig.until(holds, within);
 }
 
-std::unique_ptr<Process> ChangeRig::start_config_command(std::vector<std::string> words,
+std::unique_ptr<Process> ChangeRig::start_config_command(std::vector<std::string> arguments,
                                                          std::vector<std::size_t> through) {
-    words.insert(words.begin(), "config");
-    return fleet_rig.command(std::move(words), std::move(through));
+    arguments.insert(arguments.begin(), "config");
+    return fleet_rig.command(std::move(arguments), std::move(through));
 }
 
-int ChangeRig::config(std::vector<std::string> words, std::vector<std::size_t> through) {
-    const auto p = start_config_command(std::move(words), std::move(through));
-    until([&] { return p->ended(); });
-    return p->status();
+int ChangeRig::config(std::vector<std::string> arguments, std::vector<std::size_t> through) {
+    const auto command = start_config_command(std::move(arguments), std::move(through));
+    until([&] { return command->ended(); });
+    return command->status();
 }
 
 std::string ChangeRig::entry(const std::string& key, const std::string& text) {
@@ -158,8 +161,9 @@
 Json ChangeRig::changes() const {
     for (std::size_t i = 0; i < fleet_rig.managers.size(); ++i) {
         if (!fleet_rig.managers[i] || fleet_rig.managers[i]->ended()) continue;
-        Json s = fleet_rig.get_json(i, "/fleet/changes");
-        if (s.is_object() && s["leader"] == s["steward"]) return s;
+        Json changes_page = fleet_rig.get_json(i, "/fleet/changes");
+        if (changes_page.is_object() && changes_page["leader"] == changes_page["steward"])
+            return changes_page;
     }
     return {};
 }
@@ -172,20 +176,20 @@
 
 bool ChangeRig::in_force(std::uint64_t version) {
     return until([&] {
-        const Json s = changes();
-        return s.is_object() && s["in_force"].get<std::uint64_t>() >= version;
+        const Json changes_page = changes();
+        return changes_page.is_object() && changes_page["in_force"].get<std::uint64_t>() >= version;
     });
 }
 
 // The leader's page is read first: a lease that is still valid afterwards was valid when the page was
 // written.
 bool ChangeRig::followers_consistent() {
-    const Json s = changes();
-    if (!s.is_object()) return true;
-    const auto in_force = s["in_force"].get<std::uint64_t>();
-    for (const auto& f : followers)
-        if (f->version_decreased ||
-            (f->applied_version > 0 && f->applied_version < in_force && f->has_lease()))
+    const Json changes_page = changes();
+    if (!changes_page.is_object()) return true;
+    const auto in_force = changes_page["in_force"].get<std::uint64_t>();
+    for (const auto& follower : followers)
+        if (follower->version_decreased ||
+            (follower->applied_version > 0 && follower->applied_version < in_force && follower->has_lease()))
             return false;
     return true;
 }
--- a/src/testing/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -14,10 +14,10 @@
 // call.
 class Follower final : private ChangeObserver {
   public:
-    using Refuses = std::function<std::string(const changes::Document&)>;  // the reason; empty: accepts
+    using RefusalCheck = std::function<std::string(const changes::Document&)>;  // the reason; empty: accepts
 
     Follower(boost::asio::io_context& io, EventClock& time, EventLog& event_log, std::string name,
-             std::vector<HostPort> relays, Refuses refuses = {});
+             std::vector<HostPort> relays, RefusalCheck refusal_check = {});
     ~Follower() { watch_.stop(); }
 
     const std::string name;
@@ -39,7 +39,7 @@
 
     EventClock& time_;
     EventLog& event_log_;
-    const Refuses refuses_;
+    const RefusalCheck check_refusal_;
     std::uint64_t incarnation_;
     Nanos lease_ = 0;
     bool leaves_ = false, left_ = false;
@@ -65,12 +65,12 @@
     void start_relay(std::size_t i);
     // Creates a follower that calls these relays, starting with the first.
     Follower& follow(const std::string& name, std::vector<std::size_t> relays,
-                     Follower::Refuses refuses = {});
+                     Follower::RefusalCheck refusal_check = {});
     bool until(const std::function<bool()>& holds,
                std::chrono::milliseconds within = std::chrono::seconds(20));
     // Runs a `config` command through these fleet managers and returns its exit status.
-    int config(std::vector<std::string> words, std::vector<std::size_t> through = {0, 1, 2});
-    std::unique_ptr<Process> start_config_command(std::vector<std::string> words,
+    int config(std::vector<std::string> arguments, std::vector<std::size_t> through = {0, 1, 2});
+    std::unique_ptr<Process> start_config_command(std::vector<std::string> arguments,
                                                   std::vector<std::size_t> through = {0, 1, 2});
     // Writes the text to a file and returns the argument KEY=FILE.
     std::string entry(const std::string& key, const std::string& text);
--- a/src/testing/client.cpp
+++ b/src/testing/client.cpp
@@ -36,24 +36,24 @@
 }
 
 ClientResponse read_answer(int status, const std::string& body) {
-    ClientResponse read;
-    read.status = status;
-    read.bytes = body.size();
-    const Json in = Json::parse(body, nullptr, false);
-    if (status != 200 || !in.is_object()) return read;
-    read.whole = in.value("all_in", false);
-    for (const Json& match : in.value("matches", Json::array()))
-        read.values.emplace_back(match.value("segment", 0U), match.value("payload", ""));
-    const auto section_count = [&in](const char* name) {
-        const Json stated = in.value(name, Json::object());
-        return ClientResponse::SectionCount{stated.value("sections", 0U), stated.value("weight", 0.0)};
+    ClientResponse response;
+    response.status = status;
+    response.bytes = body.size();
+    const Json parsed = Json::parse(body, nullptr, false);
+    if (status != 200 || !parsed.is_object()) return response;
+    response.whole = parsed.value("all_in", false);
+    for (const Json& match : parsed.value("matches", Json::array()))
+        response.values.emplace_back(match.value("segment", 0U), match.value("payload", ""));
+    const auto section_count = [&parsed](const char* name) {
+        const Json counts = parsed.value(name, Json::object());
+        return ClientResponse::SectionCount{counts.value("sections", 0U), counts.value("weight", 0.0)};
     };
-    read.answered = section_count("answered"), read.pruned = section_count("pruned"),
-    read.missing = section_count("missing");
-    if (in.contains("missing"))
-        for (const Json& shard : in["missing"].value("segments", Json::array()))
-            read.missing_shards.push_back(shard.get<std::uint32_t>());
-    return read;
+    response.answered = section_count("answered"), response.pruned = section_count("pruned"),
+    response.missing = section_count("missing");
+    if (parsed.contains("missing"))
+        for (const Json& shard : parsed["missing"].value("segments", Json::array()))
+            response.missing_shards.push_back(shard.get<std::uint32_t>());
+    return response;
 }
 
 Client::Client(boost::asio::io_context& io, std::uint16_t port, std::function<void(ClientResponse)> done)
@@ -66,10 +66,10 @@
             while (!connection.in.empty()) {
                 const ParseStatus reading = reader->feed(connection.in);
                 if (reading != ParseStatus::complete) return reading == ParseStatus::incomplete;
-                ClientResponse read = read_answer(reader->status(), reader->body());
+                ClientResponse response = read_answer(reader->status(), reader->body());
                 reader->next();
                 ++answers_;
-                done_(std::move(read));
+                done_(std::move(response));
                 if (!connection.open) return false;
             }
             return true;
--- a/src/testing/contents.cpp
+++ b/src/testing/contents.cpp
@@ -15,8 +15,8 @@
 constexpr double top_rank = 1000;
 
 std::string text_of(double number) {
-    char text[32];
-    return {text, std::to_chars(text, text + sizeof text, number).ptr};
+    char buffer[32];
+    return {buffer, std::to_chars(buffer, buffer + sizeof buffer, number).ptr};
 }
 
 }  // namespace
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -28,24 +28,24 @@
                            [self = shared_from_this()](const error_code& ec, std::size_t length) {
                                if (!self->open) return;
                                self->in.append(self->buffer_.data(), length);
-                               if (ec || !self->take_(*self)) return self->close(false);
+                               if (ec || !self->read_handler_(*self)) return self->close(false);
                                self->read();
                            });
 }
 
 void Connection::send(std::string bytes) {
     if (!open) return;
-    out_.push_back(std::move(bytes));
+    outgoing_.push_back(std::move(bytes));
     write();
 }
 
 void Connection::write() {
-    if (writing_ || out_.empty() || !open) return;
+    if (writing_ || outgoing_.empty() || !open) return;
     writing_ = true;
-    boost::asio::async_write(socket, boost::asio::buffer(out_.front()),
+    boost::asio::async_write(socket, boost::asio::buffer(outgoing_.front()),
                              [self = shared_from_this()](const error_code& ec, std::size_t) {
                                  self->writing_ = false;
-                                 self->out_.pop_front();
+                                 self->outgoing_.pop_front();
                                  if (ec) return self->close(false);
                                  self->write();
                              });
@@ -61,8 +61,8 @@
 }
 
 LoopbackListener::LoopbackListener(boost::asio::io_context& io, std::uint16_t port,
-                                   std::function<Connection::Take()> make)
-    : acceptor_(io, {boost::asio::ip::address_v4::loopback(), port}), make_(std::move(make)) {
+                                   std::function<Connection::ReadHandler()> make_handler)
+    : acceptor_(io, {boost::asio::ip::address_v4::loopback(), port}), make_handler_(std::move(make_handler)) {
     accept();
 }
 
@@ -72,10 +72,10 @@
         if (!ec) {
             error_code ignored;
             socket.set_option(tcp::no_delay(true), ignored);
-            auto made = std::make_shared<Connection>(std::move(socket), make_());
+            auto accepted = std::make_shared<Connection>(std::move(socket), make_handler_());
             std::erase_if(connections_, [](const auto& connection) { return connection.expired(); });
-            connections_.push_back(made);
-            made->read();
+            connections_.push_back(accepted);
+            accepted->read();
         }
         accept();
     });
@@ -84,36 +84,36 @@
 void LoopbackListener::close(bool reset) {
     error_code ec;
     acceptor_.close(ec);
-    for (const auto& held : connections_)
-        if (const auto connection = held.lock()) connection->close(reset);
+    for (const auto& weak_connection : connections_)
+        if (const auto connection = weak_connection.lock()) connection->close(reset);
 }
 
-DataNode::DataNode(boost::asio::io_context& io, Script& script, NodeScript& self)
-    : io_(io), script_(script), self_(self), listener_(io, self.port, [this] {
-          return [this](Connection& connection) { return take(connection); };
+DataNode::DataNode(boost::asio::io_context& io, Script& script, NodeScript& node_script)
+    : io_(io), script_(script), node_script_(node_script), listener_(io, node_script.port, [this] {
+          return [this](Connection& connection) { return handle_bytes(connection); };
       }) {}
 
-bool DataNode::take(Connection& connection) {
+bool DataNode::handle_bytes(Connection& connection) {
     std::string_view in = connection.in;
     Frame frame;
-    FrameStatus framing = FrameStatus::incomplete;
-    while ((framing = take_frame(in, frame)) == FrameStatus::complete) {
+    FrameStatus frame_status = FrameStatus::incomplete;
+    while ((frame_status = take_frame(in, frame)) == FrameStatus::complete) {
         work.bytes_in += frame.payload.size() + 5;
-        bool good = true;
+        bool valid = true;
         if (frame.type == 'R')
-            good = take_shard_requests(connection, frame.payload);
+            valid = serve_shard_requests(connection, frame.payload);
         else if (frame.type == summary_request_frame || frame.type == rows_request_frame)
-            good = take_phase_requests(connection, frame.type, frame.payload);
+            valid = serve_phase_requests(connection, frame.type, frame.payload);
         else if (frame.type == 'A' || frame.type == phase_cancel_frame)
             ++work.given_up;
         else if (frame.type == 'G')
             connection.send(frame_of('G', "OK"));
         else
-            good = false;
-        if (!good) return false;
+            valid = false;
+        if (!valid) return false;
     }
     connection.in.erase(0, connection.in.size() - in.size());
-    return framing == FrameStatus::incomplete;
+    return frame_status == FrameStatus::incomplete;
 }
 
 void DataNode::answer_after(Nanos delay, Connection& connection, std::string bytes) {
@@ -130,23 +130,23 @@
     SearchCriteria criteria;
     const auto end = text.find('\n');
     int rows = 0;
-    const auto [at, ec] = std::from_chars(text.data(), text.data() + std::min(end, text.size()), rows);
-    if (ec == std::errc() && end != text.npos && at == text.data() + end)
-        if (auto read = read_search_criteria(text.substr(end + 1)))
-            criteria = std::move(*read), criteria.rows = rows;
+    const auto [rows_end, ec] = std::from_chars(text.data(), text.data() + std::min(end, text.size()), rows);
+    if (ec == std::errc() && end != text.npos && rows_end == text.data() + end)
+        if (auto parsed_criteria = read_search_criteria(text.substr(end + 1)))
+            criteria = std::move(*parsed_criteria), criteria.rows = rows;
     return criteria;
 }
 
 // Each shard request is a line `ID SHARD LIST LENGTH`, followed by LENGTH bytes of text.
-bool DataNode::take_shard_requests(Connection& connection, std::string_view rest) {
-    const Behaviour& behaviour = self_.behaviour;
+bool DataNode::serve_shard_requests(Connection& connection, std::string_view rest) {
+    const Behaviour& behaviour = node_script_.behaviour;
     for (std::size_t end = 0; (end = rest.find('\n')) != std::string_view::npos;) {
         const std::string_view line = rest.substr(0, end);
         rest.remove_prefix(end + 1);
         const std::string id(line.substr(0, line.find(' ')));
         std::size_t length = 0;
-        const std::string_view stated = line.substr(line.rfind(' ') + 1);
-        std::from_chars(stated.data(), stated.data() + stated.size(), length);
+        const std::string_view length_text = line.substr(line.rfind(' ') + 1);
+        std::from_chars(length_text.data(), length_text.data() + length_text.size(), length);
         if (length > rest.size()) return false;
         const std::string text(rest.substr(0, length));
         rest.remove_prefix(length);
@@ -169,14 +169,14 @@
         ++work.lookups;
         work.records += rows.size();
         const std::string value =
-            criteria.rows > 0 ? format_rows(rows, script_.record) : self_.name + " on '" + text + "'";
+            criteria.rows > 0 ? format_rows(rows, script_.record) : node_script_.name + " on '" + text + "'";
         answer_after(behaviour.call_delay, connection, frame_of('Y', id + " OK 1 -\n" + value));
     }
     return true;
 }
 
-bool DataNode::take_phase_requests(Connection& connection, char frame_type, std::string_view rest) {
-    const Behaviour& behaviour = self_.behaviour;
+bool DataNode::serve_phase_requests(Connection& connection, char frame_type, std::string_view rest) {
+    const Behaviour& behaviour = node_script_.behaviour;
     if (behaviour.refusal == Refusal::close) return false;
     if (behaviour.refusal == Refusal::error_frame) {
         connection.send(frame_of('N', "an unknown letter"));
@@ -237,15 +237,15 @@
 Discovery::Discovery(boost::asio::io_context& io, std::uint16_t port)
     : listener_(io, port, [this] {
           return [this, reader = std::make_shared<RequestReader>()](Connection& connection) {
-              return take(connection, *reader);
+              return handle_bytes(connection, *reader);
           };
       }) {}
 
 // Sends full lists only. The first request of a connection is answered at once, a later one when the list
 // changes.
-bool Discovery::take(Connection& connection, RequestReader& reader) {
-    ParseStatus reading = ParseStatus::incomplete;
-    while ((reading = reader.feed(connection.in)) == ParseStatus::complete) {
+bool Discovery::handle_bytes(Connection& connection, RequestReader& reader) {
+    ParseStatus parse_status = ParseStatus::incomplete;
+    while ((parse_status = reader.feed(connection.in)) == ParseStatus::complete) {
         const bool first = answered_.insert(&connection).second;
         reader.next();
         if (first)
@@ -253,7 +253,7 @@
         else
             watching_.insert(connection.shared_from_this());
     }
-    return reading == ParseStatus::incomplete;
+    return parse_status == ParseStatus::incomplete;
 }
 
 void Discovery::answer(Connection& connection) {
--- a/src/testing/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -22,10 +22,11 @@
 // An accepted or outgoing connection. It reads as long as `take` returns true; bytes to send are queued.
 class Connection : public std::enable_shared_from_this<Connection> {
   public:
-    using Take = std::function<bool(Connection&)>;
+    using ReadHandler = std::function<bool(Connection&)>;
     using Socket = boost::asio::ip::tcp::socket;
 
-    Connection(Socket connected, Take take) : socket(std::move(connected)), take_(std::move(take)) {}
+    Connection(Socket connected, ReadHandler read_handler)
+        : socket(std::move(connected)), read_handler_(std::move(read_handler)) {}
 
     void read();
     void send(std::string bytes);
@@ -39,16 +40,17 @@
   private:
     void write();
 
-    Take take_;
+    ReadHandler read_handler_;
     std::array<char, 16384> buffer_;
-    std::deque<std::string> out_;
+    std::deque<std::string> outgoing_;
     bool writing_ = false;
 };
 
 // Accepts connections on loopback; `make` returns the function that handles the bytes of a new connection.
 class LoopbackListener {
   public:
-    LoopbackListener(boost::asio::io_context& io, std::uint16_t port, std::function<Connection::Take()> make);
+    LoopbackListener(boost::asio::io_context& io, std::uint16_t port,
+                     std::function<Connection::ReadHandler()> make_handler);
 
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
     std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
@@ -60,7 +62,7 @@
     void accept();
 
     boost::asio::ip::tcp::acceptor acceptor_;
-    std::function<Connection::Take()> make_;
+    std::function<Connection::ReadHandler()> make_handler_;
     std::vector<std::weak_ptr<Connection>> connections_;
 };
 
@@ -77,7 +79,7 @@
 // A data node that answers from the script's contents and behaves as the script says.
 class DataNode {
   public:
-    DataNode(boost::asio::io_context& io, Script& script, NodeScript& self);
+    DataNode(boost::asio::io_context& io, Script& script, NodeScript& node_script);
 
     std::string address() const { return listener_.address(); }
     void crash() { listener_.close(true); }
@@ -86,15 +88,15 @@
     std::function<void(char frame_type, std::uint32_t shard)> on_request;  // called before the answer
 
   private:
-    bool take(Connection& connection);
-    bool take_shard_requests(Connection& connection, std::string_view rest);
-    bool take_phase_requests(Connection& connection, char frame_type, std::string_view rest);
+    bool handle_bytes(Connection& connection);
+    bool serve_shard_requests(Connection& connection, std::string_view rest);
+    bool serve_phase_requests(Connection& connection, char frame_type, std::string_view rest);
     void answer_after(Nanos delay, Connection& connection, std::string bytes);
     SearchCriteria criteria_in(std::string_view text) const;
 
     boost::asio::io_context& io_;
     Script& script_;
-    NodeScript& self_;
+    NodeScript& node_script_;
     LoopbackListener listener_;
 };
 
@@ -108,7 +110,7 @@
     void publish(std::string entries);
 
   private:
-    bool take(Connection& connection, RequestReader& reader);
+    bool handle_bytes(Connection& connection, RequestReader& reader);
     void answer(Connection& connection);
 
     std::string entries_;
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -17,13 +17,13 @@
 }
 
 std::string script_of(const FleetRigOptions& options) {
-    std::string text = "fleet {\n shards = " + std::to_string(shards) +
-                       "\n places = " + std::to_string(options.nodes) +
-                       "\n width = " + std::to_string(replicas_per_shard) + "\n rows = 1\n}\n";
-    for (std::size_t n = 0; n < options.nodes; ++n)
-        text += "node \"n" + std::to_string(n) + "\" {\n place = " + std::to_string(n) + "\n zone = \"" +
-                (n % 2 == 0 ? "a" : "b") + "\"\n call_delay = \"2ms\"\n}\n";
-    return text;
+    std::string script = "fleet {\n shards = " + std::to_string(shards) +
+                         "\n places = " + std::to_string(options.nodes) +
+                         "\n width = " + std::to_string(replicas_per_shard) + "\n rows = 1\n}\n";
+    for (std::size_t node = 0; node < options.nodes; ++node)
+        script += "node \"n" + std::to_string(node) + "\" {\n place = " + std::to_string(node) +
+                  "\n zone = \"" + (node % 2 == 0 ? "a" : "b") + "\"\n call_delay = \"2ms\"\n}\n";
+    return script;
 }
 
 }  // namespace
@@ -72,14 +72,15 @@
 FleetRig::FleetRig(boost::asio::io_context& context, FleetRigOptions rig_options)
     : io(context), options(std::move(rig_options)) {
     fleet = std::make_unique<Fleet>(io, read_script(script_of(options), "rig"));
-    for (std::size_t n = 0; n < options.nodes; ++n)
-        fleet->nodes[n].on_request = [this, n](char, std::uint32_t) {
-            calls.push_back({std::chrono::steady_clock::now(), n});
+    for (std::size_t node = 0; node < options.nodes; ++node)
+        fleet->nodes[node].on_request = [this, node](char, std::uint32_t) {
+            calls.push_back({std::chrono::steady_clock::now(), node});
         };
     fleet->publish();
     const auto ports = free_ports(3 * options.managers + options.routers);
-    std::string text = "fleet \"rig\" {\n lease = \"" + options.lease + "\"\n drift = \"" + options.drift +
-                       "\"\n election = \"" + options.election + "\"\n" + options.budgets + "\n";
+    std::string fleet_file = "fleet \"rig\" {\n lease = \"" + options.lease + "\"\n drift = \"" +
+                             options.drift + "\"\n election = \"" + options.election + "\"\n" +
+                             options.budgets + "\n";
     for (std::size_t i = 0; i < options.managers; ++i) {
         raft_ports_.push_back(ports[3 * i]), http_ports_.push_back(ports[3 * i + 1]),
             direct_http_ports_.push_back(ports[3 * i + 2]);
@@ -89,13 +90,13 @@
             io, address_of(raft_ports_[i], "127.0.0.2"), address_of(raft_ports_[i]), sender_id_in_handshake));
         http_proxies_.push_back(std::make_unique<FaultProxy>(
             io, address_of(http_ports_[i]), address_of(direct_http_ports_[i]), caller_name_in_body));
-        text += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" +
-                address_of(raft_ports_[i], "127.0.0.2") + "\"\n  bind = \"" + address_of(raft_ports_[i]) +
-                "\"\n  http = \"" + address_of(http_ports_[i]) + "\"\n  http_bind = \"" +
-                address_of(direct_http_ports_[i]) + "\"\n  folder = \"" +
-                directory.path("s" + std::to_string(i + 1)) + "\"\n }\n";
+        fleet_file += " steward \"" + std::to_string(i + 1) + "\" {\n  raft = \"" +
+                      address_of(raft_ports_[i], "127.0.0.2") + "\"\n  bind = \"" +
+                      address_of(raft_ports_[i]) + "\"\n  http = \"" + address_of(http_ports_[i]) +
+                      "\"\n  http_bind = \"" + address_of(direct_http_ports_[i]) + "\"\n  folder = \"" +
+                      directory.path("s" + std::to_string(i + 1)) + "\"\n }\n";
     }
-    fleet_file_ = directory.write("fleet.hcl", text + "}\n");
+    fleet_file_ = directory.write("fleet.hcl", fleet_file + "}\n");
     for (std::size_t i = 0; i < options.routers; ++i) {
         router_ports_.push_back(ports[3 * options.managers + i]);
         const std::string name = "r" + std::to_string(i);
@@ -108,11 +109,12 @@
                              {"known", {{"generation", 0}, {"reset", true}, {"instances", Json::array()}}},
                              {"settings", settings}};
         directory.write(name + ".json", config.dump());
-        std::string list;
+        std::string manager_addresses;
         for (const std::uint16_t port : http_ports_)
-            list += (list.empty() ? "\"" : ", \"") + address_of(port) + "\"";
+            manager_addresses += (manager_addresses.empty() ? "\"" : ", \"") + address_of(port) + "\"";
         directory.write(name + ".hcl", std::string("member {\n zone = \"") + (i % 2 == 0 ? "a" : "b") +
-                                           "\"\n stewards = [" + list + "]\n" + options.member + "\n}\n");
+                                           "\"\n stewards = [" + manager_addresses + "]\n" + options.member +
+                                           "\n}\n");
     }
     managers.resize(options.managers);
     routers.resize(options.routers);
@@ -133,25 +135,26 @@
     for (TrafficClient& client : clients_) client.client.reset();
 }
 
-void FleetRig::start_manager(std::size_t i, std::vector<std::string> more, std::vector<std::string> before) {
-    std::vector<std::string> words = std::move(before);
-    for (const std::string& word :
+void FleetRig::start_manager(std::size_t i, std::vector<std::string> further_arguments,
+                             std::vector<std::string> wrapper_command) {
+    std::vector<std::string> arguments = std::move(wrapper_command);
+    for (const std::string& argument :
          {options.programs + "/tealcart-fleet-manager", std::string("serve"), std::string("--file"),
           fleet_file_, std::string("--id"), std::to_string(i + 1), std::string("--config"),
           directory.path("r0.json")})
-        words.push_back(word);
-    words.insert(words.end(), more.begin(), more.end());
+        arguments.push_back(argument);
+    arguments.insert(arguments.end(), further_arguments.begin(), further_arguments.end());
     managers[i].reset();
-    managers[i] = std::make_unique<Process>(io, event_log, "s" + std::to_string(i + 1), std::move(words));
+    managers[i] = std::make_unique<Process>(io, event_log, "s" + std::to_string(i + 1), std::move(arguments));
 }
 
 void FleetRig::start_router(std::size_t i) {
     const std::string name = "r" + std::to_string(i);
-    std::vector<std::string> words = {options.programs + "/tealcart", "serve", "--config",
-                                      directory.path(name + ".json")};
-    if (options.membership) words.insert(words.end(), {"--file", directory.path(name + ".hcl")});
+    std::vector<std::string> arguments = {options.programs + "/tealcart", "serve", "--config",
+                                          directory.path(name + ".json")};
+    if (options.membership) arguments.insert(arguments.end(), {"--file", directory.path(name + ".hcl")});
     routers[i].reset();
-    routers[i] = std::make_unique<Process>(io, event_log, name, std::move(words));
+    routers[i] = std::make_unique<Process>(io, event_log, name, std::move(arguments));
     until([&] { return routers[i]->has_printed(" serves at ") || routers[i]->ended(); });
     send_query(i);
 }
@@ -173,8 +176,8 @@
     query.query_class = traffic.query_count % 3 == 2 ? "adjust" : "search";
     query.id = "q" + std::to_string(i) + "-" + std::to_string(++traffic.query_count);
     if (query.query_class == "adjust") query.key = "k" + query.id;
-    for (std::uint32_t s = 0; s < 4; ++s)
-        query.shards.push_back(static_cast<std::uint32_t>(traffic.query_count * 4 + s) % shards);
+    for (std::uint32_t offset = 0; offset < 4; ++offset)
+        query.shards.push_back(static_cast<std::uint32_t>(traffic.query_count * 4 + offset) % shards);
     try {
         // The client may call this from its own handler, so the next client is created in a later one.
         traffic.client =
@@ -213,8 +216,8 @@
 std::size_t FleetRig::leader() const {
     for (std::size_t i = 0; i < managers.size(); ++i) {
         if (!managers[i] || managers[i]->ended()) continue;
-        const Json s = status(i);
-        if (s.is_object() && s["leader"] == s["steward"]) return i;
+        const Json manager_status = status(i);
+        if (manager_status.is_object() && manager_status["leader"] == manager_status["steward"]) return i;
     }
     return managers.size();
 }
@@ -225,28 +228,31 @@
 }
 
 Json FleetRig::request_for(const std::string& node) const {
-    const Json s = leader_status();
-    if (s.is_object())
-        for (const Json& r : s["requests"])
-            if (r["target"][1] == node) return r;
+    const Json agreed_state = leader_status();
+    if (agreed_state.is_object())
+        for (const Json& request : agreed_state["requests"])
+            if (request["target"][1] == node) return request;
     return {};
 }
 
 bool FleetRig::all_ready() {
-    const Json s = leader_status();
-    if (!s.is_object() || s["nodes"].size() != options.nodes) return false;
+    const Json agreed_state = leader_status();
+    if (!agreed_state.is_object() || agreed_state["nodes"].size() != options.nodes) return false;
     std::size_t live = 0;
-    for (const Json& m : s["members"]) live += !m["lost"].get<bool>() && !m["left"].get<bool>();
-    return s["held_for_ms"] == 0 && (!options.membership || live == options.routers);
+    for (const Json& member : agreed_state["members"])
+        live += !member["lost"].get<bool>() && !member["left"].get<bool>();
+    return agreed_state["held_for_ms"] == 0 && (!options.membership || live == options.routers);
 }
 
-std::unique_ptr<Process> FleetRig::command(std::vector<std::string> words, std::vector<std::size_t> through) {
-    std::string list;
-    for (const std::size_t i : through) list += (list.empty() ? "" : ",") + address_of(http_ports_[i]);
-    words.insert(words.begin(), options.programs + "/tealcart");
+std::unique_ptr<Process> FleetRig::command(std::vector<std::string> arguments,
+                                           std::vector<std::size_t> through) {
+    std::string manager_addresses;
+    for (const std::size_t i : through)
+        manager_addresses += (manager_addresses.empty() ? "" : ",") + address_of(http_ports_[i]);
+    arguments.insert(arguments.begin(), options.programs + "/tealcart");
     const std::string name = "operator";
-    return std::make_unique<Process>(io, event_log, name, std::move(words),
-                                     std::vector<std::string>{"TEALCART_STEWARDS=" + list});
+    return std::make_unique<Process>(io, event_log, name, std::move(arguments),
+                                     std::vector<std::string>{"TEALCART_STEWARDS=" + manager_addresses});
 }
 
 void FleetRig::cut_off(std::size_t i, bool inbound, bool outbound) {
@@ -258,13 +264,13 @@
 
 void FleetRig::cut_off_member(const std::string& name, bool to, bool from) {
     event_log.record("rig", "cuts off " + name);
-    for (auto& relay : http_proxies_) relay->cut(name, {to, from});
+    for (auto& proxy : http_proxies_) proxy->cut(name, {to, from});
 }
 
 void FleetRig::heal() {
     event_log.record("rig", "removes all faults");
-    for (auto& relay : raft_proxies_) relay->heal();
-    for (auto& relay : http_proxies_) relay->heal();
+    for (auto& proxy : raft_proxies_) proxy->heal();
+    for (auto& proxy : http_proxies_) proxy->heal();
 }
 
 }  // namespace tealcart::testing
--- a/src/testing/fleet_rig.hpp
+++ b/src/testing/fleet_rig.hpp
@@ -45,8 +45,8 @@
     void run_for(std::chrono::milliseconds span);
 
     // `more`: further arguments. `before`: a command that runs the program, such as one that limits it.
-    void start_manager(std::size_t i, std::vector<std::string> more = {},
-                       std::vector<std::string> before = {});
+    void start_manager(std::size_t i, std::vector<std::string> further_arguments = {},
+                       std::vector<std::string> wrapper_command = {});
     void start_router(std::size_t i);
     void stop_traffic() { traffic_ = false; }
     bool all_ready();
@@ -60,7 +60,7 @@
     nlohmann::json leader_status() const;  // null: none leads
     nlohmann::json request_for(const std::string& node) const;  // in the leader's state; null: none is open
     // Starts an operator's command that tries these fleet managers in this order.
-    std::unique_ptr<Process> command(std::vector<std::string> words, std::vector<std::size_t> through);
+    std::unique_ptr<Process> command(std::vector<std::string> arguments, std::vector<std::size_t> through);
 
     // Drops the messages between this fleet manager and the others, in the given directions.
     void cut_off(std::size_t manager, bool inbound = true, bool outbound = true);
--- a/src/testing/rig.cpp
+++ b/src/testing/rig.cpp
@@ -30,10 +30,10 @@
     std::string out;
     for (std::size_t i = events.size() > max_events ? events.size() - max_events : 0; i < events.size();
          ++i) {
-        char at[32];
-        std::snprintf(at, sizeof at, "%9.3f ",
+        char timestamp[32];
+        std::snprintf(timestamp, sizeof timestamp, "%9.3f ",
                       std::chrono::duration<double>(events[i].at - started_at).count());
-        out.append(at).append(events[i].source).append(": ").append(events[i].message).append("\n");
+        out.append(timestamp).append(events[i].source).append(": ").append(events[i].message).append("\n");
     }
     return out;
 }
@@ -41,26 +41,29 @@
 Process::Process(boost::asio::io_context& io, EventLog& event_log, std::string name,
                  std::vector<std::string> command, std::vector<std::string> environment)
     : event_log_(event_log), name_(std::move(name)), buffer_(std::make_shared<std::array<char, 4096>>()) {
-    int ends[2];
-    if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
-    std::vector<char*> words, variables;
-    for (std::string& w : command) words.push_back(w.data());
-    words.push_back(nullptr);
-    for (std::string& v : environment) variables.push_back(v.data());
-    for (char** v = environ; *v != nullptr; ++v)
-        if (std::strncmp(*v, "TEALCART_", 9) != 0 && std::strncmp(*v, "ROUTER_", 7) != 0)
-            variables.push_back(*v);
+    int pipe_ends[2];
+    if (::pipe2(pipe_ends, O_CLOEXEC) != 0)
+        throw std::runtime_error("cannot create the pipe for the output of " + name_);
+    std::vector<char*> arguments, variables;
+    for (std::string& argument : command) arguments.push_back(argument.data());
+    arguments.push_back(nullptr);
+    for (std::string& variable : environment) variables.push_back(variable.data());
+    for (char** variable = environ; *variable != nullptr; ++variable)
+        if (std::strncmp(*variable, "TEALCART_", 9) != 0 && std::strncmp(*variable, "ROUTER_", 7) != 0)
+            variables.push_back(*variable);
     variables.push_back(nullptr);
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
-    posix_spawn_file_actions_adddup2(&files, ends[1], 1);
-    posix_spawn_file_actions_adddup2(&files, ends[1], 2);
+    posix_spawn_file_actions_adddup2(&files, pipe_ends[1], 1);
+    posix_spawn_file_actions_adddup2(&files, pipe_ends[1], 2);
     posix_spawn_file_actions_addclosefrom_np(&files, 3);  // the child must not inherit the test's sockets
-    const int rv = ::posix_spawn(&pid_, words[0], &files, nullptr, words.data(), variables.data());
+    const int spawn_error =
+        ::posix_spawn(&pid_, arguments[0], &files, nullptr, arguments.data(), variables.data());
     posix_spawn_file_actions_destroy(&files);
-    ::close(ends[1]);
-    if (rv != 0) throw std::runtime_error("cannot start " + command[0] + ": " + std::strerror(rv));
-    output_ = std::make_shared<boost::asio::posix::stream_descriptor>(io, ends[0]);
+    ::close(pipe_ends[1]);
+    if (spawn_error != 0)
+        throw std::runtime_error("cannot start " + command[0] + ": " + std::strerror(spawn_error));
+    output_ = std::make_shared<boost::asio::posix::stream_descriptor>(io, pipe_ends[0]);
     event_log_.record(name_, "started");
     read();
 }
@@ -78,9 +81,9 @@
 void Process::read() {
     output_->async_read_some(
         boost::asio::buffer(*buffer_),
-        [this, alive = alive_, output = output_, bytes = buffer_](const error_code& ec, std::size_t n) {
+        [this, alive = alive_, output = output_, bytes = buffer_](const error_code& ec, std::size_t length) {
             if (!*alive || ec == boost::asio::error::operation_aborted) return;
-            partial_line_.append(bytes->data(), n);
+            partial_line_.append(bytes->data(), length);
             for (std::size_t end = 0; (end = partial_line_.find('\n')) != partial_line_.npos;
                  partial_line_.erase(0, end + 1)) {
                 lines_.push_back(partial_line_.substr(0, end));
@@ -112,8 +115,9 @@
     return false;
 }
 
-struct FaultProxy::Connections {
-    Connections(boost::asio::io_context& io, tcp::socket from) : sockets{std::move(from), tcp::socket(io)} {}
+struct FaultProxy::ProxiedConnection {
+    ProxiedConnection(boost::asio::io_context& io, tcp::socket from)
+        : sockets{std::move(from), tcp::socket(io)} {}
 
     std::array<tcp::socket, 2> sockets;  // the caller, and the process
     std::array<std::array<char, 16384>, 2> buffers;
@@ -124,17 +128,17 @@
 namespace {
 
 tcp::endpoint endpoint_of(const std::string& text) {
-    const auto at = parse_host_port(text);
-    if (!at) throw std::runtime_error("'" + text + "' is not an address with a port");
-    return {boost::asio::ip::make_address(at->host), at->port};
+    const auto address = parse_host_port(text);
+    if (!address) throw std::runtime_error("'" + text + "' is not an address; expected HOST:PORT");
+    return {boost::asio::ip::make_address(address->host), address->port};
 }
 
 }  // namespace
 
 FaultProxy::FaultProxy(boost::asio::io_context& io, const std::string& listen, const std::string& target,
-                       IdentifyCaller tag)
+                       IdentifyCaller identify_caller)
     : io_(io), acceptor_(io, endpoint_of(listen)), target_(endpoint_of(target)),
-      identify_caller_(std::move(tag)) {
+      identify_caller_(std::move(identify_caller)) {
     accept();
 }
 
@@ -144,77 +148,81 @@
     acceptor_.async_accept([this](const error_code& ec, tcp::socket socket) {
         if (ec == boost::asio::error::operation_aborted) return;
         if (!ec) {
-            auto pair = std::make_shared<Connections>(io_, std::move(socket));
-            std::erase_if(pairs_, [](const auto& p) { return p.expired(); });
-            pairs_.push_back(pair);
-            pair->sockets[1].async_connect(target_, [this, pair](const error_code& failed) {
-                if (failed || pair->closed) return close(*pair);
+            auto connection = std::make_shared<ProxiedConnection>(io_, std::move(socket));
+            std::erase_if(connections_, [](const auto& candidate) { return candidate.expired(); });
+            connections_.push_back(connection);
+            connection->sockets[1].async_connect(target_, [this, connection](const error_code& failed) {
+                if (failed || connection->closed) return close(*connection);
                 error_code ignored;
-                for (tcp::socket& s : pair->sockets) s.set_option(tcp::no_delay(true), ignored);
-                pump(pair, true);
-                pump(pair, false);
+                for (tcp::socket& end_socket : connection->sockets)
+                    end_socket.set_option(tcp::no_delay(true), ignored);
+                pump(connection, true);
+                pump(connection, false);
             });
         }
         accept();
     });
 }
 
-bool FaultProxy::drops(Connections& pair, bool to) const {
-    for (const std::string& caller : {pair.caller, std::string()}) {
+bool FaultProxy::drops(ProxiedConnection& connection, bool to_process) const {
+    for (const std::string& caller : {connection.caller, std::string()}) {
         const auto it = faults_.find(caller);
-        if (it != faults_.end() && (to ? it->second.to : it->second.from)) return true;
+        if (it != faults_.end() && (to_process ? it->second.to_process : it->second.from_process))
+            return true;
     }
     return false;
 }
 
-void FaultProxy::pump(const std::shared_ptr<Connections>& pair, bool to) {
-    tcp::socket& source = pair->sockets[to ? 0 : 1];
+void FaultProxy::pump(const std::shared_ptr<ProxiedConnection>& connection, bool to_process) {
+    tcp::socket& source = connection->sockets[to_process ? 0 : 1];
     source.async_read_some(
-        boost::asio::buffer(pair->buffers[to ? 0 : 1]),
-        [this, pair, to](const error_code& ec, std::size_t n) {
-            if (ec || pair->closed) return close(*pair);
-            if (to && pair->caller.empty()) {
-                pair->first_bytes.append(pair->buffers[0].data(), n);
-                pair->caller = identify_caller_(pair->first_bytes);
+        boost::asio::buffer(connection->buffers[to_process ? 0 : 1]),
+        [this, connection, to_process](const error_code& ec, std::size_t length) {
+            if (ec || connection->closed) return close(*connection);
+            if (to_process && connection->caller.empty()) {
+                connection->first_bytes.append(connection->buffers[0].data(), length);
+                connection->caller = identify_caller_(connection->first_bytes);
             }
-            if (drops(*pair, to)) {
-                pair->lost_bytes = true;  // later bytes would not fit the ones before the gap
-                return pump(pair, to);
+            if (drops(*connection, to_process)) {
+                connection->lost_bytes = true;  // later bytes would not fit the ones before the gap
+                return pump(connection, to_process);
             }
-            if (pair->lost_bytes) return pump(pair, to);
-            boost::asio::async_write(pair->sockets[to ? 1 : 0],
-                                     boost::asio::buffer(pair->buffers[to ? 0 : 1].data(), n),
-                                     [this, pair, to](const error_code& failed, std::size_t) {
-                                         if (failed) return close(*pair);
-                                         pump(pair, to);
-                                     });
+            if (connection->lost_bytes) return pump(connection, to_process);
+            boost::asio::async_write(
+                connection->sockets[to_process ? 1 : 0],
+                boost::asio::buffer(connection->buffers[to_process ? 0 : 1].data(), length),
+                [this, connection, to_process](const error_code& failed, std::size_t) {
+                    if (failed) return close(*connection);
+                    pump(connection, to_process);
+                });
         });
 }
 
-void FaultProxy::close(Connections& pair) {
-    if (std::exchange(pair.closed, true)) return;
+void FaultProxy::close(ProxiedConnection& connection) {
+    if (std::exchange(connection.closed, true)) return;
     error_code ec;
-    for (tcp::socket& s : pair.sockets) s.close(ec);
+    for (tcp::socket& end_socket : connection.sockets) end_socket.close(ec);
 }
 
 void FaultProxy::heal() {
     faults_.clear();
-    for (const auto& weak_pair : pairs_)
-        if (const auto pair = weak_pair.lock(); pair && pair->lost_bytes) close(*pair);
+    for (const auto& weak_connection : connections_)
+        if (const auto connection = weak_connection.lock(); connection && connection->lost_bytes)
+            close(*connection);
 }
 
 void FaultProxy::reset_all() {
-    for (const auto& weak_pair : pairs_)
-        if (const auto pair = weak_pair.lock()) close(*pair);
+    for (const auto& weak_connection : connections_)
+        if (const auto connection = weak_connection.lock()) close(*connection);
 }
 
 std::string caller_name_in_body(const std::string& first_bytes) {
     const std::string_view key =
         first_bytes.rfind("POST /fleet/relay ", 0) == 0 ? "\"relay\":\"" : "\"name\":\"";
-    const auto at = first_bytes.find(key);
-    const auto end = at == first_bytes.npos ? at : first_bytes.find('"', at + key.size());
+    const auto position = first_bytes.find(key);
+    const auto end = position == first_bytes.npos ? position : first_bytes.find('"', position + key.size());
     return end == first_bytes.npos ? std::string()
-                                   : first_bytes.substr(at + key.size(), end - at - key.size());
+                                   : first_bytes.substr(position + key.size(), end - position - key.size());
 }
 
 // The handshake begins with two little-endian numbers of eight bytes: the protocol version and the sender's
@@ -254,7 +262,8 @@
 
 TemporaryDirectory::TemporaryDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "tealcart-XXXXXX").string();
-    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a temporary directory");
+    if (::mkdtemp(name.data()) == nullptr)
+        throw std::runtime_error("cannot create a temporary directory " + name);
     path_ = name;
 }
 
--- a/src/testing/rig.hpp
+++ b/src/testing/rig.hpp
@@ -76,11 +76,11 @@
     using IdentifyCaller = std::function<std::string(const std::string& first_bytes)>;
     // The direction of dropped bytes: to the process, from the process, or both.
     struct Fault {
-        bool to = false, from = false;
+        bool to_process = false, from_process = false;
     };
 
     FaultProxy(boost::asio::io_context& io, const std::string& listen, const std::string& target,
-               IdentifyCaller tag);
+               IdentifyCaller identify_caller);
     ~FaultProxy();
 
     // Drops bytes of the connections of this caller; "" for all callers.
@@ -90,19 +90,19 @@
     void reset_all();
 
   private:
-    struct Connections;
+    struct ProxiedConnection;
 
     void accept();
-    void pump(const std::shared_ptr<Connections>& pair, bool to);
-    bool drops(Connections& pair, bool to) const;
-    static void close(Connections& pair);
+    void pump(const std::shared_ptr<ProxiedConnection>& connection, bool to_process);
+    bool drops(ProxiedConnection& connection, bool to_process) const;
+    static void close(ProxiedConnection& connection);
 
     boost::asio::io_context& io_;
     boost::asio::ip::tcp::acceptor acceptor_;
     const boost::asio::ip::tcp::endpoint target_;
     const IdentifyCaller identify_caller_;
     std::map<std::string, Fault> faults_;
-    std::vector<std::weak_ptr<Connections>> pairs_;
+    std::vector<std::weak_ptr<ProxiedConnection>> connections_;
 };
 
 // Callers for FaultProxy: the member's or relay's name in an HTTP call to a fleet manager, and the fleet
--- a/src/testing/script.cpp
+++ b/src/testing/script.cpp
@@ -16,62 +16,65 @@
 constexpr Nanos hour = 3600'000'000'000;
 
 std::vector<std::uint32_t> read_shards(const std::vector<std::string>& texts, std::uint32_t below,
-                                       BlockReader& in, const HclBlock& block) {
-    std::vector<std::uint32_t> read;
+                                       BlockReader& reader, const HclBlock& block) {
+    std::vector<std::uint32_t> shards;
     for (const std::string& text : texts) {
         std::uint32_t number = 0;
         const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
         if (ec != std::errc() || end != text.data() + text.size() || number >= below)
-            in.add_error(block.position, "'" + text + "' is no shard number below " + std::to_string(below));
+            reader.add_error(block.position,
+                             "'" + text + "' is no shard number below " + std::to_string(below));
         else
-            read.push_back(number);
+            shards.push_back(number);
     }
-    return read;
+    return shards;
 }
 
-void read_behaviour_into(BlockReader& in, const HclBlock& block, Behaviour& behaviour) {
-    behaviour.refusal = static_cast<Refusal>(
-        in.choice("refuses_phases", static_cast<std::size_t>(behaviour.refusal), {"no", "words", "close"}));
-    behaviour.summary_delay = in.duration("word_delay", behaviour.summary_delay, 0, hour);
-    behaviour.rows_delay = in.duration("rows_delay", behaviour.rows_delay, 0, hour);
-    behaviour.call_delay = in.duration("call_delay", behaviour.call_delay, 0, hour);
-    behaviour.silent = in.boolean("silent", behaviour.silent);
-    behaviour.silent_summaries = in.boolean("silent_words", behaviour.silent_summaries);
-    behaviour.resets = in.boolean("resets", behaviour.resets);
-    behaviour.rejects = in.boolean("rejects", behaviour.rejects);
-    behaviour.errs = in.boolean("errs", behaviour.errs);
-    behaviour.garbles_summaries = in.boolean("garbles_words", behaviour.garbles_summaries);
-    behaviour.hides_rows = in.boolean("hides_rows", behaviour.hides_rows);
-    behaviour.bound_error = in.number("bound_error", behaviour.bound_error, -1e9, 1e9);
+void read_behaviour_into(BlockReader& reader, const HclBlock& block, Behaviour& behaviour) {
+    behaviour.refusal = static_cast<Refusal>(reader.choice(
+        "refuses_phases", static_cast<std::size_t>(behaviour.refusal), {"no", "words", "close"}));
+    behaviour.summary_delay = reader.duration("word_delay", behaviour.summary_delay, 0, hour);
+    behaviour.rows_delay = reader.duration("rows_delay", behaviour.rows_delay, 0, hour);
+    behaviour.call_delay = reader.duration("call_delay", behaviour.call_delay, 0, hour);
+    behaviour.silent = reader.boolean("silent", behaviour.silent);
+    behaviour.silent_summaries = reader.boolean("silent_words", behaviour.silent_summaries);
+    behaviour.resets = reader.boolean("resets", behaviour.resets);
+    behaviour.rejects = reader.boolean("rejects", behaviour.rejects);
+    behaviour.errs = reader.boolean("errs", behaviour.errs);
+    behaviour.garbles_summaries = reader.boolean("garbles_words", behaviour.garbles_summaries);
+    behaviour.hides_rows = reader.boolean("hides_rows", behaviour.hides_rows);
+    behaviour.bound_error = reader.number("bound_error", behaviour.bound_error, -1e9, 1e9);
     behaviour.behind = static_cast<std::uint64_t>(
-        in.integer("behind", static_cast<std::int64_t>(behaviour.behind), 0, 1'000'000));
-    behaviour.lease = in.duration("lease", behaviour.lease, 0, hour);
+        reader.integer("behind", static_cast<std::int64_t>(behaviour.behind), 0, 1'000'000));
+    behaviour.lease = reader.duration("lease", behaviour.lease, 0, hour);
     behaviour.starts = static_cast<std::uint64_t>(
-        in.integer("starts", static_cast<std::int64_t>(behaviour.starts), 0, 9'000'000'000'000));
+        reader.integer("starts", static_cast<std::int64_t>(behaviour.starts), 0, 9'000'000'000'000));
     static const std::initializer_list<const char*> lifecycles = {"up", "draining", "removed"};
     const auto current =
         std::find(lifecycles.begin(), lifecycles.end(), behaviour.lifecycle) - lifecycles.begin();
     behaviour.lifecycle =
-        *(lifecycles.begin() + in.choice("lifecycle", static_cast<std::size_t>(current), lifecycles));
-    if (const auto shards = in.strings("silent_on"); !shards.empty())
-        behaviour.silent_on = read_shards(shards, UINT32_MAX, in, block);
+        *(lifecycles.begin() + reader.choice("lifecycle", static_cast<std::size_t>(current), lifecycles));
+    if (const auto shards = reader.strings("silent_on"); !shards.empty())
+        behaviour.silent_on = read_shards(shards, UINT32_MAX, reader, block);
 }
 
 Row read_row(const HclBlock& block, std::vector<HclError>& errors) {
-    BlockReader in(block, errors);
+    BlockReader reader(block, errors);
     Row row;
-    const std::string doc = in.label("the document's number");
-    if (std::from_chars(doc.data(), doc.data() + doc.size(), row.doc).ec != std::errc())
-        in.add_error(block.position, "the label of a row must be the document's number, not '" + doc + "'");
-    row.rank = in.number("rank", 0, -1e12, 1e12);
-    row.terms = in.strings("terms");
-    for (const auto& [field, value] : in.numbers_by_key("fields")) row.fields[field] = value;
-    in.reject_unknown();
+    const std::string document_number = reader.label("the document's number");
+    if (std::from_chars(document_number.data(), document_number.data() + document_number.size(), row.doc)
+            .ec != std::errc())
+        reader.add_error(block.position,
+                         "the label of a row must be the document's number, not '" + document_number + "'");
+    row.rank = reader.number("rank", 0, -1e12, 1e12);
+    row.terms = reader.strings("terms");
+    for (const auto& [field, value] : reader.numbers_by_key("fields")) row.fields[field] = value;
+    reader.reject_unknown();
     return row;
 }
 
-void read_sections(BlockReader& in, Script& script, std::vector<HclError>& errors) {
-    for (const HclBlock* block : in.blocks("section")) {
+void read_sections(BlockReader& reader, Script& script, std::vector<HclError>& errors) {
+    for (const HclBlock* block : reader.blocks("section")) {
         BlockReader block_reader(*block, errors);
         const auto shards =
             read_shards({block_reader.label("the shard")}, script.shards, block_reader, *block);
@@ -84,17 +87,17 @@
     }
 }
 
-void read_changes(BlockReader& in, Script& script, std::vector<HclError>& errors) {
-    for (const HclBlock* block : in.blocks("at")) {
+void read_changes(BlockReader& reader, Script& script, std::vector<HclError>& errors) {
+    for (const HclBlock* block : reader.blocks("at")) {
         BlockReader block_reader(*block, errors);
         Change change;
-        const auto at = block->labels.size() == 2 ? parse_duration(block->labels[0]) : std::nullopt;
-        if (!at) {
+        const auto time = block->labels.size() == 2 ? parse_duration(block->labels[0]) : std::nullopt;
+        if (!time) {
             block_reader.add_error(
                 block->position, "an 'at' block needs two labels: a time, and a node's name or \"contents\"");
             continue;
         }
-        change.at = *at;
+        change.at = *time;
         const std::string& target = block->labels[1];
         if (target == "contents") {
             change.shards = read_shards(block_reader.strings("shards"), script.shards, block_reader, *block);
@@ -105,8 +108,8 @@
             const auto is_target = [&target](const NodeScript& node) { return node.name == target; };
             if (std::none_of(script.nodes.begin(), script.nodes.end(), is_target))
                 block_reader.add_error(block->position, "the script has no node named '" + target + "'");
-            Behaviour read;
-            read_behaviour_into(block_reader, *block, read);
+            Behaviour behaviour;
+            read_behaviour_into(block_reader, *block, behaviour);
         }
         block_reader.reject_unknown();
         script.changes.push_back(std::move(change));
@@ -118,18 +121,18 @@
 }  // namespace
 
 Behaviour read_behaviour(const HclBlock& block, const Behaviour& before, std::vector<HclError>& errors) {
-    BlockReader in(block, errors);
-    Behaviour read = before;
-    read_behaviour_into(in, block, read);
-    return read;
+    BlockReader reader(block, errors);
+    Behaviour behaviour = before;
+    read_behaviour_into(reader, block, behaviour);
+    return behaviour;
 }
 
 Script read_script(std::string_view text, std::string_view source) {
     const HclBlock root = parse_hcl(text, source);
     std::vector<HclError> errors;
-    BlockReader in(root, errors);
+    BlockReader reader(root, errors);
     Script script;
-    if (const HclBlock* fleet = in.single_block("fleet")) {
+    if (const HclBlock* fleet = reader.single_block("fleet")) {
         BlockReader block_reader(*fleet, errors);
         block_reader.expect_no_label();
         GeneratedContents generated;
@@ -147,10 +150,10 @@
         block_reader.reject_unknown();
         if (errors.empty()) script.sections = generate(generated);
     } else {
-        in.add_error(root.position, "the script needs a 'fleet' block");
+        reader.add_error(root.position, "the script needs a 'fleet' block");
     }
     script.sections.resize(script.shards);
-    for (const HclBlock* block : in.blocks("node")) {
+    for (const HclBlock* block : reader.blocks("node")) {
         BlockReader block_reader(*block, errors);
         NodeScript node;
         node.name = block_reader.label("the node's name");
@@ -161,9 +164,9 @@
         block_reader.reject_unknown();
         script.nodes.push_back(std::move(node));
     }
-    read_sections(in, script, errors);
-    read_changes(in, script, errors);
-    in.reject_unknown();
+    read_sections(reader, script, errors);
+    read_changes(reader, script, errors);
+    reader.reject_unknown();
     if (!errors.empty()) throw HclErrors(source, std::move(errors));
     return script;
 }
--- a/tests/drains_test.cpp
+++ b/tests/drains_test.cpp
@@ -30,89 +30,93 @@
     return static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1)));
 }
 
+constexpr int listen_state = 10;  // of a listening socket in /proc/net/tcp
+
 // The sockets that a process has open, according to the kernel.
 struct Sockets {
-    std::size_t listening = 0, others = 0;  // others: sockets that are not TCP over IPv4
-    std::vector<std::uint16_t> called;      // remote ports of connections that the process opened
+    std::size_t listening = 0, others = 0;    // others: sockets that are not TCP over IPv4
+    std::vector<std::uint16_t> remote_ports;  // remote ports of connections that the process opened
 };
 
-Sockets sockets_of(const std::string& proc) {
-    struct Line {
-        std::uint16_t local, far;
+Sockets sockets_of(const std::string& process_directory) {
+    struct TcpSocket {
+        std::uint16_t local_port, remote_port;
         int state;
     };
-    std::map<std::string, Line> by_inode;
-    std::ifstream list("/proc/net/tcp");
+    std::map<std::string, TcpSocket> sockets_by_inode;
+    std::ifstream tcp_table("/proc/net/tcp");
     std::string line;
-    std::getline(list, line);
-    while (std::getline(list, line)) {
+    std::getline(tcp_table, line);
+    while (std::getline(tcp_table, line)) {
         char inode[32];
-        unsigned local = 0, far = 0, state = 0;
-        if (std::sscanf(line.c_str(), " %*d: %*8x:%4x %*8x:%4x %2x %*s %*s %*s %*d %*d %31s", &local, &far,
-                        &state, inode) == 4)
-            by_inode[inode] = {static_cast<std::uint16_t>(local), static_cast<std::uint16_t>(far),
-                               static_cast<int>(state)};
+        unsigned local_port = 0, remote_port = 0, state = 0;
+        if (std::sscanf(line.c_str(), " %*d: %*8x:%4x %*8x:%4x %2x %*s %*s %*s %*d %*d %31s", &local_port,
+                        &remote_port, &state, inode) == 4)
+            sockets_by_inode[inode] = {static_cast<std::uint16_t>(local_port),
+                                       static_cast<std::uint16_t>(remote_port), static_cast<int>(state)};
     }
-    Sockets found;
-    std::vector<Line> lines;
-    for (const auto& e : std::filesystem::directory_iterator(proc + "/fd")) {
+    Sockets sockets;
+    std::vector<TcpSocket> tcp_sockets;
+    for (const auto& entry : std::filesystem::directory_iterator(process_directory + "/fd")) {
         std::error_code ec;
-        const std::string to = std::filesystem::read_symlink(e.path(), ec).string();
-        if (ec || to.rfind("socket:[", 0) != 0) continue;
-        const auto it = by_inode.find(to.substr(8, to.size() - 9));
-        if (it == by_inode.end())
-            ++found.others;
+        const std::string link_target = std::filesystem::read_symlink(entry.path(), ec).string();
+        if (ec || link_target.rfind("socket:[", 0) != 0) continue;
+        const auto it = sockets_by_inode.find(link_target.substr(8, link_target.size() - 9));
+        if (it == sockets_by_inode.end())
+            ++sockets.others;
         else
-            lines.push_back(it->second);
+            tcp_sockets.push_back(it->second);
     }
-    std::uint16_t own = 0;
-    for (const Line& l : lines)
-        if (l.state == 10) own = l.local, ++found.listening;
-    for (const Line& l : lines)
-        if (l.state != 10 && l.local != own) found.called.push_back(l.far);
-    return found;
+    std::uint16_t listening_port = 0;
+    for (const TcpSocket& socket : tcp_sockets)
+        if (socket.state == listen_state) listening_port = socket.local_port, ++sockets.listening;
+    for (const TcpSocket& socket : tcp_sockets)
+        if (socket.state != listen_state && socket.local_port != listening_port)
+            sockets.remote_ports.push_back(socket.remote_port);
+    return sockets;
 }
 
 struct DrainFixture {
     explicit DrainFixture(FleetRigOptions options) : rig(io, std::move(options)) {
-        const bool up = rig.until([this] {
-            for (const auto& r : rig.routers)
-                if (rig.options.membership && !r->has_printed(": it has a lease from the fleet managers"))
+        const bool all_ready = rig.until([this] {
+            for (const auto& router : rig.routers)
+                if (rig.options.membership &&
+                    !router->has_printed(": it has a lease from the fleet managers"))
                     return false;
             return rig.all_ready();
         });
         INFO(rig.event_log.text());
-        REQUIRE(up);
+        REQUIRE(all_ready);
         rig.answers.clear();  // queries fail until a router knows the data nodes
     }
-    bool has_stage(const std::string& target, const char* is) {
-        const Json r = rig.request_for(target);
-        return r.is_object() && r["stage"] == is;
+    bool has_stage(const std::string& target, const char* stage) {
+        const Json request = rig.request_for(target);
+        return request.is_object() && request["stage"] == stage;
     }
     bool becomes_done(const std::string& target) {
         return rig.until([&] { return has_stage(target, "done"); });
     }
     std::size_t calls_to(std::size_t node, TimePoint since) const {
-        std::size_t n = 0;
-        for (const ReceivedCall& c : rig.calls) n += c.node == node && c.at >= since;
-        return n;
+        std::size_t count = 0;
+        for (const ReceivedCall& call : rig.calls) count += call.node == node && call.at >= since;
+        return count;
     }
     // Checks that this many further queries are answered with 200.
     void check_traffic_continues(std::uint64_t queries = 60) {
         const std::uint64_t before = rig.answers[200];
         CHECK(rig.until([&] { return rig.answers[200] >= before + queries; }));
     }
-    int run(std::vector<std::string> words, std::vector<std::size_t> through) {
-        const auto p = rig.command(std::move(words), std::move(through));
-        CHECK(rig.until([&] { return p->ended(); }));
-        return p->status();
+    int run(std::vector<std::string> arguments, std::vector<std::size_t> through) {
+        const auto process = rig.command(std::move(arguments), std::move(through));
+        CHECK(rig.until([&] { return process->ended(); }));
+        return process->status();
     }
     // Checks that the node receives no calls from now on while traffic continues.
     void check_no_calls_to(std::size_t node) {
-        const TimePoint from = std::chrono::steady_clock::now();
+        const TimePoint since = std::chrono::steady_clock::now();
         check_traffic_continues();
         INFO(rig.event_log.text());
-        CHECK(calls_to(node, from) == 0);
+        CHECK(calls_to(node, since) == 0);
     }
     // Checks that no query failed since all processes became ready. On a busy machine the router may reject a
     // few queries with 503, so up to 2 % of them are accepted.
@@ -144,15 +148,16 @@
     const std::string first = fixture.has_stage("n2", "queued") ? "n3" : "n2",
                       second = first == "n2" ? "n3" : "n2";
     REQUIRE(fixture.becomes_done(first));
-    const Json waits = fixture.rig.request_for(second);
-    CHECK(waits["stage"] == "queued");
-    CHECK(waits["held_by"].get<std::string>().find("would keep 1 whole holders") != std::string::npos);
+    const Json waiting_request = fixture.rig.request_for(second);
+    CHECK(waiting_request["stage"] == "queued");
+    CHECK(waiting_request["held_by"].get<std::string>().find("would keep 1 whole holders") !=
+          std::string::npos);
     fixture.check_no_calls_to(first == "n2" ? 2 : 3);
     CHECK(fixture.run({"undrain", first, "--wait"}, {1}) == 0);
     REQUIRE(fixture.becomes_done(second));
     fixture.check_no_calls_to(second == "n2" ? 2 : 3);
-    const TimePoint back = std::chrono::steady_clock::now();
-    CHECK(fixture.rig.until([&] { return fixture.calls_to(first == "n2" ? 2 : 3, back) > 0; }));
+    const TimePoint returned_at = std::chrono::steady_clock::now();
+    CHECK(fixture.rig.until([&] { return fixture.calls_to(first == "n2" ? 2 : 3, returned_at) > 0; }));
     fixture.check_no_failed_queries();
 }
 
@@ -163,7 +168,7 @@
     REQUIRE(leader < 3);
     // One router is cut off, so that the grant is still unacknowledged when the leader is killed.
     fixture.rig.cut_off_member(5, true, true);
-    auto ask = fixture.rig.command({"drain", "n4", "--id", "one"}, {leader});
+    auto drain_command = fixture.rig.command({"drain", "n4", "--id", "one"}, {leader});
     REQUIRE(
         fixture.rig.until([&] { return fixture.rig.managers[leader]->has_printed("granted: request 1 "); }));
     fixture.rig.managers[leader]->signal(SIGKILL);
@@ -177,8 +182,8 @@
     fixture.check_no_calls_to(4);
     fixture.rig.start_manager(leader);
     CHECK(fixture.rig.until([&] {
-        const Json s = fixture.rig.status(leader);
-        return s.is_object() && s["generation"] == fixture.rig.leader_status()["generation"];
+        const Json status = fixture.rig.status(leader);
+        return status.is_object() && status["generation"] == fixture.rig.leader_status()["generation"];
     }));
     fixture.check_no_failed_queries();
 }
@@ -186,33 +191,34 @@
 TEST_CASE("a former leader that was stopped or cut off with a minority grants nothing on its own") {
     const bool stopped = GENERATE(true, false);
     DrainFixture fixture(rig_options());
-    const std::size_t old = fixture.rig.leader();
-    REQUIRE(old < 3);
+    const std::size_t former_leader = fixture.rig.leader();
+    REQUIRE(former_leader < 3);
     if (stopped)
-        fixture.rig.managers[old]->signal(SIGSTOP);
+        fixture.rig.managers[former_leader]->signal(SIGSTOP);
     else
-        fixture.rig.cut_off(old);
-    const auto others = std::vector<std::size_t>{(old + 1) % 3, (old + 2) % 3};
+        fixture.rig.cut_off(former_leader);
+    const auto others = std::vector<std::size_t>{(former_leader + 1) % 3, (former_leader + 2) % 3};
     REQUIRE(fixture.rig.until([&] {
         for (const std::size_t i : others) {
-            const Json s = fixture.rig.status(i);
-            if (s.is_object() && s["leader"] == s["steward"]) return true;
+            const Json status = fixture.rig.status(i);
+            if (status.is_object() && status["leader"] == status["steward"]) return true;
         }
         return false;
     }));
     // The command tries the former leader first, which cannot commit, then the others: there is one request.
-    CHECK(fixture.run({"drain", "n7"}, {old, others[0], others[1]}) == 0);
+    CHECK(fixture.run({"drain", "n7"}, {former_leader, others[0], others[1]}) == 0);
     // An operator who reaches only the cut-off fleet manager gets nothing granted.
-    if (!stopped) CHECK(fixture.run({"drain", "n1", "--within", "1"}, {old}) == 1);
+    if (!stopped) CHECK(fixture.run({"drain", "n1", "--within", "1"}, {former_leader}) == 1);
     if (stopped)
-        fixture.rig.managers[old]->signal(SIGCONT);
+        fixture.rig.managers[former_leader]->signal(SIGCONT);
     else
         fixture.rig.heal();
     REQUIRE(fixture.becomes_done("n7"));
     CHECK(fixture.rig.until([&] {
-        const Json s = fixture.rig.status(old), leader_status = fixture.rig.leader_status();
-        return s.is_object() && leader_status.is_object() && s["generation"] == leader_status["generation"] &&
-               s["leader"] == leader_status["leader"];
+        const Json status = fixture.rig.status(former_leader), leader_status = fixture.rig.leader_status();
+        return status.is_object() && leader_status.is_object() &&
+               status["generation"] == leader_status["generation"] &&
+               status["leader"] == leader_status["leader"];
     }));
     CHECK(fixture.rig.request_for("n1").is_null());
     fixture.check_no_calls_to(7);
@@ -221,7 +227,7 @@
 
 TEST_CASE(
     "a router cut off from the fleet managers delays a drain until its lease expires, and stops by then") {
-    // 0: the router's messages are lost, 1: the messages to it are lost, 2: both are.
+    // With 0 the router's messages are lost, with 1 the messages to it, with 2 both.
     const int lost_direction = GENERATE(0, 1, 2);
     DrainFixture fixture(rig_options("serve_on = \"0s\"\n then = \"stop\""));
     fixture.rig.cut_off_member(3, lost_direction != 1, lost_direction != 0);
@@ -243,12 +249,12 @@
     fixture.rig.routers[2]->signal(SIGSTOP);
     CHECK(fixture.run({"drain", "n8"}, {0, 1, 2}) == 0);
     REQUIRE(fixture.becomes_done("n8"));
-    const TimePoint over = std::chrono::steady_clock::now();
+    const TimePoint drained_at = std::chrono::steady_clock::now();
     fixture.rig.routers[2]->signal(SIGCONT);
     CHECK(fixture.rig.until([&] { return fixture.rig.all_ready(); }));
     fixture.check_traffic_continues();
     INFO(fixture.rig.event_log.text());
-    CHECK(fixture.calls_to(8, over) == 0);
+    CHECK(fixture.calls_to(8, drained_at) == 0);
     CHECK(fixture.rig.routers[2]->has_printed("cut off from the fleet; it is not ready for queries"));
 }
 
@@ -258,7 +264,7 @@
     CHECK(fixture.run({"drain", "n5"}, {0, 1, 2}) == 0);
     REQUIRE(fixture.becomes_done("n5"));
     const Json before = fixture.rig.leader_status();
-    for (auto& s : fixture.rig.managers) s->signal(SIGKILL);
+    for (auto& manager : fixture.rig.managers) manager->signal(SIGKILL);
     REQUIRE(fixture.rig.until([&] {
         return fixture.rig.routers[0]->has_printed(
             "its lease has expired; it continues with its last known generation");
@@ -277,42 +283,42 @@
     "a fleet manager with an old data directory catches up; with a wrong or missing one it exits with one "
     "line") {
     DrainFixture fixture(rig_options());
-    const std::size_t i = (fixture.rig.leader() + 1) % 3;
-    const std::string directory = fixture.rig.directory.path("s" + std::to_string(i + 1)),
-                      kept = fixture.rig.directory.path("kept");
+    const std::size_t manager = (fixture.rig.leader() + 1) % 3;
+    const std::string directory = fixture.rig.directory.path("s" + std::to_string(manager + 1)),
+                      backup = fixture.rig.directory.path("kept");
     const auto stop = [&] {
-        fixture.rig.managers[i]->signal(SIGTERM);
-        REQUIRE(fixture.rig.until([&] { return fixture.rig.managers[i]->ended(); }));
-        CHECK(fixture.rig.managers[i]->status() == 0);
+        fixture.rig.managers[manager]->signal(SIGTERM);
+        REQUIRE(fixture.rig.until([&] { return fixture.rig.managers[manager]->ended(); }));
+        CHECK(fixture.rig.managers[manager]->status() == 0);
     };
     stop();
-    std::filesystem::copy(directory, kept, std::filesystem::copy_options::recursive);
-    fixture.rig.start_manager(i);
+    std::filesystem::copy(directory, backup, std::filesystem::copy_options::recursive);
+    fixture.rig.start_manager(manager);
     CHECK(fixture.run({"drain", "n10"}, {0, 1, 2}) == 0);
     REQUIRE(fixture.becomes_done("n10"));
     stop();
     std::filesystem::remove_all(directory);
-    std::filesystem::copy(kept, directory, std::filesystem::copy_options::recursive);
-    fixture.rig.start_manager(i);
+    std::filesystem::copy(backup, directory, std::filesystem::copy_options::recursive);
+    fixture.rig.start_manager(manager);
     CHECK(fixture.rig.until([&] {
-        const Json s = fixture.rig.status(i);
-        return s.is_object() && s["generation"] == fixture.rig.leader_status()["generation"];
+        const Json status = fixture.rig.status(manager);
+        return status.is_object() && status["generation"] == fixture.rig.leader_status()["generation"];
     }));
-    const auto fails_with = [&](const std::string& words) {
-        fixture.rig.start_manager(i);
-        REQUIRE(fixture.rig.until([&] { return fixture.rig.managers[i]->ended(); }));
-        CHECK(fixture.rig.until([&] { return !fixture.rig.managers[i]->lines().empty(); }));
+    const auto fails_with = [&](const std::string& message) {
+        fixture.rig.start_manager(manager);
+        REQUIRE(fixture.rig.until([&] { return fixture.rig.managers[manager]->ended(); }));
+        CHECK(fixture.rig.until([&] { return !fixture.rig.managers[manager]->lines().empty(); }));
         INFO(fixture.rig.event_log.text(5));
-        CHECK(fixture.rig.managers[i]->status() == 1);
-        CHECK(fixture.rig.managers[i]->lines().size() == 1);
-        CHECK(fixture.rig.managers[i]->has_printed(words));
+        CHECK(fixture.rig.managers[manager]->status() == 1);
+        CHECK(fixture.rig.managers[manager]->lines().size() == 1);
+        CHECK(fixture.rig.managers[manager]->has_printed(message));
     };
     stop();
-    const std::string mark = directory + "/steward.json";
-    std::ofstream(mark) << R"({"form":1,"fleet":"rig","id":9})";
+    const std::string identity_path = directory + "/steward.json";
+    std::ofstream(identity_path) << R"({"form":1,"fleet":"rig","id":9})";
     fails_with("belongs to fleet manager 9 of the fleet \"rig\"; expected fleet manager " +
-               std::to_string(i + 1) + " of the fleet \"rig\"");
-    std::ofstream(mark) << R"({"form":7,"fleet":"rig","id":1})";
+               std::to_string(manager + 1) + " of the fleet \"rig\"");
+    std::ofstream(identity_path) << R"({"form":7,"fleet":"rig","id":1})";
     fails_with("has data of format version 7; this program reads version 1");
     std::filesystem::remove_all(directory);
     fails_with("has no steward.json; 'tealcart fleet-manager init' creates one");
@@ -322,25 +328,25 @@
 
 TEST_CASE("a fleet manager that cannot write its log exits with one line, and the others continue") {
     DrainFixture fixture(rig_options());
-    const std::size_t i = (fixture.rig.leader() + 1) % 3;
-    fixture.rig.managers[i]->signal(SIGTERM);
-    REQUIRE(fixture.rig.until([&] { return fixture.rig.managers[i]->ended(); }));
+    const std::size_t manager = (fixture.rig.leader() + 1) % 3;
+    fixture.rig.managers[manager]->signal(SIGTERM);
+    REQUIRE(fixture.rig.until([&] { return fixture.rig.managers[manager]->ended(); }));
     // The limit leaves no room for another segment of the log.
-    fixture.rig.start_manager(i, {}, {"/bin/sh", "-c", "ulimit -f 100; exec \"$0\" \"$@\""});
-    REQUIRE(fixture.rig.until([&] { return fixture.rig.managers[i]->ended(); }));
+    fixture.rig.start_manager(manager, {}, {"/bin/sh", "-c", "ulimit -f 100; exec \"$0\" \"$@\""});
+    REQUIRE(fixture.rig.until([&] { return fixture.rig.managers[manager]->ended(); }));
     INFO(fixture.rig.event_log.text(20));
-    CHECK(fixture.rig.managers[i]->status() == 1);
+    CHECK(fixture.rig.managers[manager]->status() == 1);
     CHECK(fixture.rig.until([&] {
-        return fixture.rig.managers[i]->has_printed(
+        return fixture.rig.managers[manager]->has_printed(
             "tealcart fleet-manager: cannot write the replicated log");
     }));
     CHECK(fixture.run({"drain", "n3"}, {0, 1, 2}) == 0);
     REQUIRE(fixture.becomes_done("n3"));
     // Without the limit it continues from the log that it has.
-    fixture.rig.start_manager(i);
+    fixture.rig.start_manager(manager);
     CHECK(fixture.rig.until([&] {
-        const Json s = fixture.rig.status(i);
-        return s.is_object() && s["generation"] == fixture.rig.leader_status()["generation"];
+        const Json status = fixture.rig.status(manager);
+        return status.is_object() && status["generation"] == fixture.rig.leader_status()["generation"];
     }));
     fixture.check_no_calls_to(3);
     fixture.check_no_failed_queries();
@@ -357,8 +363,9 @@
     CHECK(fixture.run({"undrain", "--router", "r1"}, {0, 1, 2}) == 0);
     CHECK(fixture.rig.until([&] { return fixture.rig.leader_status()["requests"].size() == 1; }));
     CHECK(fixture.rig.until([&] {
-        const Json r = fixture.rig.request_for("r2");
-        return r.is_object() && (r["stage"] == "granted" || r["stage"] == "done" || r["stage"] == "queued");
+        const Json request = fixture.rig.request_for("r2");
+        return request.is_object() &&
+               (request["stage"] == "granted" || request["stage"] == "done" || request["stage"] == "queued");
     }));
     fixture.rig.start_router(4);
     CHECK(fixture.rig.until([&] { return fixture.rig.all_ready(); }));
@@ -374,26 +381,27 @@
     options.gap_ms = 20;
     DrainFixture fixture(options);
     fixture.check_traffic_continues(3);
-    const std::string proc = "/proc/" + std::to_string(fixture.rig.routers[0]->pid());
-    const auto entries = [&](const char* of) {
-        std::size_t n = 0;
-        for (const auto& e : std::filesystem::directory_iterator(proc + of)) n += !e.path().empty();
-        return n;
+    const std::string process_directory = "/proc/" + std::to_string(fixture.rig.routers[0]->pid());
+    const auto entries = [&](const char* subdirectory) {
+        std::size_t count = 0;
+        for (const auto& entry : std::filesystem::directory_iterator(process_directory + subdirectory))
+            count += !entry.path().empty();
+        return count;
     };
     CHECK(entries("/task") == 1);
     CHECK(fixture.rig.leader_status()["members"].size() == (member ? 1 : 0));
-    const Sockets sockets = sockets_of(proc);
+    const Sockets sockets = sockets_of(process_directory);
     CHECK(sockets.others == 0);
     CHECK(sockets.listening == 1);
-    std::set<std::uint16_t> known = {port_of(fixture.rig.fleet->discovery.address())};
-    for (const DataNode& node : fixture.rig.fleet->nodes) known.insert(port_of(node.address()));
-    std::size_t further = 0;
-    for (const std::uint16_t port : sockets.called) further += !known.contains(port);
-    CHECK(further == (member ? 1 : 0));  // the one connection to a fleet manager
-    for (const auto& e : std::filesystem::directory_iterator(proc + "/fd")) {
+    std::set<std::uint16_t> known_ports = {port_of(fixture.rig.fleet->discovery.address())};
+    for (const DataNode& node : fixture.rig.fleet->nodes) known_ports.insert(port_of(node.address()));
+    std::size_t unknown_connections = 0;
+    for (const std::uint16_t port : sockets.remote_ports) unknown_connections += !known_ports.contains(port);
+    CHECK(unknown_connections == (member ? 1 : 0));  // the one connection to a fleet manager
+    for (const auto& entry : std::filesystem::directory_iterator(process_directory + "/fd")) {
         std::error_code ec;
-        const std::string to = std::filesystem::read_symlink(e.path(), ec).string();
-        CHECK((ec || to.front() != '/' || to.rfind("/dev/", 0) == 0));  // no file
+        const std::string link_target = std::filesystem::read_symlink(entry.path(), ec).string();
+        CHECK((ec || link_target.front() != '/' || link_target.rfind("/dev/", 0) == 0));  // no file
     }
     CHECK(fixture.rig.routers[0]->has_printed("member ") == member);
 }
@@ -408,15 +416,15 @@
     plan.budgets.min_holders = 2;
     plan.budgets.lease = 2'000'000'000;
     plan.budgets.drift = 300'000'000;
-    const SimulationResult v = run_simulation(plan);
+    const SimulationResult result = run_simulation(plan);
     INFO("seed " << seed);
-    CHECK(v.budget_violations == 0);
-    CHECK(v.attempts_after_done == 0);
-    CHECK(v.late_attempts == 0);
-    CHECK(v.grants > 0);
-    const SimulationResult again = run_simulation(plan);
-    CHECK(again.attempts == v.attempts);
-    CHECK(again.grant_to_done == v.grant_to_done);
+    CHECK(result.budget_violations == 0);
+    CHECK(result.attempts_after_done == 0);
+    CHECK(result.late_attempts == 0);
+    CHECK(result.grants > 0);
+    const SimulationResult repeated = run_simulation(plan);
+    CHECK(repeated.attempts == result.attempts);
+    CHECK(repeated.grant_to_done == result.grant_to_done);
 }
 
 TEST_CASE("simulated fleets of 300 and 10,000 members acknowledge each drain within a second") {
@@ -426,10 +434,10 @@
     plan.budgets.nodes = {4, 1};
     plan.budgets.min_holders = 2;
     plan.span = plan.members == 300 ? 20'000'000'000 : 4'000'000'000;
-    const SimulationResult v = run_simulation(plan);
-    REQUIRE(!v.grant_to_done.empty());
-    for (const auto span : v.grant_to_done) CHECK(span < 1'000'000'000);
-    CHECK(v.attempts_after_done == 0);
+    const SimulationResult result = run_simulation(plan);
+    REQUIRE(!result.grant_to_done.empty());
+    for (const auto duration : result.grant_to_done) CHECK(duration < 1'000'000'000);
+    CHECK(result.attempts_after_done == 0);
 }
 
 TEST_CASE(
@@ -437,51 +445,51 @@
     "calls") {
     const auto seed = GENERATE(range(1U, 4U));
     DrainFixture fixture(rig_options("serve_on = \"0s\"\n then = \"stop\""));
-    std::knuth_b chance(seed);
-    const auto pick = [&](std::size_t n) { return chance() % n; };
-    std::vector<std::pair<std::size_t, TimePoint>> out;  // drained nodes, and when the drain was done
+    std::knuth_b random(seed);
+    const auto random_below = [&](std::size_t n) { return random() % n; };
+    std::vector<std::pair<std::size_t, TimePoint>> drained_nodes;  // with the time of each drain's end
     const auto check_drained_nodes_get_no_calls = [&] {
-        for (const auto& [node, since] : out) {
+        for (const auto& [node, since] : drained_nodes) {
             INFO("n" << node << "\n" << fixture.rig.event_log.text());
             CHECK(fixture.calls_to(node, since) == 0);
         }
     };
     for (int step = 0; step < 6; ++step) {
-        const std::size_t who = pick(3), router = pick(6), fault = pick(6);
+        const std::size_t manager_index = random_below(3), router = random_below(6), fault = random_below(6);
         const std::size_t leader = fixture.rig.leader();
         REQUIRE(leader < 3);
-        auto& manager = fixture.rig.managers[fault == 0 ? leader : who];
+        auto& manager = fixture.rig.managers[fault == 0 ? leader : manager_index];
         if (fault == 0) manager->signal(SIGKILL);
         if (fault == 1) manager->signal(SIGSTOP);
-        if (fault == 2) fixture.rig.cut_off(who, pick(2) == 0, true);
-        if (fault == 3) fixture.rig.cut_off_member(router, pick(2) == 0, true);
+        if (fault == 2) fixture.rig.cut_off(manager_index, random_below(2) == 0, true);
+        if (fault == 3) fixture.rig.cut_off_member(router, random_below(2) == 0, true);
         if (fault == 4) fixture.rig.routers[router]->signal(SIGSTOP);
         // Two operators at once, each with a different order of fleet managers.
-        const std::size_t first = pick(12), second = pick(12);
-        auto ann =
-            fixture.rig.command({"drain", "n" + std::to_string(first)}, {who, (who + 1) % 3, (who + 2) % 3});
-        auto bob =
-            fixture.rig.command({"drain", "n" + std::to_string(second)}, {(who + 2) % 3, (who + 1) % 3, who});
+        const std::size_t first = random_below(12), second = random_below(12);
+        auto ann = fixture.rig.command({"drain", "n" + std::to_string(first)},
+                                       {manager_index, (manager_index + 1) % 3, (manager_index + 2) % 3});
+        auto bob = fixture.rig.command({"drain", "n" + std::to_string(second)},
+                                       {(manager_index + 2) % 3, (manager_index + 1) % 3, manager_index});
         CHECK(fixture.rig.until([&] { return ann->ended() && bob->ended(); }));
-        Json s;
+        Json status;
         const auto settled = [&] {
-            s = fixture.rig.leader_status();
-            if (!s.is_object() || s["held_for_ms"] > 0) return false;
-            for (const Json& r : s["requests"])
-                if (r["stage"] != "done" && r["stage"] != "queued") return false;
+            status = fixture.rig.leader_status();
+            if (!status.is_object() || status["held_for_ms"] > 0) return false;
+            for (const Json& request : status["requests"])
+                if (request["stage"] != "done" && request["stage"] != "queued") return false;
             return true;
         };
         const bool all_settled = fixture.rig.until(settled);
         INFO(fixture.rig.event_log.text());
         REQUIRE(all_settled);
         std::size_t granted = 0;
-        for (const Json& r : s["requests"]) {
-            if (r["stage"] != "done") continue;
+        for (const Json& request : status["requests"]) {
+            if (request["stage"] != "done") continue;
             ++granted;
-            const std::size_t node = std::stoul(r["target"][1].get<std::string>().substr(1));
-            const bool known =
-                std::any_of(out.begin(), out.end(), [&](const auto& o) { return o.first == node; });
-            if (!known) out.emplace_back(node, std::chrono::steady_clock::now());
+            const std::size_t node = std::stoul(request["target"][1].get<std::string>().substr(1));
+            const bool is_listed = std::any_of(drained_nodes.begin(), drained_nodes.end(),
+                                               [&](const auto& drained) { return drained.first == node; });
+            if (!is_listed) drained_nodes.emplace_back(node, std::chrono::steady_clock::now());
         }
         CHECK(granted <= 2);
         fixture.check_traffic_continues(30);
@@ -493,17 +501,17 @@
         if (fault == 4) fixture.rig.routers[router]->signal(SIGCONT);
         CHECK(fixture.rig.until([&] { return fixture.rig.all_ready(); }));
         check_drained_nodes_get_no_calls();
-        while (!out.empty()) {
-            const std::string node = "n" + std::to_string(out.back().first);
-            out.pop_back();
+        while (!drained_nodes.empty()) {
+            const std::string node = "n" + std::to_string(drained_nodes.back().first);
+            drained_nodes.pop_back();
             CHECK(fixture.run({"undrain", node}, {0, 1, 2}) == 0);
         }
         // Requests that were queued are granted now, and are undone too.
         for (const std::size_t node : {first, second})
             fixture.run({"undrain", "n" + std::to_string(node)}, {2, 1, 0});
         CHECK(fixture.rig.until([&] {
-            const Json now = fixture.rig.leader_status();
-            return now.is_object() && now["requests"].empty();
+            const Json current = fixture.rig.leader_status();
+            return current.is_object() && current["requests"].empty();
         }));
     }
     for (const auto& [status, count] : fixture.rig.answers) CHECK((status == 200 || status == 503));
--- a/tests/follow_fleet_test.cpp
+++ b/tests/follow_fleet_test.cpp
@@ -19,14 +19,14 @@
 
 // Restarts the rig's router, which was started without relays, as a follower of the relays.
 struct RouterFixture {
-    explicit RouterFixture(const std::string& file = "") : rig(io, rig_options()) {
+    explicit RouterFixture(const std::string& further_blocks = "") : rig(io, rig_options()) {
         std::string relays;
         for (const auto& relay : rig.relays)
             for (const std::string& line : relay->lines())
-                if (const auto at = line.find("followers at "); at != std::string::npos)
-                    relays += (relays.empty() ? "\"" : ", \"") + line.substr(at + 13) + "\"";
-        rig.fleet_rig.directory.write("r0.hcl",
-                                      file + "\nmember {\n zone = \"a\"\n relays = [" + relays + "]\n}\n");
+                if (const auto position = line.find("followers at "); position != std::string::npos)
+                    relays += (relays.empty() ? "\"" : ", \"") + line.substr(position + 13) + "\"";
+        rig.fleet_rig.directory.write(
+            "r0.hcl", further_blocks + "\nmember {\n zone = \"a\"\n relays = [" + relays + "]\n}\n");
         rig.fleet_rig.start_router(0);
     }
     ~RouterFixture() { UNSCOPED_INFO(rig.fleet_rig.event_log.text(80)); }
@@ -35,8 +35,8 @@
     bool until(const std::function<bool()>& holds) { return rig.until(holds); }
     bool is_live() {
         return until([&] {
-            const Json s = rig.changes();
-            return s.is_object() && s["reach"]["live"] == 1;
+            const Json changes = rig.changes();
+            return changes.is_object() && changes["reach"]["live"] == 1;
         });
     }
     // Whether this many further queries are answered with 200.
@@ -67,8 +67,8 @@
     CHECK(fixture.router().has_printed(
         "refused configuration version 2, version 1 stays in force: block calls holds at the start only"));
     REQUIRE(fixture.until([&] {
-        const Json s = fixture.rig.changes();
-        return s.is_object() && s["reach"]["refusing"] == Json::array({"r0"});
+        const Json changes = fixture.rig.changes();
+        return changes.is_object() && changes["reach"]["refusing"] == Json::array({"r0"});
     }));
     const auto show = fixture.rig.start_config_command({"show"});
     REQUIRE(fixture.until([&] { return show->ended(); }));
@@ -89,19 +89,19 @@
     RouterFixture fixture;
     REQUIRE(fixture.is_live());
     REQUIRE(fixture.rig.config({"set", fixture.rig.entry("two_phase.search", ""), "--wait"}) == 0);
-    const auto members_of = [&](std::size_t i) {
-        const Json s = fixture.rig.relay_status(i);
-        return s.is_object() ? s["members"].get<int>() : 0;
+    const auto members_of = [&](std::size_t relay) {
+        const Json status = fixture.rig.relay_status(relay);
+        return status.is_object() ? status["members"].get<int>() : 0;
     };
-    const std::size_t own = members_of(0) == 1 ? 0 : 1;
-    REQUIRE(members_of(own) == 1);
-    fixture.rig.relays[own]->signal(SIGKILL);
-    REQUIRE(fixture.until([&] { return members_of(1 - own) == 1; }));
+    const std::size_t own_relay = members_of(0) == 1 ? 0 : 1;
+    REQUIRE(members_of(own_relay) == 1);
+    fixture.rig.relays[own_relay]->signal(SIGKILL);
+    REQUIRE(fixture.until([&] { return members_of(1 - own_relay) == 1; }));
     CHECK(fixture.rig.config({"set", fixture.rig.entry("two_phase.search", "audit = 1\n"), "--wait"}) == 0);
     CHECK(fixture.router().has_printed("accepted configuration version 2: 1 entries, 1 changed"));
     fixture.rig.fleet_rig.stop_traffic();
     fixture.router().signal(SIGTERM);
     REQUIRE(fixture.until([&] { return fixture.router().ended(); }));
     CHECK(fixture.router().status() == 0);
-    CHECK(fixture.until([&] { return members_of(1 - own) == 0; }));
+    CHECK(fixture.until([&] { return members_of(1 - own_relay) == 0; }));
 }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -28,12 +28,12 @@
         return options;
     }
     Follower& follow(const std::string& name, std::vector<std::size_t> relays,
-                     Follower::Refuses refuses = {}) {
-        return rig.follow(name, std::move(relays), std::move(refuses));
+                     Follower::RefusalCheck refusal_check = {}) {
+        return rig.follow(name, std::move(relays), std::move(refusal_check));
     }
     // Runs a `config` command and returns its status; the event log is attached to the next check.
-    int config(std::vector<std::string> words, std::vector<std::size_t> through = {0, 1, 2}) {
-        const int status = rig.config(std::move(words), std::move(through));
+    int config(std::vector<std::string> arguments, std::vector<std::size_t> through = {0, 1, 2}) {
+        const int status = rig.config(std::move(arguments), std::move(through));
         UNSCOPED_INFO(rig.fleet_rig.event_log.text(80));
         return status;
     }
@@ -52,19 +52,19 @@
     bool all_apply(std::uint64_t version) {
         return until([&] {
             return std::all_of(rig.followers.begin(), rig.followers.end(),
-                               [&](const auto& f) { return f->applied_version == version; });
+                               [&](const auto& follower) { return follower->applied_version == version; });
         });
     }
     bool in_force(std::uint64_t version) {
         return until([&] {
-            const Json s = rig.changes();
-            return s.is_object() && s["in_force"].get<std::uint64_t>() >= version;
+            const Json changes = rig.changes();
+            return changes.is_object() && changes["in_force"].get<std::uint64_t>() >= version;
         });
     }
     bool all_live(std::size_t members) {
         return until([&] {
-            const Json s = rig.changes();
-            return s.is_object() && s["reach"]["live"] == members;
+            const Json changes = rig.changes();
+            return changes.is_object() && changes["reach"]["live"] == members;
         });
     }
     // Publishes version 1 and waits until every follower acts on it.
@@ -74,14 +74,14 @@
         REQUIRE(all_apply(1));
     }
     bool is_listed(const char* list, const std::string& name) {
-        const Json s = rig.changes();
-        if (!s.is_object()) return false;
-        const Json& names = s["reach"][list];
+        const Json changes = rig.changes();
+        if (!changes.is_object()) return false;
+        const Json& names = changes["reach"][list];
         return std::find(names.begin(), names.end(), name) != names.end();
     }
     std::uint64_t version() {
-        const Json s = rig.changes();
-        return s.is_object() ? s["version"].get<std::uint64_t>() : 0;
+        const Json changes = rig.changes();
+        return changes.is_object() ? changes["version"].get<std::uint64_t>() : 0;
     }
 
     boost::asio::io_context io{1};
@@ -100,7 +100,7 @@
     ChangeFixture fixture;
     fixture.follow("f0", {0, 1}), fixture.follow("f1", {1, 0}), fixture.follow("f2", {0, 1});
     fixture.publish_first_version("one\n");
-    for (const auto& f : fixture.rig.followers) CHECK(f->acting.at("limits") == "one\n");
+    for (const auto& follower : fixture.rig.followers) CHECK(follower->acting.at("limits") == "one\n");
     const auto show = fixture.rig.start_config_command({"show", "limits"});
     REQUIRE(fixture.rig.until([&] { return show->ended(); }));
     CHECK(show->status() == 0);
@@ -168,16 +168,16 @@
         return fixture.rig.followers[1]->applied_version == 2 && !fixture.rig.followers[0]->has_lease();
     }));
     CHECK(fixture.rig.followers[0]->applied_version == 1);
-    const Json s = fixture.rig.changes();
-    REQUIRE(s.is_object());
-    CHECK(s["in_force"] == 1);
+    const Json changes = fixture.rig.changes();
+    REQUIRE(changes.is_object());
+    CHECK(changes["in_force"] == 1);
     fixture.rig.fleet_rig.heal();
     CHECK(fixture.in_force(2));
     CHECK(fixture.all_apply(2));
-    std::size_t told = 0;
+    std::size_t no_answer_lines = 0;
     for (const std::string& line : fixture.rig.relays[0]->lines())
-        told += line.find("no steward answers for changes") != line.npos;
-    CHECK(told <= 1);
+        no_answer_lines += line.find("no steward answers for changes") != line.npos;
+    CHECK(no_answer_lines <= 1);
 }
 
 TEST_CASE(
@@ -230,8 +230,9 @@
     REQUIRE(fixture.rig.until([&] { return fixture.rig.relays[0]->ended(); }));
     fixture.rig.start_relay(0);
     REQUIRE(fixture.until([&] {
-        const Json s = fixture.rig.relay_status(0);
-        return s.is_object() && s["version"] == 2 && s["members"] == 1 && s["lowest"] == 2;
+        const Json status = fixture.rig.relay_status(0);
+        return status.is_object() && status["version"] == 2 && status["members"] == 1 &&
+               status["lowest"] == 2;
     }));
     REQUIRE(fixture.until([&] { return fixture.rig.followers[0]->has_lease(); }));
     CHECK(fixture.config({"set", fixture.rig.entry("more", "three"), "--wait"}) == 0);
@@ -265,9 +266,9 @@
     REQUIRE(fixture.config({"set", fixture.rig.entry("limits", "two")}) == 0);
     REQUIRE(fixture.until([&] { return fixture.rig.followers[1]->applied_version == 2; }));
     CHECK(fixture.rig.followers[0]->applied_version == 1);
-    const Json s = fixture.rig.changes();
-    REQUIRE(s.is_object());
-    CHECK(s["in_force"] == 1);
+    const Json changes = fixture.rig.changes();
+    REQUIRE(changes.is_object());
+    CHECK(changes["in_force"] == 1);
     fixture.rig.relays[0]->signal(SIGCONT);
     CHECK(fixture.in_force(2));
     CHECK(fixture.all_apply(2));
@@ -333,12 +334,12 @@
     ChangeFixture fixture("  longest_entry = \"64KiB\"\n", " pages_a_second = 4\n");
     fixture.follow("f0", {0});
     fixture.publish_first_version();
-    std::vector<std::string> words = {"set"};
+    std::vector<std::string> arguments = {"set"};
     for (int i = 0; i < 12; ++i)
-        words.push_back(
+        arguments.push_back(
             fixture.rig.entry("k" + std::to_string(i), std::string(40'000, static_cast<char>('a' + i))));
-    words.push_back("--wait");
-    REQUIRE(fixture.config(words) == 0);
+    arguments.push_back("--wait");
+    REQUIRE(fixture.config(arguments) == 0);
     CHECK(fixture.rig.followers[0]->pages >= 8);
     Follower& late = fixture.follow("late", {0, 1});
     REQUIRE(fixture.until([&] { return late.pages >= 2; }));
@@ -354,8 +355,8 @@
 TEST_CASE(
     "a query router applies versions from the relays, refuses an invalid one, and applies the rollback") {
     ChangeFixture fixture("  halt_refused = 1\n", "", true);
-    const auto router_logs = [&](const std::string& words) {
-        return fixture.rig.until([&] { return fixture.rig.fleet_rig.routers[0]->has_printed(words); });
+    const auto router_logs = [&](const std::string& message) {
+        return fixture.rig.until([&] { return fixture.rig.fleet_rig.routers[0]->has_printed(message); });
     };
     REQUIRE(fixture.all_live(1));
     CHECK(fixture.config({"set", fixture.rig.entry("log", "level = \"info\""), "--wait"}) == 0);
@@ -365,8 +366,8 @@
     CHECK(fixture.until([&] { return fixture.is_listed("refusing", "r0"); }));
     CHECK(fixture.rig.changes()["in_force"] == 1);
     // Kill the relay that the router follows.
-    const std::size_t at = fixture.rig.relay_status(0)["members"] == 1 ? 0 : 1;
-    fixture.rig.relays[at]->signal(SIGKILL);
+    const std::size_t followed_relay = fixture.rig.relay_status(0)["members"] == 1 ? 0 : 1;
+    fixture.rig.relays[followed_relay]->signal(SIGKILL);
     CHECK(fixture.config({"back", "1", "--wait"}) == 0);
     CHECK(router_logs("accepted configuration version 3: 1 entries"));
     CHECK(fixture.until([&] { return !fixture.is_listed("refusing", "r0"); }));
