--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -61,10 +61,10 @@
         return nullptr;
     }
     std::uint64_t applied_version(const ModelMember& member) {
-        std::uint64_t most = member.reported_version;
-        for (const ModelAttachment& h : member.attachments)
-            if (!h.exception) most = std::max(most, find_relay(h.relay)->lowest);
-        return most;
+        std::uint64_t highest = member.reported_version;
+        for (const ModelAttachment& attachment : member.attachments)
+            if (!attachment.exception) highest = std::max(highest, find_relay(attachment.relay)->lowest);
+        return highest;
     }
     bool is_live(const ModelMember& member) const {
         return !member.left && (!member.attachments.empty() || now <= member.lease_until + limits.drift);
@@ -75,19 +75,22 @@
     }
     static bool is_exception(const ModelMember& member) {
         return std::any_of(member.attachments.begin(), member.attachments.end(),
-                           [](const ModelAttachment& h) { return h.exception; });
+                           [](const ModelAttachment& attachment) { return attachment.exception; });
     }
     // The member is no longer attached to the relay.
     void detach(ModelMember& member, const std::string& relay) {
         member.reported_version = applied_version(member);
-        const std::size_t had = member.attachments.size();
-        std::erase_if(member.attachments, [&](const ModelAttachment& h) { return h.relay == relay; });
-        if (had > 0 && !member.attachments.empty() && !is_exception(member)) member.refused_version = 0;
+        const std::size_t previous_count = member.attachments.size();
+        std::erase_if(member.attachments,
+                      [&](const ModelAttachment& attachment) { return attachment.relay == relay; });
+        if (previous_count > 0 && !member.attachments.empty() && !is_exception(member))
+            member.refused_version = 0;
     }
     void detach_all(const Relay& relay) {
         for (ModelMember& member : members) {
-            if (std::none_of(member.attachments.begin(), member.attachments.end(),
-                             [&](const ModelAttachment& h) { return h.relay == relay.name; }))
+            if (std::none_of(
+                    member.attachments.begin(), member.attachments.end(),
+                    [&](const ModelAttachment& attachment) { return attachment.relay == relay.name; }))
                 continue;
             detach(member, relay.name);
             member.lease_until = std::max(member.lease_until, relay.lease);
@@ -128,9 +131,10 @@
     void drop_forgotten() {
         std::erase_if(members, [&](const ModelMember& member) {
             if (is_live(member)) return false;
-            const Nanos kept = member.left ? limits.forget_after
-                                           : std::max(limits.forget_after, member.lease_grace + limits.drift);
-            return now > std::max(member.lease_until, member.ended_at) + kept;
+            const Nanos retention = member.left
+                                        ? limits.forget_after
+                                        : std::max(limits.forget_after, member.lease_grace + limits.drift);
+            return now > std::max(member.lease_until, member.ended_at) + retention;
         });
         std::erase_if(relays, [&](const Relay& relay) {
             return !relay.live && now > relay.lease + limits.forget_after + limits.drift;
@@ -166,53 +170,60 @@
         for (const auto& [name, incarnation] : report.lost) {
             ModelMember* member = find_member(name);
             if (member == nullptr || member->incarnation != incarnation) continue;
-            if (std::none_of(member->attachments.begin(), member->attachments.end(),
-                             [&](const ModelAttachment& h) { return h.relay == report.relay; }))
+            if (std::none_of(
+                    member->attachments.begin(), member->attachments.end(),
+                    [&](const ModelAttachment& attachment) { return attachment.relay == report.relay; }))
                 continue;
             detach(*member, report.relay);
             member->ended_at = std::max(member->ended_at, now);
         }
         relay->lowest = agreed_or_none(report.lowest);
         clear_outdated_refusals();
-        for (const MemberReport& j : report.joined) {
-            ModelMember* member = find_member(j.name);
-            if (member != nullptr && j.incarnation < member->incarnation) {
-                effects.push_back(StaleReport{version(), j.name, StaleReason::earlier_incarnation});
+        for (const MemberReport& joined : report.joined) {
+            ModelMember* member = find_member(joined.name);
+            if (member != nullptr && joined.incarnation < member->incarnation) {
+                effects.push_back(StaleReport{version(), joined.name, StaleReason::earlier_incarnation});
                 continue;
             }
             if (member == nullptr) member = &members.emplace_back();
-            if (j.incarnation > member->incarnation) *member = ModelMember{};
-            member->name = j.name, member->incarnation = j.incarnation, member->left = false,
-            member->lease_grace = j.lease_grace;
-            member->reported_version = std::max(member->reported_version, agreed_or_none(j.applied_version));
-            if (std::none_of(member->attachments.begin(), member->attachments.end(),
-                             [&](const ModelAttachment& h) { return h.relay == report.relay; }))
+            if (joined.incarnation > member->incarnation) *member = ModelMember{};
+            member->name = joined.name, member->incarnation = joined.incarnation, member->left = false,
+            member->lease_grace = joined.lease_grace;
+            member->reported_version =
+                std::max(member->reported_version, agreed_or_none(joined.applied_version));
+            if (std::none_of(
+                    member->attachments.begin(), member->attachments.end(),
+                    [&](const ModelAttachment& attachment) { return attachment.relay == report.relay; }))
                 member->attachments.push_back({report.relay, false});
             if (!is_exception(*member)) member->refused_version = 0;
             clear_outdated_refusals();
         }
         std::set<std::string> listed;
-        for (const MemberReport& e : report.exceptions) {
-            ModelMember* member = find_member(e.name);
-            if (member == nullptr || member->incarnation != e.incarnation) continue;
-            const auto attachment =
-                std::find_if(member->attachments.begin(), member->attachments.end(),
-                             [&](const ModelAttachment& h) { return h.relay == report.relay; });
+        for (const MemberReport& exception : report.exceptions) {
+            ModelMember* member = find_member(exception.name);
+            if (member == nullptr || member->incarnation != exception.incarnation) continue;
+            const auto attachment = std::find_if(
+                member->attachments.begin(), member->attachments.end(),
+                [&](const ModelAttachment& candidate) { return candidate.relay == report.relay; });
             if (attachment == member->attachments.end()) continue;
             attachment->exception = true;
-            listed.insert(e.name);
-            member->reported_version = std::max(member->reported_version, agreed_or_none(e.applied_version));
-            member->refused_version =
-                agreed_or_none(e.refused_version) > applied_version(*member) ? e.refused_version : 0;
+            listed.insert(exception.name);
+            member->reported_version =
+                std::max(member->reported_version, agreed_or_none(exception.applied_version));
+            member->refused_version = agreed_or_none(exception.refused_version) > applied_version(*member)
+                                          ? exception.refused_version
+                                          : 0;
             if (member->refused_version > member->refusal_emitted) {
                 member->refusal_emitted = member->refused_version;
-                effects.push_back(MemberRefused{member->refused_version, e.name, e.refusal_reason});
+                effects.push_back(
+                    MemberRefused{member->refused_version, exception.name, exception.refusal_reason});
             }
         }
         for (ModelMember& member : members)
-            for (ModelAttachment& h : member.attachments)
-                if (h.relay == report.relay && h.exception && !listed.contains(member.name)) {
-                    h.exception = false;
+            for (ModelAttachment& attachment : member.attachments)
+                if (attachment.relay == report.relay && attachment.exception &&
+                    !listed.contains(member.name)) {
+                    attachment.exception = false;
                     if (!is_exception(member)) member.refused_version = 0;
                 }
         clear_outdated_refusals();
@@ -272,13 +283,13 @@
         advance(command.proposed_at);
         std::visit([this](const auto& payload) { on(payload); }, command.payload);
         std::size_t live = 0, refusing = 0;
-        std::uint64_t least = version();
+        std::uint64_t lowest = version();
         std::vector<std::string> names;
         for (const ModelMember& member : members) {
             if (!is_live(member)) continue;
             ++live;
             refusing += member.refused_version > 0 && member.refused_version == version();
-            least = std::min(least, applied_version(member));
+            lowest = std::min(lowest, applied_version(member));
         }
         if (halted_version != version() && refusing > 0 && refusing >= limits.halt_min_refusals &&
             static_cast<double>(refusing) > limits.halt_refused_share * static_cast<double>(live)) {
@@ -288,13 +299,13 @@
                           " members refuse version " + std::to_string(version());
             effects.push_back(PublishingHalted{version(), halt_reason});
         }
-        if (now >= hold_until && least > applied_everywhere) {
-            applied_everywhere = least;
+        if (now >= hold_until && lowest > applied_everywhere) {
+            applied_everywhere = lowest;
             for (const ModelMember& member : members)
-                if (!is_live(member) && may_act(member) && member.reported_version < least)
+                if (!is_live(member) && may_act(member) && member.reported_version < lowest)
                     names.push_back(member.name);
             std::sort(names.begin(), names.end());
-            effects.push_back(AppliedEverywhere{least, names});
+            effects.push_back(AppliedEverywhere{lowest, names});
         }
         return effects;
     }
@@ -599,18 +610,19 @@
             if (!relay.aggregator || !relay.aggregator->record_report(relay.clock(now), report)) return;
             const Nanos lease_grant = relay.aggregator->grant_lease(relay.clock(now), report.name);
             send([this, member_index, sent, relay_epoch, lease_grant, latest = relay.known_version] {
-                SimulatedMember& to = members[member_index];
-                if (!to.runs || to.relay_epoch != relay_epoch || to.paused_until > now) return;
-                to.last_response_at = now;
+                SimulatedMember& receiver = members[member_index];
+                if (!receiver.runs || receiver.relay_epoch != relay_epoch || receiver.paused_until > now)
+                    return;
+                receiver.last_response_at = now;
                 if (lease_grant > 0) {
-                    to.lease_until = std::max(to.lease_until, sent + lease_grant);
-                    to.had_lease = true;
+                    receiver.lease_until = std::max(receiver.lease_until, sent + lease_grant);
+                    receiver.had_lease = true;
                 }
-                if (latest <= to.applied_version || to.refused_version == latest) return;
+                if (latest <= receiver.applied_version || receiver.refused_version == latest) return;
                 if (faults && random_below(random, 25) == 0)
-                    to.refused_version = latest;
+                    receiver.refused_version = latest;
                 else if (random_below(random, 3) != 0)
-                    to.applied_version = latest;
+                    receiver.applied_version = latest;
             });
         });
     }
@@ -623,16 +635,18 @@
         send([this, relay_index, report, sent = relay.clock(now), incarnation = relay.incarnation] {
             if (no_leader_until > now) return;
             apply(ReportBatch{{report}});
-            const std::uint64_t last = state.last_number(report.relay, incarnation);
-            send([this, relay_index, incarnation, number = report.number, last, sent,
+            const std::uint64_t last_number = state.last_number(report.relay, incarnation);
+            send([this, relay_index, incarnation, number = report.number, last_number, sent,
                   latest = state.version()] {
-                SimulatedRelay& to = relays[relay_index];
-                if (!to.aggregator || to.incarnation != incarnation || to.partitioned_until > now) return;
-                if (last >= number)
-                    to.aggregator->acknowledge(number, sent, lease);
+                SimulatedRelay& receiver = relays[relay_index];
+                if (!receiver.aggregator || receiver.incarnation != incarnation ||
+                    receiver.partitioned_until > now)
+                    return;
+                if (last_number >= number)
+                    receiver.aggregator->acknowledge(number, sent, lease);
                 else
-                    to.aggregator->require_full_report();
-                to.known_version = std::max(to.known_version, latest);
+                    receiver.aggregator->require_full_report();
+                receiver.known_version = std::max(receiver.known_version, latest);
             });
         });
     }
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -54,7 +54,7 @@
         const Nanos end = now + span;
         while (now < end) {
             now = std::min(end, now + second);
-            for (Effect& e : apply(Tick{})) all.push_back(std::move(e));
+            for (Effect& effect : apply(Tick{})) all.push_back(std::move(effect));
         }
         return all;
     }
@@ -181,12 +181,12 @@
     ChangeFixture changes;
     changes.apply_report(changes.full_report("r1", {member_report("m1"), member_report("m2")}));
     changes.set_entry("a", "1");
-    RelayReport again = changes.full_report("r1", {member_report("m1", 1)}, 1);
-    again.incarnation = 2, again.number = 1;
-    RelayReport partial = again;
-    partial.full = false;
-    CHECK(kinds(changes.apply_report(partial)) == kinds_of<Effect, StaleReport>());
-    CHECK(changes.apply_report(again).empty());
+    RelayReport restarted_report = changes.full_report("r1", {member_report("m1", 1)}, 1);
+    restarted_report.incarnation = 2, restarted_report.number = 1;
+    RelayReport partial_report = restarted_report;
+    partial_report.full = false;
+    CHECK(kinds(changes.apply_report(partial_report)) == kinds_of<Effect, StaleReport>());
+    CHECK(changes.apply_report(restarted_report).empty());
     CHECK(changes.state.knows_later_incarnation("r1", 1));
     CHECK(changes.state.last_number("r1", 2) == 1);
     CHECK(kinds(changes.apply_report(changes.next_report("r1", 1))) ==
@@ -195,10 +195,10 @@
     // m2 does not come back: it may go on acting for a lease and the drift after the old incarnation's last
     // report.
     for (int i = 0; i < 11; ++i) {
-        again = changes.next_report("r1", 1);
-        again.incarnation = 2;
+        restarted_report = changes.next_report("r1", 1);
+        restarted_report.incarnation = 2;
         changes.now += second;
-        CHECK(changes.apply_report(again).empty());
+        CHECK(changes.apply_report(restarted_report).empty());
     }
     changes.now += 1;
     CHECK(changes.apply(Tick{}) == Effects{AppliedEverywhere{1, {"m2"}}});
@@ -222,32 +222,32 @@
     changes.apply_report(changes.full_report("r1", {member_report("m1")}));
     changes.apply_report(changes.full_report("r2", {member_report("m2")}));
     changes.set_entry("a", "1");
-    RelayReport joins = changes.next_report("r2", 1);
-    joins.joined = {member_report("m1", 0)};
-    joins.exceptions = {member_report("m1", 0)};
-    CHECK(changes.apply_report(joins).empty());
+    RelayReport joining_report = changes.next_report("r2", 1);
+    joining_report.joined = {member_report("m1", 0)};
+    joining_report.exceptions = {member_report("m1", 0)};
+    CHECK(changes.apply_report(joining_report).empty());
     CHECK(changes.state.progress(1, 9).behind == Names{"m1"});
     // The new relay reports it as lost; the first one has not.
-    RelayReport loses = changes.next_report("r2", 1);
-    loses.lost = {{"m1", 1}};
-    CHECK(changes.apply_report(loses).empty());
+    RelayReport losing_report = changes.next_report("r2", 1);
+    losing_report.lost = {{"m1", 1}};
+    CHECK(changes.apply_report(losing_report).empty());
     CHECK(changes.state.progress(1, 9).live == 2);
-    loses = changes.next_report("r1", 1);
-    loses.lost = {{"m1", 2}};  // of another incarnation
-    loses.exceptions = {member_report("m1", 0)};
-    CHECK(changes.apply_report(loses).empty());
-    loses = changes.next_report("r1", 1);
-    loses.lost = {{"m1", 1}};
-    CHECK(changes.apply_report(loses) == Effects{AppliedEverywhere{1, {"m1"}}});
+    losing_report = changes.next_report("r1", 1);
+    losing_report.lost = {{"m1", 2}};  // of another incarnation
+    losing_report.exceptions = {member_report("m1", 0)};
+    CHECK(changes.apply_report(losing_report).empty());
+    losing_report = changes.next_report("r1", 1);
+    losing_report.lost = {{"m1", 1}};
+    CHECK(changes.apply_report(losing_report) == Effects{AppliedEverywhere{1, {"m1"}}});
     CHECK(changes.state.progress(1, 9).unacknowledged == Names{"m1"});
     // A version that either of its relays reports counts as applied.
-    joins = changes.next_report("r1", 0);
-    joins.joined = {member_report("m1", 0)};
-    changes.apply_report(joins);
+    joining_report = changes.next_report("r1", 0);
+    joining_report.joined = {member_report("m1", 0)};
+    changes.apply_report(joining_report);
     CHECK(changes.state.progress(1, 9).behind == Names{"m1"});
-    joins = changes.next_report("r2", 1);
-    joins.joined = {member_report("m1", 0)};
-    changes.apply_report(joins);
+    joining_report = changes.next_report("r2", 1);
+    joining_report.joined = {member_report("m1", 0)};
+    changes.apply_report(joining_report);
     CHECK(changes.state.progress(1, 9).behind.empty());
 }
 
@@ -297,8 +297,8 @@
     for (int i = 0; i < 24; ++i) {
         changes.now += second / 2;
         for (const RelayReport& report : {changes.next_report("r1", 1), changes.next_report("r2", 1)})
-            for (const Effect& e : changes.apply_report(report))
-                effects.push_back(e.index()), effect_at = changes.now;
+            for (const Effect& effect : changes.apply_report(report))
+                effects.push_back(effect.index()), effect_at = changes.now;
     }
     CHECK(effects == kinds_of<Effect, AppliedEverywhere>());
     CHECK(effect_at == 1041 * second);
@@ -317,11 +317,11 @@
     Limits limits = small_limits();
     limits.max_kept = 4;
     ChangeFixture changes(limits);
-    std::vector<Document> all{{}};
+    std::vector<Document> documents{{}};
     for (int i = 1; i <= 6; ++i) {
         changes.apply(
             Publish{"ann", {{"k" + std::to_string(i % 3), std::to_string(i)}}, {i == 5 ? "k1" : "k9"}, {}});
-        all.push_back(changes.state.document());
+        documents.push_back(changes.state.document());
     }
     CHECK(kinds(changes.apply(Rollback{"ann", 0})) == kinds_of<Effect, CommandRejected>());
     CHECK(kinds(changes.apply(Rollback{"ann", 2})) == kinds_of<Effect, CommandRejected>());
@@ -329,7 +329,7 @@
     CHECK(kinds(changes.apply(Rollback{"ann", 6})) ==
           kinds_of<Effect, CommandRejected>());  // nothing would change
     CHECK(changes.apply(Rollback{"ann", 3})[0] == Effect{VersionPublished{7}});
-    CHECK(changes.state.document() == all[3]);
+    CHECK(changes.state.document() == documents[3]);
     CHECK_FALSE(changes.state.since(2).has_value());
     REQUIRE(changes.state.since(3).has_value());
     CHECK_FALSE(changes.state.since(8).has_value());
@@ -368,11 +368,11 @@
     ChangeFixture changes;
     changes.apply_report(changes.full_report("r1", {member_report("m1")}));
     changes.set_entry("a", "1");
-    ChangeState read{Limits{}};
+    ChangeState loaded{Limits{}};
     auto bytes = changes.state.save();
-    read.load(bytes);
-    CHECK(read.save() == bytes);
-    CHECK(read.limits() == small_limits());
+    loaded.load(bytes);
+    CHECK(loaded.save() == bytes);
+    CHECK(loaded.limits() == small_limits());
     std::knuth_b random(1);
     for (int i = 0; i < 2000; ++i) {
         auto corrupted = i % 2 == 0 ? bytes : write_command({"i", 1, Publish{"ann", {{"a", "1"}}, {"b"}, 3}});
@@ -387,19 +387,19 @@
         } catch (const std::runtime_error&) {
         }
     }
-    CHECK_THROWS_AS(read.load({}), std::runtime_error);
+    CHECK_THROWS_AS(loaded.load({}), std::runtime_error);
     CHECK_THROWS_AS(read_command(bytes.data(), bytes.size()), std::runtime_error);
 }
 
 TEST_CASE("a relay's report costs as much as it lists, however many members the relay has") {
-    std::vector<std::uint64_t> plain, one_behind, raised;
+    std::vector<std::uint64_t> plain, one_behind, caught_up;
     for (const int relays : {1, 12}) {
         ChangeFixture changes;
-        for (int r = 0; r < relays; ++r) {
-            std::vector<MemberReport> all;
-            for (int m = 0; m < 300; ++m)
-                all.push_back(member_report("m" + std::to_string(r) + "-" + std::to_string(m)));
-            changes.apply_report(changes.full_report("r" + std::to_string(r), all));
+        for (int relay = 0; relay < relays; ++relay) {
+            std::vector<MemberReport> reports;
+            for (int member = 0; member < 300; ++member)
+                reports.push_back(member_report("m" + std::to_string(relay) + "-" + std::to_string(member)));
+            changes.apply_report(changes.full_report("r" + std::to_string(relay), reports));
         }
         changes.set_entry("a", "1");
         changes.apply_report(changes.next_report("r0", 0));
@@ -407,15 +407,15 @@
         changes.apply_report(changes.next_report("r0", 1, {member_report("m0-7")}));
         one_behind.push_back(changes.state.visited_count());
         changes.apply_report(changes.next_report("r0", 1));
-        raised.push_back(changes.state.visited_count());
+        caught_up.push_back(changes.state.visited_count());
         CHECK(changes.state.applied_everywhere() == (relays == 1 ? 1 : 0));
         CHECK(changes.state.progress(1, 0).live == 300u * static_cast<unsigned>(relays));
     }
     CHECK(plain == std::vector<std::uint64_t>{1, 1});
     CHECK(one_behind[0] == one_behind[1]);
     CHECK(one_behind[0] <= 3);
-    CHECK(raised[0] == raised[1]);
-    CHECK(raised[0] <= 3);
+    CHECK(caught_up[0] == caught_up[1]);
+    CHECK(caught_up[0] <= 3);
 }
 
 TEST_CASE("a copy applies each version as a whole or not at all, and never goes back") {
@@ -427,20 +427,21 @@
         Limits limits = small_limits();
         limits.max_kept = 8;
         ChangeFixture changes(limits);
-        std::vector<Document> all{{}};
+        std::vector<Document> documents{{}};
         DocumentCopy copy;
         std::vector<Delta> deltas;  // sent earlier; they may arrive late or again
         std::vector<Page> pages;
         for (int step = 0; step < 400; ++step) {
             if (random_below(4) == 0) {
-                Publish p{"ann",
-                          {{"k" + std::to_string(random_below(20)), std::to_string(random_below(50))}},
-                          {},
-                          {}};
-                if (random_below(3) == 0) p.removed.insert("x" + std::to_string(random_below(5)));
-                if (random_below(3) == 0) p.set["x" + std::to_string(5 + random_below(5))] = "y";
-                changes.apply(p);
-                if (changes.state.version() == all.size()) all.push_back(changes.state.document());
+                Publish publish{"ann",
+                                {{"k" + std::to_string(random_below(20)), std::to_string(random_below(50))}},
+                                {},
+                                {}};
+                if (random_below(3) == 0) publish.removed.insert("x" + std::to_string(random_below(5)));
+                if (random_below(3) == 0) publish.set["x" + std::to_string(5 + random_below(5))] = "y";
+                changes.apply(publish);
+                if (changes.state.version() == documents.size())
+                    documents.push_back(changes.state.document());
             }
             const std::uint64_t from =
                 random_below(2) == 0 ? copy.version() : random_below(changes.state.version() + 1);
@@ -450,17 +451,17 @@
             const std::uint64_t previous_version = copy.version();
             DocumentCopy::ApplyResult result;
             if (random_below(2) == 0 && !deltas.empty()) {
-                Delta d = random_below(3) == 0 ? deltas[random_below(deltas.size())] : deltas.back();
-                if (random_below(8) == 0 && !d.set.empty()) d.set.begin()->second += "!";
-                if (random_below(8) == 0) d.digest ^= 1;
-                if (random_below(12) == 0) d.removed.insert("k3");
-                result = copy.apply(d);
+                Delta delta = random_below(3) == 0 ? deltas[random_below(deltas.size())] : deltas.back();
+                if (random_below(8) == 0 && !delta.set.empty()) delta.set.begin()->second += "!";
+                if (random_below(8) == 0) delta.digest ^= 1;
+                if (random_below(12) == 0) delta.removed.insert("k3");
+                result = copy.apply(delta);
                 if (result == DocumentCopy::ApplyResult::gap) CHECK(copy.needs_pages());
             } else {
-                Page p = random_below(3) == 0 ? pages[random_below(pages.size())] : pages.back();
-                if (random_below(8) == 0 && !p.entries.empty()) p.entries.begin()->second += "!";
-                if (random_below(12) == 0) p.last = true;
-                result = copy.apply(p);
+                Page page = random_below(3) == 0 ? pages[random_below(pages.size())] : pages.back();
+                if (random_below(8) == 0 && !page.entries.empty()) page.entries.begin()->second += "!";
+                if (random_below(12) == 0) page.last = true;
+                result = copy.apply(page);
                 by_pages += result == DocumentCopy::ApplyResult::applied;
             }
             applied += result == DocumentCopy::ApplyResult::applied;
@@ -468,8 +469,8 @@
             gaps += result == DocumentCopy::ApplyResult::gap;
             REQUIRE(copy.version() >= previous_version);
             REQUIRE((result == DocumentCopy::ApplyResult::applied) == (copy.version() > previous_version));
-            REQUIRE(copy.document() == all[copy.version()]);
-            REQUIRE(copy.digest() == digest_of(all[copy.version()]));
+            REQUIRE(copy.document() == documents[copy.version()]);
+            REQUIRE(copy.digest() == digest_of(documents[copy.version()]));
         }
         // A new copy that receives pages only, while nothing changes.
         DocumentCopy fresh;
@@ -563,12 +564,12 @@
     // The member is back before the fleet managers acknowledged the loss: it is then reported as joined, not
     // as lost.
     REQUIRE(aggregator.record_report(12 * second, member_report("m1")));
-    const RelayReport back = aggregator.next_report(12 * second, second);
-    CHECK(back.lost.empty());
-    CHECK(back.joined == std::vector<MemberReport>{member_report("m1")});
+    const RelayReport rejoining_report = aggregator.next_report(12 * second, second);
+    CHECK(rejoining_report.lost.empty());
+    CHECK(rejoining_report.joined == std::vector<MemberReport>{member_report("m1")});
     aggregator.acknowledge(report.number, 11 * second, 10 * second);
     CHECK(aggregator.grant_lease(12 * second, "m1") == 0);
-    aggregator.acknowledge(back.number, 12 * second, 10 * second);
+    aggregator.acknowledge(rejoining_report.number, 12 * second, 10 * second);
     CHECK(aggregator.grant_lease(12 * second, "m1") > 0);
     CHECK(aggregator.next_report(13 * second, second).left.empty());
     // A report of an earlier incarnation is ignored; a later incarnation joins again.
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -28,14 +28,14 @@
 }
 
 ConfigOverlay::Settings settings_of(const ConfigOverlay& overlay, const Document& document) {
-    auto read = overlay.read(document);
-    if (const auto* rejection = std::get_if<ConfigOverlay::Rejection>(&read)) FAIL(rejection->reason);
-    return std::get<ConfigOverlay::Settings>(read);
+    auto result = overlay.read(document);
+    if (const auto* rejection = std::get_if<ConfigOverlay::Rejection>(&result)) FAIL(rejection->reason);
+    return std::get<ConfigOverlay::Settings>(result);
 }
 
 std::string rejection_of(const ConfigOverlay& overlay, const Document& document) {
-    const auto read = overlay.read(document);
-    const auto* rejection = std::get_if<ConfigOverlay::Rejection>(&read);
+    const auto result = overlay.read(document);
+    const auto* rejection = std::get_if<ConfigOverlay::Rejection>(&result);
     return rejection == nullptr ? "none" : rejection->reason;
 }
 
@@ -46,14 +46,14 @@
         overlay_of("log { level = \"warn\" }\ntwo_phase \"part\" {\n share = 0.4\n keep = \"7ms\"\n}");
     CHECK(settings_of(overlay, {}).log.level == LogLevel::warn);
     CHECK(settings_of(overlay, {}).phases[0].first_phase_share == 0.4);
-    const auto with =
+    const auto overlaid =
         settings_of(overlay, {{"log", "format = \"json\""}, {"two_phase.part", "share = 0.5\n"}});
-    CHECK(with.log.level == LogLevel::info);  // the whole block is replaced
-    CHECK(with.log.format == LogFormat::json);
-    CHECK(with.phases[0].enabled);
-    CHECK(with.phases[0].first_phase_share == 0.5);
-    CHECK(with.phases[0].response_reserve == TwoPhaseConfig().response_reserve);
-    CHECK_FALSE(with.phases[1].enabled);
+    CHECK(overlaid.log.level == LogLevel::info);  // the whole block is replaced
+    CHECK(overlaid.log.format == LogFormat::json);
+    CHECK(overlaid.phases[0].enabled);
+    CHECK(overlaid.phases[0].first_phase_share == 0.5);
+    CHECK(overlaid.phases[0].response_reserve == TwoPhaseConfig().response_reserve);
+    CHECK_FALSE(overlaid.phases[1].enabled);
     CHECK(settings_of(overlay, {}).phases[0].response_reserve == 7 * ms);
     CHECK(settings_of(overlay_of(""), {{"two_phase.part", ""}}).phases[0].enabled);
 }
@@ -131,45 +131,46 @@
         }
     }
     void delay_answer(const FollowerCall& call, TestConnection& peer) {
-        const auto h = std::make_shared<PendingCall>();
-        h->call = call, h->peer = peer.shared_from_this();
-        h->timer =
+        const auto pending_call = std::make_shared<PendingCall>();
+        pending_call->call = call, pending_call->peer = peer.shared_from_this();
+        pending_call->timer =
             std::make_unique<boost::asio::steady_timer>(io, std::chrono::nanoseconds(call.position.wait));
-        pending.push_back(h);
-        h->timer->async_wait([this, h](auto ec) {
-            if (!ec && std::erase(pending, h) > 0) answer(h->call, *h->peer);
+        pending.push_back(pending_call);
+        pending_call->timer->async_wait([this, pending_call](auto ec) {
+            if (!ec && std::erase(pending, pending_call) > 0) answer(pending_call->call, *pending_call->peer);
         });
     }
     void answer(const FollowerCall& call, TestConnection& peer) {
-        ChangesAnswer a;
-        a.version = version();
-        a.lease = lease;
+        ChangesAnswer changes_answer;
+        changes_answer.version = version();
+        changes_answer.lease = lease;
         const Document& latest = documents.back();
         const std::uint64_t digest = changes::digest_of(latest) + (corrupts_pages ? 1 : 0);
         if (call.position.wants_pages && version() > 0) {
             // Each page has one entry.
             const auto next = latest.upper_bound(call.position.after);
-            a.page = changes::Page{version(), digest, call.position.after, {}, true};
+            changes_answer.page = changes::Page{version(), digest, call.position.after, {}, true};
             if (next != latest.end()) {
-                a.page->entries.insert(*next);
-                a.page->last = std::next(next) == latest.end();
+                changes_answer.page->entries.insert(*next);
+                changes_answer.page->last = std::next(next) == latest.end();
             }
         } else if (call.position.known_version < version()) {
-            a.delta =
+            changes_answer.delta =
                 changes::Delta{call.position.known_version, version(), {}, {}, changes::digest_of(latest)};
-            if (corrupts_deltas) ++a.delta->digest;
+            if (corrupts_deltas) ++changes_answer.delta->digest;
             const Document& before = documents[call.position.known_version];
             for (const auto& [key, value] : latest)
-                if (!before.contains(key) || before.at(key) != value) a.delta->set[key] = value;
+                if (!before.contains(key) || before.at(key) != value) changes_answer.delta->set[key] = value;
             for (const auto& [key, value] : before)
-                if (!latest.contains(key)) a.delta->removed.insert(key);
+                if (!latest.contains(key)) changes_answer.delta->removed.insert(key);
         }
-        const std::string body = write_changes_answer(a);
+        const std::string body = write_changes_answer(changes_answer);
         peer.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
     void publish(const Document& document) {
         documents.push_back(document);
-        for (const auto& h : std::exchange(pending, {})) h->timer->cancel(), answer(h->call, *h->peer);
+        for (const auto& pending_call : std::exchange(pending, {}))
+            pending_call->timer->cancel(), answer(pending_call->call, *pending_call->peer);
     }
     void disconnect() {
         pending.clear();
@@ -192,10 +193,12 @@
     bool silent = false, corrupts_deltas = false, corrupts_pages = false;
 };
 
-std::string fleet_text(const std::string& more = "", const std::string& each = "") {
-    std::string text = "fleet {\n shards = 8\n places = 4\n width = 2\n rows = 8\n" + more + "}\n";
-    for (int n = 0; n < 4; ++n)
-        text += "node \"n" + std::to_string(n) + "\" {\n place = " + std::to_string(n) + "\n" + each + "}\n";
+std::string fleet_text(const std::string& fleet_attributes = "", const std::string& node_attributes = "") {
+    std::string text =
+        "fleet {\n shards = 8\n places = 4\n width = 2\n rows = 8\n" + fleet_attributes + "}\n";
+    for (int node = 0; node < 4; ++node)
+        text += "node \"n" + std::to_string(node) + "\" {\n place = " + std::to_string(node) + "\n" +
+                node_attributes + "}\n";
     return text;
 }
 
@@ -209,24 +212,25 @@
     int query_count = 0;
 
     // `member`: further attributes of the member block, which is present if there are relays.
-    explicit FollowerFixture(int count, const std::string& script = fleet_text(),
+    explicit FollowerFixture(int relay_count, const std::string& script = fleet_text(),
                              const std::string& file = "", const std::string& member = "",
                              const std::string& step = "5.0", bool starts = true)
         : fleet(io, read_script(script, "script")) {
-        std::string list;
-        for (int i = 0; i < count; ++i) {
+        std::string relay_addresses;
+        for (int i = 0; i < relay_count; ++i) {
             relays.push_back(std::make_unique<ScriptedRelay>(io));
-            list += (i > 0 ? ", \"" : "\"") + relays.back()->listener->address() + "\"";
+            relay_addresses += (i > 0 ? ", \"" : "\"") + relays.back()->listener->address() + "\"";
         }
-        operators = file;
-        if (count > 0) operators += "\nmember {\n relays = [" + list + "]\n" + member + "\n}\n";
+        operators_file = file;
+        if (relay_count > 0)
+            operators_file += "\nmember {\n relays = [" + relay_addresses + "]\n" + member + "\n}\n";
         step_ = step;
         if (starts) start();
     }
     void start() {
         service = std::make_unique<Service>(io, [this] { return startup_config(); });
-        client = std::make_unique<Client>(io, service->port(),
-                                          [this](ClientResponse a) { answers.push_back(std::move(a)); });
+        client = std::make_unique<Client>(
+            io, service->port(), [this](ClientResponse response) { answers.push_back(std::move(response)); });
     }
     StartupConfig startup_config() {
         const std::string settings =
@@ -244,7 +248,8 @@
             R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
             fleet.entries() + "]},\"settings\":" + settings + "}");
         startup.listen.port = 0;
-        if (!operators.empty()) apply_operator_config(startup, read_operator_config(operators, "operators"));
+        if (!operators_file.empty())
+            apply_operator_config(startup, read_operator_config(operators_file, "operators"));
         return startup;
     }
     template <typename Happened>
@@ -262,25 +267,26 @@
     // Waits until the router calls a relay, and returns that relay.
     ScriptedRelay& followed_relay() {
         until([&] {
-            return std::any_of(relays.begin(), relays.end(), [](auto& r) { return !r->calls.empty(); });
+            return std::any_of(relays.begin(), relays.end(),
+                               [](auto& relay) { return !relay->calls.empty(); });
         });
-        for (auto& r : relays)
-            if (!r->calls.empty()) return *r;
+        for (auto& relay : relays)
+            if (!relay->calls.empty()) return *relay;
         return *relays[0];
     }
     ClientQuery new_query(int rows = 5) {
-        ClientQuery a;
-        a.query_class = "part";
-        a.id = "q" + std::to_string(++query_count);
-        a.deadline_ms = 3000;
-        a.find.terms = {"wanted"};
-        a.find.rows = rows;
-        for (std::uint32_t s = 0; s < 8; ++s) a.shards.push_back(s);
-        return a;
+        ClientQuery query;
+        query.query_class = "part";
+        query.id = "q" + std::to_string(++query_count);
+        query.deadline_ms = 3000;
+        query.find.terms = {"wanted"};
+        query.find.rows = rows;
+        for (std::uint32_t shard = 0; shard < 8; ++shard) query.shards.push_back(shard);
+        return query;
     }
-    ClientResponse ask(const ClientQuery& a) {
+    ClientResponse ask(const ClientQuery& query) {
         const std::size_t before = answers.size();
-        client->ask(a);
+        client->ask(query);
         until([&] { return answers.size() > before; });
         return answers.back();
     }
@@ -293,11 +299,11 @@
     const ConfigFollower& follower() const { return *service->follower(); }
     const TwoPhaseCounters& counts() const { return service->dispatcher().two_phase_counters(); }
 
-    std::string operators, step_;
+    std::string operators_file, step_;
 };
 
-std::size_t entries(const char* of) {
-    const std::filesystem::directory_iterator all(of);
+std::size_t entry_count(const char* directory) {
+    const std::filesystem::directory_iterator all(directory);
     return static_cast<std::size_t>(std::distance(begin(all), end(all)));
 }
 
@@ -316,9 +322,9 @@
     fixture.until([&] { return relay.last_report_is(1); });
     CHECK(relay.calls.back().position.known_version == 1);
     CHECK(relay.calls.back().position.digest == changes::digest_of(relay.documents[1]));
-    ClientResponse got = fixture.ask(fixture.new_query());
-    CHECK(got.status == 200);
-    CHECK(got.whole);
+    ClientResponse response = fixture.ask(fixture.new_query());
+    CHECK(response.status == 200);
+    CHECK(response.whole);
     CHECK(fixture.counts().queries == 1);
     // The data nodes were discovered before the two-phase setting.
     CHECK(fixture.fleet.work().summaries == 8);
@@ -340,16 +346,16 @@
     fixture.until([&] { return fixture.service->dispatcher().attempts_in_flight() > 0; });
     Client second(fixture.io, fixture.service->port(), [](ClientResponse) {});
     second.ask(fixture.new_query());
-    const std::size_t pending = fixture.service->dispatcher().unfinished_count(),
-                      out = fixture.service->dispatcher().attempts_in_flight();
-    fixture.until([&] { return fixture.service->dispatcher().unfinished_count() > pending; });
+    const std::size_t unfinished = fixture.service->dispatcher().unfinished_count(),
+                      in_flight = fixture.service->dispatcher().attempts_in_flight();
+    fixture.until([&] { return fixture.service->dispatcher().unfinished_count() > unfinished; });
     relay.publish({{"log", "level = \"info\""}});
     fixture.until([&] {
-        if (fixture.service->dispatcher().attempts_in_flight() == out)
+        if (fixture.service->dispatcher().attempts_in_flight() == in_flight)
             CHECK(fixture.follower().applied_version() == 0);
         return fixture.follower().applied_version() == 1;
     });
-    CHECK(fixture.service->dispatcher().attempts_in_flight() > out);
+    CHECK(fixture.service->dispatcher().attempts_in_flight() > in_flight);
     for (const FollowerCall& call : relay.calls) CHECK(call.report.applied_version == 0);
     fixture.until([&] { return relay.last_report_is(1); });
 }
@@ -482,7 +488,8 @@
 TEST_CASE("a router is not ready before it applies the relays' first answer, or the startup wait ends") {
     FollowerFixture fixture(1, fleet_text(), "", "config_first_word = \"1500ms\"", "5.0", false);
     ScriptedRelay& relay = *fixture.relays[0];
-    const std::string how = GENERATE("answers", "is silent", "has no lease", "sends a wrong digest");
+    const std::string relay_behaviour =
+        GENERATE("answers", "is silent", "has no lease", "sends a wrong digest");
     relay.publish({{"two_phase.part", ""}});
     relay.silent = true;
     fixture.start();
@@ -490,14 +497,14 @@
     fixture.until([&] { return fixture.service->dispatcher().begun() && !relay.calls.empty(); });
     CHECK_FALSE(fixture.is_ready());
     CHECK(fixture.ask(fixture.new_query()).status == 200);  // queries that arrive are served
-    if (how == "has no lease") relay.lease = 0;
-    relay.corrupts_deltas = how == "sends a wrong digest";
-    if (how != "is silent") relay.answer(relay.calls[0], *relay.listener->peers[0]);
-    if (how == "sends a wrong digest")
+    if (relay_behaviour == "has no lease") relay.lease = 0;
+    relay.corrupts_deltas = relay_behaviour == "sends a wrong digest";
+    if (relay_behaviour != "is silent") relay.answer(relay.calls[0], *relay.listener->peers[0]);
+    if (relay_behaviour == "sends a wrong digest")
         fixture.until([&] { return relay.calls.size() > 1; });  // requests for pages are not answered
-    const std::uint64_t version = how == "answers" || how == "has no lease" ? 1 : 0;
+    const std::uint64_t version = relay_behaviour == "answers" || relay_behaviour == "has no lease" ? 1 : 0;
     fixture.until([&] { return fixture.follower().applied_version() == version; });
-    if (how == "answers") {
+    if (relay_behaviour == "answers") {
         fixture.until([&] { return fixture.is_ready(); });
     } else {
         CHECK_FALSE(fixture.is_ready());
@@ -547,26 +554,27 @@
 }
 
 TEST_CASE("without relays there is no further descriptor or thread; with relays there is one connection") {
-    struct Open {
+    struct OpenResources {
         std::size_t descriptors, threads;
     };
     // 0: no operators' file, 1: a file without relays, 2: a file with a relay.
-    std::vector<Open> found;
-    for (const int kind : {0, 1, 2}) {
-        const Open before{entries("/proc/self/fd"), entries("/proc/self/task")};
-        FollowerFixture fixture(kind == 2 ? 1 : 0, fleet_text(), kind == 1 ? "log { level = \"info\" }" : "");
+    std::vector<OpenResources> opened;
+    for (const int setup : {0, 1, 2}) {
+        const OpenResources before{entry_count("/proc/self/fd"), entry_count("/proc/self/task")};
+        FollowerFixture fixture(setup == 2 ? 1 : 0, fleet_text(),
+                                setup == 1 ? "log { level = \"info\" }" : "");
         fixture.ask(fixture.new_query());
         fixture.ask(fixture.new_query());
-        if (kind == 2) fixture.until([&] { return !fixture.relays[0]->pending.empty(); });
-        CHECK((fixture.service->follower() == nullptr) == (kind < 2));
-        found.push_back(
-            {entries("/proc/self/fd") - before.descriptors, entries("/proc/self/task") - before.threads});
-        if (kind < 2) continue;
+        if (setup == 2) fixture.until([&] { return !fixture.relays[0]->pending.empty(); });
+        CHECK((fixture.service->follower() == nullptr) == (setup < 2));
+        opened.push_back({entry_count("/proc/self/fd") - before.descriptors,
+                          entry_count("/proc/self/task") - before.threads});
+        if (setup < 2) continue;
         // Subtract the relay's own descriptors: its listening socket and its end of the connection.
         CHECK(fixture.relays[0]->listener->peers.size() == 1);
-        found.back().descriptors -= 2;
+        opened.back().descriptors -= 2;
     }
-    CHECK(found[1].descriptors == found[0].descriptors);
-    CHECK(found[2].descriptors == found[0].descriptors + 1);
-    for (const Open& open : found) CHECK(open.threads == found[0].threads);
+    CHECK(opened[1].descriptors == opened[0].descriptors);
+    CHECK(opened[2].descriptors == opened[0].descriptors + 1);
+    for (const OpenResources& resources : opened) CHECK(resources.threads == opened[0].threads);
 }
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -31,7 +31,7 @@
     return {generation, true, std::move(nodes), 0};
 }
 
-const std::vector<std::string> names = {"part", "whole"};
+const std::vector<std::string> query_class_names = {"part", "whole"};
 
 ControlConfig control_config() {
     ControlConfig config;
@@ -53,7 +53,7 @@
 TEST_CASE(
     "a pool has the nodes with replicas of its shards; a draining node is marked at once and removed after "
     "the grace period") {
-    DecisionEngine engine(test::small_config(), names, control_config(), 1);
+    DecisionEngine engine(test::small_config(), query_class_names, control_config(), 1);
     engine.apply_list(list_of(1, four_nodes()), start);
     Decisions decisions = engine.decide(start);
     REQUIRE(decisions.pools.size() == 4);
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("a node that drains, is removed and restarts within a second comes back cold") {
-    DecisionEngine engine(test::small_config(), names, control_config(), 1);
+    DecisionEngine engine(test::small_config(), query_class_names, control_config(), 1);
     engine.apply_list(list_of(1, four_nodes()), start);
     auto nodes = four_nodes();
     nodes[1].lifecycle = Lifecycle::draining;
@@ -95,30 +95,30 @@
 
 TEST_CASE("a cold node's weight and limit grow with its warm-up and never exceed it") {
     const RouterConfig config = test::small_config();
-    DecisionEngine engine(config, names, control_config(), 1);
+    DecisionEngine engine(config, query_class_names, control_config(), 1);
     auto nodes = four_nodes();
     nodes[2].started_at = start;
     engine.apply_list(list_of(1, nodes), start);
-    std::uint32_t last = 0;
+    std::uint32_t last_weight = 0;
     for (Nanos age = 0; age <= 12 * second; age += 100 * ms) {
         const Decisions decisions = engine.decide(start + age);
         const PoolEndpoint* endpoint = find(decisions.pools[2], "n2");
         REQUIRE(endpoint != nullptr);
-        const double warm =
+        const double warm_fraction =
             std::min(1.0, config.slow_start_min_fraction +
                               (1 - config.slow_start_min_fraction) * static_cast<double>(age) /
                                   static_cast<double>(config.slow_start_duration));
-        CHECK(endpoint->weight <= 100 * warm);
-        CHECK(endpoint->weight >= last);
-        CHECK(decisions.pools[2].limit <= 20 + 10 * warm);
-        last = endpoint->weight;
+        CHECK(endpoint->weight <= 100 * warm_fraction);
+        CHECK(endpoint->weight >= last_weight);
+        CHECK(decisions.pools[2].limit <= 20 + 10 * warm_fraction);
+        last_weight = endpoint->weight;
         if (age > config.slow_start_duration) CHECK(endpoint->weight == 100);
         if (age > config.slow_start_duration) CHECK(engine.next_change() == INT64_MAX);
     }
 }
 
 TEST_CASE("a list that removes most of the fleet at once: drains apply, removals are held back for a while") {
-    DecisionEngine engine(test::small_config(), names, control_config(), 1);
+    DecisionEngine engine(test::small_config(), query_class_names, control_config(), 1);
     engine.apply_list(list_of(1, four_nodes()), start);
     auto nodes = four_nodes();
     nodes[0].lifecycle = Lifecycle::draining;
@@ -147,7 +147,7 @@
 TEST_CASE(
     "without new lists decisions stay in force and report their age, and a clock that goes back changes "
     "nothing") {
-    DecisionEngine engine(test::small_config(), names, control_config(), 1);
+    DecisionEngine engine(test::small_config(), query_class_names, control_config(), 1);
     auto nodes = four_nodes();
     nodes[2].started_at = start;
     engine.apply_list(list_of(1, nodes), start + second);
@@ -160,13 +160,13 @@
 TEST_CASE("attempts and the retry window of a route follow the decision module's retry limits") {
     RouterConfig config = test::small_config(Effect::idempotent_with_key);
     config.query_classes[1].effect = Effect::not_idempotent;
-    DecisionEngine engine(config, names, control_config(), 1);
+    DecisionEngine engine(config, query_class_names, control_config(), 1);
     const auto routes = engine.decide(start).query_classes;
     CHECK(routes[0].max_attempts == 3);
     CHECK(
         (routes[0].retry_window > 0 && routes[0].retry_window < config.query_classes[0].idempotency_window));
     CHECK(routes[1].max_attempts == 1);
-    CHECK(DecisionEngine(test::small_config(), names, control_config(), 1)
+    CHECK(DecisionEngine(test::small_config(), query_class_names, control_config(), 1)
               .decide(start)
               .query_classes[0]
               .retry_window == 0);
@@ -175,10 +175,10 @@
 TEST_CASE("limits in use never exceed a total that doesn't change") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         std::mt19937_64 random(seed);
-        const auto below = [&random](std::uint64_t n) { return random() % n; };
+        const auto random_below = [&random](std::uint64_t n) { return random() % n; };
         LimitAllocator limits(2);
-        const std::uint32_t totals[2] = {static_cast<std::uint32_t>(below(40)),
-                                         static_cast<std::uint32_t>(1 + below(1000))};
+        const std::uint32_t totals[2] = {static_cast<std::uint32_t>(random_below(40)),
+                                         static_cast<std::uint32_t>(1 + random_below(1000))};
         limits.set_total(0, totals[0]);
         limits.set_total(1, totals[1]);
         // The model: each proxy uses any of the limits that it was sent since its latest acknowledgement,
@@ -190,29 +190,30 @@
         };
         std::map<std::uint64_t, ModelProxy> model;
         Nanos now = 0;
-        std::uint64_t number = 0, last = 0;
+        std::uint64_t response_number = 0, last_proxy = 0;
         for (int step = 0; step < 400; ++step) {
-            now += static_cast<Nanos>(below(20)) * ms;
-            const auto action = below(10);
+            now += static_cast<Nanos>(random_below(20)) * ms;
+            const auto action = random_below(10);
             if (action == 0 || model.empty()) {
-                limits.join(++last);
-                model[last];
+                limits.join(++last_proxy);
+                model[last_proxy];
             } else {
-                auto at = model.begin();
-                std::advance(at, static_cast<long>(below(model.size())));
-                ModelProxy& proxy = at->second;
+                auto entry = model.begin();
+                std::advance(entry, static_cast<long>(random_below(model.size())));
+                ModelProxy& proxy = entry->second;
                 if (action == 1 && proxy.connected) {
                     proxy.connected = false;
                     proxy.expires_at = now + 100 * ms;
-                    limits.leave(at->first, proxy.expires_at);
+                    limits.leave(entry->first, proxy.expires_at);
                 } else if (action < 7 && proxy.connected) {
-                    const std::vector<std::uint32_t> due = limits.allowed_limits(at->first);
-                    limits.on_sent(at->first, ++number, due);
-                    proxy.sent.emplace_back(number, due);
+                    const std::vector<std::uint32_t> due = limits.allowed_limits(entry->first);
+                    limits.on_sent(entry->first, ++response_number, due);
+                    proxy.sent.emplace_back(response_number, due);
                 } else if (proxy.connected && !proxy.sent.empty()) {
-                    const std::size_t which = below(proxy.sent.size());
-                    limits.on_acknowledged(at->first, proxy.sent[which].first);
-                    proxy.sent.erase(proxy.sent.begin(), proxy.sent.begin() + static_cast<long>(which));
+                    const std::size_t acknowledged = random_below(proxy.sent.size());
+                    limits.on_acknowledged(entry->first, proxy.sent[acknowledged].first);
+                    proxy.sent.erase(proxy.sent.begin(),
+                                     proxy.sent.begin() + static_cast<long>(acknowledged));
                 }
             }
             limits.expire(now);
@@ -238,8 +239,8 @@
             limits.expire(now);
             for (auto& [id, proxy] : model)
                 if (proxy.connected) {
-                    limits.on_sent(id, ++number, limits.allowed_limits(id));
-                    limits.on_acknowledged(id, number);
+                    limits.on_sent(id, ++response_number, limits.allowed_limits(id));
+                    limits.on_acknowledged(id, response_number);
                 }
         }
         limits.expire(now + second);
@@ -252,9 +253,10 @@
 class PlainEncoder final : public ResourceEncoder {
   public:
     ResourcePtr cluster(std::uint32_t pool, std::uint32_t limit, const std::string& version) const override {
-        auto made = std::make_shared<XdsResource>(XdsResource{pool_name(pool), version, "", "", pool, limit});
-        made->state_of_world = std::to_string(limit);
-        return made;
+        auto resource =
+            std::make_shared<XdsResource>(XdsResource{pool_name(pool), version, "", "", pool, limit});
+        resource->state_of_world = std::to_string(limit);
+        return resource;
     }
     ResourcePtr endpoints(std::uint32_t pool, const Pool& pool_contents,
                           const std::string& version) const override {
@@ -280,10 +282,10 @@
     std::string node;
     bool delta = false, open = false, never_acknowledges = false;
     Controller::StreamId stream = 0;
-    std::array<std::map<std::string, ResourcePtr>, xds_types> held;
-    std::array<std::set<std::string>, xds_types> wanted;
+    std::array<std::map<std::string, ResourcePtr>, xds_types> resources;
+    std::array<std::set<std::string>, xds_types> subscribed;
     std::array<std::string, xds_types> nonce, version;
-    std::array<bool, xds_types> asked{};
+    std::array<bool, xds_types> requested{};
     std::deque<ProxyRequest> queued_requests;
     std::set<std::string> rejected_resources;  // by their bytes
     Nanos left_at = 0;
@@ -291,14 +293,14 @@
 
 struct ControlFixture {
     explicit ControlFixture(std::uint64_t seed)
-        : random(seed), controller(config, names, control, encoder, seed, 77) {}
+        : random(seed), controller(config, query_class_names, control, encoder, seed, 77) {}
 
     std::mt19937_64 random;
     const RouterConfig config = test::small_config();
     const ControlConfig control = [] {
-        ControlConfig made = control_config();
-        made.leave_grace = 200 * ms;
-        return made;
+        ControlConfig leave_config = control_config();
+        leave_config.leave_grace = 200 * ms;
+        return leave_config;
     }();
     PlainEncoder encoder;
     Controller controller;
@@ -307,7 +309,7 @@
     Nanos now = start;
     std::uint64_t generation = 0, messages = 0;
 
-    std::uint64_t below(std::uint64_t n) { return random() % n; }
+    std::uint64_t random_below(std::uint64_t n) { return random() % n; }
 
     void subscribe(Proxy& proxy, XdsType type, std::set<std::string> names_wanted) {
         const auto type_index = static_cast<std::size_t>(type);
@@ -315,31 +317,33 @@
         request.type_url = type_url(type);
         if (proxy.delta) {
             for (const std::string& name : names_wanted)
-                if (!proxy.wanted[type_index].contains(name)) request.subscribe.push_back(name);
-            for (const std::string& name : proxy.wanted[type_index])
+                if (!proxy.subscribed[type_index].contains(name)) request.subscribe.push_back(name);
+            for (const std::string& name : proxy.subscribed[type_index])
                 if (!names_wanted.contains(name))
-                    request.unsubscribe.push_back(name), proxy.held[type_index].erase(name);
-            if (!proxy.asked[type_index])
-                for (const auto& [name, resource] : proxy.held[type_index])
+                    request.unsubscribe.push_back(name), proxy.resources[type_index].erase(name);
+            if (!proxy.requested[type_index])
+                for (const auto& [name, resource] : proxy.resources[type_index])
                     request.initial_versions[name] = resource->version;
         } else {
             request.names.assign(names_wanted.begin(), names_wanted.end());
             request.version = proxy.version[type_index];
-            if (proxy.asked[type_index]) request.nonce = proxy.nonce[type_index];
+            if (proxy.requested[type_index]) request.nonce = proxy.nonce[type_index];
         }
-        proxy.asked[type_index] = true;
-        proxy.wanted[type_index] = std::move(names_wanted);
+        proxy.requested[type_index] = true;
+        proxy.subscribed[type_index] = std::move(names_wanted);
         proxy.queued_requests.push_back(std::move(request));
     }
     // After a proxy has left, it uses its limits until the end of the grace period.
-    bool gone(const Proxy& proxy) const { return !proxy.open && now >= proxy.left_at + control.leave_grace; }
+    bool limits_expired(const Proxy& proxy) const {
+        return !proxy.open && now >= proxy.left_at + control.leave_grace;
+    }
     void connect(Proxy& proxy) {
-        if (gone(proxy)) proxy.held[0].clear();
+        if (limits_expired(proxy)) proxy.resources[0].clear();
         proxy.stream = controller.open(proxy.delta, now);
         proxy.open = true;
         proxy.queued_requests.clear();
-        proxy.asked = {};
-        proxy.wanted = {};
+        proxy.requested = {};
+        proxy.subscribed = {};
         proxy.nonce = {};
         // Proxies keep their resources over a new connection.
         subscribe(proxy, XdsType::cluster, {});
@@ -355,51 +359,52 @@
     }
     void receive(Proxy& proxy) {
         if (!proxy.open) return;
-        const auto out = controller.next(proxy.stream, now);
-        if (!out) return;
+        const auto response = controller.next(proxy.stream, now);
+        if (!response) return;
         ++messages;
-        const auto type_index = static_cast<std::size_t>(out->type);
+        const auto type_index = static_cast<std::size_t>(response->type);
         bool rejects = false;
         std::set<std::string> clusters;
-        for (const auto& [name, _] : proxy.held[0]) clusters.insert(name);
-        for (const ResourcePtr& resource : out->resources) {
+        for (const auto& [name, _] : proxy.resources[0]) clusters.insert(name);
+        for (const ResourcePtr& resource : response->resources) {
             rejects |= proxy.rejected_resources.contains(resource->state_of_world);
             // A resource must not refer to one that the proxy was not sent.
-            if (out->type == XdsType::endpoint) REQUIRE(clusters.contains(resource->name));
-            if (out->type == XdsType::route) REQUIRE(clusters.size() == 4);
+            if (response->type == XdsType::endpoint) REQUIRE(clusters.contains(resource->name));
+            if (response->type == XdsType::route) REQUIRE(clusters.size() == 4);
             // Only resources that the proxy subscribed to may be sent.
-            REQUIRE((proxy.wanted[type_index].empty() ? type_index % 2 == 0
-                                                      : proxy.wanted[type_index].contains(resource->name)));
+            REQUIRE((proxy.subscribed[type_index].empty()
+                         ? type_index % 2 == 0
+                         : proxy.subscribed[type_index].contains(resource->name)));
         }
         if (!rejects) {
-            if (!proxy.delta && type_index % 2 == 0) proxy.held[type_index].clear();
-            for (const ResourcePtr& resource : out->resources)
-                proxy.held[type_index][resource->name] = resource;
-            for (const std::string& name : out->removed) proxy.held[type_index].erase(name);
-            proxy.version[type_index] = out->version;
+            if (!proxy.delta && type_index % 2 == 0) proxy.resources[type_index].clear();
+            for (const ResourcePtr& resource : response->resources)
+                proxy.resources[type_index][resource->name] = resource;
+            for (const std::string& name : response->removed) proxy.resources[type_index].erase(name);
+            proxy.version[type_index] = response->version;
         }
-        proxy.nonce[type_index] = out->nonce;
+        proxy.nonce[type_index] = response->nonce;
         if (proxy.never_acknowledges) return;
         ProxyRequest request;
-        request.type_url = type_url(out->type);
-        request.nonce = out->nonce;
+        request.type_url = type_url(response->type);
+        request.nonce = response->nonce;
         request.is_nack = rejects;
         request.error = "no";
         if (!proxy.delta)
-            request.names.assign(proxy.wanted[type_index].begin(), proxy.wanted[type_index].end()),
+            request.names.assign(proxy.subscribed[type_index].begin(), proxy.subscribed[type_index].end()),
                 request.version = proxy.version[type_index];
         proxy.queued_requests.push_back(std::move(request));
         if (rejects) return;
         std::set<std::string> referenced;
-        for (const auto& [name, _] : proxy.held[type_index]) referenced.insert(name);
-        if (out->type == XdsType::cluster && proxy.wanted[1] != referenced)
+        for (const auto& [name, _] : proxy.resources[type_index]) referenced.insert(name);
+        if (response->type == XdsType::cluster && proxy.subscribed[1] != referenced)
             subscribe(proxy, XdsType::endpoint, referenced);
-        if (out->type == XdsType::listener && proxy.wanted[3] != referenced)
+        if (response->type == XdsType::listener && proxy.subscribed[3] != referenced)
             subscribe(proxy, XdsType::route, referenced);
     }
     void change_fleet() {
-        ListedEndpoint& changed = nodes[below(nodes.size())];
-        switch (below(4)) {
+        ListedEndpoint& changed = nodes[random_below(nodes.size())];
+        switch (random_below(4)) {
             case 0:
                 changed.lifecycle =
                     changed.lifecycle == Lifecycle::ready ? Lifecycle::draining : Lifecycle::ready;
@@ -408,11 +413,12 @@
                 changed.started_at = now;
                 break;
             case 2:
-                nodes.push_back(node(static_cast<int>(below(30)) + 10, static_cast<std::uint32_t>(below(4))));
+                nodes.push_back(node(static_cast<int>(random_below(30)) + 10,
+                                     static_cast<std::uint32_t>(random_below(4))));
                 break;
             default:
                 if (nodes.size() > 4)
-                    nodes.erase(nodes.begin() + static_cast<long>(4 + below(nodes.size() - 4)));
+                    nodes.erase(nodes.begin() + static_cast<long>(4 + random_below(nodes.size() - 4)));
         }
         controller.apply_list(list_of(++generation, nodes), now);
     }
@@ -421,8 +427,8 @@
         for (std::uint32_t pool = 0; pool < 4; ++pool) {
             std::uint64_t sum = 0;
             for (const Proxy& proxy : proxies) {
-                const auto at = proxy.held[0].find(pool_name(pool));
-                if (at != proxy.held[0].end() && !gone(proxy)) sum += at->second->limit;
+                const auto entry = proxy.resources[0].find(pool_name(pool));
+                if (entry != proxy.resources[0].end() && !limits_expired(proxy)) sum += entry->second->limit;
             }
             REQUIRE(sum <= controller.limits().in_use(pool));
         }
@@ -455,10 +461,10 @@
             fixture.proxies.push_back(proxy);
         }
         for (int step = 0; step < 500; ++step) {
-            fixture.now += static_cast<Nanos>(fixture.below(40)) * ms;
+            fixture.now += static_cast<Nanos>(fixture.random_below(40)) * ms;
             fixture.controller.tick(fixture.now);
-            Proxy& proxy = fixture.proxies[fixture.below(fixture.proxies.size())];
-            const auto action = fixture.below(40);
+            Proxy& proxy = fixture.proxies[fixture.random_below(fixture.proxies.size())];
+            const auto action = fixture.random_below(40);
             if (!proxy.open)
                 fixture.connect(proxy);
             else if (action == 0)
@@ -487,15 +493,15 @@
         std::vector<std::uint64_t> limits(4);
         for (const Proxy& proxy : fixture.proxies) {
             CHECK(fixture.controller.settled(proxy.stream));
-            REQUIRE(proxy.held[0].size() == 4);
-            REQUIRE(proxy.held[1].size() == 4);
-            CHECK(proxy.held[2].size() == 2);
-            CHECK(proxy.held[3].size() == 2);
+            REQUIRE(proxy.resources[0].size() == 4);
+            REQUIRE(proxy.resources[1].size() == 4);
+            CHECK(proxy.resources[2].size() == 2);
+            CHECK(proxy.resources[3].size() == 2);
             for (std::uint32_t pool = 0; pool < 4; ++pool) {
-                const std::string wanted =
+                const std::string expected =
                     fixture.encoder.endpoints(pool, decisions.pools[pool], "")->state_of_world;
-                CHECK(proxy.held[1].at(pool_name(pool))->state_of_world == wanted);
-                limits[pool] += proxy.held[0].at(pool_name(pool))->limit;
+                CHECK(proxy.resources[1].at(pool_name(pool))->state_of_world == expected);
+                limits[pool] += proxy.resources[0].at(pool_name(pool))->limit;
             }
         }
         for (std::uint32_t pool = 0; pool < 4; ++pool) CHECK(limits[pool] == decisions.pools[pool].limit);
@@ -517,10 +523,10 @@
     fixture.proxies = {proxy};
     fixture.connect(fixture.proxies[0]);
     fixture.settle();
-    Proxy& held = fixture.proxies[0];
-    CHECK(held.held[1].size() == 3);
-    CHECK_FALSE(held.held[1].contains(pool_name(2)));
-    CHECK(held.held[3].size() == 2);
+    Proxy& connected_proxy = fixture.proxies[0];
+    CHECK(connected_proxy.resources[1].size() == 3);
+    CHECK_FALSE(connected_proxy.resources[1].contains(pool_name(2)));
+    CHECK(connected_proxy.resources[3].size() == 2);
     CHECK_FALSE(fixture.controller.take_log_lines().empty());
     const std::uint64_t messages = fixture.messages;
     fixture.settle();
@@ -528,7 +534,7 @@
     fixture.nodes[2].lifecycle = Lifecycle::draining;
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
     fixture.settle();
-    CHECK(held.held[1].size() == 4);
+    CHECK(connected_proxy.resources[1].size() == 4);
 }
 
 TEST_CASE("a proxy that never acknowledges still gets the newest resources, and its limits stay in use") {
@@ -543,18 +549,18 @@
     fixture.connect(fixture.proxies[1]);
     fixture.settle();
     fixture.check_limits();
-    CHECK(fixture.proxies[0].held[0].at(pool_name(0))->limit == 15);
-    CHECK(fixture.proxies[1].held[0].at(pool_name(0))->limit ==
+    CHECK(fixture.proxies[0].resources[0].at(pool_name(0))->limit == 15);
+    CHECK(fixture.proxies[1].resources[0].at(pool_name(0))->limit ==
           0);  // the other proxy has not acknowledged a decrease
     fixture.nodes[0].lifecycle = Lifecycle::draining;
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
     fixture.settle();
-    CHECK(fixture.proxies[0].held[1].at(pool_name(0))->state_of_world.find("n0") == std::string::npos);
+    CHECK(fixture.proxies[0].resources[1].at(pool_name(0))->state_of_world.find("n0") == std::string::npos);
     fixture.proxies[0].never_acknowledges = false;
     fixture.controller.close(fixture.proxies[0].stream, fixture.now);
     fixture.connect(fixture.proxies[0]);
     fixture.settle();
-    CHECK(fixture.proxies[1].held[0].at(pool_name(0))->limit == 10);
+    CHECK(fixture.proxies[1].resources[0].at(pool_name(0))->limit == 10);
 }
 
 TEST_CASE("a proxy that knows a newer list gets no older one for a limited time") {
@@ -598,13 +604,13 @@
     fixture.now -= 3600 * second;  // the clock is set back
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
     fixture.receive(proxy);
-    const auto drains = [&proxy] {
-        return proxy.held[1].at(pool_name(0))->state_of_world.find("n0=1d") != std::string::npos;
+    const auto is_draining = [&proxy] {
+        return proxy.resources[1].at(pool_name(0))->state_of_world.find("n0=1d") != std::string::npos;
     };
-    CHECK_FALSE(drains());
+    CHECK_FALSE(is_draining());
     fixture.send(proxy);
     fixture.receive(proxy);
-    CHECK(drains());
+    CHECK(is_draining());
     // If an acknowledgement is lost, the next response is sent after the timeout, on the clock that goes on
     // from its latest time.
     fixture.nodes[3].lifecycle = Lifecycle::draining;
@@ -613,37 +619,39 @@
     fixture.now += 3600 * second + 300 * ms;
     fixture.controller.tick(fixture.now);
     fixture.receive(proxy);
-    CHECK(proxy.held[1].at(pool_name(3))->state_of_world.find("n3=1d") != std::string::npos);
+    CHECK(proxy.resources[1].at(pool_name(3))->state_of_world.find("n3=1d") != std::string::npos);
 }
 
 TEST_CASE("invalid requests end their stream or are ignored, and affect no other stream") {
     ControlFixture fixture(8);
     fixture.controller.apply_list(list_of(++fixture.generation, fixture.nodes), fixture.now);
-    const auto hears = [&fixture](Controller::StreamId id, const std::string& from, ProxyRequest request) {
+    const auto send_request = [&fixture](Controller::StreamId id, const std::string& from,
+                                         ProxyRequest request) {
         return fixture.controller.on_request(id, from, request, fixture.now);
     };
     ProxyRequest request;
     request.type_url = type_url(XdsType::cluster);
     const auto id = fixture.controller.open(false, fixture.now);
-    CHECK(hears(id, "", request) == Controller::Refusal::no_node);
-    CHECK(hears(id, "p", request) == Controller::Refusal::none);
-    CHECK(hears(id, "q", request) == Controller::Refusal::other_node);
+    CHECK(send_request(id, "", request) == Controller::Refusal::no_node);
+    CHECK(send_request(id, "p", request) == Controller::Refusal::none);
+    CHECK(send_request(id, "q", request) == Controller::Refusal::other_node);
     const auto first = fixture.controller.next(id, fixture.now);
     REQUIRE(first);
     request.nonce = "999";  // stale: nothing is taken from it
     request.is_nack = true;
-    CHECK(hears(id, "", request) == Controller::Refusal::none);
+    CHECK(send_request(id, "", request) == Controller::Refusal::none);
     CHECK(fixture.controller.take_log_lines().empty());
     ProxyRequest unknown;
     unknown.type_url = "type.googleapis.com/something.Else";
-    CHECK(hears(id, "", unknown) == Controller::Refusal::unknown_type);
+    CHECK(send_request(id, "", unknown) == Controller::Refusal::unknown_type);
     ProxyRequest many;
     many.type_url = type_url(XdsType::endpoint);
     many.names.resize(ProxyStream::max_names + 1, "x");
-    CHECK(hears(id, "", many) == Controller::Refusal::too_many);
+    CHECK(send_request(id, "", many) == Controller::Refusal::too_many);
     // The same node on a new stream ends the old one.
     const auto again = fixture.controller.open(false, fixture.now);
-    CHECK(hears(again, "p", {std::string(type_url(XdsType::cluster)), "", "", {}, {}, {}, {}, false, ""}) ==
+    CHECK(send_request(again, "p",
+                       {std::string(type_url(XdsType::cluster)), "", "", {}, {}, {}, {}, false, ""}) ==
           Controller::Refusal::none);
     CHECK(fixture.controller.take_ended() == std::vector<Controller::StreamId>{id});
     fixture.controller.close(id, fixture.now);
@@ -654,10 +662,10 @@
     "a cluster is removed only after the routes have moved off it, and sent before routes that refer to "
     "it") {
     const bool delta = GENERATE(false, true);
-    const auto made = [](const std::string& name, const std::string& version) {
+    const auto make_resource = [](const std::string& name, const std::string& version) {
         return std::make_shared<const XdsResource>(XdsResource{name, version, name + version, "", 0, 0});
     };
-    ResourceMap clusters{{"a", made("a", "1")}}, none, routes{{"r", made("r", "1")}};
+    ResourceMap clusters{{"a", make_resource("a", "1")}}, none, routes{{"r", make_resource("r", "1")}};
     XdsView view{{1, 1, 1}, {&clusters, &none, &none, &routes}, {}};
     ProxyStream stream(delta, 200 * ms);
     const auto request_from_proxy = [&](XdsType type, std::vector<std::string> names,
@@ -669,47 +677,48 @@
             request.names = names;
         else if (nonce.empty())
             request.subscribe = names;
-        std::uint64_t told = 0;
+        std::uint64_t acknowledged_response = 0;
         ProxyStream::SubscriptionChange change;
-        stream.on_request(request, told, change);
+        stream.on_request(request, acknowledged_response, change);
     };
     request_from_proxy(XdsType::cluster, {});
     request_from_proxy(XdsType::route, {"r"});
     Nanos now = 0;
     for (int i = 0; i < 2; ++i) {
-        const auto out = stream.next(view, now);
-        REQUIRE(out);
-        CHECK(out->type == (i == 0 ? XdsType::cluster : XdsType::route));
-        request_from_proxy(out->type, i == 0 ? std::vector<std::string>() : std::vector<std::string>{"r"},
-                           out->nonce);
+        const auto response = stream.next(view, now);
+        REQUIRE(response);
+        CHECK(response->type == (i == 0 ? XdsType::cluster : XdsType::route));
+        request_from_proxy(response->type,
+                           i == 0 ? std::vector<std::string>() : std::vector<std::string>{"r"},
+                           response->nonce);
     }
     REQUIRE_FALSE(stream.next(view, now));
     // The routes move from cluster a to cluster b.
-    clusters = {{"b", made("b", "2")}};
-    routes = {{"r", made("r", "2")}};
+    clusters = {{"b", make_resource("b", "2")}};
+    routes = {{"r", make_resource("r", "2")}};
     view.version.number = 2;
     view.change_counts = {2, 2, 2, 2};
-    const auto make = stream.next(view, now);
-    REQUIRE((make && make->type == XdsType::cluster));
-    CHECK(make->resources.size() == (delta ? 1 : 2));  // state of the world includes the old cluster
-    CHECK(make->removed.empty());
-    request_from_proxy(XdsType::cluster, {}, make->nonce);
-    const auto moved = stream.next(view, now + 2 * ms);
-    REQUIRE((moved && moved->type == XdsType::route));
+    const auto added = stream.next(view, now);
+    REQUIRE((added && added->type == XdsType::cluster));
+    CHECK(added->resources.size() == (delta ? 1 : 2));  // state of the world includes the old cluster
+    CHECK(added->removed.empty());
+    request_from_proxy(XdsType::cluster, {}, added->nonce);
+    const auto rerouted = stream.next(view, now + 2 * ms);
+    REQUIRE((rerouted && rerouted->type == XdsType::route));
     CHECK_FALSE(stream.next(view, now + 3 * ms));  // not yet acknowledged
-    request_from_proxy(XdsType::route, {"r"}, moved->nonce);
-    const auto broken = stream.next(view, now + 4 * ms);
-    REQUIRE((broken && broken->type == XdsType::cluster));
+    request_from_proxy(XdsType::route, {"r"}, rerouted->nonce);
+    const auto removed = stream.next(view, now + 4 * ms);
+    REQUIRE((removed && removed->type == XdsType::cluster));
     if (delta)
-        CHECK(broken->removed == std::vector<std::string>{"a"});
+        CHECK(removed->removed == std::vector<std::string>{"a"});
     else
-        CHECK((broken->resources.size() == 1 && broken->resources[0]->name == "b"));
+        CHECK((removed->resources.size() == 1 && removed->resources[0]->name == "b"));
 }
 
 TEST_CASE("versions are parsed as formatted, and other texts are rejected") {
-    const auto read = parse_version(format_version({7, 1700000000000, 3}));
-    REQUIRE(read);
-    CHECK((read->generation == 7 && read->epoch == 1700000000000 && read->number == 3));
+    const auto version = parse_version(format_version({7, 1700000000000, 3}));
+    REQUIRE(version);
+    CHECK((version->generation == 7 && version->epoch == 1700000000000 && version->number == 3));
     for (const char* text : {"", "1", "1.2", "1.2.", "1.2.3.4", "a.b.c", "1.2.x", "-1.2.3"})
         CHECK_FALSE(parse_version(text));
 }
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -28,13 +28,13 @@
 std::string node_name(int n) { return "n" + std::to_string(n % nodes); }
 std::string router_name(int r) { return "r" + std::to_string(r % routers); }
 
-Budgets budgets() {
-    Budgets b;
-    b.nodes = {2, 1};
-    b.min_holders = 2;
-    b.routers = {1, 1};
-    b.lease = 20 * second, b.drift = second, b.forget_after = 40 * second;
-    return b;
+Budgets model_budgets() {
+    Budgets budgets;
+    budgets.nodes = {2, 1};
+    budgets.min_holders = 2;
+    budgets.routers = {1, 1};
+    budgets.lease = 20 * second, budgets.drift = second, budgets.forget_after = 40 * second;
+    return budgets;
 }
 
 // The reference model. It looks everything up in lists each time and maintains no index or count.
@@ -85,12 +85,12 @@
         }
         for (const auto& [name, node_health] : health) out_count += is_out({false, name});
         if (out_count + adds_one > 2) return false;
-        const int self = std::stoi(target.name.substr(1));
-        for (int j = 0; j < width; ++j) {
-            const int shard = (self + nodes - j) % nodes;
+        const int node_index = std::stoi(target.name.substr(1));
+        for (int offset = 0; offset < width; ++offset) {
+            const int shard = (node_index + nodes - offset) % nodes;
             int healthy_holders = 0;
-            for (int k = 0; k < width; ++k) {
-                const std::string holder = node_name(shard + k);
+            for (int holder_offset = 0; holder_offset < width; ++holder_offset) {
+                const std::string holder = node_name(shard + holder_offset);
                 healthy_holders += holder != target.name && !is_out({false, holder});
             }
             if (healthy_holders < 2) return false;
@@ -180,16 +180,16 @@
     // A fixed seed, so that every run is the same.
     ::setenv("RC_PARAMS", "seed=20 max_success=400 max_size=200", 1);
     std::size_t granted = 0, done = 0, returned = 0;
-    const bool held = rc::check([&](const std::vector<Operation>& operations) {
-        FleetState state(budgets());
+    const bool passed = rc::check([&](const std::vector<Operation>& operations) {
+        FleetState state(model_budgets());
         ReferenceModel model;
         Nanos now = 1000 * second;
         std::map<std::string, Node> node_list;
         for (int n = 0; n < nodes; ++n) {
             Node& node = node_list[node_name(n)];
             node = {"a", "m", {}, Health::healthy, 0};
-            for (int j = 0; j < width; ++j)
-                node.shards.push_back(static_cast<std::uint32_t>((n + nodes - j) % nodes));
+            for (int offset = 0; offset < width; ++offset)
+                node.shards.push_back(static_cast<std::uint32_t>((n + nodes - offset) % nodes));
             model.health[node_name(n)] = Health::healthy;
         }
         state.apply({"", now, EndpointsObserved{node_list}});
@@ -270,10 +270,10 @@
             }
             model.advance();
             compare(state, model);
-            RC_ASSERT(kept_counts(state) == recount(state));
+            RC_ASSERT(maintained_counts(state) == recount(state));
         }
     });
-    CHECK(held);
+    CHECK(passed);
     // Makes sure that the runs cover grants, completed removals and returns.
     CHECK(granted > 500);
     CHECK(done > 100);
--- a/tests/fleet_recount.hpp
+++ b/tests/fleet_recount.hpp
@@ -20,7 +20,7 @@
 };
 
 // The counts as maintained by the state.
-inline Counts kept_counts(const FleetState& state) {
+inline Counts maintained_counts(const FleetState& state) {
     return {state.node_counts(), state.member_counts(), state.vote_counts(), state.request_counts()};
 }
 
@@ -76,11 +76,11 @@
         ++node_counts.kinds[node.kind].all, node_counts.kinds[node.kind].out += is_out;
         for (const std::uint32_t shard : node.shards)
             ++node_counts.shards[shard].listed, node_counts.shards[shard].healthy += !is_out;
-        for (const std::uint32_t s : std::set<std::uint32_t>(node.shards.begin(), node.shards.end()))
-            ++node_counts.shards[s].holders;
+        for (const std::uint32_t shard : std::set<std::uint32_t>(node.shards.begin(), node.shards.end()))
+            ++node_counts.shards[shard].holders;
     }
-    for (const auto& [s, shard] : node_counts.shards)
-        if (shard.healthy < budgets.halt_min_holders) node_counts.short_shards.insert(s);
+    for (const auto& [shard, shard_counts] : node_counts.shards)
+        if (shard_counts.healthy < budgets.halt_min_holders) node_counts.short_shards.insert(shard);
     RequestCounts& requests = counts.requests;
     for (const auto& [id, request] : state.requests()) {
         requests.open[request.target] = id;
@@ -100,8 +100,8 @@
     return static_cast<std::size_t>(
         std::count_if(state.requests().begin(), state.requests().end(), [&](const auto& request) {
             return request.second.stage == Stage::granted && state.pending_members(request.second).empty() &&
-                   std::none_of(effects.begin(), effects.end(), [&](const Effect& e) {
-                       const auto* granted = std::get_if<RemovalGranted>(&e);
+                   std::none_of(effects.begin(), effects.end(), [&](const Effect& effect) {
+                       const auto* granted = std::get_if<RemovalGranted>(&effect);
                        return granted != nullptr && granted->request == request.first;
                    });
         }));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -18,22 +18,22 @@
 constexpr Nanos second = 1'000'000'000;
 
 Budgets small_budgets() {
-    Budgets b;
-    b.nodes = {2, 1};
-    b.routers = {1, 1};
-    b.lease = 10 * second;
-    b.drift = second;
-    return b;
+    Budgets budgets;
+    budgets.nodes = {2, 1};
+    budgets.routers = {1, 1};
+    budgets.lease = 10 * second;
+    budgets.drift = second;
+    return budgets;
 }
 
 // Nodes in a ring: shard s is held by nodes s, s + 1 and s + 2. There are two zones and one machine kind.
 std::map<std::string, Node> ring(int nodes = 6, int width = 3) {
     std::map<std::string, Node> all;
-    for (int n = 0; n < nodes; ++n) {
-        Node& node = all["n" + std::to_string(n)];
-        node = {n % 2 == 0 ? "a" : "b", "m", {}, Health::healthy, 0};
-        for (int j = 0; j < width; ++j)
-            node.shards.push_back(static_cast<std::uint32_t>((n + nodes - j) % nodes));
+    for (int node_index = 0; node_index < nodes; ++node_index) {
+        Node& node = all["n" + std::to_string(node_index)];
+        node = {node_index % 2 == 0 ? "a" : "b", "m", {}, Health::healthy, 0};
+        for (int offset = 0; offset < width; ++offset)
+            node.shards.push_back(static_cast<std::uint32_t>((node_index + nodes - offset) % nodes));
     }
     return all;
 }
@@ -42,7 +42,7 @@
 struct FleetFixture {
     explicit FleetFixture(Budgets budgets = small_budgets()) : state(std::move(budgets)) {
         apply(EndpointsObserved{nodes});
-        for (const char* r : {"r1", "r2"}) apply(Join{r, Role::router, "a", "1.0", "d1", 1});
+        for (const char* router : {"r1", "r2"}) apply(Join{router, Role::router, "a", "1.0", "d1", 1});
     }
     template <typename Payload>
     Effects apply(Payload payload, std::string id = "") {
@@ -86,8 +86,8 @@
     FleetFixture fleet(budgets);
     const auto first = fleet.apply(RequestRemoval{"ann", {false, "n2"}}, "ann-1");
     CHECK(kinds(first) == kinds_of<Effect, RemovalQueued, RemovalGranted>());
-    const auto second_one = fleet.apply(RequestRemoval{"bob", {false, "n3"}}, "bob-1");
-    CHECK(kinds(second_one) == kinds_of<Effect, RemovalQueued>());
+    const auto later_drain = fleet.apply(RequestRemoval{"bob", {false, "n3"}}, "bob-1");
+    CHECK(kinds(later_drain) == kinds_of<Effect, RemovalQueued>());
     CHECK(fleet.state.requests().at(2).blocked_by == "shard 1 would keep 1 whole holders");
     // The same request sent through another fleet manager is deduplicated.
     CHECK(fleet.apply(RequestRemoval{"ann", {false, "n2"}}, "ann-1") == first);
@@ -346,14 +346,14 @@
     const auto seed = GENERATE(range(1U, 13U));
     std::knuth_b random(seed);
     const auto random_below = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
-    Budgets b;
-    b.nodes = {static_cast<std::size_t>(2 + random_below(4)), 0.25 + 0.1 * random_below(3)};
-    b.nodes_per_zone = {static_cast<std::size_t>(1 + random_below(3)), 1};
-    b.min_holders = static_cast<std::size_t>(1 + random_below(2));
-    b.routers = {2, 1};
-    b.lease = 16 * second;
-    b.drift = second;
-    FleetState state(b), replica(b);
+    Budgets budgets;
+    budgets.nodes = {static_cast<std::size_t>(2 + random_below(4)), 0.25 + 0.1 * random_below(3)};
+    budgets.nodes_per_zone = {static_cast<std::size_t>(1 + random_below(3)), 1};
+    budgets.min_holders = static_cast<std::size_t>(1 + random_below(2));
+    budgets.routers = {2, 1};
+    budgets.lease = 16 * second;
+    budgets.drift = second;
+    FleetState state(budgets), replica(budgets);
     auto nodes = ring(12);
     std::map<std::string, std::uint64_t> incarnations;
     Nanos now = 1000 * second;
@@ -364,96 +364,99 @@
         if (random_below(150) == 0) now += 60 * second;  // an interruption of the consensus
         const std::string node = "n" + std::to_string(random_below(12)),
                           router = "r" + std::to_string(random_below(6));
-        Command c{"c" + std::to_string(i), now - random_below(2) * second, Tick{}};
+        Command command{"c" + std::to_string(i), now - random_below(2) * second, Tick{}};
         const int operation = random_below(14);
         if (operation == 0)
-            c.payload =
+            command.payload =
                 Join{router, Role::router, random_below(2) ? "a" : "b", "1", "d", ++incarnations[router]};
         if (operation >= 1 && operation <= 4)
-            c.payload =
+            command.payload =
                 Renew{router,
                       incarnations[router],
                       {state.generation() - std::min<std::uint64_t>(state.generation(), random_below(2)),
                        random_below(8) == 0 ? std::set<Target>{{false, node}} : std::set<Target>{},
                        random_below(16) == 0 ? std::set<std::string>{node} : std::set<std::string>{}, 0, 0}};
         if (operation == 5 || operation == 6)
-            c.payload = RequestRemoval{"ann", {random_below(4) == 0, random_below(4) == 0 ? router : node}};
+            command.payload =
+                RequestRemoval{"ann", {random_below(4) == 0, random_below(4) == 0 ? router : node}};
         if (operation == 7 && !state.requests().empty())
-            c.payload = UndoRemoval{
+            command.payload = UndoRemoval{
                 std::next(state.requests().begin(), random_below(int(state.requests().size())))->first};
         if (operation >= 8 && operation <= 10) {
             nodes[node].health =
                 random_below(8) == 0 ? static_cast<Health>(1 + random_below(4)) : Health::healthy;
             if (random_below(20) == 0) nodes.erase(node);
             if (random_below(10) == 0) nodes[node] = ring(12)[node];
-            c.payload = EndpointsObserved{nodes};
+            command.payload = EndpointsObserved{nodes};
         }
         if (operation == 13) {
             ReportBatch all;
             for (const auto& [name, incarnation] : incarnations)
                 all.renewals.push_back({name, incarnation, {state.generation(), {}, {}, 0, 0}});
-            c.payload = all;
+            command.payload = all;
         }
-        if (operation == 12 && random_below(3) == 0) c.payload = Leave{router, incarnations[router]};
-        if (operation == 12 && random_below(3) == 0) c.payload = Forget{router};
+        if (operation == 12 && random_below(3) == 0) command.payload = Leave{router, incarnations[router]};
+        if (operation == 12 && random_below(3) == 0) command.payload = Forget{router};
         if (operation == 11)
-            c.payload =
-                random_below(4) == 0 ? decltype(c.payload)(Halt{"a person"}) : decltype(c.payload)(Resume{});
-        const auto effects = state.apply(c);
-        CHECK(kept_counts(state) == recount(state));
+            command.payload = random_below(4) == 0 ? decltype(command.payload)(Halt{"a person"})
+                                                   : decltype(command.payload)(Resume{});
+        const auto effects = state.apply(command);
+        CHECK(maintained_counts(state) == recount(state));
         CHECK(unfinished_requests(state, effects) == 0);
-        const auto bytes = write_command(c);
+        const auto bytes = write_command(command);
         CHECK(replica.apply(read_command(bytes.data(), bytes.size())) == effects);
         // The reference model recounts everything from the visible state.
         const auto grants = of_kind<RemovalGranted>(effects);
-        for (const RemovalGranted& e : grants) {
+        for (const RemovalGranted& effect : grants) {
             CHECK_FALSE(state.halted());
-            CHECK(e.fence == ++last_fence);
-            CHECK(granted.insert(e.request).second);
-            const Request& r = state.requests().at(e.request);
-            CHECK(state.is_removed(r.target));
+            CHECK(effect.fence == ++last_fence);
+            CHECK(granted.insert(effect.request).second);
+            const Request& request = state.requests().at(effect.request);
+            CHECK(state.is_removed(request.target));
         }
         if (!grants.empty()) {
             std::size_t out = 0, routers_out = 0;
             std::map<std::string, std::size_t> zone;
             std::map<std::uint32_t, std::size_t> healthy_holders;
-            for (const auto& [name, n] : state.nodes()) {
-                const bool is_out = n.health != Health::healthy || state.is_removed({false, name});
-                out += is_out, zone[n.zone] += is_out;
-                for (const std::uint32_t s : n.shards) healthy_holders[s] += !is_out;
+            for (const auto& [name, node_state] : state.nodes()) {
+                const bool is_out = node_state.health != Health::healthy || state.is_removed({false, name});
+                out += is_out, zone[node_state.zone] += is_out;
+                for (const std::uint32_t shard : node_state.shards) healthy_holders[shard] += !is_out;
             }
-            for (const auto& [name, m] : state.members())
-                routers_out += state.is_removed({true, name}) && m.lease_until + b.drift >= state.now();
+            for (const auto& [name, member] : state.members())
+                routers_out +=
+                    state.is_removed({true, name}) && member.lease_until + budgets.drift >= state.now();
             bool removed_healthy = false;
-            for (const RemovalGranted& e : grants)
-                if (!state.requests().at(e.request).target.router)
-                    removed_healthy |= state.nodes().at(e.target).health == Health::healthy;
+            for (const RemovalGranted& effect : grants)
+                if (!state.requests().at(effect.request).target.router)
+                    removed_healthy |= state.nodes().at(effect.target).health == Health::healthy;
             if (removed_healthy) {  // a node that was out already uses no further budget
-                CHECK(out <= b.nodes.allowed(state.nodes().size()));
-                for (const RemovalGranted& e : grants)
-                    if (!state.requests().at(e.request).target.router &&
-                        state.nodes().at(e.target).health == Health::healthy) {
-                        CHECK(zone[state.nodes().at(e.target).zone] <= b.nodes_per_zone.max_count);
-                        for (const std::uint32_t s : state.nodes().at(e.target).shards)
-                            CHECK(healthy_holders[s] >= b.min_holders);
+                CHECK(out <= budgets.nodes.allowed(state.nodes().size()));
+                for (const RemovalGranted& effect : grants)
+                    if (!state.requests().at(effect.request).target.router &&
+                        state.nodes().at(effect.target).health == Health::healthy) {
+                        CHECK(zone[state.nodes().at(effect.target).zone] <= budgets.nodes_per_zone.max_count);
+                        for (const std::uint32_t shard : state.nodes().at(effect.target).shards)
+                            CHECK(healthy_holders[shard] >= budgets.min_holders);
                     }
             }
             CHECK(routers_out <= 2);
         }
-        for (const RemovalDone& e : of_kind<RemovalDone>(effects)) {
-            CHECK(done.insert(e.request).second);
-            for (const auto& [name, m] : state.members())
-                CHECK((m.report.applied_generation >= e.generation || m.lease_until + b.drift < now));
+        for (const RemovalDone& effect : of_kind<RemovalDone>(effects)) {
+            CHECK(done.insert(effect.request).second);
+            for (const auto& [name, member] : state.members())
+                CHECK((member.report.applied_generation >= effect.generation ||
+                       member.lease_until + budgets.drift < now));
         }
         if (random_below(20) != 0) continue;
         const auto saved = state.save();
         CHECK(replica.save() == saved);
-        CHECK(state.apply(c) == effects);  // the same command, proposed by another leader
+        CHECK(state.apply(command) == effects);  // the same command, proposed by another leader
         CHECK(state.save() == saved);
-        FleetState reloaded(b);
+        FleetState reloaded(budgets);
         reloaded.load(saved);
         CHECK(reloaded.save() == saved);
-        CHECK(kept_counts(reloaded) == recount(reloaded));
+        CHECK(maintained_counts(reloaded) == recount(reloaded));
         replica = reloaded;
     }
     CHECK(granted.size() > 3);
@@ -467,28 +470,28 @@
     std::knuth_b random(seed);
     const auto random_below = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
     const auto random_size = [&](int n) { return static_cast<std::size_t>(random_below(n)); };
-    const auto budgets = [&] {
-        Budgets b;
-        b.nodes = {2 + random_size(5), 0.3 + 0.1 * random_below(8)};
-        b.nodes_per_zone = {1 + random_size(4), 1}, b.nodes_per_kind = {2 + random_size(8), 1};
-        b.routers = {1 + random_size(4), 1}, b.routers_per_zone = {1 + random_size(3), 1};
-        b.min_holders = random_size(3);
-        b.lease = (8 + random_below(12)) * second, b.drift = (1 + random_below(4)) * second;
-        b.forget_after = (10 + random_below(60)) * second;
-        b.wait_for_lost = random_below(2) == 0;
-        b.halt_failed_share = 0.4, b.halt_failed_min_queries = 50,
-        b.halt_lost_share = 0.3 + 0.1 * random_below(5);
-        b.halt_min_holders = 1 + random_size(2);
-        b.unresponsive_share = 0.1 + 0.2 * random_below(5);
-        return b;
+    const auto random_budgets = [&] {
+        Budgets budgets;
+        budgets.nodes = {2 + random_size(5), 0.3 + 0.1 * random_below(8)};
+        budgets.nodes_per_zone = {1 + random_size(4), 1}, budgets.nodes_per_kind = {2 + random_size(8), 1};
+        budgets.routers = {1 + random_size(4), 1}, budgets.routers_per_zone = {1 + random_size(3), 1};
+        budgets.min_holders = random_size(3);
+        budgets.lease = (8 + random_below(12)) * second, budgets.drift = (1 + random_below(4)) * second;
+        budgets.forget_after = (10 + random_below(60)) * second;
+        budgets.wait_for_lost = random_below(2) == 0;
+        budgets.halt_failed_share = 0.4, budgets.halt_failed_min_queries = 50,
+        budgets.halt_lost_share = 0.3 + 0.1 * random_below(5);
+        budgets.halt_min_holders = 1 + random_size(2);
+        budgets.unresponsive_share = 0.1 + 0.2 * random_below(5);
+        return budgets;
     };
-    const auto random_node = [&](int n) {
-        Node node = ring(12).at("n" + std::to_string(n));
+    const auto random_node = [&](int node_index) {
+        Node node = ring(12).at("n" + std::to_string(node_index));
         node.zone = random_below(2) == 0 ? "a" : "b", node.kind = random_below(3) == 0 ? "k" : "m";
         node.health = random_below(3) == 0 ? static_cast<Health>(1 + random_below(4)) : Health::healthy;
         return node;
     };
-    FleetState state(budgets());
+    FleetState state(random_budgets());
     std::map<std::string, std::uint64_t> incarnations;
     Nanos now = 1000 * second;
     std::map<std::string, Node> nodes = ring(12);
@@ -500,8 +503,9 @@
         now += random_below(3) == 0 ? random_below(3) * second : 0;
         if (random_below(60) == 0) silent_router = "r" + std::to_string(random_below(7));
         if (random_below(200) == 0) now += 60 * second;  // an interruption of the consensus
-        const int n = random_below(12);
-        const std::string node = "n" + std::to_string(n), router = "r" + std::to_string(random_below(7));
+        const int node_index = random_below(12);
+        const std::string node = "n" + std::to_string(node_index),
+                          router = "r" + std::to_string(random_below(7));
         const auto random_join = [&] {
             return Join{router,
                         random_below(8) == 0 ? Role::control : Role::router,
@@ -523,21 +527,22 @@
             if (random_below(8) == 0) report.failed = report.queries;
             return report;
         };
-        Command c{"", now, Tick{}};
+        Command command{"", now, Tick{}};
         const int operation = random_below(20);
-        if (operation == 0 && router != silent_router) c.payload = random_join();
+        if (operation == 0 && router != silent_router) command.payload = random_join();
         if (operation >= 1 && operation <= 4 && router != silent_router)
-            c.payload = Renew{router, incarnations[router], random_report()};
+            command.payload = Renew{router, incarnations[router], random_report()};
         if (operation >= 5 && operation <= 7)
-            c.payload = RequestRemoval{"ann", {random_below(3) == 0, random_below(4) == 0 ? router : node}};
+            command.payload =
+                RequestRemoval{"ann", {random_below(3) == 0, random_below(4) == 0 ? router : node}};
         if (operation == 8 && !state.requests().empty())
-            c.payload = UndoRemoval{
+            command.payload = UndoRemoval{
                 std::next(state.requests().begin(), random_below(int(state.requests().size())))->first};
         if (operation == 9 || operation == 10)
-            c.payload = EndpointsObserved{{{node, nodes[node] = random_node(n)}}, false, {}};
+            command.payload = EndpointsObserved{{{node, nodes[node] = random_node(node_index)}}, false, {}};
         if (operation == 11 && random_below(3) == 0) nodes.erase(node);
         if (operation == 11)
-            c.payload =
+            command.payload =
                 random_below(2) == 0 ? EndpointsObserved{nodes} : EndpointsObserved{{}, false, {node}};
         if (operation >= 12 && operation <= 15) {
             ReportBatch all;
@@ -545,18 +550,19 @@
             for (const auto& [name, incarnation] : incarnations)
                 if (name != silent_router && random_below(8) > 0)
                     all.renewals.push_back({name, incarnation, random_report()});
-            c.payload = all;
+            command.payload = all;
         }
         if (operation == 16)
-            c.payload = random_below(2) == 0 ? decltype(c.payload)(Leave{router, incarnations[router]})
-                                             : Forget{router};
-        if (operation == 17 && random_below(3) == 0) c.payload = Halt{"a person"};
-        if (operation == 18) c.payload = Resume{};
-        if (operation == 19 && random_below(10) == 0) c.payload = SetBudgets{budgets()};
-        const auto effects = state.apply(c);
-        CHECK(kept_counts(state) == recount(state));
+            command.payload = random_below(2) == 0
+                                  ? decltype(command.payload)(Leave{router, incarnations[router]})
+                                  : Forget{router};
+        if (operation == 17 && random_below(3) == 0) command.payload = Halt{"a person"};
+        if (operation == 18) command.payload = Resume{};
+        if (operation == 19 && random_below(10) == 0) command.payload = SetBudgets{random_budgets()};
+        const auto effects = state.apply(command);
+        CHECK(maintained_counts(state) == recount(state));
         CHECK(unfinished_requests(state, effects) == 0);
-        for (const Effect& e : effects) ++effect_counts[e.index()];
+        for (const Effect& effect : effects) ++effect_counts[effect.index()];
         with_votes += !state.vote_counts().by_node.empty(),
             short_shards += !state.node_counts().short_shards.empty();
         with_lost_acting += !state.member_counts().lost_acting.empty();
@@ -564,7 +570,7 @@
         if (random_below(50) != 0) continue;
         FleetState reloaded({});
         reloaded.load(state.save());
-        CHECK(kept_counts(reloaded) == recount(reloaded));
+        CHECK(maintained_counts(reloaded) == recount(reloaded));
         state = reloaded;
     }
     // Makes sure that the runs cover all of these cases.
@@ -584,20 +590,21 @@
 };
 
 VisitCounts max_visit_counts(int nodes, int routers) {
-    Budgets b;
-    b.nodes = {2, 1}, b.halt_min_holders = 1;
-    FleetState state(b);
+    Budgets budgets;
+    budgets.nodes = {2, 1}, budgets.halt_min_holders = 1;
+    FleetState state(budgets);
     Nanos now = 1000 * second;
     const auto visits_of = [&](auto payload) {
         state.apply({"", now, std::move(payload)});
         return state.visited_count();
     };
-    const auto router = [&](int r) { return "r" + std::to_string(r % routers); };
+    const auto router = [&](int router_index) { return "r" + std::to_string(router_index % routers); };
     const auto all = ring(nodes);
     visits_of(EndpointsObserved{all});
     ReportBatch joins;
-    for (int r = 0; r < routers; ++r)
-        joins.joins.push_back({router(r), Role::router, r % 2 == 0 ? "a" : "b", "1", "d", 1, 0});
+    for (int router_index = 0; router_index < routers; ++router_index)
+        joins.joins.push_back(
+            {router(router_index), Role::router, router_index % 2 == 0 ? "a" : "b", "1", "d", 1, 0});
     visits_of(joins);
     int next = 0;
     const auto apply_batch = [&] {
--- a/tests/hcl_test.cpp
+++ b/tests/hcl_test.cpp
@@ -33,20 +33,20 @@
     REQUIRE(file.attributes.size() == 1);
     CHECK(std::get<double>(file.attributes[0].value.value) == 1);
     REQUIRE(file.blocks.size() == 2);
-    const HclBlock& b = file.blocks[0];
-    CHECK(b.type == "b");
-    CHECK(b.labels == std::vector<std::string>{"x y", "z"});
-    CHECK((b.position.line == 3 && b.position.column == 1));
-    CHECK(std::get<std::string>(b.attributes[0].value.value) == "q\n\xc3\xa9\\");
-    const auto& list = std::get<HclValue::List>(b.attributes[1].value.value);
+    const HclBlock& block = file.blocks[0];
+    CHECK(block.type == "b");
+    CHECK(block.labels == std::vector<std::string>{"x y", "z"});
+    CHECK((block.position.line == 3 && block.position.column == 1));
+    CHECK(std::get<std::string>(block.attributes[0].value.value) == "q\n\xc3\xa9\\");
+    const auto& list = std::get<HclValue::List>(block.attributes[1].value.value);
     REQUIRE(list.size() == 3);
     CHECK(std::get<double>(list[0].value) == -15);
     CHECK(std::get<bool>(list[1].value));
     CHECK((list[2].position.line == 6 && list[2].position.column == 2));
-    const auto& object = std::get<HclValue::Object>(b.attributes[2].value.value);
+    const auto& object = std::get<HclValue::Object>(block.attributes[2].value.value);
     REQUIRE(object.size() == 3);
     CHECK(object[1].key == "m n");
-    CHECK(b.blocks.size() == 1);
+    CHECK(block.blocks.size() == 1);
     CHECK(file.blocks[1].attributes.size() == 1);
 }
 
@@ -74,14 +74,14 @@
 }
 
 TEST_CASE("a truncated or altered file either parses or throws HclErrors") {
-    const std::string good =
+    const std::string valid_file =
         "two_phase \"part\" {\n  share = 0.3\n  least = \"5ms\" # x\n}\nlog { level = \"warn\" }\n";
-    REQUIRE(errors_in(good).empty());
-    for (std::size_t i = 0; i < good.size(); ++i) {
-        errors_in(good.substr(0, i));
-        for (const char c : {'\0', '"', '{', '}', '\n', '\x80', '9'}) {
-            std::string changed = good;
-            changed[i] = c;
+    REQUIRE(errors_in(valid_file).empty());
+    for (std::size_t i = 0; i < valid_file.size(); ++i) {
+        errors_in(valid_file.substr(0, i));
+        for (const char character : {'\0', '"', '{', '}', '\n', '\x80', '9'}) {
+            std::string changed = valid_file;
+            changed[i] = character;
             errors_in(changed);
         }
     }
@@ -173,17 +173,18 @@
 }
 
 TEST_CASE("call overhead and requests per call are read from the settings, validated, and have defaults") {
-    const RouterConfig plain = read_router_config(test::settings_text);
-    CHECK(plain.max_requests_per_call == 2);
-    CHECK(plain.call_overhead == 0);
-    std::string costly = test::settings_text;
-    costly.replace(costly.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 8, \"call_cost\": 45.0");
-    const RouterConfig config = read_router_config(costly);
+    const RouterConfig defaults = read_router_config(test::settings_text);
+    CHECK(defaults.max_requests_per_call == 2);
+    CHECK(defaults.call_overhead == 0);
+    std::string settings_with_cost = test::settings_text;
+    settings_with_cost.replace(settings_with_cost.find("\"parts_a_call\": 2"), 17,
+                               "\"parts_a_call\": 8, \"call_cost\": 45.0");
+    const RouterConfig config = read_router_config(settings_with_cost);
     CHECK(config.max_requests_per_call == 8);
     CHECK(config.call_overhead == 45 * test::ms);
-    std::string wrong = test::settings_text;
-    wrong.replace(wrong.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 0.5");
-    CHECK_THROWS_AS(read_router_config(wrong), ConfigError);
+    std::string invalid_settings = test::settings_text;
+    invalid_settings.replace(invalid_settings.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 0.5");
+    CHECK_THROWS_AS(read_router_config(invalid_settings), ConfigError);
 }
 
 TEST_CASE("a calls block overrides the settings; an invalid value is reported with its position") {
@@ -196,17 +197,19 @@
     CHECK(connections.max_requests_per_call == 8);
     CHECK(config.call_overhead == 45 * test::ms);
     // Without a calls block, the settings apply.
-    RouterConfig plain = read_router_config(test::settings_text);
-    apply_call_config(read_operator_config("", "f").calls, plain, connections);
-    CHECK(plain.max_requests_per_call == 2);
+    RouterConfig defaults = read_router_config(test::settings_text);
+    apply_call_config(read_operator_config("", "f").calls, defaults, connections);
+    CHECK(defaults.max_requests_per_call == 2);
     CHECK(errors_in("calls {\n  parts = 0\n}\n").find("f:2:") == 0);
     CHECK(errors_in("calls {\n  cost = 45\n}\n").find("f:2:") == 0);
 }
 
 TEST_CASE("migration to a deployment with a call overhead adds a commented calls block") {
-    std::string costly = test::settings_text;
-    costly.replace(costly.find("\"parts_a_call\": 2"), 17, "\"parts_a_call\": 8, \"call_cost\": 45.0");
-    const OperatorFileMigration migration = migrate("log { level = \"warn\" }\n", "old.hcl", costly);
+    std::string settings_with_cost = test::settings_text;
+    settings_with_cost.replace(settings_with_cost.find("\"parts_a_call\": 2"), 17,
+                               "\"parts_a_call\": 8, \"call_cost\": 45.0");
+    const OperatorFileMigration migration =
+        migrate("log { level = \"warn\" }\n", "old.hcl", settings_with_cost);
     CHECK(migration.text.find("#   parts = 8") != std::string::npos);
     CHECK(migration.text.find("#   cost  = \"45ms\"") != std::string::npos);
     CHECK(read_operator_config(migration.text, "new.hcl").calls.is_set == false);
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -31,30 +31,30 @@
 // Records the decisions of a round.
 class RecordedDecisions final : public DecisionSink {
   public:
-    std::vector<Decision> made;
+    std::vector<Decision> recorded;
 
     void send_attempt(std::uint32_t shard_request, std::uint32_t node, Nanos timeout) override {
-        made.push_back({Decision::send_attempt, shard_request, node, false, timeout});
+        recorded.push_back({Decision::send_attempt, shard_request, node, false, timeout});
     }
     void cancel(std::uint32_t shard_request, std::uint8_t) override {
-        made.push_back({Decision::cancel, shard_request});
+        recorded.push_back({Decision::cancel, shard_request});
     }
     void answer(std::uint32_t query, bool complete) override {
-        made.push_back({Decision::answer, query, 0, complete});
+        recorded.push_back({Decision::answer, query, 0, complete});
     }
     void reject(std::uint32_t query, Nanos after) override {
-        made.push_back({Decision::reject, query, 0, false, after});
+        recorded.push_back({Decision::reject, query, 0, false, after});
     }
-    void fail_query(std::uint32_t query) override { made.push_back({Decision::fail_query, query}); }
+    void fail_query(std::uint32_t query) override { recorded.push_back({Decision::fail_query, query}); }
     void set_timer(std::uint64_t, Nanos wait) override {
-        made.push_back({Decision::set_timer, 0, 0, false, wait});
+        recorded.push_back({Decision::set_timer, 0, 0, false, wait});
     }
-    void watch_endpoints() override { made.push_back({Decision::watch_endpoints}); }
-    void log(const std::string&) override { made.push_back({Decision::log}); }
+    void watch_endpoints() override { recorded.push_back({Decision::watch_endpoints}); }
+    void log(const std::string&) override { recorded.push_back({Decision::log}); }
 
     std::vector<Decision> of(Decision::Kind kind) const {
         std::vector<Decision> found;
-        for (const Decision& decision : made)
+        for (const Decision& decision : recorded)
             if (decision.kind == kind) found.push_back(decision);
         return found;
     }
@@ -106,19 +106,20 @@
 // Returns a list with one node at each place, whose id is 100 + place.
 inline std::vector<Endpoint> small_endpoint_list(int places = 4) {
     std::vector<Endpoint> list;
-    for (int p = 0; p < places; ++p)
-        list.push_back({100U + static_cast<unsigned>(p), static_cast<std::uint16_t>(p), Lifecycle::ready, 0});
+    for (int place = 0; place < places; ++place)
+        list.push_back(
+            {100U + static_cast<unsigned>(place), static_cast<std::uint16_t>(place), Lifecycle::ready, 0});
     return list;
 }
 
 // Plays the arrival of a query with shard requests of these weights at shards `first`, `first` + 1, ... The
 // shard requests' ids follow the query's id.
-inline void deliver_query(RoundEventHandler& h, std::uint32_t id, std::uint16_t query_class,
+inline void deliver_query(RoundEventHandler& handler, std::uint32_t id, std::uint16_t query_class,
                           Nanos deadline_at, const std::vector<double>& weights, std::uint32_t shards = 4,
                           std::uint32_t first = 0, bool again = false) {
-    h.on_query({id, id, query_class, 0, deadline_at, again});
+    handler.on_query({id, id, query_class, 0, deadline_at, again});
     for (std::uint32_t i = 0; i < weights.size(); ++i)
-        h.on_shard_request({id + 1 + i, id, (first + i) % shards, weights[i], 0});
+        handler.on_shard_request({id + 1 + i, id, (first + i) % shards, weights[i], 0});
 }
 
 // The settings of a deployment with two places and four shards. Query class "part" allows partial answers;
@@ -140,7 +141,8 @@
     using OnChange = std::function<void(TestConnection&)>;
     using Socket = boost::asio::ip::tcp::socket;
 
-    TestConnection(Socket s, OnChange on_change) : socket(std::move(s)), on_change_(std::move(on_change)) {}
+    TestConnection(Socket connected, OnChange on_change)
+        : socket(std::move(connected)), on_change_(std::move(on_change)) {}
 
     void read() {
         socket.async_read_some(boost::asio::buffer(buffer_), [self = shared_from_this()](auto ec, auto n) {
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -31,15 +31,16 @@
 
 ListedEndpoint listed_node(const std::string& id, Lifecycle lifecycle = Lifecycle::ready,
                            std::uint32_t place = 0) {
-    ListedEndpoint n;
-    n.id = id, n.address = "127.0.0.1:1", n.zone = "a", n.place = place, n.lifecycle = lifecycle;
-    return n;
+    ListedEndpoint node;
+    node.id = id, node.address = "127.0.0.1:1", node.zone = "a", node.place = place,
+    node.lifecycle = lifecycle;
+    return node;
 }
 
 std::map<std::string, Lifecycle> lifecycles_of(const EndpointList& list) {
-    std::map<std::string, Lifecycle> all;
-    for (const ListedEndpoint& n : list.nodes) all[n.id] = n.lifecycle;
-    return all;
+    std::map<std::string, Lifecycle> lifecycles;
+    for (const ListedEndpoint& node : list.nodes) lifecycles[node.id] = node.lifecycle;
+    return lifecycles;
 }
 using Lifecycles = std::map<std::string, Lifecycle>;
 
@@ -53,7 +54,7 @@
     std::map<std::string, Lifecycle> nodes;
 
     void on_endpoint_list(const EndpointList& list) override {
-        for (const ListedEndpoint& n : list.nodes) nodes[n.id] = n.lifecycle;
+        for (const ListedEndpoint& node : list.nodes) nodes[node.id] = node.lifecycle;
     }
     void observe_outcomes(OutcomeObserver*) override {}
     void set_serving_state(ServingStateSource, const MemberServingState&) override {}
@@ -149,51 +150,51 @@
 }
 
 TEST_CASE("random lists and drains: the router receives the stricter state of each node") {
-    std::knuth_b chance(GENERATE(range(1U, 9U)));
-    const auto pick = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
+    std::knuth_b random(GENERATE(range(1U, 9U)));
+    const auto random_below = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
     EndpointOverlay overlay;
     // The reference model: discovery's latest list, the drained nodes, and what the router received.
-    std::map<std::string, Lifecycle> discovery, module;
-    std::set<std::string> out;
-    bool cut = false;
+    std::map<std::string, Lifecycle> discovery, received;
+    std::set<std::string> drained;
+    bool fenced = false;
     for (int i = 0; i < 600; ++i) {
-        EndpointList news{static_cast<std::uint64_t>(i), pick(8) == 0, {}, 0};
-        EndpointList to_module;
-        switch (pick(3)) {
+        EndpointList update{static_cast<std::uint64_t>(i), random_below(8) == 0, {}, 0};
+        EndpointList delivered;
+        switch (random_below(3)) {
             case 0:
-                if (news.full) discovery.clear();
+                if (update.full) discovery.clear();
                 for (int n = 0; n < 6; ++n) {
-                    if (pick(3) != 0) continue;
-                    const auto a = static_cast<Lifecycle>(pick(3));
-                    news.nodes.push_back(listed_node("n" + std::to_string(n), a));
-                    if (a == Lifecycle::removed)
-                        discovery.erase(news.nodes.back().id);
+                    if (random_below(3) != 0) continue;
+                    const auto lifecycle = static_cast<Lifecycle>(random_below(3));
+                    update.nodes.push_back(listed_node("n" + std::to_string(n), lifecycle));
+                    if (lifecycle == Lifecycle::removed)
+                        discovery.erase(update.nodes.back().id);
                     else
-                        discovery[news.nodes.back().id] = a;
+                        discovery[update.nodes.back().id] = lifecycle;
                 }
-                to_module = overlay.apply_discovered(news);
+                delivered = overlay.apply_discovered(update);
                 break;
             case 1:
-                out.clear();
+                drained.clear();
                 for (int n = 0; n < 6; ++n)
-                    if (pick(4) == 0) out.insert("n" + std::to_string(n));
-                to_module = overlay.apply_drains(out);
+                    if (random_below(4) == 0) drained.insert("n" + std::to_string(n));
+                delivered = overlay.apply_drains(drained);
                 break;
             default:
-                cut = pick(4) == 0;
-                to_module = overlay.set_fenced(cut);
+                fenced = random_below(4) == 0;
+                delivered = overlay.set_fenced(fenced);
         }
-        if (to_module.full) module.clear();
-        for (const ListedEndpoint& n : to_module.nodes) {
-            if (n.lifecycle == Lifecycle::removed)
-                module.erase(n.id);
+        if (delivered.full) received.clear();
+        for (const ListedEndpoint& node : delivered.nodes) {
+            if (node.lifecycle == Lifecycle::removed)
+                received.erase(node.id);
             else
-                module[n.id] = n.lifecycle;
+                received[node.id] = node.lifecycle;
         }
-        Lifecycles want = discovery;
-        for (auto& [id, a] : want)
-            if (cut || out.contains(id)) a = Lifecycle::draining;
-        CHECK(module == want);
+        Lifecycles expected = discovery;
+        for (auto& [id, lifecycle] : expected)
+            if (fenced || drained.contains(id)) lifecycle = Lifecycle::draining;
+        CHECK(received == expected);
     }
 }
 
@@ -238,18 +239,19 @@
     CHECK(write_member_call(*read) == write_member_call(call));
     CHECK(read->in_flight == call.in_flight);
     CHECK(read->leaving);
-    const std::string bad[] = {"",
-                               "[]",
-                               "{",
-                               R"({"role":"router","life":1})",
-                               R"({"name":"a b","role":"router","life":1})",
-                               R"({"name":"r","role":"king","life":1})",
-                               R"({"name":"r","role":"router","life":0})",
-                               R"({"name":"r","role":"router","life":-1})",
-                               R"({"name":"r","role":"router","life":1,"wait_ms":1e30})",
-                               R"({"name":"r","role":"router","life":1,"in_hand":[["shelf","n1"]]})",
-                               R"({"name":"r","role":"router","life":1,"silent":[3]})"};
-    for (const std::string& text : bad) {
+    const std::string malformed_calls[] = {
+        "",
+        "[]",
+        "{",
+        R"({"role":"router","life":1})",
+        R"({"name":"a b","role":"router","life":1})",
+        R"({"name":"r","role":"king","life":1})",
+        R"({"name":"r","role":"router","life":0})",
+        R"({"name":"r","role":"router","life":-1})",
+        R"({"name":"r","role":"router","life":1,"wait_ms":1e30})",
+        R"({"name":"r","role":"router","life":1,"in_hand":[["shelf","n1"]]})",
+        R"({"name":"r","role":"router","life":1,"silent":[3]})"};
+    for (const std::string& text : malformed_calls) {
         const auto malformed = read_member_call(text);
         REQUIRE_FALSE(malformed);
         CHECK_FALSE(malformed.error().reason.empty());
@@ -300,15 +302,16 @@
         return std::string("none");
     };
     CHECK(mistakes("") == "f:1:1: the 'fleet' block is missing");
-    const std::string all = mistakes(
+    const std::string errors = mistakes(
         "fleet \"x\" {\n lease = \"700ms\"\n election = \"600ms\"\n steward \"0\" {\n"
         "  raft = \"here\"\n  http = \"127.0.0.1:1\"\n  folder = \"f\"\n }\n nodes {\n }\n}\n");
-    CHECK(all.find("f:1:1: 'lease' is 700ms; expected at least 1200ms, twice 'election', so that a leader "
-                   "can be elected within one lease\n") != std::string::npos);
-    CHECK(all.find("f:4:2: the label of a 'steward' block is \"0\"; expected an id: an integer above 0\n") !=
-          std::string::npos);
-    CHECK(all.find("f:4:2: 'raft' is \"here\"; expected HOST:PORT\n") != std::string::npos);
-    CHECK(all.find("f:9:2: ") != std::string::npos);
+    CHECK(errors.find("f:1:1: 'lease' is 700ms; expected at least 1200ms, twice 'election', so that a leader "
+                      "can be elected within one lease\n") != std::string::npos);
+    CHECK(
+        errors.find("f:4:2: the label of a 'steward' block is \"0\"; expected an id: an integer above 0\n") !=
+        std::string::npos);
+    CHECK(errors.find("f:4:2: 'raft' is \"here\"; expected HOST:PORT\n") != std::string::npos);
+    CHECK(errors.find("f:9:2: ") != std::string::npos);
     CHECK(
         mistakes("fleet \"a b\" {\n steward \"1\" {\n raft = \"h:1\"\n http = \"h:2\"\n folder = \"f\"\n }\n"
                  " steward \"1\" {\n raft = \"h:3\"\n http = \"h:2\"\n folder = \"f\"\n }\n}\n") ==
@@ -353,8 +356,8 @@
 TEST_CASE("comparing only changed nodes finds the same differences as comparing all nodes") {
     using namespace tealcart::fleet_manager;
     const auto seed = GENERATE(range(1U, 9U));
-    std::knuth_b chance(seed);
-    const auto pick = [&](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
+    std::knuth_b random(seed);
+    const auto random_below = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
     RouterConfig config;
     config.places = 5, config.replicas_per_shard = 2, config.shards = 13,
     config.slow_start_duration = 10 * second;
@@ -362,40 +365,42 @@
     EndpointView view(config);
     fleet::FleetState state({});
     std::map<std::string, ListedEndpoint> all;
-    Nanos now = 1000 * second, heard = 0;
+    Nanos now = 1000 * second, last_list_at = 0;
     int differing = 0, unknown = 0, cold = 0;
     for (int i = 0; i < 2000; ++i) {
-        now += pick(3) * second / 4;
-        if (pick(100) == 0) now += 60 * second;  // discovery is silent
-        if (pick(3) > 0) {
-            EndpointList list{static_cast<std::uint64_t>(i), pick(100) == 0, {}, 0};
-            const std::string name = name_of(pick(30));
-            ListedEndpoint one = listed_node(name, static_cast<Lifecycle>(pick(3)), std::uint32_t(pick(5)));
-            one.started_at = pick(2) == 0 ? now - pick(12) * second : 0;
+        now += random_below(3) * second / 4;
+        if (random_below(100) == 0) now += 60 * second;  // discovery is silent
+        if (random_below(3) > 0) {
+            EndpointList list{static_cast<std::uint64_t>(i), random_below(100) == 0, {}, 0};
+            const std::string name = name_of(random_below(30));
+            ListedEndpoint endpoint =
+                listed_node(name, static_cast<Lifecycle>(random_below(3)), std::uint32_t(random_below(5)));
+            endpoint.started_at = random_below(2) == 0 ? now - random_below(12) * second : 0;
             if (list.full) {
-                std::erase_if(all, [&](const auto&) { return pick(4) == 0; });
+                std::erase_if(all, [&](const auto&) { return random_below(4) == 0; });
                 for (const auto& [id, node] : all) list.nodes.push_back(node);
             }
-            list.nodes.push_back(one);
-            if (one.lifecycle == Lifecycle::removed)
+            list.nodes.push_back(endpoint);
+            if (endpoint.lifecycle == Lifecycle::removed)
                 all.erase(name);
             else
-                all[name] = one;
-            view.on_endpoints(list, heard = now);
+                all[name] = endpoint;
+            view.on_endpoints(list, last_list_at = now);
         }
         // An entry of a former leader is committed after this fleet manager has started to compare.
-        if (pick(50) == 0) {
-            fleet::EndpointsObserved other{{}, pick(4) == 0, {name_of(pick(30))}};
-            other.nodes[name_of(pick(30))] = {"b", "k", {1}, fleet::Health::draining, 0};
+        if (random_below(50) == 0) {
+            fleet::EndpointsObserved other{{}, random_below(4) == 0, {name_of(random_below(30))}};
+            other.nodes[name_of(random_below(30))] = {"b", "k", {1}, fleet::Health::draining, 0};
             state.apply({"", now, other});
             view.on_committed(other);
         }
-        if (pick(30) == 0) state.apply({"", now, fleet::RequestRemoval{"ann", {false, name_of(pick(30))}}});
-        if (heard == 0 || pick(4) == 0) continue;  // another fleet manager leads
+        if (random_below(30) == 0)
+            state.apply({"", now, fleet::RequestRemoval{"ann", {false, name_of(random_below(30))}}});
+        if (last_list_at == 0 || random_below(4) == 0) continue;  // another fleet manager leads
         EndpointView fresh_view(config);
         EndpointList full_list{1, true, {}, 0};
         for (const auto& [id, node] : all) full_list.nodes.push_back(node);
-        fresh_view.on_endpoints(full_list, heard);
+        fresh_view.on_endpoints(full_list, last_list_at);
         const auto full_comparison = fresh_view.differences(state, now);
         const auto observed = view.differences(state, now);
         REQUIRE(observed.has_value() == full_comparison.has_value());
@@ -405,9 +410,9 @@
         ++differing;
         for (const auto& [id, node] : observed->nodes)
             unknown += node.health == fleet::Health::unknown, cold += node.health == fleet::Health::cold;
-        if (pick(5) == 0) continue;  // not committed
+        if (random_below(5) == 0) continue;  // not committed
         state.apply({"", now, *observed});
-        if (pick(2) == 0) view.on_committed(*observed);
+        if (random_below(2) == 0) view.on_committed(*observed);
     }
     CHECK(std::min({differing, unknown, cold}) > 20);
 }
@@ -423,31 +428,31 @@
     EndpointList list{1, true, {}, 0};
     for (std::uint32_t n = 0; n < 1000; ++n)
         list.nodes.push_back(listed_node("n" + std::to_string(n), Lifecycle::ready, n % 100));
-    const auto agree = [&] {
+    const auto commit_differences = [&] {
         if (auto observed = view.differences(state, now))
             state.apply({"", now, *observed}), view.on_committed(*observed);
         return view.compared_count();
     };
     view.on_endpoints(list, now);
-    CHECK(agree() == 1000);
-    CHECK(agree() == 1000);  // now they match the agreed state
-    CHECK(agree() == 0);
+    CHECK(commit_differences() == 1000);
+    CHECK(commit_differences() == 1000);  // now they match the agreed state
+    CHECK(commit_differences() == 0);
     ListedEndpoint fresh = listed_node("n7", Lifecycle::ready, 7);
     fresh.started_at = now;
     view.on_endpoints({2, false, {fresh}, 0}, now);
-    CHECK(agree() == 1);
+    CHECK(commit_differences() == 1);
     CHECK(state.nodes().at("n7").health == fleet::Health::cold);
-    CHECK(agree() == 1);
-    CHECK(agree() == 0);
+    CHECK(commit_differences() == 1);
+    CHECK(commit_differences() == 0);
     now += 10 * second;
-    CHECK(agree() == 1);
+    CHECK(commit_differences() == 1);
     CHECK(state.nodes().at("n7").health == fleet::Health::healthy);
-    CHECK((agree(), agree()) == 0);
+    CHECK((commit_differences(), commit_differences()) == 0);
     view.compare_all();
-    CHECK(agree() == 1000);
-    CHECK(agree() == 0);
+    CHECK(commit_differences() == 1000);
+    CHECK(commit_differences() == 0);
     now += 60 * second;  // discovery is silent
-    CHECK(agree() == 1000);
+    CHECK(commit_differences() == 1000);
     CHECK(state.nodes().at("n8").health == fleet::Health::unknown);
 }
 
@@ -456,33 +461,34 @@
     fleet::FleetState state({});
     const Nanos now = 1000 * second;
     const int nodes = GENERATE(200, 201, 2000);
-    fleet::EndpointsObserved seen;
-    for (int n = 0; n < nodes; ++n)
-        seen.nodes["n" + std::to_string(n)] = {n % 2 == 0 ? "a" : "b", "k", {}, fleet::Health::healthy, 0};
-    seen.nodes["n3"].health = fleet::Health::cold;
-    state.apply({"", now, seen});
+    fleet::EndpointsObserved observed;
+    for (int node = 0; node < nodes; ++node)
+        observed.nodes["n" + std::to_string(node)] = {
+            node % 2 == 0 ? "a" : "b", "k", {}, fleet::Health::healthy, 0};
+    observed.nodes["n3"].health = fleet::Health::cold;
+    state.apply({"", now, observed});
     fleet::ReportBatch reports;
-    for (int r = 0; r < nodes; ++r)
-        reports.joins.push_back({"r" + std::to_string(r), fleet::Role::router, "a", "1", "d", 1, 0});
+    for (int router = 0; router < nodes; ++router)
+        reports.joins.push_back({"r" + std::to_string(router), fleet::Role::router, "a", "1", "d", 1, 0});
     state.apply({"", now, reports});
     const auto status = [&](bool all) { return nlohmann::json::parse(write_status(state, {}, all)); };
     const bool large = nodes > 200;
-    auto s = status(false);
-    CHECK(s["nodes"].size() == (large ? 1U : 200U));
-    CHECK(s["members"].size() == (large ? 0U : 200U));
-    CHECK(s["nodes_listed"]["listed"] == (large ? "exceptions" : "all"));
-    CHECK(s["nodes_counted"]["all"] == nodes);
-    CHECK(s["nodes_counted"]["out"] == 1);
-    CHECK(s["nodes_counted"]["zones"]["b"]["out"] == 1);
-    CHECK(s["nodes_counted"]["zones"]["a"]["all"] == (nodes + 1) / 2);
-    CHECK(s["routers_counted"]["all"] == nodes);
+    auto page = status(false);
+    CHECK(page["nodes"].size() == (large ? 1U : 200U));
+    CHECK(page["members"].size() == (large ? 0U : 200U));
+    CHECK(page["nodes_listed"]["listed"] == (large ? "exceptions" : "all"));
+    CHECK(page["nodes_counted"]["all"] == nodes);
+    CHECK(page["nodes_counted"]["out"] == 1);
+    CHECK(page["nodes_counted"]["zones"]["b"]["out"] == 1);
+    CHECK(page["nodes_counted"]["zones"]["a"]["all"] == (nodes + 1) / 2);
+    CHECK(page["routers_counted"]["all"] == nodes);
     CHECK(status(true)["nodes"].size() == static_cast<std::size_t>(nodes));
     CHECK(status(true)["members_listed"]["listed"] == "all");
     // After a grant no member has applied the latest generation yet; at most 1000 of them are listed.
     state.apply({"", now, fleet::RequestRemoval{"ann", {false, "n0"}}});
-    s = status(false);
-    CHECK(s["members"].size() == std::min<std::size_t>(1000, reports.joins.size()));
-    CHECK(s["members_listed"]["exceptions_left_out"] == std::max(0, nodes - 1000));
-    CHECK(s["nodes"][0]["name"] == "n0");
-    CHECK(s["nodes"][0]["out"] == true);
+    page = status(false);
+    CHECK(page["members"].size() == std::min<std::size_t>(1000, reports.joins.size()));
+    CHECK(page["members_listed"]["exceptions_left_out"] == std::max(0, nodes - 1000));
+    CHECK(page["nodes"][0]["name"] == "n0");
+    CHECK(page["nodes"][0]["out"] == true);
 }
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -49,25 +49,26 @@
         answers.push_back(response);
         const auto it = queries.find(client.slot);
         if (it == queries.end()) return;  // a request that the model does not track
-        ClientQuery& q = it->second;
-        REQUIRE(++q.answers == 1);
-        REQUIRE_FALSE(q.disconnected);
-        REQUIRE(now <= q.deadline_at);
-        if (response.status == 503) REQUIRE_FALSE((q.has_key && q.may_have_run > 0));
+        ClientQuery& query = it->second;
+        REQUIRE(++query.answers == 1);
+        REQUIRE_FALSE(query.disconnected);
+        REQUIRE(now <= query.deadline_at);
+        if (response.status == 503) REQUIRE_FALSE((query.has_key && query.may_have_run > 0));
         if (response.status != 200) return;
         // A response has only values that a data node gave for the same shard request. It has all of them if
         // it is marked complete.
         std::set<std::uint32_t> shards;
-        for (std::size_t at = 0; (at = response.body.find("{\"segment\":", at)) != std::string::npos;) {
-            const auto shard = static_cast<std::uint32_t>(std::stoi(response.body.substr(at + 11)));
-            const std::size_t begin = response.body.find("payload\":\"", at) + 10;
-            REQUIRE(q.values_by_shard[shard].contains(
+        for (std::size_t position = 0;
+             (position = response.body.find("{\"segment\":", position)) != std::string::npos;) {
+            const auto shard = static_cast<std::uint32_t>(std::stoi(response.body.substr(position + 11)));
+            const std::size_t begin = response.body.find("payload\":\"", position) + 10;
+            REQUIRE(query.values_by_shard[shard].contains(
                 response.body.substr(begin, response.body.find('"', begin) - begin)));
             REQUIRE(shards.insert(shard).second);
-            at = begin;
+            position = begin;
         }
-        if (response.body.find("\"all_in\":true") != std::string::npos) REQUIRE(shards == q.shards);
-        if (q.has_key) REQUIRE(shards == q.shards);
+        if (response.body.find("\"all_in\":true") != std::string::npos) REQUIRE(shards == query.shards);
+        if (query.has_key) REQUIRE(shards == query.shards);
     }
     Handle send(std::uint32_t node, const std::string& address, std::vector<AttemptMessage> messages,
                 std::span<const Handle> avoid) override {
@@ -78,13 +79,13 @@
         Handle connection{node, 1};
         while (std::find(avoid.begin(), avoid.end(), connection) != avoid.end()) ++connection.generation;
         for (const AttemptMessage& message : messages) {
-            ClientQuery& q = of(message);
-            REQUIRE(q.answers == 0);  // no attempt is sent after the response
-            REQUIRE_FALSE(q.disconnected);
-            REQUIRE(q.shards.contains(message.shard));
-            REQUIRE(message.deadline <= q.deadline_at);
+            ClientQuery& query = query_of(message);
+            REQUIRE(query.answers == 0);  // no attempt is sent after the response
+            REQUIRE_FALSE(query.disconnected);
+            REQUIRE(query.shards.contains(message.shard));
+            REQUIRE(message.deadline <= query.deadline_at);
             for (const SentAttempt& attempt : sent)
-                REQUIRE_FALSE((attempt.connection == connection && attempt.message.query->id == q.id &&
+                REQUIRE_FALSE((attempt.connection == connection && attempt.message.query->id == query.id &&
                                attempt.message.shard == message.shard));
             sent.push_back({message, connection, node, false});
         }
@@ -106,9 +107,9 @@
     }
     void retire(std::uint32_t, bool) override {}
 
-    ClientQuery& of(const AttemptMessage& message) {
-        for (auto& [slot, q] : queries)
-            if (q.id == message.query->id) return q;
+    ClientQuery& query_of(const AttemptMessage& message) {
+        for (auto& [slot, query] : queries)
+            if (query.id == message.query->id) return query;
         FAIL("an attempt of an unknown query was sent");
         return queries.begin()->second;
     }
@@ -125,13 +126,13 @@
     return startup;
 }
 
-struct Rig {
+struct DispatcherRig {
     FakeEndpoints model;
     EventClock time{model.now};
     QueryDispatcher dispatcher{time, small_startup_config()};
     std::uint32_t clients = 0;
 
-    Rig() {
+    DispatcherRig() {
         dispatcher.connect(model, model);
         dispatcher.begin();
         apply_list(0, {Lifecycle::ready, Lifecycle::ready, Lifecycle::ready, Lifecycle::ready});
@@ -139,13 +140,13 @@
     // Applies a list of nodes 0 to 3, two at each place.
     void apply_list(std::uint64_t generation, const std::vector<Lifecycle>& states) {
         EndpointList list{generation, generation == 0, {}, 0};
-        for (std::uint32_t n = 0; n < states.size(); ++n)
-            list.nodes.push_back({"s" + std::to_string(n), "10.0.0." + std::to_string(n + 1) + ":1", "z", "k",
-                                  n % 2, states[n], 0});
+        for (std::uint32_t node = 0; node < states.size(); ++node)
+            list.nodes.push_back({"s" + std::to_string(node), "10.0.0." + std::to_string(node + 1) + ":1",
+                                  "z", "k", node % 2, states[node], 0});
         dispatcher.on_endpoint_list(list);
-        for (std::uint32_t n = 0; n < states.size(); ++n)
-            states[n] == Lifecycle::ready ? void(model.leaving_nodes.erase(n))
-                                          : void(model.leaving_nodes.insert(n));
+        for (std::uint32_t node = 0; node < states.size(); ++node)
+            states[node] == Lifecycle::ready ? void(model.leaving_nodes.erase(node))
+                                             : void(model.leaving_nodes.insert(node));
     }
     std::uint32_t send_query(bool has_key, std::uint32_t shard_requests, int deadline = 900,
                              std::string body = "") {
@@ -158,46 +159,46 @@
                         false,
                         true,
                         std::move(body)};
-        ClientQuery q{request.id, has_key, model.now + deadline * ms, {}, 0, false, 0, {}};
+        ClientQuery query{request.id, has_key, model.now + deadline * ms, {}, 0, false, 0, {}};
         if (request.body.empty()) {
             request.body = R"({"text":"x","segments":[)";
-            for (std::uint32_t s = 0; s < shard_requests; ++s) {
-                request.body +=
-                    (s > 0 ? "," : "") + std::string("{\"segment\":") + std::to_string(s) +
-                    ",\"boost\":" + std::to_string((1.0 + s) * 2 / (shard_requests * (shard_requests + 1))) +
-                    "}";
-                q.shards.insert(s);
+            for (std::uint32_t shard = 0; shard < shard_requests; ++shard) {
+                request.body += (shard > 0 ? "," : "") + std::string("{\"segment\":") +
+                                std::to_string(shard) + ",\"boost\":" +
+                                std::to_string((1.0 + shard) * 2 / (shard_requests * (shard_requests + 1))) +
+                                "}";
+                query.shards.insert(shard);
             }
             request.body += "]}";
         }
-        model.queries[client.slot] = q;
+        model.queries[client.slot] = query;
         dispatcher.on_request(client, request, model.now);
         return client.slot;
     }
     void disconnect(std::uint32_t client) {
-        ClientQuery& q = model.queries[client];
-        if (q.answers > 0 || q.disconnected) return;
-        q.disconnected = true;
+        ClientQuery& query = model.queries[client];
+        if (query.answers > 0 || query.disconnected) return;
+        query.disconnected = true;
         dispatcher.on_client_disconnected({client, 1});
         for (const SentAttempt& attempt : model.sent)
-            REQUIRE((attempt.written || attempt.message.query->id != q.id));
+            REQUIRE((attempt.written || attempt.message.query->id != query.id));
     }
-    void answer_from_node(std::size_t at, Outcome outcome) {
-        const SentAttempt attempt = model.sent[at];
-        ClientQuery& q = model.of(attempt.message);
+    void answer_from_node(std::size_t index, Outcome outcome) {
+        const SentAttempt attempt = model.sent[index];
+        ClientQuery& query = model.query_of(attempt.message);
         const std::string value =
             "v" + std::to_string(attempt.node) + "-" + std::to_string(attempt.message.shard);
-        if (outcome == Outcome::ok) q.values_by_shard[attempt.message.shard].insert(value);
-        q.may_have_run -= outcome == Outcome::overloaded;  // a rejected attempt has not run
+        if (outcome == Outcome::ok) query.values_by_shard[attempt.message.shard].insert(value);
+        query.may_have_run -= outcome == Outcome::overloaded;  // a rejected attempt has not run
         dispatcher.on_node_answer(attempt.connection,
                                   {attempt.message.query->id, attempt.message.shard, outcome, value});
         dispatcher.on_node_answer(attempt.connection,
                                   {attempt.message.query->id, attempt.message.shard, Outcome::ok,
                                    "twice"});  // a duplicate, which is ignored
     }
-    void write(std::size_t at) {
-        model.sent[at].written = true;
-        ++model.of(model.sent[at].message).may_have_run;
+    void write(std::size_t index) {
+        model.sent[index].written = true;
+        ++model.query_of(model.sent[index].message).may_have_run;
     }
     void step(Nanos span = 5 * ms) {
         model.now += span;
@@ -210,34 +211,36 @@
 
 TEST_CASE("every query gets one correct response in time and every attempt one outcome under random events") {
     std::knuth_b random(GENERATE(range(1U, 31U)));
-    Rig rig;
+    DispatcherRig rig;
     FakeEndpoints& model = rig.model;
-    const auto pick = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
+    const auto random_below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
     for (int i = 0; i < 1200; ++i) {
-        if (pick(8) == 0)
-            rig.send_query(pick(2) == 0, static_cast<std::uint32_t>(1 + pick(4)),
-                           static_cast<int>(40 + pick(900)));
-        if (pick(60) == 0) rig.disconnect(static_cast<std::uint32_t>(1 + pick(rig.clients + 1)));
-        if (pick(100) == 0) {
+        if (random_below(8) == 0)
+            rig.send_query(random_below(2) == 0, static_cast<std::uint32_t>(1 + random_below(4)),
+                           static_cast<int>(40 + random_below(900)));
+        if (random_below(60) == 0)
+            rig.disconnect(static_cast<std::uint32_t>(1 + random_below(rig.clients + 1)));
+        if (random_below(100) == 0) {
             std::vector<Lifecycle> states;
             for (int n = 0; n < 4; ++n)
-                states.push_back(pick(4) == 0 ? static_cast<Lifecycle>(pick(3)) : Lifecycle::ready);
+                states.push_back(random_below(4) == 0 ? static_cast<Lifecycle>(random_below(3))
+                                                      : Lifecycle::ready);
             rig.apply_list(static_cast<std::uint64_t>(i + 1), states);
         }
-        model.out_of_connections = pick(50) == 0;
-        for (std::size_t at = 0; at < model.sent.size(); ++at)
-            if (pick(3) == 0 && !model.sent[at].written) rig.write(at);
-        if (!model.sent.empty() && pick(2) == 0) {
-            const std::size_t at = pick(model.sent.size());
-            const SentAttempt attempt = model.sent[at];
+        model.out_of_connections = random_below(50) == 0;
+        for (std::size_t index = 0; index < model.sent.size(); ++index)
+            if (random_below(3) == 0 && !model.sent[index].written) rig.write(index);
+        if (!model.sent.empty() && random_below(2) == 0) {
+            const std::size_t index = random_below(model.sent.size());
+            const SentAttempt attempt = model.sent[index];
             if (!attempt.written) {
                 rig.dispatcher.on_attempt_lost(attempt.message.attempt, Outcome::connect_failed);
-            } else if (pick(10) == 0) {
+            } else if (random_below(10) == 0) {
                 rig.dispatcher.on_attempt_lost(attempt.message.attempt, Outcome::reset);
             } else {
-                rig.answer_from_node(at, pick(8) == 0   ? Outcome::error
-                                         : pick(8) == 0 ? Outcome::overloaded
-                                                        : Outcome::ok);
+                rig.answer_from_node(index, random_below(8) == 0   ? Outcome::error
+                                            : random_below(8) == 0 ? Outcome::overloaded
+                                                                   : Outcome::ok);
             }
             rig.dispatcher.on_attempt_lost(attempt.message.attempt,
                                            Outcome::reset);  // ignored, since the attempt has ended
@@ -246,14 +249,14 @@
     }
     model.out_of_connections = false;
     for (int i = 0; i < 300; ++i) rig.step();
-    for (const auto& [slot, q] : model.queries) REQUIRE(q.answers + q.disconnected >= 1);
+    for (const auto& [slot, query] : model.queries) REQUIRE(query.answers + query.disconnected >= 1);
     CHECK(model.sent.empty());
     CHECK(rig.dispatcher.attempts_in_flight() == 0);
     CHECK(rig.dispatcher.unfinished_count() == 0);
 }
 
 TEST_CASE("an attempt that times out is cancelled if it was written and withdrawn if not") {
-    Rig rig;
+    DispatcherRig rig;
     rig.send_query(true, 2, 100);
     rig.step();
     REQUIRE(rig.model.sent.size() == 2);
@@ -275,7 +278,7 @@
 }
 
 TEST_CASE("a retry with an idempotency key is written within the idempotency window or not at all") {
-    Rig rig;
+    DispatcherRig rig;
     rig.send_query(true, 1);
     rig.step();
     CHECK(rig.model.sent.at(0).message.send_by == TimerQueue::never);
@@ -289,42 +292,43 @@
 }
 
 TEST_CASE("a malformed request gets its error status and sends no attempt") {
-    Rig rig;
-    const auto says = [&](Request request) {
+    DispatcherRig rig;
+    const auto status_of = [&](Request request) {
         rig.dispatcher.on_request({900, 1}, request, rig.model.now);
         return rig.model.answers.back().status;
     };
-    const Request good{"POST", "/keyed/x", "id", "480",
-                       "k",    false,      true, R"({"text":"","segments":[{"segment":0,"boost":1}]})"};
-    const auto with = [&](auto member, const char* value) {
-        Request r = good;
-        r.*member = value;
-        return says(r);
+    const Request valid{"POST", "/keyed/x", "id", "480",
+                        "k",    false,      true, R"({"text":"","segments":[{"segment":0,"boost":1}]})"};
+    const auto status_with = [&](auto member, const char* value) {
+        Request changed = valid;
+        changed.*member = value;
+        return status_of(changed);
     };
-    CHECK(with(&Request::path, "/none") == 404);
-    CHECK(with(&Request::path, "keyed") == 404);
-    CHECK(with(&Request::path, "") == 404);
-    CHECK(with(&Request::method, "GET") == 405);
-    CHECK(with(&Request::id, "") == 400);
-    CHECK(with(&Request::id, "a b") == 400);
-    CHECK(with(&Request::key, "") == 400);
-    CHECK(with(&Request::key, "a,d=9") == 400);  // the comma would start another option in the frame's line
+    CHECK(status_with(&Request::path, "/none") == 404);
+    CHECK(status_with(&Request::path, "keyed") == 404);
+    CHECK(status_with(&Request::path, "") == 404);
+    CHECK(status_with(&Request::method, "GET") == 405);
+    CHECK(status_with(&Request::id, "") == 400);
+    CHECK(status_with(&Request::id, "a b") == 400);
+    CHECK(status_with(&Request::key, "") == 400);
+    CHECK(status_with(&Request::key, "a,d=9") ==
+          400);  // the comma would start another option in the frame's line
     for (const char* deadline : {"", "0", "-5", "1.5", "9x", "99999999999999999999"})
-        CHECK(with(&Request::deadline, deadline) == 400);
-    CHECK(with(&Request::body, "{}") == 400);
-    CHECK(says({"GET", "/-/ready", "", "", "", false, true, ""}) == 200);
-    CHECK(says({"POST", "/-/ready", "", "", "", false, true, ""}) == 405);
+        CHECK(status_with(&Request::deadline, deadline) == 400);
+    CHECK(status_with(&Request::body, "{}") == 400);
+    CHECK(status_of({"GET", "/-/ready", "", "", "", false, true, ""}) == 200);
+    CHECK(status_of({"POST", "/-/ready", "", "", "", false, true, ""}) == 405);
     rig.step();
     CHECK(rig.model.sent.empty());
     CHECK(rig.dispatcher.unfinished_count() == 0);
 }
 
 TEST_CASE("queries over the limit of queries in progress are rejected and send no attempt") {
-    Rig rig;
+    DispatcherRig rig;
     for (int i = 0; i < 12; ++i) rig.send_query(false, 4);
     CHECK(rig.dispatcher.unfinished_count() == 40);  // eight queries of five each, the limit of the settings
     REQUIRE(rig.model.answers.size() == 4);
-    for (const Response& a : rig.model.answers) CHECK(a.status == 503);
+    for (const Response& response : rig.model.answers) CHECK(response.status == 503);
     rig.step();
     for (const SentAttempt& attempt : rig.model.sent)
         CHECK(std::stoi(attempt.message.query->id.substr(1)) <= 8);
@@ -332,7 +336,7 @@
 }
 
 TEST_CASE("a query whose request id is in use is rejected") {
-    Rig rig;
+    DispatcherRig rig;
     rig.send_query(false, 2);
     Request again{"POST", "/part", "q1", "480",
                   "",     false,   true, R"({"text":"","segments":[{"segment":0,"boost":1}]})"};
@@ -342,7 +346,7 @@
 }
 
 TEST_CASE("a value that is longer than a response may be is not kept") {
-    Rig rig;
+    DispatcherRig rig;
     rig.send_query(true, 1);
     rig.step();
     const SentAttempt attempt = rig.model.sent.at(0);
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -90,13 +90,13 @@
 TEST_CASE(
     "log entries of both states are distinguished, and entries without a marker are of the fleet state") {
     const auto fleet = fleet::write_command({"x", 1, fleet::Tick{}});
-    const auto old = fleet_manager::read_entry(fleet.data(), fleet.size());
-    CHECK_FALSE(old.is_change);
-    CHECK(fleet::read_command(old.bytes, old.size).id == "x");
+    const auto unmarked = fleet_manager::read_entry(fleet.data(), fleet.size());
+    CHECK_FALSE(unmarked.is_change);
+    CHECK(fleet::read_command(unmarked.bytes, unmarked.size).id == "x");
     const auto entry = fleet_manager::write_change_entry(changes::write_command({"y", 2, changes::Resume{}}));
-    const auto read = fleet_manager::read_entry(entry.data(), entry.size());
-    CHECK(read.is_change);
-    CHECK(changes::read_command(read.bytes, read.size).id == "y");
+    const auto change_entry = fleet_manager::read_entry(entry.data(), entry.size());
+    CHECK(change_entry.is_change);
+    CHECK(changes::read_command(change_entry.bytes, change_entry.size).id == "y");
     // A program without a change state fails with a one-line error.
     CHECK_THROWS_AS(fleet::read_command(entry.data(), entry.size()), std::runtime_error);
     CHECK_FALSE(fleet_manager::read_entry(nullptr, 0).is_change);
@@ -107,24 +107,25 @@
     changes::ChangeState change_state{changes::Limits{}};
     change_state.apply({"x", 1, changes::Publish{"ann", {{"k", "v"}}, {}, {}}});
     const auto bytes = fleet_manager::write_snapshot({state.save(), change_state.save()});
-    const auto read = fleet_manager::read_snapshot(bytes);
-    CHECK(read.fleet == state.save());
-    REQUIRE(read.changes);
+    const auto snapshot = fleet_manager::read_snapshot(bytes);
+    CHECK(snapshot.fleet == state.save());
+    REQUIRE(snapshot.changes);
     changes::ChangeState loaded{changes::Limits{}};
-    loaded.load(*read.changes);
+    loaded.load(*snapshot.changes);
     CHECK(loaded.version() == 1);
-    const auto old = fleet_manager::read_snapshot(state.save());
-    CHECK(old.fleet == state.save());
-    CHECK_FALSE(old.changes);
+    const auto old_snapshot = fleet_manager::read_snapshot(state.save());
+    CHECK(old_snapshot.fleet == state.save());
+    CHECK_FALSE(old_snapshot.changes);
     auto unknown_format = bytes;
     unknown_format[3] = 2;
     CHECK_THROWS_WITH(
         fleet_manager::read_snapshot(unknown_format),
         "the snapshot of the replicated log has format version 2; this program reads version 1");
     CHECK_THROWS_AS(state.load(bytes), std::runtime_error);  // as a program without a change state does
-    for (std::size_t n = 3; n < 12; ++n)
-        CHECK_THROWS_WITH(fleet_manager::read_snapshot({bytes.begin(), bytes.begin() + static_cast<long>(n)}),
-                          "the snapshot of the replicated log is truncated");
+    for (std::size_t length = 3; length < 12; ++length)
+        CHECK_THROWS_WITH(
+            fleet_manager::read_snapshot({bytes.begin(), bytes.begin() + static_cast<long>(length)}),
+            "the snapshot of the replicated log is truncated");
     auto wrong_length = bytes;
     wrong_length[10] = 0xff;
     CHECK_THROWS_WITH(fleet_manager::read_snapshot(wrong_length),
@@ -158,23 +159,24 @@
     changes::DocumentCopy relay_copy, empty_copy;
     std::vector<changes::DocumentCopy> copies{empty_copy};  // by version
     changes::Document document;
-    for (std::uint64_t v = 1; v <= 4; ++v) {
-        Delta d{v - 1, v, {{"k" + std::to_string(v % 2), std::to_string(v)}}, {}, 0};
-        if (v == 4) d.set.clear(), d.removed = {"k1"};
-        for (const auto& [key, value] : d.set) document[key] = value;
-        for (const auto& key : d.removed) document.erase(key);
-        d.digest = changes::digest_of(document);
-        REQUIRE(relay_copy.apply(d) == changes::DocumentCopy::ApplyResult::applied);
+    for (std::uint64_t version = 1; version <= 4; ++version) {
+        Delta delta{
+            version - 1, version, {{"k" + std::to_string(version % 2), std::to_string(version)}}, {}, 0};
+        if (version == 4) delta.set.clear(), delta.removed = {"k1"};
+        for (const auto& [key, value] : delta.set) document[key] = value;
+        for (const auto& key : delta.removed) document.erase(key);
+        delta.digest = changes::digest_of(document);
+        REQUIRE(relay_copy.apply(delta) == changes::DocumentCopy::ApplyResult::applied);
         copies.push_back(relay_copy);
-        history.append(d);
+        history.append(delta);
     }
     CHECK_FALSE(history.since(0));  // three deltas are kept
     CHECK_FALSE(history.since(4));
-    for (std::uint64_t v = 1; v <= 3; ++v) {
-        const auto delta = history.since(v);
+    for (std::uint64_t version = 1; version <= 3; ++version) {
+        const auto delta = history.since(version);
         REQUIRE(delta);
-        CHECK(copies[v].apply(*delta) == changes::DocumentCopy::ApplyResult::applied);
-        CHECK(copies[v].document() == document);
+        CHECK(copies[version].apply(*delta) == changes::DocumentCopy::ApplyResult::applied);
+        CHECK(copies[version].document() == document);
     }
     history.clear();
     CHECK_FALSE(history.since(3));
@@ -185,9 +187,10 @@
 
 TEST_CASE("each page holds at least one entry, and all pages together hold the document") {
     changes::DocumentCopy copy, other;
-    Delta d{0, 1, {{"a", std::string(50, 'x')}, {"b", "1"}, {"c", "2"}, {"d", std::string(9, 'y')}}, {}, 0};
-    d.digest = changes::digest_of(d.set);
-    REQUIRE(copy.apply(d) == changes::DocumentCopy::ApplyResult::applied);
+    Delta delta{
+        0, 1, {{"a", std::string(50, 'x')}, {"b", "1"}, {"c", "2"}, {"d", std::string(9, 'y')}}, {}, 0};
+    delta.digest = changes::digest_of(delta.set);
+    REQUIRE(copy.apply(delta) == changes::DocumentCopy::ApplyResult::applied);
     std::size_t pages = 0;
     while (other.version() == 0) {
         const auto page = relay::page_of(copy, other.next_page_after(), 10);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -57,7 +57,7 @@
     void request_arrived(Nanos now) { arrivals_.push_back(now); }
     void check(Nanos now, const RecordedDecisions& decisions) {
         second_steps_due.clear();
-        for (const Decision& decision : decisions.made) {
+        for (const Decision& decision : decisions.recorded) {
             if (decision.kind == Decision::send_attempt) check_attempt(now, decision);
             if (decision.kind == Decision::answer) check_answer(now, decision);
             if (decision.kind == Decision::reject || decision.kind == Decision::fail_query)
@@ -237,7 +237,7 @@
                 }
             });
             model.check(now, decisions);
-            for (const Decision& d : decisions.made)
+            for (const Decision& d : decisions.recorded)
                 digest = digest * 31 + d.id + d.node + static_cast<std::size_t>(d.kind);
             second = model.second_steps_due;
             answers += static_cast<int>(decisions.of(Decision::answer).size());
