--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -37,27 +37,29 @@
         : server(io, [this](TestConnection& peer) { on_bytes(peer); }) {}
 
     void on_bytes(TestConnection& peer) {
-        std::string_view in = peer.received;
-        Frame f;
-        while (take_frame(in, f) == FrameStatus::complete) {
-            if (f.type == 'A') cancelled_ids.emplace_back(f.payload);
-            std::string_view rest = f.payload;
-            while (f.type == 'R' && !rest.empty()) {
+        std::string_view unread = peer.received;
+        Frame next_frame;
+        while (take_frame(unread, next_frame) == FrameStatus::complete) {
+            if (next_frame.type == 'A') cancelled_ids.emplace_back(next_frame.payload);
+            std::string_view rest = next_frame.payload;
+            while (next_frame.type == 'R' && !rest.empty()) {
                 const std::string line(rest.substr(0, rest.find('\n')));
                 rest.remove_prefix(line.size() + 1);
-                const auto a = line.find(' '), b = line.find(' ', a + 1), c = line.find(' ', b + 1);
-                const auto length = static_cast<std::size_t>(std::stoi(line.substr(c + 1)));
-                attempts.push_back({line.substr(0, a), line.substr(b + 1, c - b - 1),
+                const auto id_end = line.find(' '), shard_end = line.find(' ', id_end + 1),
+                           options_end = line.find(' ', shard_end + 1);
+                const auto length = static_cast<std::size_t>(std::stoi(line.substr(options_end + 1)));
+                attempts.push_back({line.substr(0, id_end),
+                                    line.substr(shard_end + 1, options_end - shard_end - 1),
                                     std::string(rest.substr(0, length)), peer.shared_from_this()});
                 rest.remove_prefix(length);
                 if (on_attempt) on_attempt(attempts.back());
             }
         }
-        peer.received.erase(0, peer.received.size() - in.size());
+        peer.received.erase(0, peer.received.size() - unread.size());
     }
-    static void answer_attempt(const ReceivedAttempt& attempt, const std::string& how,
+    static void answer_attempt(const ReceivedAttempt& attempt, const std::string& outcome,
                                const std::string& value) {
-        attempt.peer->send(frame('Y', attempt.id + " " + how + " 1 -\n" + value));
+        attempt.peer->send(frame('Y', attempt.id + " " + outcome + " 1 -\n" + value));
     }
 
     FakeServer server;
@@ -91,36 +93,38 @@
     };
     FakeServer discovery{io, on_discovery_poll}, other_discovery{io, on_discovery_poll};
     std::unique_ptr<Service> service;
-    std::string known, discovery_address = discovery.address();  // the address in the current configuration
+    std::string known_instances,
+        discovery_address = discovery.address();  // the address in the current configuration
     std::size_t sockets;
-    std::string operators;  // the operators' file; empty for none
-    int reads = 0;
+    std::string operators_file;  // the operators' file; empty for none
+    int config_reads = 0;
 
     // Starts with `count` nodes, alternately at the places 0 and 1. Both places have every shard.
-    explicit ServiceRig(int count = 2, std::size_t descriptors = 256, std::string file = "",
+    explicit ServiceRig(int node_count = 2, std::size_t socket_limit = 256, std::string operators_text = "",
                         bool silent = false)
-        : discovery_silent(silent), sockets(descriptors), operators(std::move(file)) {
-        for (int n = 0; n < count; ++n) {
+        : discovery_silent(silent), sockets(socket_limit), operators_file(std::move(operators_text)) {
+        for (int n = 0; n < node_count; ++n) {
             nodes.push_back(std::make_unique<DataNode>(io));
-            known += (n > 0 ? "," : "") + entry(n, "up");
+            known_instances += (n > 0 ? "," : "") + entry(n, "up");
         }
-        service = std::make_unique<Service>(io, [this] { return ++reads, startup_config(); });
+        service = std::make_unique<Service>(io, [this] { return ++config_reads, startup_config(); });
         if (!silent) run_until([this] { return service->dispatcher().begun(); });
     }
     StartupConfig startup_config() const {
-        StartupConfig made =
+        StartupConfig startup =
             read_startup_config(R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + discovery_address +
                                 R"(","seed":"00ff","limits":{"sockets":)" + std::to_string(sockets) +
-                                R"(},"known":{"generation":4,"reset":true,"instances":[)" + known +
+                                R"(},"known":{"generation":4,"reset":true,"instances":[)" + known_instances +
                                 "]},\"settings\":" + test::settings_text + "}");
-        made.listen.port = 0;  // any free port
-        if (!operators.empty()) apply_operator_config(made, read_operator_config(operators, "f"));
-        return made;
+        startup.listen.port = 0;  // any free port
+        if (!operators_file.empty())
+            apply_operator_config(startup, read_operator_config(operators_file, "f"));
+        return startup;
     }
-    std::string entry(int n, const std::string& state) const {
-        return R"({"instanceId":"s)" + std::to_string(n) + R"(","hostPort":")" +
-               nodes[static_cast<std::size_t>(n)]->server.address() +
-               R"(","zone":"z","machineType":"m","cell":)" + std::to_string(n % 2) + R"(,"lifecycle":")" +
+    std::string entry(int node, const std::string& state) const {
+        return R"({"instanceId":"s)" + std::to_string(node) + R"(","hostPort":")" +
+               nodes[static_cast<std::size_t>(node)]->server.address() +
+               R"(","zone":"z","machineType":"m","cell":)" + std::to_string(node % 2) + R"(,"lifecycle":")" +
                state + R"(","startedAtMs":0})";
     }
     template <typename Happened>
@@ -149,13 +153,13 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-std::string query(const std::string& id, const std::string& more = "", int deadline = 3000,
+std::string query(const std::string& id, const std::string& further_headers = "", int deadline = 3000,
                   const char* query_class = "part") {
     const std::string body =
         R"({"segments":[{"segment":0,"boost":0.7},{"segment":1,"boost":0.3}],"text":"some\ntext"})";
     return std::string("POST /") + query_class + " HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id +
-           "\r\nX-Deadline-Ms: " + std::to_string(deadline) + "\r\nIdempotency-Key: kk\r\n" + more +
-           "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+           "\r\nX-Deadline-Ms: " + std::to_string(deadline) + "\r\nIdempotency-Key: kk\r\n" +
+           further_headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 const std::string complete_response =
@@ -165,23 +169,23 @@
 
 TEST_CASE("consecutive queries on a persistent connection are answered, also if they arrive byte by byte") {
     ServiceRig rig;
-    const auto c = rig.client();
-    c->send("GET /-/ready HTTP/1.1\r\n\r\n");
-    CHECK(rig.answer(*c).first == 200);
+    const auto client = rig.client();
+    client->send("GET /-/ready HTTP/1.1\r\n\r\n");
+    CHECK(rig.answer(*client).first == 200);
     for (const char byte : query("A")) {
-        c->send(std::string(1, byte));
+        client->send(std::string(1, byte));
         rig.io.poll();
     }
-    CHECK(rig.answer(*c) == std::pair(200, complete_response));
+    CHECK(rig.answer(*client) == std::pair(200, complete_response));
     for (const ReceivedAttempt& attempt : rig.attempts()) {
         CHECK(attempt.text == "some\ntext");
         CHECK(attempt.options.find("k=") ==
               std::string::npos);  // an attempt of an idempotent query class has no key
     }
     // Two queries are sent at once, so the second is read from bytes that arrived with the first.
-    c->send(query("B", "", 3000, "keyed") + query("C"));
-    CHECK(rig.answer(*c).second.find("vB.0") != std::string::npos);
-    CHECK(rig.answer(*c).second.find("vC.1") != std::string::npos);
+    client->send(query("B", "", 3000, "keyed") + query("C"));
+    CHECK(rig.answer(*client).second.find("vB.0") != std::string::npos);
+    CHECK(rig.answer(*client).second.find("vC.1") != std::string::npos);
     int keyed = 0;
     for (const ReceivedAttempt& attempt : rig.attempts())
         keyed += attempt.options.find(",k=kk") != std::string::npos;
@@ -194,15 +198,15 @@
     "a client that expects 100 Continue gets it, and Connection: close ends the connection after the "
     "response") {
     ServiceRig rig;
-    const auto c = rig.client();
+    const auto client = rig.client();
     const std::string all = query("A", "Expect: 100-continue\r\nConnection: close\r\n");
     const std::size_t body = all.find("\r\n\r\n") + 4;
-    c->send(all.substr(0, body));
-    rig.run_until([&] { return c->received == "HTTP/1.1 100 Continue\r\n\r\n"; });
-    c->received.clear();
-    c->send(all.substr(body));
-    CHECK(rig.answer(*c) == std::pair(200, complete_response));
-    rig.run_until([&] { return c->ended; });
+    client->send(all.substr(0, body));
+    rig.run_until([&] { return client->received == "HTTP/1.1 100 Continue\r\n\r\n"; });
+    client->received.clear();
+    client->send(all.substr(body));
+    CHECK(rig.answer(*client) == std::pair(200, complete_response));
+    rig.run_until([&] { return client->ended; });
 }
 
 TEST_CASE("a malformed head gets status 400, closes the connection, and bytes after it are not served") {
@@ -210,10 +214,10 @@
          {"no request\r\n\r\n",
           "POST /part HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"}) {
         ServiceRig rig;
-        const auto c = rig.client();
-        c->send(head + query("A"));
-        CHECK(rig.answer(*c).first == 400);
-        rig.run_until([&] { return c->ended; });
+        const auto client = rig.client();
+        client->send(head + query("A"));
+        CHECK(rig.answer(*client).first == 400);
+        rig.run_until([&] { return client->ended; });
         CHECK(rig.attempts().empty());
     }
 }
@@ -221,10 +225,10 @@
 TEST_CASE("a client that disconnects ends its query, and its attempts are cancelled") {
     ServiceRig rig;
     for (auto& node : rig.nodes) node->on_attempt = nullptr;
-    const auto c = rig.client();
-    c->send(query("A"));
+    const auto client = rig.client();
+    client->send(query("A"));
     rig.run_until([&] { return rig.attempts().size() == 2; });
-    c->socket.close();
+    client->socket.close();
     rig.run_until(
         [&] { return rig.nodes[0]->cancelled_ids.size() + rig.nodes[1]->cancelled_ids.size() == 2; });
     // A late answer is ignored, and a next query with the same id is served as usual.
@@ -233,28 +237,28 @@
         node->on_attempt = [](const ReceivedAttempt& attempt) {
             DataNode::answer_attempt(attempt, "OK", "v" + attempt.id);
         };
-    const auto d = rig.client();
-    d->send(query("A"));
-    CHECK(rig.answer(*d) == std::pair(200, complete_response));
+    const auto second_client = rig.client();
+    second_client->send(query("A"));
+    CHECK(rig.answer(*second_client) == std::pair(200, complete_response));
 }
 
 TEST_CASE("a query succeeds although a node's connection breaks, is malformed or refuses an attempt") {
-    const int how = GENERATE(range(0, 5));
+    const int fault = GENERATE(range(0, 5));
     ServiceRig rig(4);
-    int seen = 0;  // only the second attempt fails, since two failures would end the query
+    int attempt_count = 0;  // only the second attempt fails, since two failures would end the query
     for (auto& node : rig.nodes)
         node->on_attempt = [&](const ReceivedAttempt& attempt) {
-            if (++seen != 2) return DataNode::answer_attempt(attempt, "OK", "v" + attempt.id);
-            if (how == 0) attempt.peer->reset();
-            if (how == 1) attempt.peer->send("\xff\xff\xff\xff");
-            if (how == 2) attempt.peer->send(frame('Z', "?") + frame('Y', attempt.id + " OK 1 -\nfalse"));
-            if (how == 3) attempt.peer->send(frame('N', "what is this"));
-            if (how == 4) DataNode::answer_attempt(attempt, "REJECTED", "");
+            if (++attempt_count != 2) return DataNode::answer_attempt(attempt, "OK", "v" + attempt.id);
+            if (fault == 0) attempt.peer->reset();
+            if (fault == 1) attempt.peer->send("\xff\xff\xff\xff");
+            if (fault == 2) attempt.peer->send(frame('Z', "?") + frame('Y', attempt.id + " OK 1 -\nfalse"));
+            if (fault == 3) attempt.peer->send(frame('N', "what is this"));
+            if (fault == 4) DataNode::answer_attempt(attempt, "REJECTED", "");
         };
-    if (how == 0) rig.nodes[3]->server.close();
-    const auto c = rig.client();
-    c->send(query("A"));
-    const auto [status, body] = rig.answer(*c);
+    if (fault == 0) rig.nodes[3]->server.close();
+    const auto client = rig.client();
+    client->send(query("A"));
+    const auto [status, body] = rig.answer(*client);
     CHECK(status == 200);
     CHECK(body == complete_response);
 }
@@ -266,9 +270,9 @@
         node->on_attempt = [&](const ReceivedAttempt& attempt) {
             DataNode::answer_attempt(attempt, "OK", value);
         };
-    const auto c = rig.client();
-    c->send(query("A"));
-    CHECK(rig.answer(*c).second.find("\"payload\":\"\\u0000\xc3\xa9\\\"\\\\\"") != std::string::npos);
+    const auto client = rig.client();
+    client->send(query("A"));
+    CHECK(rig.answer(*client).second.find("\"payload\":\"\\u0000\xc3\xa9\\\"\\\\\"") != std::string::npos);
 }
 
 TEST_CASE("a draining node gets no new attempts, and a truncated list leaves the last one in force") {
@@ -280,21 +284,21 @@
     rig.run_until([&] { return rig.discovery_polls.size() == 2; });  // the next poll follows at once
     CHECK(rig.discovery_polls[1].first.find("index=5&") != std::string::npos);
     CHECK(rig.discovery_polls[1].second == rig.discovery_polls[0].second);
-    const auto c = rig.client();
-    c->send(query("A"));
-    CHECK(rig.answer(*c) == std::pair(200, complete_response));
+    const auto client = rig.client();
+    client->send(query("A"));
+    CHECK(rig.answer(*client) == std::pair(200, complete_response));
     CHECK(rig.nodes[0]->attempts.empty());
     // The list is truncated, so a new connection polls for the full list.
     rig.discovery_polls[1].second->send(reply(R"({"generation":6,"reset":true,"inst)"));
     rig.run_until([&] { return rig.discovery_polls.size() == 3; });
     CHECK(rig.discovery_polls[2].first.find("GET /api/targets HTTP") == 0);
-    c->send(query("B"));
-    CHECK(rig.answer(*c).first == 200);
+    client->send(query("B"));
+    CHECK(rig.answer(*client).first == 200);
     rig.discovery_polls[2].second->send(
         reply(R"({"generation":7,"reset":true,"instances":[)" + rig.entry(0, "up") + "]}"));
     rig.run_until([&] { return rig.discovery_polls.size() == 4; });
-    c->send(query("C"));
-    CHECK(rig.answer(*c).first == 200);
+    client->send(query("C"));
+    CHECK(rig.answer(*client).first == 200);
     CHECK(rig.nodes[0]->attempts.size() == 2);
     // Discovery is polled again after a reset.
     rig.discovery_polls[3].second->reset();
@@ -308,8 +312,8 @@
     std::vector<ReceivedAttempt> unanswered;
     for (auto& node : rig.nodes)
         node->on_attempt = [&](const ReceivedAttempt& attempt) { unanswered.push_back(attempt); };
-    const auto c = rig.client();
-    c->send(query("A"));
+    const auto client = rig.client();
+    client->send(query("A"));
     rig.run_until([&] { return unanswered.size() == 2 && rig.discovery_polls.size() == 1; });
     rig.discovery_address = rig.other_discovery.address();
     std::raise(SIGHUP);
@@ -319,16 +323,16 @@
           0);  // its generations may differ, so the full list is polled
     CHECK(rig.discovery_polls[1].first.find("Host: " + rig.discovery_address) != std::string::npos);
     // Until the new address has answered, the poll in flight at the old one may still deliver a list.
-    const auto gone = [&](int n) {
-        return reply(R"({"generation":5,"reset":false,"instances":[)" + rig.entry(n, "draining") + "]}");
+    const auto draining_list = [&](int node) {
+        return reply(R"({"generation":5,"reset":false,"instances":[)" + rig.entry(node, "draining") + "]}");
     };
-    rig.discovery_polls[0].second->send(gone(0));
+    rig.discovery_polls[0].second->send(draining_list(0));
     rig.run_until([&] { return rig.discovery_polls[0].second->ended; });
     for (const ReceivedAttempt& attempt : unanswered)
         DataNode::answer_attempt(attempt, "OK", "v" + attempt.id);
-    CHECK(rig.answer(*c) == std::pair(200, complete_response));
+    CHECK(rig.answer(*client) == std::pair(200, complete_response));
     unanswered.clear();
-    c->send(query("B"));
+    client->send(query("B"));
     rig.run_until([&] { return unanswered.size() == 2; });
     CHECK(unanswered[0].peer == unanswered[1].peer);  // only node 1 is used
     rig.discovery_polls[1].second->send(
@@ -337,16 +341,16 @@
     CHECK(rig.discovery_polls[2].first.find("index=2&") != std::string::npos);
     for (const ReceivedAttempt& attempt : unanswered)
         DataNode::answer_attempt(attempt, "OK", "v" + attempt.id);
-    CHECK(rig.answer(*c).first == 200);
+    CHECK(rig.answer(*client).first == 200);
     unanswered.clear();
-    c->send(query("C"));
+    client->send(query("C"));
     rig.run_until([&] { return unanswered.size() == 2; });
     CHECK(rig.nodes[0]->attempts.size() >= 2);
     // An invalid configuration changes nothing. After a change back to the first address, the second one's
     // lists are ignored.
     rig.discovery_address = "nowhere";
     std::raise(SIGHUP);
-    rig.run_until([&] { return rig.reads == 4; });
+    rig.run_until([&] { return rig.config_reads == 4; });
     rig.discovery_address = rig.discovery.address();
     std::raise(SIGHUP);
     rig.run_until([&] { return rig.discovery_polls.size() == 4; });
@@ -355,7 +359,7 @@
     // SIGHUP works during shutdown as well.
     for (const ReceivedAttempt& attempt : unanswered)
         DataNode::answer_attempt(attempt, "OK", "v" + attempt.id);
-    rig.answer(*c);
+    rig.answer(*client);
     rig.service->begin_stop();
     rig.discovery_address = rig.other_discovery.address();
     std::raise(SIGHUP);
@@ -366,13 +370,13 @@
 
 TEST_CASE("without data nodes a query is rejected in time, and the router stays ready") {
     ServiceRig rig(0);
-    const auto c = rig.client();
+    const auto client = rig.client();
     const auto began = std::chrono::steady_clock::now();
-    c->send(query("A", "", 200));
-    CHECK(rig.answer(*c).first == 503);
+    client->send(query("A", "", 200));
+    CHECK(rig.answer(*client).first == 503);
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(250));
-    c->send("GET /-/ready HTTP/1.1\r\n\r\n");
-    CHECK(rig.answer(*c).first == 200);
+    client->send("GET /-/ready HTTP/1.1\r\n\r\n");
+    CHECK(rig.answer(*client).first == 200);
 }
 
 TEST_CASE(
@@ -431,7 +435,7 @@
         CHECK(rig.answer(*clients.back()).first == 200);
     }
     int ended = 0;
-    for (const auto& c : clients) ended += c->ended;
+    for (const auto& client : clients) ended += client->ended;
     CHECK(ended >= 17);
     CHECK_FALSE(clients.back()->ended);
 }
@@ -452,7 +456,7 @@
     }
     void end(Handle attempt) {
         in_flight.erase(attempt.slot);
-        for (const Handle connection : used) pool->complete(connection, attempt);
+        for (const Handle connection : used_connections) pool->complete(connection, attempt);
     }
     bool on_phase_answer(Handle, const PhaseAnswer&) override { return false; }
     bool on_two_phase_refused(std::uint32_t) override { return false; }
@@ -462,7 +466,7 @@
     }
     std::set<std::uint32_t> in_flight;
     NodeConnectionPool* pool = nullptr;
-    std::vector<Handle> used;
+    std::vector<Handle> used_connections;
 };
 
 // A connection pool with at most three sockets, one fake data node and a simulated clock.
@@ -478,17 +482,17 @@
     FakeServer node{io, nullptr};
 
     static ConnectionConfig config_with(bool probing) {
-        ConnectionConfig t = read_connection_config(test::settings_text);
-        t.probing = probing;
-        return t;
+        ConnectionConfig settings = read_connection_config(test::settings_text);
+        settings.probing = probing;
+        return settings;
     }
-    Handle send(std::uint32_t to, std::uint32_t attempt, Nanos send_by = TimerQueue::never) {
+    Handle send(std::uint32_t node_id, std::uint32_t attempt, Nanos send_by = TimerQueue::never) {
         const auto text = std::make_shared<QueryText>(QueryText{"q" + std::to_string(attempt), "", "", ""});
         observer.pool = &pool;
         observer.in_flight.insert(attempt);
-        observer.used.push_back(pool.send(
-            to, node.address(), {{Handle{attempt, 1}, text, 0, now + 100 * test::ms, send_by}}, {}));
-        return observer.used.back();
+        observer.used_connections.push_back(pool.send(
+            node_id, node.address(), {{Handle{attempt, 1}, text, 0, now + 100 * test::ms, send_by}}, {}));
+        return observer.used_connections.back();
     }
     template <typename Happened>
     void run_until(Happened happened) {
@@ -545,10 +549,10 @@
     "a connection carries frames up to the limit, closes after the idle timeout, and closes when its node is "
     "retired") {
     PoolRig rig;
-    std::vector<Handle> pool;
-    for (std::uint32_t attempt = 0; attempt < 101; ++attempt) pool.push_back(rig.send(0, attempt));
-    CHECK(pool[99] == pool[0]);
-    CHECK_FALSE(pool[100] == pool[0]);  // the settings allow 100 frames in flight
+    std::vector<Handle> connections;
+    for (std::uint32_t attempt = 0; attempt < 101; ++attempt) connections.push_back(rig.send(0, attempt));
+    CHECK(connections[99] == connections[0]);
+    CHECK_FALSE(connections[100] == connections[0]);  // the settings allow 100 frames in flight
     CHECK(rig.pool.open() == 2);
     // A draining node gets no attempt that was not yet written.
     rig.pool.retire(0, true);
@@ -556,12 +560,12 @@
     for (const auto& [attempt, outcome] : rig.observer.lost) CHECK(outcome == Outcome::not_sent);
     rig.run_until([&] { return rig.pool.open() == 0; });
     // An idle connection is closed before the data node would close it, and is not used after that.
-    const Handle kept = rig.send(1, 200);
+    const Handle idle_connection = rig.send(1, 200);
     rig.run_until([&] { return !rig.node.peers.empty() && !rig.node.peers.back()->received.empty(); });
     rig.observer.end(Handle{200, 1});
     rig.now += rig.config.idle_close - 1;
     rig.time.timers.fire_due(rig.now);
-    CHECK_FALSE(rig.send(1, 201) == kept);
+    CHECK_FALSE(rig.send(1, 201) == idle_connection);
     rig.run_until([&] { return rig.pool.open() == 1; });
     // Attempts of a connection that was not established in time have not run.
     rig.observer.lost.clear();
@@ -574,8 +578,9 @@
 
 namespace {
 
-std::string answer_frame(int attempt, const std::string& how = "OK 1 -\nv") {
-    return frame('Y', "q" + std::to_string(attempt) + ".0 " + how);
+// The answer to an attempt for shard 0; `rest` follows the attempt's id.
+std::string answer_frame(int attempt, const std::string& rest = "OK 1 -\nv") {
+    return frame('Y', "q" + std::to_string(attempt) + ".0 " + rest);
 }
 
 }  // namespace
@@ -595,15 +600,15 @@
     rig.node.peers[0]->send(answer_frame(2) + malformed);
     rig.run_until([&] { return rig.observer.in_flight.empty(); });
     CHECK(rig.observer.answered[0] == std::pair(Handle{2, 1}, Outcome::ok));
-    std::vector<Outcome> ends;
-    for (const auto* some : {&rig.observer.answered, &rig.observer.lost})
-        for (const auto& [attempt, outcome] : *some) ends.push_back(outcome);
+    std::vector<Outcome> outcomes;
+    for (const auto* recorded : {&rig.observer.answered, &rig.observer.lost})
+        for (const auto& [attempt, outcome] : *recorded) outcomes.push_back(outcome);
     using enum Outcome;
-    CHECK(ends == std::vector{ok, error, cancelled, cancelled});
+    CHECK(outcomes == std::vector{ok, error, cancelled, cancelled});
     rig.run_until([&] { return rig.node.peers[0]->ended; });
 }
 
-TEST_CASE("malformed bytes after a good answer fail no other attempt, and late answers are ignored") {
+TEST_CASE("malformed bytes after a valid answer fail no other attempt, and late answers are ignored") {
     PoolRig rig;
     const Handle connection = rig.send(0, 1);
     CHECK(rig.send(0, 2) == connection);
@@ -716,7 +721,7 @@
     rig.time.timers.fire_due(rig.now);
     CHECK(rig.observer.lost == std::vector{std::pair(Handle{1, 1}, Outcome::error)});
     // A frame that is completed in time is valid, and its connection is used again.
-    const Handle second = rig.observer.used[1];
+    const Handle second = rig.observer.used_connections[1];
     rig.node.peers[1]->send(answer_frame(2).substr(0, 12));
     rig.run_until([&] { return rig.time.timers.size() == 1; });
     rig.node.peers[1]->send(answer_frame(2).substr(12));
@@ -735,8 +740,8 @@
 
     void on_request(Handle client, Request& request, Nanos began) override {
         request_paths.push_back(request.path);
-        last_began = began;
-        last = client;
+        last_began_at = began;
+        last_client = client;
         if (request.path == "/held") return;
         server.answer(client, {200, "{}", 0});
     }
@@ -756,8 +761,8 @@
     EventClock time{now};
     HttpServer server;
     std::vector<std::string> request_paths;
-    Nanos last_began = 0;
-    Handle last;
+    Nanos last_began_at = 0;
+    Handle last_client;
     int disconnects = 0;
 };
 
@@ -769,43 +774,43 @@
 TEST_CASE("a client that stalls in the middle of a request gets status 408 within 3 s of connecting") {
     // Guards against clients that are silent at first and then send an endless head slowly.
     HttpServerRig rig(5);
-    const auto c = rig.client("");
+    const auto client = rig.client("");
     rig.run_until([&] { return rig.server.open() == 1; });
     rig.now += 1900 * test::ms;
-    c->send(incomplete_request);
+    client->send(incomplete_request);
     const Nanos silent_until = rig.time.timers.next();
     rig.run_until([&] { return rig.time.timers.next() != silent_until; });
     CHECK(rig.time.timers.next() < rig.now + 1100 * test::ms);
     rig.now = rig.time.timers.next() - 1;
     rig.time.timers.fire_due(rig.now);
     rig.io.poll();
-    CHECK(c->received.empty());
+    CHECK(client->received.empty());
     rig.now += 1;
     rig.time.timers.fire_due(rig.now);
-    rig.run_until([&] { return c->ended; });
-    CHECK(c->received.find("HTTP/1.1 408 ") == 0);
+    rig.run_until([&] { return client->ended; });
+    CHECK(client->received.find("HTTP/1.1 408 ") == 0);
     CHECK(rig.request_paths.empty());
 }
 
 TEST_CASE(
     "after a stall a request's time counts from its arrival, but not from before the previous response") {
     HttpServerRig rig(3);
-    const auto kept = rig.client(get_request);
-    rig.run_until([&] { return !kept->received.empty(); });
-    CHECK(rig.last_began == rig.now);
+    const auto client = rig.client(get_request);
+    rig.run_until([&] { return !client->received.empty(); });
+    CHECK(rig.last_began_at == rig.now);
     const Nanos stall = rig.now + 200 * test::ms;
     rig.now += 900 * test::ms;
     rig.time.wake_deadline = stall;
-    kept->received.clear();
-    kept->send(get_request);
-    rig.run_until([&] { return !kept->received.empty(); });
-    CHECK(rig.last_began == stall);
-    kept->send(get_request);
+    client->received.clear();
+    client->send(get_request);
+    rig.run_until([&] { return !client->received.empty(); });
+    CHECK(rig.last_began_at == stall);
+    client->send(get_request);
     rig.run_until([&] { return rig.request_paths.size() == 3; });
-    CHECK(rig.last_began == rig.now);
-    const auto fresh = rig.client(get_request);  // it waited in the backlog
+    CHECK(rig.last_began_at == rig.now);
+    const auto backlog_client = rig.client(get_request);  // it waited in the backlog
     rig.run_until([&] { return rig.request_paths.size() == 4; });
-    CHECK(rig.last_began == stall);
+    CHECK(rig.last_began_at == stall);
 }
 
 TEST_CASE(
@@ -824,7 +829,7 @@
     rig.now += 1;
     rig.time.timers.fire_due(rig.now);
     rig.run_until([&] { return silent->ended && served->ended; });
-    for (const auto& c : {silent, served}) c->socket.close();
+    for (const auto& client : {silent, served}) client->socket.close();
     rig.run_until([&] { return rig.server.open() == 1; });
     CHECK(rig.disconnects == 0);
 }
@@ -841,15 +846,15 @@
     // A silent client is evicted first, then one that was served, then one in the middle of a request.
     const auto idle_client = rig.client(get_request);
     rig.run_until([&] { return !idle_client->received.empty() && silent->ended; });
-    const auto more = rig.client(get_request);
-    rig.run_until([&] { return !more->received.empty() && idle_client->ended; });
+    const auto next_client = rig.client(get_request);
+    rig.run_until([&] { return !next_client->received.empty() && idle_client->ended; });
     CHECK_FALSE(stalled->ended);
-    const auto other = rig.client("GET /held HTTP/1.1\r\n\r\n");
-    rig.run_until([&] { return rig.request_paths.size() == 4 && more->ended; });
-    const auto last = rig.client(get_request);
-    rig.run_until([&] { return !last->received.empty() && stalled->ended; });
+    const auto second_unanswered = rig.client("GET /held HTTP/1.1\r\n\r\n");
+    rig.run_until([&] { return rig.request_paths.size() == 4 && next_client->ended; });
+    const auto last_client = rig.client(get_request);
+    rig.run_until([&] { return !last_client->received.empty() && stalled->ended; });
     CHECK_FALSE(unanswered->ended);
-    CHECK_FALSE(other->ended);
+    CHECK_FALSE(second_unanswered->ended);
     CHECK(rig.disconnects == 0);
     unanswered->socket.close();
     rig.run_until([&] { return rig.disconnects == 1; });
@@ -860,7 +865,7 @@
     // request before it notices that.
     const bool stops = GENERATE(true, false);
     HttpServerRig rig(5);
-    const auto c = rig.client("");
+    const auto client = rig.client("");
     rig.run_until([&] { return rig.server.open() == 1; });
     if (stops) {
         rig.server.begin_stop();
@@ -868,24 +873,24 @@
         rig.now += 2000 * test::ms;
         rig.time.timers.fire_due(rig.now);
     }
-    c->send(get_request);
-    rig.run_until([&] { return c->ended; });
-    CHECK_FALSE(c->broken);
-    CHECK(c->received.empty());
+    client->send(get_request);
+    rig.run_until([&] { return client->ended; });
+    CHECK_FALSE(client->broken);
+    CHECK(client->received.empty());
     boost::system::error_code reset;  // the first request would have caused it if the server had not lingered
-    boost::asio::write(c->socket, boost::asio::buffer(get_request), reset);
+    boost::asio::write(client->socket, boost::asio::buffer(get_request), reset);
     CHECK_FALSE(reset);
-    c->socket.close();
+    client->socket.close();
     rig.run_until([&] { return rig.server.open() == 0; });
     CHECK(rig.request_paths.empty());
 }
 
 TEST_CASE("an idle client that never closes its side is disconnected one second after the half-close") {
     HttpServerRig rig(5);
-    const auto c = rig.client("");
+    const auto client = rig.client("");
     rig.run_until([&] { return rig.server.open() == 1; });
     rig.server.begin_stop();
-    rig.run_until([&] { return c->ended; });
+    rig.run_until([&] { return client->ended; });
     CHECK(rig.server.open() == 1);
     rig.now += 1000 * test::ms;
     rig.time.timers.fire_due(rig.now);
@@ -899,34 +904,34 @@
     boost::asio::ip::tcp::socket socket(rig.io);
     socket.connect({boost::asio::ip::address_v4::loopback(), rig.server.port()});
     // It does not read yet.
-    const auto c = std::make_shared<TestConnection>(std::move(socket), TestConnection::OnChange());
-    c->send("GET /held HTTP/1.1\r\n\r\n");
+    const auto client = std::make_shared<TestConnection>(std::move(socket), TestConnection::OnChange());
+    client->send("GET /held HTTP/1.1\r\n\r\n");
     rig.run_until([&] { return rig.request_paths.size() == 1; });
     rig.server.begin_stop();
     const std::string body(60'000, 'b');
-    rig.server.answer(rig.last, {200, body});
+    rig.server.answer(rig.last_client, {200, body});
     rig.run_until([&] {
         return rig.time.timers.next() == rig.now + 1000 * test::ms;
     });  // the server has half-closed the connection
     rig.now += 1000 * test::ms;
     rig.time.timers.fire_due(rig.now);
     rig.run_until([&] { return rig.server.open() == 0; });
-    c->read();
-    rig.run_until([&] { return c->ended; });
-    CHECK_FALSE(c->broken);
-    CHECK(c->received.size() > body.size());
-    CHECK(c->received.substr(c->received.size() - body.size()) == body);
+    client->read();
+    rig.run_until([&] { return client->ended; });
+    CHECK_FALSE(client->broken);
+    CHECK(client->received.size() > body.size());
+    CHECK(client->received.substr(client->received.size() - body.size()) == body);
 }
 
 TEST_CASE("the disconnect of a client is noticed after all the bytes that it sent") {
     HttpServerRig rig(5);
-    const auto c = rig.client("GET /held HTTP/1.1\r\n\r\n");
+    const auto client = rig.client("GET /held HTTP/1.1\r\n\r\n");
     rig.run_until([&] { return rig.request_paths.size() == 1; });
     for (int i = 0; i < 64; ++i) {  // far more bytes than are kept of further requests
-        c->send(std::string(8192, 'x'));
+        client->send(std::string(8192, 'x'));
         rig.io.poll();
     }
-    c->socket.close();
+    client->socket.close();
     rig.run_until([&] { return rig.disconnects == 1; });
 }
 
@@ -934,112 +939,113 @@
     "a client that sends more than is kept of further requests gets one response, which closes the "
     "connection") {
     HttpServerRig rig(5);
-    const auto c = rig.client("GET /held HTTP/1.1\r\n\r\n");
+    const auto client = rig.client("GET /held HTTP/1.1\r\n\r\n");
     rig.run_until([&] { return rig.request_paths.size() == 1; });
     for (int i = 0; i < 16; ++i) {
-        c->send(get_request + std::string(8192, ' '));
+        client->send(get_request + std::string(8192, ' '));
         rig.io.poll();
     }
-    rig.server.answer(rig.last, {200, "yes"});
-    rig.run_until([&] { return c->ended; });
-    CHECK(c->received.find("Connection: close") != std::string::npos);
-    CHECK(c->received.find("\r\n\r\nyes") != std::string::npos);
+    rig.server.answer(rig.last_client, {200, "yes"});
+    rig.run_until([&] { return client->ended; });
+    CHECK(client->received.find("Connection: close") != std::string::npos);
+    CHECK(client->received.find("\r\n\r\nyes") != std::string::npos);
     CHECK(rig.request_paths.size() == 1);
 }
 
 TEST_CASE("after the last response no more bytes are read than one request may have") {
     // Guards against clients that keep sending the body of a request that was rejected by its head.
     HttpServerRig rig(5);
-    const auto c = rig.client("POST /x HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
-    rig.run_until([&] { return c->received.find("HTTP/1.1 413 ") == 0; });
+    const auto client = rig.client("POST /x HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
+    rig.run_until([&] { return client->received.find("HTTP/1.1 413 ") == 0; });
     const std::string more(max_head_bytes + max_body_bytes + 1, 'x');
-    boost::asio::async_write(c->socket, boost::asio::buffer(more), [](auto, auto) {});
+    boost::asio::async_write(client->socket, boost::asio::buffer(more), [](auto, auto) {});
     rig.run_until([&] { return rig.server.open() == 0; });
     CHECK(rig.request_paths.empty());
 }
 
 TEST_CASE("the time of a request that arrives while another is in progress counts from its arrival") {
     HttpServerRig rig(5);
-    const auto c = rig.client("GET /held HTTP/1.1\r\n\r\n");
+    const auto client = rig.client("GET /held HTTP/1.1\r\n\r\n");
     rig.run_until([&] { return rig.request_paths.size() == 1; });
-    const Nanos came = rig.now;
-    c->send(get_request);
+    const Nanos arrived_at = rig.now;
+    client->send(get_request);
     REQUIRE(rig.io.run_one_for(std::chrono::seconds(20)) == 1);  // reads it
     rig.now += 300 * test::ms;
-    rig.server.answer(rig.last, {200, "{}", 0});
+    rig.server.answer(rig.last_client, {200, "{}", 0});
     rig.run_until([&] { return rig.request_paths.size() == 2; });
-    CHECK(rig.last_began == came);
+    CHECK(rig.last_began_at == arrived_at);
 }
 
 TEST_CASE("an invalid startup configuration gives an error that names the member") {
-    const auto fails = [](const std::string& text, const std::string& words) {
-        CHECK_THROWS_WITH(read_startup_config(text), Catch::Contains(words));
+    const auto expect_error = [](const std::string& text, const std::string& message) {
+        CHECK_THROWS_WITH(read_startup_config(text), Catch::Contains(message));
     };
-    const std::string good =
+    const std::string valid_config =
         R"({"name":"r","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"00ff","limits":{"sockets":64},"settings":)" +
         test::settings_text + "}";
-    CHECK_NOTHROW(read_startup_config(good));
-    const auto without = [&](const std::string& what, const std::string& with) {
-        std::string text = good;
-        return text.replace(text.find(what), what.size(), with);
+    CHECK_NOTHROW(read_startup_config(valid_config));
+    const auto config_with = [&](const std::string& original, const std::string& replacement) {
+        std::string text = valid_config;
+        return text.replace(text.find(original), original.size(), replacement);
     };
-    fails("{", "not JSON");
-    fails("[]", "lacks 'name'");
-    fails(without("127.0.0.1:1", "127.0.0.1"),
-          "'listen' in the configuration is \"127.0.0.1\"; expected HOST:PORT");
-    fails(without("00ff", "xyz"), "'seed' in the configuration is \"xyz\"; expected a hexadecimal number");
-    fails(without("\"limits\":{\"sockets\":64}", "\"limits\":{}"), "lacks 'sockets'");
-    fails(without("\"limits\":{\"sockets\":64}", "\"limits\":{\"sockets\":63}"),
-          "'limits.sockets' in the configuration is 63; expected an integer of at least 64");
-    fails(without("\"extra\"", "\"other\""), "setting 'extra' is missing");
-    fails(without("\"connect_timeout\"", "\"other\""), "setting 'connect_timeout' is missing");
+    expect_error("{", "not JSON");
+    expect_error("[]", "lacks 'name'");
+    expect_error(config_with("127.0.0.1:1", "127.0.0.1"),
+                 "'listen' in the configuration is \"127.0.0.1\"; expected HOST:PORT");
+    expect_error(config_with("00ff", "xyz"),
+                 "'seed' in the configuration is \"xyz\"; expected a hexadecimal number");
+    expect_error(config_with("\"limits\":{\"sockets\":64}", "\"limits\":{}"), "lacks 'sockets'");
+    expect_error(config_with("\"limits\":{\"sockets\":64}", "\"limits\":{\"sockets\":63}"),
+                 "'limits.sockets' in the configuration is 63; expected an integer of at least 64");
+    expect_error(config_with("\"extra\"", "\"other\""), "setting 'extra' is missing");
+    expect_error(config_with("\"connect_timeout\"", "\"other\""), "setting 'connect_timeout' is missing");
 }
 
 TEST_CASE(
     "with a migrated file and a call cost, both shard requests of a query go to one node in one frame") {
     const std::string old_file = "log { level = \"warn\" }\ntwo_phase \"gone\" { share = 0.2 }\n";
-    const OperatorFileMigration m = migrate(old_file, "old.hcl", test::settings_text);
-    REQUIRE(m.invalid_blocks.size() == 1);
-    const auto nodes_asked = [](const std::string& file) {
-        ServiceRig world(2, 256, file);
+    const OperatorFileMigration migration = migrate(old_file, "old.hcl", test::settings_text);
+    REQUIRE(migration.invalid_blocks.size() == 1);
+    const auto count_nodes_used = [](const std::string& file) {
+        ServiceRig rig(2, 256, file);
         std::set<std::string> nodes_by_query;
         for (int i = 0; i < 6; ++i) {
-            const std::size_t before = world.attempts().size();
-            auto client = world.client();
+            const std::size_t before = rig.attempts().size();
+            auto client = rig.client();
             client->send(query("q" + std::to_string(i)));
-            world.run_until([&] { return world.attempts().size() >= before + 2; });
-            for (std::size_t n = 0; n < world.nodes.size(); ++n)
-                for (const ReceivedAttempt& attempt : world.nodes[n]->attempts)
+            rig.run_until([&] { return rig.attempts().size() >= before + 2; });
+            for (std::size_t node = 0; node < rig.nodes.size(); ++node)
+                for (const ReceivedAttempt& attempt : rig.nodes[node]->attempts)
                     if (attempt.id.rfind("q" + std::to_string(i) + ".", 0) == 0)
-                        nodes_by_query.insert(std::to_string(i) + ":" + std::to_string(n));
-            world.answer(*client);
+                        nodes_by_query.insert(std::to_string(i) + ":" + std::to_string(node));
+            rig.answer(*client);
         }
         return nodes_by_query.size();
     };
     // Each of the six queries has two shard requests. With a call cost each query uses one node; without it
     // some use two.
-    CHECK(nodes_asked(m.text + "calls {\n  parts = 2\n  cost = \"40ms\"\n}\n") == 6);
-    CHECK(nodes_asked(m.text) > 6);
+    CHECK(count_nodes_used(migration.text + "calls {\n  parts = 2\n  cost = \"40ms\"\n}\n") == 6);
+    CHECK(count_nodes_used(migration.text) > 6);
 }
 
 TEST_CASE(
     "a starting service makes no decision before it has the agent's list, and is ready once it has it") {
     // The query arrives before discovery's list, which drains a node of the older cached list.
     ServiceRig rig(2, 256, "", true);
-    const auto c = rig.client();
-    c->send("GET /-/ready HTTP/1.1\r\n\r\n");
-    CHECK(rig.answer(*c).first == 503);
-    c->send(query("A"));
+    const auto client = rig.client();
+    client->send("GET /-/ready HTTP/1.1\r\n\r\n");
+    CHECK(rig.answer(*client).first == 503);
+    client->send(query("A"));
     rig.run_until([&] { return rig.discovery_polls.size() == 1; });
     rig.run_until([&] {
         return rig.service->dispatcher().unfinished_count() == 3;
     });  // the query and its shard requests
     rig.discovery_polls[0].second->send(
         reply(R"({"generation":5,"reset":false,"instances":[)" + rig.entry(0, "draining") + "]}"));
-    CHECK(rig.answer(*c) == std::pair(200, complete_response));
+    CHECK(rig.answer(*client) == std::pair(200, complete_response));
     CHECK(rig.nodes[0]->attempts.empty());
-    c->send("GET /-/ready HTTP/1.1\r\n\r\n");
-    CHECK(rig.answer(*c).first == 200);
+    client->send("GET /-/ready HTTP/1.1\r\n\r\n");
+    CHECK(rig.answer(*client).first == 200);
 }
 
 TEST_CASE("with discovery silent, a starting service becomes ready within 5 s") {
@@ -1047,11 +1053,11 @@
     const auto began = std::chrono::steady_clock::now();
     rig.run_until([&] { return rig.service->dispatcher().begun(); });
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(5));
-    const auto c = rig.client();
-    c->send("GET /-/ready HTTP/1.1\r\n\r\n");
-    CHECK(rig.answer(*c).first == 200);
-    c->send(query("A"));
-    CHECK(rig.answer(*c) == std::pair(200, complete_response));
+    const auto client = rig.client();
+    client->send("GET /-/ready HTTP/1.1\r\n\r\n");
+    CHECK(rig.answer(*client).first == 200);
+    client->send(query("A"));
+    CHECK(rig.answer(*client) == std::pair(200, complete_response));
 }
 
 TEST_CASE("no attempt of a query is sent after its client disconnected, even if a pending connect succeeds") {
@@ -1063,15 +1069,16 @@
     server.open(loopback.protocol());
     server.bind(loopback);
     server.listen(0);  // the connects below fill the backlog, so the router's connect has to wait
-    std::vector<boost::asio::ip::tcp::socket> before;
+    std::vector<boost::asio::ip::tcp::socket> backlog_sockets;
     for (int i = 0; i < 3; ++i)
-        before.emplace_back(rig.io).async_connect(server.local_endpoint(), [](auto) {});
-    auto moved = rig.entry(0, "up");
+        backlog_sockets.emplace_back(rig.io).async_connect(server.local_endpoint(), [](auto) {});
+    auto moved_instance = rig.entry(0, "up");
     const auto port = std::to_string(server.local_endpoint().port());
-    moved.replace(moved.find("127.0.0.1:"), rig.nodes[0]->server.address().size(), "127.0.0.1:" + port);
+    moved_instance.replace(moved_instance.find("127.0.0.1:"), rig.nodes[0]->server.address().size(),
+                           "127.0.0.1:" + port);
     rig.run_until([&] { return rig.discovery_polls.size() == 1; });
     rig.discovery_polls[0].second->send(
-        reply(R"({"generation":5,"reset":false,"instances":[)" + moved + "]}"));
+        reply(R"({"generation":5,"reset":false,"instances":[)" + moved_instance + "]}"));
     rig.run_until([&] { return rig.discovery_polls.size() == 2; });
     std::vector<ReceivedAttempt> unanswered;
     rig.nodes[1]->on_attempt = [&](const ReceivedAttempt& attempt) { unanswered.push_back(attempt); };
@@ -1082,13 +1089,13 @@
     departing_client->socket.close();
     DataNode::answer_attempt(unanswered[0], "ERROR", "");
     rig.run_until([&] { return rig.service->dispatcher().unfinished_count() == 0; });
-    std::vector<boost::asio::ip::tcp::socket> taken;
-    std::function<void()> take = [&] {
+    std::vector<boost::asio::ip::tcp::socket> accepted;
+    std::function<void()> accept_next = [&] {
         server.async_accept([&](auto ec, auto socket) {
-            if (!ec) taken.push_back(std::move(socket)), take();
+            if (!ec) accepted.push_back(std::move(socket)), accept_next();
         });
     };
-    take();
+    accept_next();
     // Another client's query times out in the meantime, which takes longer than the connect timeout.
     other->send(query("B", "", 600));
     CHECK(rig.answer(*other).first != 200);
@@ -1097,12 +1104,12 @@
     int calls_of_a = 0;
     for (const ReceivedAttempt& attempt : rig.nodes[1]->attempts) calls_of_a += attempt.id.find("A.") == 0;
     CHECK(calls_of_a == 1);
-    for (auto& socket : taken) {
+    for (auto& socket : accepted) {
         std::array<char, 512> bytes;
         boost::system::error_code ec;
         socket.non_blocking(true);
-        const std::size_t n = socket.read_some(boost::asio::buffer(bytes), ec);
-        CHECK(std::string_view(bytes.data(), n).find("A.") == std::string_view::npos);
+        const std::size_t length = socket.read_some(boost::asio::buffer(bytes), ec);
+        CHECK(std::string_view(bytes.data(), length).find("A.") == std::string_view::npos);
     }
     server.close();
     rig.io.poll();
@@ -1121,15 +1128,17 @@
     ServiceRig rig(2, 64);  // 32 descriptors are for clients
     rig.run_until([&] { return rig.discovery_polls.size() == 1; });
     // Without the watch's own connection.
-    const std::size_t before = open_descriptors() - rig.discovery.peers.size() - 1;
+    const std::size_t base_descriptors = open_descriptors() - rig.discovery.peers.size() - 1;
     rig.discovery_silent = true;
     rig.discovery_polls[0].second->reset();
     std::vector<std::shared_ptr<TestConnection>> idle;
     for (int i = 0; i < 48; ++i) idle.push_back(rig.client());
     rig.run_until([&] { return rig.discovery_polls.size() == 3; });  // two polls that were not answered
-    const auto ours = [&] { return open_descriptors() - before - idle.size() - rig.discovery.peers.size(); };
-    CHECK(ours() >= 32);
-    CHECK(ours() <= 64 - 16 + 2);
+    const auto router_descriptors = [&] {
+        return open_descriptors() - base_descriptors - idle.size() - rig.discovery.peers.size();
+    };
+    CHECK(router_descriptors() >= 32);
+    CHECK(router_descriptors() <= 64 - 16 + 2);
     rig.run_until([&] { return rig.discovery_polls.size() == 4; });
     rig.discovery_polls[3].second->send(
         reply(R"({"generation":6,"reset":false,"instances":[)" + rig.entry(0, "draining") + "]}"));
