--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "config/units.hpp"
+
 namespace tealcart {
 namespace {
 
@@ -116,20 +118,20 @@
 }
 
 ResourcePtr Controller::cluster(std::uint32_t pool, std::uint32_t limit) {
-    ResourcePtr& made = cluster_by_limit_[{pool, limit}];
-    if (made == nullptr) {
-        made = encoder_.cluster(pool, limit, format_version({decisions_.generation, epoch_, ++number_}));
+    ResourcePtr& encoded = cluster_by_limit_[{pool, limit}];
+    if (encoded == nullptr) {
+        encoded = encoder_.cluster(pool, limit, format_version({decisions_.generation, epoch_, ++number_}));
         ++encoded_;
     }
-    return made;
+    return encoded;
 }
 
 void Controller::update_clusters(Stream& stream) {
     const std::vector<std::uint32_t> due = limits_.allowed_limits(stream.proxy);
     for (std::uint32_t pool = 0; pool < due.size(); ++pool) {
-        ResourcePtr& held = stream.clusters[pool_names_[pool]];
-        if (held != nullptr && held->limit == due[pool]) continue;
-        held = cluster(pool, due[pool]);
+        ResourcePtr& sent = stream.clusters[pool_names_[pool]];
+        if (sent != nullptr && sent->limit == due[pool]) continue;
+        sent = cluster(pool, due[pool]);
         ++stream.clusters_changed;
     }
 }
@@ -247,9 +249,10 @@
         now_ < stream.opened_at + control_.yield_after) {
         if (!stream.waits_for_list)
             log_lines_.push_back("proxy " + stream.node + " has endpoint list " +
-                                 std::to_string(stream.state.known_generation()) +
-                                 " and this service has list " + std::to_string(decisions_.generation) +
-                                 ": it gets no older decisions for now");
+                                 std::to_string(stream.state.known_generation()) + ", newer than list " +
+                                 std::to_string(decisions_.generation) +
+                                 " of this service; it is sent no older decisions for up to " +
+                                 format_duration(control_.yield_after));
         stream.waits_for_list = true;
         wake(stream.opened_at + control_.yield_after);
         return std::nullopt;
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -92,7 +92,7 @@
     Nanos reallocate_at_ = INT64_MAX, now_ = 0;
     std::unordered_map<StreamId, Stream> streams_;
     std::unordered_map<std::string, StreamId> stream_by_node_;
-    // Kept during the grace period after a proxy has left.
+    // Retained during the grace period after a proxy has left.
     std::unordered_map<std::string, std::uint64_t> proxy_ids_;
     std::map<std::uint64_t, std::pair<Nanos, std::string>> departed_;
     std::array<Subscribers, xds_types> subscribers_;
--- a/src/control/decisions.cpp
+++ b/src/control/decisions.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 
 #include "config/host_port.hpp"
+#include "config/units.hpp"
 
 namespace tealcart {
 namespace {
@@ -24,7 +25,7 @@
     std::vector<Endpoint> entries_;
 };
 
-// Discards all decisions: the module gets endpoint lists and is asked for capacity shares, but it has no
+// Discards all decisions: the module gets endpoint lists and computes capacity shares, but it has no
 // queries here.
 class NullDecisionSink final : public DecisionSink {
   public:
@@ -110,9 +111,10 @@
     if (removed_ready > 0 && too_few) {
         if (panic_until_ == 0) {
             panic_until_ = now_ + control_.panic_hold;
-            log_lines_.push_back("list " + std::to_string(generation_) + " leaves " + std::to_string(left) +
-                                 " of " + std::to_string(max_in_window) +
-                                 " ready data nodes; its removals are not applied for now");
+            log_lines_.push_back("endpoint list " + std::to_string(generation_) + " leaves " +
+                                 std::to_string(left) + " of " + std::to_string(max_in_window) +
+                                 " ready data nodes; its removals are not applied for up to " +
+                                 format_duration(control_.panic_hold));
         }
         for (const std::string& id : removed) nodes_[id].missing_since = now_;
         return;
@@ -120,9 +122,9 @@
     for (const std::string& id : removed) nodes_.erase(id);
     if (panic_until_ == 0 || too_few) return;
     panic_until_ = 0;
-    log_lines_.push_back(
-        "list " + std::to_string(generation_) +
-        " has enough ready data nodes again, its removals are applied: " + std::to_string(left) + " ready");
+    log_lines_.push_back("endpoint list " + std::to_string(generation_) +
+                         " has enough ready data nodes again; the removals are applied and " +
+                         std::to_string(left) + " data nodes are ready");
     forget_missing();
 }
 
@@ -142,7 +144,8 @@
 void DecisionEngine::end_expired_panic() {
     if (panic_until_ == 0 || now_ < panic_until_) return;
     panic_until_ = 0;
-    log_lines_.push_back("the removed data nodes did not return, their removal is applied: " +
+    log_lines_.push_back("the removed data nodes did not return within " +
+                         format_duration(control_.panic_hold) + "; the removals are applied and " +
                          std::to_string(ready()) + " data nodes are ready");
     forget_missing();
     max_ready_.clear();
--- a/src/control/decisions.hpp
+++ b/src/control/decisions.hpp
@@ -44,7 +44,7 @@
     friend bool operator==(const QueryClassRoute&, const QueryClassRoute&) = default;
 };
 
-// What all proxies together are to be told.
+// What the resources of all proxies are derived from.
 struct Decisions {
     std::uint64_t generation = 0;  // of the endpoint list that they are based on
     std::vector<Pool> pools;       // by place
@@ -57,7 +57,7 @@
     DecisionEngine(const RouterConfig& config, const std::vector<std::string>& query_classes,
                    const ControlConfig& control, std::uint64_t seed);
 
-    // Applies an endpoint list from discovery. Log lines are kept until `take_log_lines`.
+    // Applies an endpoint list from discovery. Log lines are retained until `take_log_lines`.
     void apply_list(const EndpointList& list, Nanos now);
     // Returns the decisions at this time. A `now` that is before an earlier one counts as that earlier time.
     Decisions decide(Nanos now);
--- a/src/control/proxy_stream.cpp
+++ b/src/control/proxy_stream.cpp
@@ -57,7 +57,7 @@
     if (first) {
         if (const auto known = parse_version(request.version))
             known_generation_ = std::max(known_generation_, known->generation);
-        subscription.owes_response = is_sent_whole(type);
+        subscription.owes_response = requires_full_state(type);
     }
     if (!first && request.names == subscription.last_names) return;
     subscription.last_names = request.names;
@@ -65,8 +65,8 @@
     std::set<std::string> names(request.names.begin(), request.names.end());
     const bool has_wildcard = names.erase("*") > 0;
     // An empty list of names subscribes to everything, as long as no name was ever listed.
-    const bool wildcard =
-        has_wildcard || (is_sent_whole(type) && request.names.empty() && (first || subscription.wildcard));
+    const bool wildcard = has_wildcard || (requires_full_state(type) && request.names.empty() &&
+                                           (first || subscription.wildcard));
     if (names != subscription.names || wildcard != subscription.wildcard)
         std::erase_if(subscription.sent,
                       [&](const auto& entry) { return !wildcard && !names.contains(entry.first); });
@@ -82,7 +82,7 @@
                               bool first, SubscriptionChange& change) {
     if (first) {
         subscription.owes_response = true;
-        subscription.wildcard = is_sent_whole(type) && request.subscribe.empty();
+        subscription.wildcard = requires_full_state(type) && request.subscribe.empty();
         for (const auto& [name, version] : request.initial_versions) {
             if (const auto known = parse_version(version))
                 known_generation_ = std::max(known_generation_, known->generation);
@@ -264,7 +264,7 @@
         if (held_back) due.removed.clear();
         // A state-of-the-world stream can't remove single resources of these types, so they are only
         // forgotten.
-        if (!delta_ && !is_sent_whole(type) && due.updated.empty()) forget_removed(subscription, due);
+        if (!delta_ && !requires_full_state(type) && due.updated.empty()) forget_removed(subscription, due);
         if (due.empty() && !subscription.owes_response) {
             subscription.up_to_date = !held_back;
             subscription.checked_at_change = changed;
@@ -313,7 +313,7 @@
         subscription.in_flight_names.push_back(name);
         if (resource == nullptr)
             out.removed.push_back(name);
-        else if (delta_ || !is_sent_whole(type))
+        else if (delta_ || !requires_full_state(type))
             out.resources.push_back(resource);
     }
     for (const std::string& name : due.removed) {
@@ -325,7 +325,7 @@
     subscription.in_flight_names.erase(
         std::unique(subscription.in_flight_names.begin(), subscription.in_flight_names.end()),
         subscription.in_flight_names.end());
-    if (!delta_ && is_sent_whole(type)) {
+    if (!delta_ && requires_full_state(type)) {
         out.removed.clear();
         for (const auto& [name, sent] : subscription.sent)
             if (sent.resource != nullptr) out.resources.push_back(sent.resource);
--- a/src/control/proxy_stream.hpp
+++ b/src/control/proxy_stream.hpp
@@ -71,7 +71,7 @@
 
   private:
     struct SentResource {
-        std::string version;   // empty if the proxy was told that the resource doesn't exist
+        std::string version;   // empty if the proxy was notified that the resource doesn't exist
         ResourcePtr resource;  // null if only its version is known
     };
     // A proxy's subscription to the resources of one type.
@@ -103,7 +103,9 @@
 
     static std::size_t index(XdsType type) { return static_cast<std::size_t>(type); }
     // Returns whether a state-of-the-world response must contain all resources of the type.
-    static bool is_sent_whole(XdsType type) { return type == XdsType::cluster || type == XdsType::listener; }
+    static bool requires_full_state(XdsType type) {
+        return type == XdsType::cluster || type == XdsType::listener;
+    }
     void apply_state_of_world(Subscription& subscription, XdsType type, const ProxyRequest& request,
                               bool first, SubscriptionChange& names);
     void apply_delta(Subscription& subscription, XdsType type, const ProxyRequest& request, bool first,
--- a/src/xds/encode.cpp
+++ b/src/xds/encode.cpp
@@ -29,21 +29,21 @@
 ResourcePtr packed(const std::string& name, const std::string& version,
                    const google::protobuf::Message& message, std::uint32_t pool = 0,
                    std::uint32_t limit = 0) {
-    auto made = std::make_shared<XdsResource>();
-    made->name = name;
-    made->version = version;
-    made->pool = pool;
-    made->limit = limit;
-    envoy::service::discovery::v3::DiscoveryResponse whole;
-    whole.add_resources()->PackFrom(message);
-    made->state_of_world = whole.SerializeAsString();
+    auto encoded = std::make_shared<XdsResource>();
+    encoded->name = name;
+    encoded->version = version;
+    encoded->pool = pool;
+    encoded->limit = limit;
+    envoy::service::discovery::v3::DiscoveryResponse state_of_world;
+    state_of_world.add_resources()->PackFrom(message);
+    encoded->state_of_world = state_of_world.SerializeAsString();
     envoy::service::discovery::v3::DeltaDiscoveryResponse delta;
     auto* resource = delta.add_resources();
     resource->set_name(name);
     resource->set_version(version);
     resource->mutable_resource()->PackFrom(message);
-    made->delta = delta.SerializeAsString();
-    return made;
+    encoded->delta = delta.SerializeAsString();
+    return encoded;
 }
 
 }  // namespace
--- a/src/xds/recorder.cpp
+++ b/src/xds/recorder.cpp
@@ -21,12 +21,12 @@
 using ReadEndpoints = std::shared_ptr<const std::pair<std::string, Recorder::Endpoints>>;
 
 ReadEndpoints read_endpoints(const std::string& bytes) {
-    constexpr std::size_t max_kept = 4096;
+    constexpr std::size_t max_cached = 4096;
     static std::mutex mutex;
-    static std::unordered_map<std::string, ReadEndpoints> kept;
+    static std::unordered_map<std::string, ReadEndpoints> cached;
     const std::lock_guard lock(mutex);
-    if (kept.size() >= max_kept) kept.clear();
-    ReadEndpoints& read = kept[bytes];
+    if (cached.size() >= max_cached) cached.clear();
+    ReadEndpoints& read = cached[bytes];
     if (read != nullptr) return read;
     envoy::config::endpoint::v3::ClusterLoadAssignment assignment;
     assignment.ParseFromString(bytes);
@@ -117,7 +117,7 @@
         state.updated_at = Clock::now();
         ++state.responses;
         for (auto node = partly_draining_.begin(); node != partly_draining_.end();) {
-            if (!gone_everywhere(*node)) {
+            if (!unserved_everywhere(*node)) {
                 ++node;
                 continue;
             }
@@ -157,7 +157,7 @@
                 state.unknown_references += !state.limits.contains(clusters.back());
             }
     }
-    bool gone_everywhere(const std::string& node) const {
+    bool unserved_everywhere(const std::string& node) const {
         return std::none_of(state.endpoints.begin(), state.endpoints.end(), [&node](const auto& cluster) {
             const auto found = cluster.second.find(node);
             return found != cluster.second.end() && !found->second.draining;
@@ -179,7 +179,7 @@
             stub->async()->DeltaAggregatedResources(&context, this);
         else
             stub->async()->StreamAggregatedResources(&context, this);
-        kept_ = shared_from_this();
+        self_reference_ = shared_from_this();
         {
             const std::lock_guard lock(mutex);
             subscribe(XdsType::cluster, {});
@@ -226,7 +226,7 @@
             state.ended = true;
             state.status = status.error_code();
             state.status_message = status.error_message();
-            self = std::move(kept_);
+            self = std::move(self_reference_);
             changed.notify_all();
         }
     }
@@ -290,7 +290,7 @@
     std::deque<Request> queue_;
     Response in_;
     bool first_ = true;
-    std::shared_ptr<Stream> kept_;  // keeps the stream alive while the transport may call it
+    std::shared_ptr<Stream> self_reference_;  // keeps the stream alive while the transport may call it
 };
 
 }  // namespace
@@ -339,9 +339,10 @@
     return stream_->state;
 }
 
-bool Recorder::wait_until(const std::function<bool(const State&)>& holds, std::chrono::milliseconds most) {
+bool Recorder::wait_until(const std::function<bool(const State&)>& condition,
+                          std::chrono::milliseconds timeout) {
     std::unique_lock lock(stream_->mutex);
-    return stream_->changed.wait_for(lock, most, [&] { return holds(stream_->state); });
+    return stream_->changed.wait_for(lock, timeout, [&] { return condition(stream_->state); });
 }
 
 Recorder::Clock::time_point Recorder::first_seen_draining(const std::string& node) const {
--- a/src/xds/recorder.hpp
+++ b/src/xds/recorder.hpp
@@ -78,10 +78,11 @@
     ~Recorder();
 
     State state() const;
-    // Waits until the condition holds; returns false if it doesn't within the time.
-    bool wait_until(const std::function<bool(const State&)>& holds,
-                    std::chrono::milliseconds most = std::chrono::seconds(10));
-    // Returns when the endpoint was first draining or gone in all clusters that had it, or time_point::max().
+    // Waits until the condition is true; returns false if it isn't within `timeout`.
+    bool wait_until(const std::function<bool(const State&)>& condition,
+                    std::chrono::milliseconds timeout = std::chrono::seconds(10));
+    // Returns when the endpoint was first draining or removed in all clusters that had it, or
+    // time_point::max().
     Clock::time_point first_seen_draining(const std::string& node) const;
     // Ends the stream like a lost connection.
     void cancel();
--- a/src/xds/server.cpp
+++ b/src/xds/server.cpp
@@ -35,10 +35,10 @@
 
 // Returns a slice over bytes of a resource, which it keeps alive as long as the transport needs it.
 grpc::Slice slice_of(const ResourcePtr& resource, const std::string& bytes) {
-    auto* kept = new ResourcePtr(resource);
+    auto* reference = new ResourcePtr(resource);
     return grpc::Slice(
         const_cast<char*>(bytes.data()), bytes.size(),
-        [](void* held) { delete static_cast<ResourcePtr*>(held); }, kept);
+        [](void* pointer) { delete static_cast<ResourcePtr*>(pointer); }, reference);
 }
 
 ByteBuffer serialize(const ProxyResponse& response, bool delta) {
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -126,13 +126,18 @@
     engine.apply_list(list_of(2, nodes), start + second);
     Decisions decisions = engine.decide(start + second);
     CHECK(engine.in_panic());
-    CHECK(engine.take_log_lines().size() == 1);
+    CHECK(engine.take_log_lines() ==
+          std::vector<std::string>{"endpoint list 2 leaves 0 of 4 ready data nodes; its removals are not "
+                                   "applied for up to 1m"});
     CHECK(find(decisions.pools[0], "n0")->state == EndpointState::draining);
     CHECK(find(decisions.pools[0], "n1")->state == EndpointState::healthy);
     SECTION("until most nodes are listed again") {
         engine.apply_list(list_of(3, {node(1, 1), node(2, 2)}), start + 2 * second);
         decisions = engine.decide(start + 2 * second);
         CHECK_FALSE(engine.in_panic());
+        CHECK(engine.take_log_lines() ==
+              std::vector<std::string>{"endpoint list 3 has enough ready data nodes again; the removals are "
+                                       "applied and 2 data nodes are ready"});
         CHECK(find(decisions.pools[3], "n3") == nullptr);
         CHECK(find(decisions.pools[1], "n1") != nullptr);
     }
@@ -140,7 +145,9 @@
         CHECK(find(engine.decide(start + second + 59 * second).pools[3], "n3") != nullptr);
         decisions = engine.decide(start + second + 61 * second);
         CHECK(find(decisions.pools[3], "n3") == nullptr);
-        CHECK(engine.take_log_lines().size() == 1);
+        CHECK(engine.take_log_lines() ==
+              std::vector<std::string>{"the removed data nodes did not return within 1m; the removals are "
+                                       "applied and 0 data nodes are ready"});
     }
 }
 
