--- a/src/config/control_config.hpp
+++ b/src/config/control_config.hpp
@@ -15,7 +15,7 @@
     // Requests that all proxies together may have in flight at a warm data node.
     int node_limit = 64;
     // A list that removes a larger share of a pool than this at once is distrusted. The share is measured
-    // against the largest size of the pool within panic_window, and the removed nodes are kept for
+    // against the largest size of the pool within panic_window, and the removed nodes are retained for
     // panic_hold.
     double panic_threshold = 0.5;
     Nanos panic_window = 10'000'000'000;
--- a/src/fleet_manager/fleet_manager.cpp
+++ b/src/fleet_manager/fleet_manager.cpp
@@ -24,9 +24,10 @@
 
 FleetManager::FleetManager(boost::asio::io_context& io, const FleetManagerConfig& config, std::uint64_t id,
                            const StartupConfig& startup, Nanos clock_error)
-    : signals_(io, SIGTERM, SIGINT), config_(config), id_(id), turn_(io, time_), endpoints_(startup.config),
-      state_(config_, endpoints_), server_(io, time_, *this, max_clients, client_stall,
-                                           config.takes_changes ? max_change_body : max_body_bytes),
+    : signals_(io, SIGTERM, SIGINT), config_(config), id_(id), event_loop_(io, time_),
+      endpoints_(startup.config), state_(config_, endpoints_),
+      server_(io, time_, *this, max_clients, client_stall,
+              config.takes_changes ? max_change_body : max_body_bytes),
       discovery_(io, time_, *this, startup.discovery, startup.config.discovery,
                  static_cast<std::uint32_t>(startup.config.places), startup.seed,
                  startup.endpoint_list_limit),
@@ -52,7 +53,7 @@
     Nanos max_sleep = 0;
     while (!stopping_) {
         const Nanos sleep = std::min(max_sleep, leader_duties_.tick_interval());
-        turn_.run_once(std::min(time_.timers.next(), time_.now() + sleep));
+        event_loop_.run_once(std::min(time_.timers.next(), time_.now() + sleep));
         leader_duties_.run();
         max_sleep = raft_.run_ready_events();
         members_.answer_waiting();
--- a/src/fleet_manager/fleet_manager.hpp
+++ b/src/fleet_manager/fleet_manager.hpp
@@ -62,7 +62,7 @@
     const FleetManagerConfig config_;
     const std::uint64_t id_;
     EventClock time_;
-    EventLoop turn_;
+    EventLoop event_loop_;
     EndpointView endpoints_;
     ReplicatedState state_;
     HttpServer server_;
--- a/src/members/config_overlay.cpp
+++ b/src/members/config_overlay.cpp
@@ -18,10 +18,10 @@
     HclBlock& block = root.blocks.emplace_back(parse_hcl(value, key));
     block.type = type;
     if (dot != std::string::npos) block.labels = {key.substr(dot + 1)};
-    const OperatorConfig stated = read_operator_config(root, key);
-    if (type == "log") settings.log = stated.log;
+    const OperatorConfig parsed = read_operator_config(root, key);
+    if (type == "log") settings.log = parsed.log;
     std::vector<HclError> errors;
-    for (const TwoPhaseBlock& phases : stated.phases)
+    for (const TwoPhaseBlock& phases : parsed.phases)
         if (const auto query_class = two_phase_query_class(phases, config_, query_classes_, errors))
             settings.phases[*query_class] = phases.config;
     if (!errors.empty()) throw HclErrors(key, std::move(errors));
--- a/src/relay/delta_history.hpp
+++ b/src/relay/delta_history.hpp
@@ -14,7 +14,7 @@
 // The size of the delta's keys and values in bytes.
 std::size_t size_of(const changes::Delta& delta);
 
-// Keeps a bounded number of consecutive deltas.
+// Retains a bounded number of consecutive deltas.
 class DeltaHistory {
   public:
     // The oldest deltas are dropped when there are more deltas or bytes than this.
@@ -25,9 +25,9 @@
     void append(changes::Delta delta);
     // Drops all deltas, as the copy was replaced by pages.
     void clear();
-    // Merges the deltas that lead from this version to the latest one; nullopt if some of them are not kept.
-    // The result may begin earlier, which is safe as a delta states the values of entries and not their
-    // differences.
+    // Merges the deltas that lead from this version to the latest one; nullopt if some of them are not
+    // retained. The result may begin earlier, which is safe as a delta states the values of entries and not
+    // their differences.
     std::optional<changes::Delta> since(std::uint64_t version) const;
 
   private:
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -35,7 +35,7 @@
 }  // namespace
 
 Relay::Relay(boost::asio::io_context& io, const RelayConfig& config, std::uint64_t seed)
-    : signals_(io, SIGTERM, SIGINT), config_(config), turn_(io, time_), incarnation_(start_time()),
+    : signals_(io, SIGTERM, SIGINT), config_(config), event_loop_(io, time_), incarnation_(start_time()),
       reports_(config.name, config.zone, incarnation_, config.max_followers, max_exceptions),
       documents_(config.page_bytes, config.pages_a_second, time_.now()),
       server_(io, time_, *this, config.max_followers + spare_clients, client_stall),
@@ -52,7 +52,8 @@
 
 void Relay::run() {
     while (!stopping_ && superseded_reason_.empty()) {
-        turn_.run_once(std::min({time_.timers.next(), time_.now() + max_sleep, followers_.next_deadline()}));
+        event_loop_.run_once(
+            std::min({time_.timers.next(), time_.now() + max_sleep, followers_.next_deadline()}));
         observe_lease();
         followers_.answer_waiting();
     }
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -48,7 +48,7 @@
     boost::asio::signal_set signals_;
     const RelayConfig config_;
     EventClock time_;
-    EventLoop turn_;
+    EventLoop event_loop_;
     std::uint64_t incarnation_;
     changes::ReportAggregator reports_;
     DocumentSource documents_;
--- a/src/service/attempt_dispatcher.cpp
+++ b/src/service/attempt_dispatcher.cpp
@@ -163,7 +163,7 @@
     Query& query = *queries_.find(ended.query);
     ShardRequest& shard_request = query.shard_requests[ended.shard_request];
     if (outcome == Outcome::ok && !shard_request.answered && !query.ended &&
-        !keep_value(query, shard_request, value))
+        !store_value(query, shard_request, value))
         outcome = Outcome::error;
     events_.push(
         AttemptResult{shard_request.id, ended.node, ended.number, outcome, clock_.now() - ended.sent_at});
@@ -172,7 +172,7 @@
 }
 
 // Stores the value of a shard request. Returns false if the response can't hold it.
-bool AttemptDispatcher::keep_value(Query& query, ShardRequest& shard_request, std::string_view value) {
+bool AttemptDispatcher::store_value(Query& query, ShardRequest& shard_request, std::string_view value) {
     if (query.value_bytes + value.size() > max_body_bytes) return false;
     query.value_bytes += value.size();
     shard_request.value = value;
--- a/src/service/attempt_dispatcher.hpp
+++ b/src/service/attempt_dispatcher.hpp
@@ -58,7 +58,7 @@
     void end(Handle handle, Outcome outcome, std::string_view value = {});
 
     std::size_t in_flight() const { return attempts_.size(); }
-    // Returns whether an attempt is in flight to a node for which `matches(node)` holds.
+    // Returns whether an attempt is in flight to a node for which `matches(node)` is true.
     template <typename Predicate>
     bool any_in_flight_to(Predicate matches) const {
         bool any = false;
@@ -83,7 +83,7 @@
     AttemptMessage make_message(Handle handle, const Attempt& attempt, Nanos attempts_until) const;
     Nanos send_by(const Query& query, const ShardRequest& shard_request, const Attempt& attempt,
                   Nanos attempts_until) const;
-    bool keep_value(Query& query, ShardRequest& shard_request, std::string_view value);
+    bool store_value(Query& query, ShardRequest& shard_request, std::string_view value);
 
     EventClock& clock_;
     QueryTable& queries_;
--- a/src/service/event_queue.cpp
+++ b/src/service/event_queue.cpp
@@ -6,16 +6,16 @@
 
 void EventQueue::begin_round(Nanos now) {
     round_began_at_ = now;
-    playing_.clear();
-    std::swap(playing_, pending_);
+    delivering_.clear();
+    std::swap(delivering_, pending_);
 }
 
 void EventQueue::deliver(RoundEventHandler& handler) {
-    for (const RouterEvent& event : playing_) {
+    for (const RouterEvent& event : delivering_) {
         if (const auto* endpoints = std::get_if<EndpointsChanged>(&event))
             handler.on_endpoints(endpoints->kind, endpoints->entries);
         else if (const auto* arrived = std::get_if<QueryArrived>(&event))
-            play_query(handler, arrived->query);
+            deliver_query(handler, arrived->query);
         else if (const auto* result = std::get_if<AttemptResult>(&event))
             handler.on_attempt_result(*result);
         else if (const auto* disconnected = std::get_if<ClientDisconnected>(&event))
@@ -25,7 +25,7 @@
     }
 }
 
-void EventQueue::play_query(RoundEventHandler& handler, Handle handle) {
+void EventQueue::deliver_query(RoundEventHandler& handler, Handle handle) {
     Query* query = queries_.find(handle);
     // The client may have disconnected before the router learned of the query.
     if (query == nullptr || query->ended) return;
--- a/src/service/event_queue.hpp
+++ b/src/service/event_queue.hpp
@@ -31,7 +31,7 @@
 using RouterEvent =
     std::variant<EndpointsChanged, QueryArrived, AttemptResult, ClientDisconnected, RouterTimerFired>;
 
-// Plays the events of a round to the router.
+// Delivers the events of a round to the router.
 class EventQueue final : public RoundEvents {
   public:
     EventQueue(QueryTable& queries, Nanos round_interval)
@@ -40,18 +40,19 @@
     void push(RouterEvent event) { pending_.push_back(std::move(event)); }
     bool empty() const { return pending_.empty(); }
 
-    // Begins a round with the pending events. Events that arrive during the round are played in the next one.
+    // Begins a round with the pending events. Events that arrive during the round are delivered in the next
+    // one.
     void begin_round(Nanos now);
     Nanos round_began_at() const { return round_began_at_; }
     void deliver(RoundEventHandler& handler) override;
 
   private:
-    void play_query(RoundEventHandler& handler, Handle handle);
+    void deliver_query(RoundEventHandler& handler, Handle handle);
 
     QueryTable& queries_;
     const Nanos round_interval_;
     Nanos round_began_at_ = 0;
-    std::vector<RouterEvent> pending_, playing_;
+    std::vector<RouterEvent> pending_, delivering_;
 };
 
 }  // namespace tealcart
--- a/src/service/main.cpp
+++ b/src/service/main.cpp
@@ -59,8 +59,8 @@
         tealcart::StartupConfig startup = tealcart::read_startup_config_file(options.config);
         tealcart::apply_operator_config(startup, config);
     }
-    std::printf("%s is valid: %zu verticals in two phases%s\n", options.file.c_str(), config.phases.size(),
-                options.config.empty() ? "; not checked against a configuration" : "");
+    std::printf("%s is valid: %zu query classes in two phases%s\n", options.file.c_str(),
+                config.phases.size(), options.config.empty() ? "; not checked against a configuration" : "");
     return 0;
 }
 
@@ -81,12 +81,13 @@
     const tealcart::OperatorFileMigration migration =
         tealcart::migrate(read_file(options.file), options.file, config["settings"].dump());
     for (const std::string& line : migration.settings_summary)
-        std::fprintf(stderr, "stated: %s\n", line.c_str());
+        std::fprintf(stderr, "new deployment: %s\n", line.c_str());
     for (const tealcart::HclError& left : migration.invalid_blocks)
         std::fprintf(stderr, "%s:%zu:%zu: not carried over: %s\n", options.file.c_str(), left.position.line,
                      left.position.column, left.message.c_str());
     if (options.dry_run || options.to.empty()) return std::fputs(migration.text.c_str(), stdout) < 0;
-    if (std::filesystem::exists(options.to)) throw tealcart::ConfigError(options.to + " already exists");
+    if (std::filesystem::exists(options.to))
+        throw tealcart::ConfigError(options.to + " already exists; expected the path of a new file");
     std::ofstream out(options.to, std::ios::binary);
     if (!(out << migration.text) || !out.flush())
         throw tealcart::ConfigError("failed to write " + options.to);
--- a/src/service/query_dispatcher.cpp
+++ b/src/service/query_dispatcher.cpp
@@ -30,8 +30,9 @@
 
 void QueryDispatcher::set_serving_state(ServingStateSource source, const MemberServingState& state) {
     serving_states_[static_cast<std::size_t>(source)] = state;
-    const auto& [a, b] = serving_states_;
-    serving_state_ = {a.ready && b.ready, a.admits && b.admits, std::min(a.attempts_until, b.attempts_until)};
+    const auto& [agreement, configuration] = serving_states_;
+    serving_state_ = {agreement.ready && configuration.ready, agreement.admits && configuration.admits,
+                      std::min(agreement.attempts_until, configuration.attempts_until)};
 }
 
 void QueryDispatcher::observe_outcomes(OutcomeObserver* observer) {
@@ -78,8 +79,8 @@
     if (two_phase_.applies(query.query_class, query_request.body.criteria))
         return two_phase_.begin(handle, std::move(query_request.body), began);
     queries_.register_id(handle);
-    for (const QueryShardRequest& stated : query_request.body.shard_requests)
-        queries_.add_shard_request(handle, stated);
+    for (const QueryShardRequest& shard_request : query_request.body.shard_requests)
+        queries_.add_shard_request(handle, shard_request);
     events_.push(QueryArrived{handle});
 }
 
--- a/src/service/query_dispatcher.hpp
+++ b/src/service/query_dispatcher.hpp
@@ -1,5 +1,5 @@
 // Connects the sockets with the QueryRouter. It receives requests, answers of data nodes and endpoint lists,
-// plays them to the router once per round, and has the router's decisions carried out.
+// delivers them to the router once per round, and has the router's decisions carried out.
 #pragma once
 
 #include <array>
--- a/src/service/query_table.cpp
+++ b/src/service/query_table.cpp
@@ -21,13 +21,13 @@
     register_id(handle);
 }
 
-void QueryTable::add_shard_request(Handle handle, const QueryShardRequest& stated) {
+void QueryTable::add_shard_request(Handle handle, const QueryShardRequest& requested) {
     Query& query = *queries_.find(handle);
     ShardRequest& shard_request = query.shard_requests.emplace_back();
     shard_request.id = new_id();
-    shard_request.shard = stated.shard;
-    shard_request.weight = stated.weight;
-    shard_request.cost_hint = stated.hint;
+    shard_request.shard = requested.shard;
+    shard_request.weight = requested.weight;
+    shard_request.cost_hint = requested.hint;
     const auto index = static_cast<std::uint32_t>(query.shard_requests.size() - 1);
     shard_request_by_id_[shard_request.id] = {handle, index};
     ++active_;
--- a/src/service/query_table.hpp
+++ b/src/service/query_table.hpp
@@ -85,7 +85,7 @@
     void register_id(Handle handle) { by_id_[queries_.find(handle)->id] = handle; }
     // Assigns a two-phase query a new id for its next leg.
     void assign_new_id(Handle handle);
-    void add_shard_request(Handle handle, const QueryShardRequest& stated);
+    void add_shard_request(Handle handle, const QueryShardRequest& requested);
 
     Query* find(Handle handle) { return queries_.find(handle); }
     // Look up a query by its id at the router. They return null or no handle if the id is unknown;
--- a/src/service/startup_config.cpp
+++ b/src/service/startup_config.cpp
@@ -76,14 +76,14 @@
 }
 
 EndpointList read_cached_endpoints(const Json& known, const StartupConfig& startup) {
-    const std::string stated = known.dump();
-    if (stated.size() > startup.endpoint_list_limit.bytes) {
+    const std::string known_text = known.dump();
+    if (known_text.size() > startup.endpoint_list_limit.bytes) {
         log_line(
             "'known' in the configuration has %zu bytes, over the limit of %zu bytes (%s); it is ignored",
-            stated.size(), startup.endpoint_list_limit.bytes, startup.endpoint_list_limit.reason.c_str());
+            known_text.size(), startup.endpoint_list_limit.bytes, startup.endpoint_list_limit.reason.c_str());
         return {};
     }
-    auto list = read_endpoint_list(stated, static_cast<std::uint32_t>(startup.config.places));
+    auto list = read_endpoint_list(known_text, static_cast<std::uint32_t>(startup.config.places));
     if (!list) throw ConfigError("'known' in the configuration is not a list of data nodes");
     return std::move(*list);
 }
--- a/src/service/startup_config.hpp
+++ b/src/service/startup_config.hpp
@@ -18,7 +18,7 @@
     HostPort listen, discovery;
     std::uint64_t seed = 0;
     std::size_t max_descriptors = 0;  // file descriptors that the process may have open
-    std::size_t memory_bytes = 0;     // memory limit of the process; 0 if none is stated
+    std::size_t memory_bytes = 0;     // memory limit of the process; 0 if the configuration has none
     std::string settings_text;        // the settings as JSON
     RouterConfig config;
     ConnectionConfig connection_config;
--- a/src/service/two_phase_coordinator.cpp
+++ b/src/service/two_phase_coordinator.cpp
@@ -23,8 +23,8 @@
                                          AttemptDispatcher& attempts, QueryCompletion& completion,
                                          const StartupConfig& startup)
     : clock_(clock), queries_(queries), events_(events), attempts_(attempts), completion_(completion),
-      max_attempts_(startup.config.max_attempts), by_query_class_(startup.two_phase_configs),
-      may_be_used_(may_be_used(startup)), remembers_sections_(any_caches_filters(by_query_class_)),
+      max_attempts_(startup.config.max_attempts), configs_(startup.two_phase_configs),
+      may_be_used_(may_be_used(startup)), caches_filters_(any_caches_filters(configs_)),
       capability_(startup.config.places, startup.config.replicas_per_shard,
                   startup.operator_config.memory.distrust_duration),
       section_filter_cache_(startup.operator_config.memory,
@@ -35,9 +35,9 @@
 }
 
 void TwoPhaseCoordinator::set_config(std::vector<TwoPhaseConfig> by_query_class) {
-    by_query_class_ = std::move(by_query_class);
-    remembers_sections_ = any_caches_filters(by_query_class_);
-    if (!remembers_sections_) section_filter_cache_.clear();
+    configs_ = std::move(by_query_class);
+    caches_filters_ = any_caches_filters(configs_);
+    if (!caches_filters_) section_filter_cache_.clear();
 }
 
 void TwoPhaseCoordinator::begin(Handle handle, QueryBody body, Nanos began) {
@@ -47,12 +47,12 @@
     query.text = std::move(text);
     std::vector<double> weights;
     for (const QueryShardRequest& section : body.shard_requests) weights.push_back(section.weight);
-    query.two_phase = std::make_unique<TwoPhaseQuery>(
-        std::move(body.criteria), by_query_class_[query.query_class], max_attempts_, weights);
+    query.two_phase = std::make_unique<TwoPhaseQuery>(std::move(body.criteria), configs_[query.query_class],
+                                                      max_attempts_, weights);
     TwoPhaseQuery& two_phase = *query.two_phase;
     two_phase.sections = std::move(body.shard_requests);
     const Nanos now = clock_.now(), objective = began + latency_objective_[query.query_class];
-    const TwoPhaseStateMachine::SectionLookup outlook{
+    const TwoPhaseStateMachine::SectionLookup lookup{
         [&](std::uint32_t section) {
             return section_filter_cache_.excluded_by(two_phase.sections[section].shard, two_phase.keys, now);
         },
@@ -60,7 +60,7 @@
             return capability_.may_give_summary(two_phase.sections[section].shard, now);
         }};
     const Nanos useful_by = objective > now ? std::min(objective, query.deadline_at) : query.deadline_at;
-    const Leg leg = two_phase.machine.begin(now, useful_by, outlook);
+    const Leg leg = two_phase.machine.begin(now, useful_by, lookup);
     ++counters_.queries;
     counters_.sections += two_phase.sections.size();
     counters_.pruned_from_memory += two_phase.machine.coverage().pruned;
@@ -78,21 +78,21 @@
     query.announced = false;
     two_phase.first_phase_until = leg.until;
     two_phase.leg_begins = query.shard_requests.size();
-    for (const LegShardRequest& stated : leg.shard_requests) add_section(handle, leg, stated);
+    for (const LegShardRequest& leg_request : leg.shard_requests) add_section(handle, leg, leg_request);
     events_.push(QueryArrived{handle});
 }
 
-void TwoPhaseCoordinator::add_section(Handle handle, const Leg& leg, const LegShardRequest& stated) {
+void TwoPhaseCoordinator::add_section(Handle handle, const Leg& leg, const LegShardRequest& leg_request) {
     Query& query = *queries_.find(handle);
-    QueryShardRequest section = query.two_phase->sections[stated.section];
-    section.weight = stated.weight;
+    QueryShardRequest section = query.two_phase->sections[leg_request.section];
+    section.weight = leg_request.weight;
     queries_.add_shard_request(handle, section);
     ShardRequest& shard_request = query.shard_requests.back();
     shard_request.leg = query.two_phase->leg;
-    shard_request.section = stated.section;
+    shard_request.section = leg_request.section;
     shard_request.first_phase = leg.kind == Leg::summaries;
-    shard_request.answered_before = stated.answered;
-    shard_request.attempts_used = stated.attempts_used;
+    shard_request.answered_before = leg_request.answered;
+    shard_request.attempts_used = leg_request.attempts_used;
 }
 
 char TwoPhaseCoordinator::frame_type(const ShardRequest& shard_request, std::uint32_t node) const {
@@ -106,7 +106,7 @@
     return drawn < share * static_cast<double>(random_.max() - random_.min());
 }
 
-void TwoPhaseCoordinator::end_leg(std::uint32_t id, LegDecision verdict, Nanos retry_after) {
+void TwoPhaseCoordinator::end_leg(std::uint32_t id, LegDecision decision, Nanos retry_after) {
     const Handle handle = queries_.handle_of(id);
     Query& query = *queries_.find(handle);
     TwoPhaseQuery& two_phase = *query.two_phase;
@@ -123,7 +123,7 @@
     }
     const bool had_recheck = two_phase.machine.rechecked();
     const Leg leg = two_phase.machine.end_leg(
-        verdict, now, [&] { return audited(two_phase.machine.config().audit_share); });
+        decision, now, [&] { return audited(two_phase.machine.config().audit_share); });
     if (was_first) counters_.pruned += two_phase.machine.pruned_by_summary();
     if (two_phase.machine.rechecked() && !had_recheck) {
         ++counters_.rechecked;
@@ -145,13 +145,13 @@
         if (shard_request.answered && !shard_request.first_phase)
             body.add(shard_request.shard, shard_request.value);
     const Coverage covered = machine.coverage();
-    SectionCoverage stated{{covered.answered, covered.answered_weight},
-                           {covered.pruned, covered.pruned_weight},
-                           {covered.missing, covered.missing_weight},
-                           {}};
+    SectionCoverage coverage{{covered.answered, covered.answered_weight},
+                             {covered.pruned, covered.pruned_weight},
+                             {covered.missing, covered.missing_weight},
+                             {}};
     for (const std::uint32_t section : machine.missing())
-        stated.missing_shards.push_back(two_phase.sections[section].shard);
-    completion_.respond_with_results(query.id, body.finish(stated));
+        coverage.missing_shards.push_back(two_phase.sections[section].shard);
+    completion_.respond_with_results(query.id, body.finish(coverage));
 }
 
 // An answer belongs to the attempt that is in flight for its shard request and leg on the same connection. An
@@ -186,7 +186,7 @@
     const Nanos now = clock_.now();
     if (capability_.trusted(answered.node, now)) {
         query.two_phase->machine.on_summary(shard_request.section, answered.node, answer.summary);
-        if (remembers_sections_)
+        if (caches_filters_)
             section_filter_cache_.store(shard_request.shard, answered.node, answer.summary, answered.sent_at,
                                         now);
     }
--- a/src/service/two_phase_coordinator.hpp
+++ b/src/service/two_phase_coordinator.hpp
@@ -37,7 +37,7 @@
 
     // Sets the configurations, one for each query class, for queries that begin from now on.
     void set_config(std::vector<TwoPhaseConfig> by_query_class);
-    const TwoPhaseConfig& config(std::size_t query_class) const { return by_query_class_[query_class]; }
+    const TwoPhaseConfig& config(std::size_t query_class) const { return configs_[query_class]; }
     // Returns whether a query with these criteria is answered in two phases.
     bool applies(std::uint16_t query_class, const SearchCriteria& criteria) const {
         return criteria.rows > 0 && criteria.rows <= config(query_class).max_rows;
@@ -46,7 +46,7 @@
     // Begins a query of the table. `began` is the arrival time of its request's first byte.
     void begin(Handle handle, QueryBody body, Nanos began);
     // Ends the current leg of a query with the router's decision.
-    void end_leg(std::uint32_t id, LegDecision verdict, Nanos retry_after);
+    void end_leg(std::uint32_t id, LegDecision decision, Nanos retry_after);
 
     // Returns the frame type for an attempt of a two-phase query, or 0 if the node does not support the
     // frame.
@@ -63,7 +63,7 @@
 
   private:
     void begin_leg(Handle handle, const Leg& leg);
-    void add_section(Handle handle, const Leg& leg, const LegShardRequest& stated);
+    void add_section(Handle handle, const Leg& leg, const LegShardRequest& leg_request);
     void respond(const Query& query);
     bool audited(double share);
     // Process the answer to an attempt, which is a section's summary or its rows.
@@ -79,11 +79,11 @@
     QueryCompletion& completion_;
     const int max_attempts_;
     std::vector<Nanos> latency_objective_;  // by query class
-    std::vector<TwoPhaseConfig> by_query_class_;
+    std::vector<TwoPhaseConfig> configs_;   // by query class
     // Whether some query class uses two phases or may do so later, so that the nodes' capability must be
     // tracked.
     const bool may_be_used_;
-    bool remembers_sections_;  // whether some two-phase query class remembers summaries
+    bool caches_filters_;  // whether some two-phase query class caches section filters
     TwoPhaseCapability capability_;
     SectionFilterCache section_filter_cache_;
     TwoPhaseCounters counters_;
--- a/src/wire/node_connection_pool.cpp
+++ b/src/wire/node_connection_pool.cpp
@@ -142,7 +142,8 @@
     if (failure) return false;
     failure = connection.open(host);
     if (failure) {
-        log_line("failed to open a socket for a data node: %s", failure.message().c_str());
+        log_line("failed to open a socket for data node %u: %s", connection.node(),
+                 failure.message().c_str());
         return false;
     }
     ++open_sockets_;
