--- a/measure/leaf_times.cpp
+++ b/measure/leaf_times.cpp
@@ -125,7 +125,7 @@
         state.client = std::make_unique<Client>(
             io, service.port(), [&results, warm_up_queries, from = &state](ClientResponse response) {
                 from->busy = false;
-                results.failed += response.status != 200 || !response.whole;
+                results.failed += response.status != 200 || !response.complete;
                 if (++results.answered > warm_up_queries)
                     results.latencies_ms.push_back(
                         std::chrono::duration<double, std::milli>(Clock::now() - from->sent_at).count());
@@ -140,7 +140,7 @@
             for (int i = 0; i < shard_requests; ++i)
                 query.shards.push_back(static_cast<std::uint32_t>((results.sent * 7 + i) % shards));
             state.sent_at = Clock::now(), state.busy = true;
-            state.client->ask(query);
+            state.client->send(query);
         }
         service.turn();
     }
--- a/measure/two_phase.cpp
+++ b/measure/two_phase.cpp
@@ -104,19 +104,19 @@
         result.response_bytes += response.bytes;
         if (response.status != 200) return;
         ++result.answered;
-        result.complete += response.whole;
+        result.complete += response.complete;
         std::vector<std::uint32_t> covered;
         std::vector<std::uint32_t> missing = response.missing_shards;
         // A partial response in one phase names the shards that it has, not those that are missing.
-        if (!scenario.two_phase && !response.whole)
+        if (!scenario.two_phase && !response.complete)
             for (const std::uint32_t shard : slot.query.shards)
                 if (std::none_of(response.values.begin(), response.values.end(),
                                  [shard](const auto& value) { return value.first == shard; }))
                     missing.push_back(shard);
         for (const std::uint32_t shard : slot.query.shards)
             if (std::find(missing.begin(), missing.end(), shard) == missing.end()) covered.push_back(shard);
-        result.differing +=
-            response.rows(rows_per_query) != expected_rows(fleet.script().sections, covered, slot.query.find);
+        result.differing += response.rows(rows_per_query) !=
+                            expected_rows(fleet.script().sections, covered, slot.query.criteria);
     };
     for (ClientSlot& slot : slots)
         slot.client = std::make_unique<Client>(
@@ -131,11 +131,11 @@
             query.query_class = "part", query.id = "q" + std::to_string(++result.sent),
             query.deadline_ms = 2000;
             query.two_phase = scenario.two_phase;
-            query.find = {{scenario.term_of(result.sent)}, {}, rows_per_query};
+            query.criteria = {{scenario.term_of(result.sent)}, {}, rows_per_query};
             for (std::uint32_t shard = 0; shard < shards; ++shard) query.shards.push_back(shard);
             slot.sent_at = Clock::now();
             slot.busy = true;
-            slot.client->ask(query);
+            slot.client->send(query);
         }
         service.turn();
     }
@@ -252,7 +252,7 @@
         const HclBlock behaviour = parse_hcl(fault, "trouble");
         scenario.before_query = [behaviour](Fleet& fleet, int queries_sent) {
             if (queries_sent == 20)
-                for (const char* node : {"n0", "n4"}) fleet.play({0, node, behaviour, {}, 0});
+                for (const char* node : {"n0", "n4"}) fleet.apply({0, node, behaviour, {}, 0});
         };
         const ScenarioResult result = run_scenario(scenario);
         add_result(result);
--- a/src/testing/client.cpp
+++ b/src/testing/client.cpp
@@ -6,7 +6,7 @@
 
 using Json = nlohmann::json;
 
-std::string request_of(const ClientQuery& query) {
+std::string http_request_of(const ClientQuery& query) {
     Json body;
     const std::size_t count = query.shards.size();
     body["segments"] = Json::array();
@@ -14,11 +14,11 @@
         body["segments"].push_back(
             {{"segment", query.shards[i]},
              {"boost", query.weights.empty() ? 1.0 / static_cast<double>(count) : query.weights[i]}});
-    body["text"] = std::to_string(query.find.rows) + "\n" + write_search_criteria(query.find);
+    body["text"] = std::to_string(query.criteria.rows) + "\n" + write_search_criteria(query.criteria);
     if (query.two_phase) {
-        Json& find = body["find"] = {{"rows", query.find.rows}, {"terms", query.find.terms}};
+        Json& find = body["find"] = {{"rows", query.criteria.rows}, {"terms", query.criteria.terms}};
         find["ranges"] = Json::array();
-        for (const FieldRange& range : query.find.ranges)
+        for (const FieldRange& range : query.criteria.ranges)
             find["ranges"].push_back({{"field", range.field}, {"from", range.from}, {"to", range.to}});
     }
     const std::string text = body.dump();
@@ -35,13 +35,13 @@
     return top_rows(std::move(all), count);
 }
 
-ClientResponse read_answer(int status, const std::string& body) {
+ClientResponse read_response(int status, const std::string& body) {
     ClientResponse response;
     response.status = status;
     response.bytes = body.size();
     const Json parsed = Json::parse(body, nullptr, false);
     if (status != 200 || !parsed.is_object()) return response;
-    response.whole = parsed.value("all_in", false);
+    response.complete = parsed.value("all_in", false);
     for (const Json& match : parsed.value("matches", Json::array()))
         response.values.emplace_back(match.value("segment", 0U), match.value("payload", ""));
     const auto section_count = [&parsed](const char* name) {
@@ -56,29 +56,30 @@
     return response;
 }
 
-Client::Client(boost::asio::io_context& io, std::uint16_t port, std::function<void(ClientResponse)> done)
-    : reader_(std::make_shared<ResponseReader>(1 << 20)), done_(std::move(done)) {
+Client::Client(boost::asio::io_context& io, std::uint16_t port,
+               std::function<void(ClientResponse)> on_response)
+    : reader_(std::make_shared<ResponseReader>(1 << 20)), on_response_(std::move(on_response)) {
     boost::asio::ip::tcp::socket socket(io);
     socket.connect({boost::asio::ip::address_v4::loopback(), port});
     socket.set_option(boost::asio::ip::tcp::no_delay(true));
     connection_ =
         std::make_shared<Connection>(std::move(socket), [this, reader = reader_](Connection& connection) {
-            while (!connection.in.empty()) {
-                const ParseStatus reading = reader->feed(connection.in);
-                if (reading != ParseStatus::complete) return reading == ParseStatus::incomplete;
-                ClientResponse response = read_answer(reader->status(), reader->body());
+            while (!connection.received.empty()) {
+                const ParseStatus parse_status = reader->feed(connection.received);
+                if (parse_status != ParseStatus::complete) return parse_status == ParseStatus::incomplete;
+                ClientResponse response = read_response(reader->status(), reader->body());
                 reader->next();
                 ++answers_;
-                done_(std::move(response));
+                on_response_(std::move(response));
                 if (!connection.open) return false;
             }
             return true;
         });
-    connection_->on_end = [this] { done_({}); };
+    connection_->on_end = [this] { on_response_({}); };
     connection_->read();
 }
 
-void Client::ask(const ClientQuery& query) { connection_->send(request_of(query)); }
+void Client::send(const ClientQuery& query) { connection_->send(http_request_of(query)); }
 
 void Client::disconnect() {
     connection_->on_end = nullptr;
--- a/src/testing/contents.cpp
+++ b/src/testing/contents.cpp
@@ -136,9 +136,9 @@
             Row row;
             row.doc = ++doc;
             row.rank = std::floor(draw() * top_rank) / 2;
-            if (place < section_count(parameters.top)) row.rank += top_rank;
+            if (place < section_count(parameters.top_share)) row.rank += top_rank;
             row.terms = {"common", "term-" + std::to_string(static_cast<int>(draw() * 5000))};
-            if (place < section_count(parameters.matching)) row.terms.emplace_back("wanted");
+            if (place < section_count(parameters.matching_share)) row.terms.emplace_back("wanted");
             row.fields = {{"expiry", std::floor(draw() * 365)}};
             section.rows.push_back(std::move(row));
         }
--- a/src/testing/contents.hpp
+++ b/src/testing/contents.hpp
@@ -18,6 +18,7 @@
     std::map<std::string, double> fields;
 };
 
+// The rows of one shard.
 struct Section {
     std::uint64_t version = 1;
     std::vector<Row> rows;  // highest rank first, then lowest document number
@@ -35,6 +36,7 @@
 // Formats rows as in a shard's value, "DOC:RANK" separated by blanks, each with a record of this many bytes.
 // `parse_rows` reads them back.
 std::string format_rows(const std::vector<const Row*>& rows, std::size_t record_bytes = 0);
+// The number and the rank of a row in a value.
 struct RankedRow {
     std::uint64_t doc = 0;
     double rank = 0;
@@ -54,9 +56,9 @@
 // rows with the term "wanted", and a share of those ranks above all others.
 struct GeneratedContents {
     std::uint32_t shards = 1;
-    int rows = 20;        // in each section
-    double matching = 1;  // share of sections with rows that have the term "wanted"
-    double top = 1;       // share of sections whose rows rank above the others'
+    int rows = 20;              // in each section
+    double matching_share = 1;  // share of sections with rows that have the term "wanted"
+    double top_share = 1;       // share of sections whose rows rank above the others'
     std::uint64_t seed = 1;
 };
 std::vector<Section> generate(const GeneratedContents& parameters);
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -27,7 +27,7 @@
     socket.async_read_some(boost::asio::buffer(buffer_),
                            [self = shared_from_this()](const error_code& ec, std::size_t length) {
                                if (!self->open) return;
-                               self->in.append(self->buffer_.data(), length);
+                               self->received.append(self->buffer_.data(), length);
                                if (ec || !self->read_handler_(*self)) return self->close(false);
                                self->read();
                            });
@@ -94,10 +94,10 @@
       }) {}
 
 bool DataNode::handle_bytes(Connection& connection) {
-    std::string_view in = connection.in;
+    std::string_view unread = connection.received;
     Frame frame;
     FrameStatus frame_status = FrameStatus::incomplete;
-    while ((frame_status = take_frame(in, frame)) == FrameStatus::complete) {
+    while ((frame_status = take_frame(unread, frame)) == FrameStatus::complete) {
         work.bytes_in += frame.payload.size() + 5;
         bool valid = true;
         if (frame.type == 'R')
@@ -105,14 +105,14 @@
         else if (frame.type == summary_request_frame || frame.type == rows_request_frame)
             valid = serve_phase_requests(connection, frame.type, frame.payload);
         else if (frame.type == 'A' || frame.type == phase_cancel_frame)
-            ++work.given_up;
+            ++work.cancellations;
         else if (frame.type == 'G')
             connection.send(frame_of('G', "OK"));
         else
             valid = false;
         if (!valid) return false;
     }
-    connection.in.erase(0, connection.in.size() - in.size());
+    connection.received.erase(0, connection.received.size() - unread.size());
     return frame_status == FrameStatus::incomplete;
 }
 
@@ -168,8 +168,8 @@
         const auto rows = best_rows(script_.sections[shard], criteria);
         ++work.lookups;
         work.records += rows.size();
-        const std::string value =
-            criteria.rows > 0 ? format_rows(rows, script_.record) : node_script_.name + " on '" + text + "'";
+        const std::string value = criteria.rows > 0 ? format_rows(rows, script_.record_bytes)
+                                                    : node_script_.name + " on '" + text + "'";
         answer_after(behaviour.call_delay, connection, frame_of('Y', id + " OK 1 -\n" + value));
     }
     return true;
@@ -214,7 +214,7 @@
             if (behaviour.hides_rows) summary.no_matches = true, summary.top_ranks.clear();
             summary.max_rank += behaviour.bound_error;
             for (double& rank : summary.top_ranks) rank += behaviour.bound_error;
-            if (behaviour.garbles_summaries) {
+            if (behaviour.malformed_summaries) {
                 std::string id;
                 write_phase_request_id(id, line->id);
                 out = frame_of(summary_frame, id + " OK 1 u=1,s=99,l=0\n");
@@ -226,8 +226,9 @@
             work.records += rows.size();
             std::vector<double> ranks;
             for (const Row* row : rows) ranks.push_back(row->rank);
-            const std::uint64_t version = section.version - std::min(section.version, behaviour.behind);
-            write_rows_frame(out, line->id, version, ranks, format_rows(rows, script_.record));
+            const std::uint64_t version =
+                section.version - std::min(section.version, behaviour.versions_behind);
+            write_rows_frame(out, line->id, version, ranks, format_rows(rows, script_.record_bytes));
         }
         answer_after(delay, connection, std::move(out));
     }
@@ -245,7 +246,7 @@
 // changes.
 bool Discovery::handle_bytes(Connection& connection, RequestReader& reader) {
     ParseStatus parse_status = ParseStatus::incomplete;
-    while ((parse_status = reader.feed(connection.in)) == ParseStatus::complete) {
+    while ((parse_status = reader.feed(connection.received)) == ParseStatus::complete) {
         const bool first = answered_.insert(&connection).second;
         reader.next();
         if (first)
@@ -290,7 +291,7 @@
     for (const DataNode& node : nodes) {
         sum.summaries += node.work.summaries, sum.rows += node.work.rows, sum.calls += node.work.calls;
         sum.lookups += node.work.lookups, sum.records += node.work.records,
-            sum.given_up += node.work.given_up;
+            sum.cancellations += node.work.cancellations;
         sum.bytes_in += node.work.bytes_in, sum.bytes_out += node.work.bytes_out;
     }
     return sum;
@@ -306,12 +307,12 @@
     timer_.expires_at(began_ + std::chrono::nanoseconds(script_.changes[next_change_].at));
     timer_.async_wait([this](const error_code& ec) {
         if (ec) return;
-        play(script_.changes[next_change_++]);
+        apply(script_.changes[next_change_++]);
         schedule_next_change();
     });
 }
 
-void Fleet::play(const Change& change) {
+void Fleet::apply(const Change& change) {
     for (const std::uint32_t shard : change.shards) {
         Section& section = script_.sections[shard];
         ++section.version;
--- a/src/testing/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -33,7 +33,7 @@
     void close(bool reset);
 
     Socket socket;
-    std::string in;
+    std::string received;  // bytes that are not handled yet
     bool open = true;
     std::function<void()> on_end;  // called once either side has closed it
 
@@ -70,7 +70,7 @@
 // record.
 struct WorkCounts {
     std::uint64_t summaries = 0, rows = 0, calls = 0;  // requests P, F and R
-    std::uint64_t lookups = 0, records = 0, given_up = 0;
+    std::uint64_t lookups = 0, records = 0, cancellations = 0;
     std::uint64_t bytes_in = 0, bytes_out = 0;
 
     std::uint64_t units() const { return lookups + records; }
@@ -120,13 +120,13 @@
     LoopbackListener listener_;
 };
 
-// All data nodes and discovery. The script's changes are applied at their times after `start`, or by `play`.
+// All data nodes and discovery. The script's changes are applied at their times after `start`, or by `apply`.
 class Fleet {
   public:
     Fleet(boost::asio::io_context& io, Script script);
 
     void start();
-    void play(const Change& change);
+    void apply(const Change& change);
     // Publishes the current endpoint list.
     void publish();
     Behaviour& behaviour(std::size_t node) { return script_.nodes[node].behaviour; }
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -184,7 +184,7 @@
             std::make_unique<Client>(io, router_ports_[i], [this, on_answer](ClientResponse answer) {
                 boost::asio::post(io, [on_answer, status = answer.status] { on_answer(status); });
             });
-        traffic.client->ask(query);
+        traffic.client->send(query);
     } catch (const boost::system::system_error&) {
         traffic.timer->expires_after(Ms(100));  // the router is not running, so retry later
         traffic.timer->async_wait([this, i](const boost::system::error_code& ec) {
--- a/src/testing/hollow_rig.cpp
+++ b/src/testing/hollow_rig.cpp
@@ -159,9 +159,9 @@
 }
 
 bool HollowRig::receive_lines(Connection& connection, const std::shared_ptr<std::size_t>& process) {
-    for (std::size_t end = 0; (end = connection.in.find('\n')) != connection.in.npos;
-         connection.in.erase(0, end + 1)) {
-        const std::string line = connection.in.substr(0, end);
+    for (std::size_t end = 0; (end = connection.received.find('\n')) != connection.received.npos;
+         connection.received.erase(0, end + 1)) {
+        const std::string line = connection.received.substr(0, end);
         if (*process != SIZE_MAX) {
             responses_[*process] = line;
             continue;
@@ -173,7 +173,7 @@
         if (*process == SIZE_MAX) return false;
         control_connections_[*process] = connection.weak_from_this();
     }
-    return connection.in.size() < max_response_bytes;
+    return connection.received.size() < max_response_bytes;
 }
 
 bool HollowRig::until(const std::function<bool()>& condition, Ms within) {
@@ -286,7 +286,7 @@
                         schedule_next(status, Ms(options.query_gap_ms));
                     });
                 });
-        client.client->ask(query);
+        client.client->send(query);
     } catch (const boost::system::system_error&) {
         schedule_next(-1, Ms(200));  // the router is not running: no query is counted
     }
--- a/src/testing/relay_rig.cpp
+++ b/src/testing/relay_rig.cpp
@@ -134,9 +134,9 @@
 }
 
 bool RelayRig::receive_lines(Connection& connection, const std::shared_ptr<std::size_t>& process) {
-    for (std::size_t end = 0; (end = connection.in.find('\n')) != connection.in.npos;
-         connection.in.erase(0, end + 1)) {
-        const std::string line = connection.in.substr(0, end);
+    for (std::size_t end = 0; (end = connection.received.find('\n')) != connection.received.npos;
+         connection.received.erase(0, end + 1)) {
+        const std::string line = connection.received.substr(0, end);
         if (*process != SIZE_MAX) {
             responses_[*process] = line;
             continue;
@@ -148,7 +148,7 @@
         if (*process == SIZE_MAX) return false;
         control_connections_[*process] = connection.weak_from_this();
     }
-    return connection.in.size() < max_response_bytes;
+    return connection.received.size() < max_response_bytes;
 }
 
 bool RelayRig::until(const std::function<bool()>& condition, Ms within) {
--- a/src/testing/rig.cpp
+++ b/src/testing/rig.cpp
@@ -115,6 +115,7 @@
     return false;
 }
 
+// A caller's connection and the one that the proxy opened to the process for it.
 struct FaultProxy::ProxiedConnection {
     ProxiedConnection(boost::asio::io_context& io, tcp::socket from)
         : sockets{std::move(from), tcp::socket(io)} {}
--- a/src/testing/rig.hpp
+++ b/src/testing/rig.hpp
@@ -23,6 +23,7 @@
 
 // The events of a test in order of time, to be printed when a check fails.
 struct EventLog {
+    // One line of the log.
     struct Event {
         TimePoint at;
         std::string source, message;
--- a/src/testing/script.cpp
+++ b/src/testing/script.cpp
@@ -41,14 +41,14 @@
     behaviour.resets = reader.boolean("resets", behaviour.resets);
     behaviour.rejects = reader.boolean("rejects", behaviour.rejects);
     behaviour.errs = reader.boolean("errs", behaviour.errs);
-    behaviour.garbles_summaries = reader.boolean("garbles_words", behaviour.garbles_summaries);
+    behaviour.malformed_summaries = reader.boolean("garbles_words", behaviour.malformed_summaries);
     behaviour.hides_rows = reader.boolean("hides_rows", behaviour.hides_rows);
     behaviour.bound_error = reader.number("bound_error", behaviour.bound_error, -1e9, 1e9);
-    behaviour.behind = static_cast<std::uint64_t>(
-        reader.integer("behind", static_cast<std::int64_t>(behaviour.behind), 0, 1'000'000));
+    behaviour.versions_behind = static_cast<std::uint64_t>(
+        reader.integer("behind", static_cast<std::int64_t>(behaviour.versions_behind), 0, 1'000'000));
     behaviour.lease = reader.duration("lease", behaviour.lease, 0, hour);
-    behaviour.starts = static_cast<std::uint64_t>(
-        reader.integer("starts", static_cast<std::int64_t>(behaviour.starts), 0, 9'000'000'000'000));
+    behaviour.started_at_ms = static_cast<std::uint64_t>(
+        reader.integer("starts", static_cast<std::int64_t>(behaviour.started_at_ms), 0, 9'000'000'000'000));
     static const std::initializer_list<const char*> lifecycles = {"up", "draining", "removed"};
     const auto current =
         std::find(lifecycles.begin(), lifecycles.end(), behaviour.lifecycle) - lifecycles.begin();
@@ -140,12 +140,12 @@
             static_cast<std::uint32_t>(block_reader.integer("shards", 1, 1, 100'000));
         script.places = static_cast<std::uint32_t>(block_reader.integer("places", 1, 1, 10'000));
         script.width = static_cast<std::uint32_t>(block_reader.integer("width", 1, 1, 100));
-        script.record = static_cast<std::size_t>(block_reader.byte_size("record", 0, 0, 32 << 10));
+        script.record_bytes = static_cast<std::size_t>(block_reader.byte_size("record", 0, 0, 32 << 10));
         script.discovery_port =
             static_cast<std::uint16_t>(block_reader.integer("discovery_port", 0, 0, 65535));
         generated.rows = static_cast<int>(block_reader.integer("rows", 0, 0, 100'000));
-        generated.matching = block_reader.number("matching", 1, 0, 1);
-        generated.top = block_reader.number("top", 1, 0, 1);
+        generated.matching_share = block_reader.number("matching", 1, 0, 1);
+        generated.top_share = block_reader.number("top", 1, 0, 1);
         generated.seed = static_cast<std::uint64_t>(block_reader.integer("seed", 1, 0, 1'000'000'000));
         block_reader.reject_unknown();
         if (errors.empty()) script.sections = generate(generated);
@@ -185,7 +185,7 @@
                           {"machineType", "m"},
                           {"cell", node.place},
                           {"lifecycle", node.behaviour.lifecycle},
-                          {"startedAtMs", node.behaviour.starts}}
+                          {"startedAtMs", node.behaviour.started_at_ms}}
         .dump();
 }
 
--- a/src/testing/script.hpp
+++ b/src/testing/script.hpp
@@ -22,14 +22,14 @@
     bool silent = false, silent_summaries = false;            // doesn't answer at all; doesn't answer P
     bool resets = false;                                      // resets the connection on any request
     bool rejects = false, errs = false;                       // answers REJECTED; answers ERROR
-    bool garbles_summaries = false;                           // sends malformed summaries
-    double bound_error = 0;    // added to the bound and the ranks of its summaries
-    bool hides_rows = false;   // its summaries state that no row matches
-    std::uint64_t behind = 0;  // number of versions that its rows lag behind
+    bool malformed_summaries = false;                         // sends malformed summaries
+    double bound_error = 0;             // added to the bound and the ranks of its summaries
+    bool hides_rows = false;            // its summaries state that no row matches
+    std::uint64_t versions_behind = 0;  // number of versions that its rows lag behind
     Nanos lease = 0;
     std::vector<std::uint32_t> silent_on;  // shards for which it doesn't answer
     std::string lifecycle = "up";          // as in the endpoint list
-    std::uint64_t starts = 0;              // milliseconds since the epoch, 0 for a long time ago
+    std::uint64_t started_at_ms = 0;       // milliseconds since the epoch, 0 for a long time ago
 };
 
 // A data node of the script.
@@ -49,10 +49,10 @@
     double rank_by = 0;                 // added to the ranks of their rows
 };
 
-// A whole script.
+// The fleet of a script: its data nodes, their contents, and the changes over time.
 struct Script {
     std::uint32_t shards = 1, places = 1, width = 1;
-    std::size_t record = 0;  // bytes of each row's record in a value
+    std::size_t record_bytes = 0;  // bytes of each row's record in a value
     std::uint16_t discovery_port = 0;
     std::vector<Section> sections;
     std::vector<NodeScript> nodes;
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -18,10 +18,12 @@
 
 // The reference model. It looks everything up in lists each time and maintains no index or count.
 struct ReferenceModel {
+    // A relay that reports the member; `exception`: its latest report lists the member.
     struct ModelAttachment {
         std::string relay;
         bool exception;
     };
+    // A member as all relays' reports show it.
     struct ModelMember {
         std::string name;
         std::uint64_t incarnation = 0, reported_version = 0, refused_version = 0, refusal_emitted = 0;
@@ -29,6 +31,7 @@
         bool left = false;
         std::vector<ModelAttachment> attachments;
     };
+    // A relay with its latest report; `lease` is when its lease expires.
     struct Relay {
         std::string name;
         std::uint64_t incarnation = 0, number = 0, lowest = 0;
@@ -426,6 +429,7 @@
         return command;
     }
 
+    // The incarnation and the latest report number of a relay; `first`: its next report is the first one.
     struct RelayNumbers {
         std::uint64_t incarnation = 0, number = 0;
         bool first = true;
@@ -534,6 +538,7 @@
     static constexpr Nanos step = 100'000'000, lease = 10 * second, drift = second, lease_grace = 4 * second;
     static constexpr int all_relays = 3, all_members = 9;
 
+    // A relay, whose clock runs at `rate`.
     struct SimulatedRelay {
         std::string name;
         std::uint64_t incarnation = 0, known_version = 0;  // the latest version that it knows of
@@ -542,6 +547,7 @@
         Nanos partitioned_until = 0, next_report_at = 0;
         Nanos clock(Nanos now) const { return static_cast<Nanos>(static_cast<double>(now) * rate); }
     };
+    // A member, whose clock runs at `rate`. A new `relay_epoch` makes it ignore responses to earlier calls.
     struct SimulatedMember {
         std::string name;
         bool runs = false;
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -101,6 +101,7 @@
 
 // A relay that delays answers until there is a later version or the wait has ended, and records all calls.
 struct ScriptedRelay {
+    // A call whose answer is delayed.
     struct PendingCall {
         FollowerCall call;
         std::shared_ptr<TestConnection> peer;
@@ -202,6 +203,7 @@
     return text;
 }
 
+// A router's service with scripted relays, a scripted fleet and one client.
 struct FollowerFixture {
     boost::asio::io_context io{1};
     Fleet fleet;
@@ -279,14 +281,14 @@
         query.query_class = "part";
         query.id = "q" + std::to_string(++query_count);
         query.deadline_ms = 3000;
-        query.find.terms = {"wanted"};
-        query.find.rows = rows;
+        query.criteria.terms = {"wanted"};
+        query.criteria.rows = rows;
         for (std::uint32_t shard = 0; shard < 8; ++shard) query.shards.push_back(shard);
         return query;
     }
     ClientResponse ask(const ClientQuery& query) {
         const std::size_t before = answers.size();
-        client->ask(query);
+        client->send(query);
         until([&] { return answers.size() > before; });
         return answers.back();
     }
@@ -324,7 +326,7 @@
     CHECK(relay.calls.back().position.digest == changes::digest_of(relay.documents[1]));
     ClientResponse response = fixture.ask(fixture.new_query());
     CHECK(response.status == 200);
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(fixture.counts().queries == 1);
     // The data nodes were discovered before the two-phase setting.
     CHECK(fixture.fleet.work().summaries == 8);
@@ -342,10 +344,10 @@
     ScriptedRelay& relay = fixture.followed_relay();
     fixture.until([&] { return fixture.service->dispatcher().begun() && !relay.pending.empty(); });
     // The first query starts right after a round, so that the next round is a whole step away.
-    fixture.client->ask(fixture.new_query());
+    fixture.client->send(fixture.new_query());
     fixture.until([&] { return fixture.service->dispatcher().attempts_in_flight() > 0; });
     Client second(fixture.io, fixture.service->port(), [](ClientResponse) {});
-    second.ask(fixture.new_query());
+    second.send(fixture.new_query());
     const std::size_t unfinished = fixture.service->dispatcher().unfinished_count(),
                       in_flight = fixture.service->dispatcher().attempts_in_flight();
     fixture.until([&] { return fixture.service->dispatcher().unfinished_count() > unfinished; });
@@ -365,14 +367,14 @@
     ScriptedRelay& relay = fixture.followed_relay();
     relay.publish({{"two_phase.part", ""}});
     fixture.until([&] { return relay.last_report_is(1); });
-    fixture.client->ask(fixture.new_query());
+    fixture.client->send(fixture.new_query());
     fixture.until([&] { return fixture.fleet.work().summaries == 8; });
     SECTION("the new version audits all sections") {
         relay.publish({{"two_phase.part", "audit = 1"}});
         fixture.until([&] { return fixture.follower().applied_version() == 2; });
         REQUIRE(fixture.answers.empty());
         fixture.until([&] { return !fixture.answers.empty(); });
-        CHECK(fixture.answers[0].whole);
+        CHECK(fixture.answers[0].complete);
         CHECK(fixture.answers[0].pruned.sections > 0);
         CHECK(fixture.ask(fixture.new_query()).pruned.sections == 0);
     }
@@ -381,7 +383,7 @@
         fixture.until([&] { return fixture.follower().applied_version() == 2; });
         REQUIRE(fixture.answers.empty());
         fixture.until([&] { return !fixture.answers.empty(); });
-        CHECK(fixture.answers[0].whole);
+        CHECK(fixture.answers[0].complete);
         CHECK(fixture.answers[0].pruned.sections > 0);
         CHECK(fixture.ask(fixture.new_query()).status == 200);
         CHECK(fixture.counts().queries == 1);
@@ -554,6 +556,7 @@
 }
 
 TEST_CASE("without relays there is no further descriptor or thread; with relays there is one connection") {
+    // Numbers of open descriptors and of threads.
     struct OpenResources {
         std::size_t descriptors, threads;
     };
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -257,6 +257,7 @@
 
 namespace {
 
+// Encodes resources as short texts that the tests compare.
 class PlainEncoder final : public ResourceEncoder {
   public:
     ResourcePtr cluster(std::uint32_t pool, std::uint32_t limit, const std::string& version) const override {
@@ -298,6 +299,7 @@
     Nanos left_at = 0;
 };
 
+// A controller with its proxies, whose requests and responses are delivered one at a time.
 struct ControlFixture {
     explicit ControlFixture(std::uint64_t seed)
         : random(seed), controller(config, query_class_names, control, encoder, seed, 77) {}
--- a/tests/drains_test.cpp
+++ b/tests/drains_test.cpp
@@ -39,6 +39,7 @@
 };
 
 Sockets sockets_of(const std::string& process_directory) {
+    // A line of /proc/net/tcp.
     struct TcpSocket {
         std::uint16_t local_port, remote_port;
         int state;
@@ -76,6 +77,7 @@
     return sockets;
 }
 
+// A fleet of processes with steady traffic, and checks of the calls that its data nodes receive.
 struct DrainFixture {
     explicit DrainFixture(FleetRigOptions options) : rig(io, std::move(options)) {
         const bool all_ready = rig.until([this] {
--- a/tests/fleet_model_test.cpp
+++ b/tests/fleet_model_test.cpp
@@ -39,12 +39,14 @@
 
 // The reference model. It looks everything up in lists each time and maintains no index or count.
 struct ReferenceModel {
+    // A request for a removal; `out`: its target is removed.
     struct ModelRequest {
         std::uint64_t id, generation;
         Target target;
         Stage stage;
         bool out;
     };
+    // A router with its latest report.
     struct ModelMember {
         std::string name;
         std::uint64_t incarnation, applied_generation;
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -244,8 +244,8 @@
         testing::GeneratedContents generated;
         generated.shards = shards;
         generated.rows = random.below(12);
-        generated.matching = random.below(11) / 10.0;
-        generated.top = random.below(11) / 10.0;
+        generated.matching_share = random.below(11) / 10.0;
+        generated.top_share = random.below(11) / 10.0;
         generated.seed = static_cast<std::uint64_t>(random.below(1'000'000));
         sections = testing::generate(generated);
         criteria.rows = 1 + random.below(12);
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -27,6 +27,7 @@
     std::map<std::uint32_t, std::set<std::string>> values_by_shard;
 };
 
+// An attempt that the dispatcher has sent and that has not ended.
 struct SentAttempt {
     AttemptMessage message;
     Handle connection;
@@ -126,6 +127,7 @@
     return startup;
 }
 
+// A dispatcher with four nodes, its model and a simulated clock.
 struct DispatcherRig {
     FakeEndpoints model;
     EventClock time{model.now};
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -12,6 +12,7 @@
 
 namespace {
 
+// A rig with fleet managers and relays, and helpers to publish versions and to wait for them.
 struct ChangeFixture {
     // `managers` and `relay` are further attributes of the fleet managers' `changes` block and of each
     // relay's block.
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -79,14 +79,14 @@
         query.query_class = "part";
         query.id = "q" + std::to_string(++asked);
         query.deadline_ms = 3000;
-        query.find.terms = {term};
-        query.find.rows = rows;
+        query.criteria.terms = {term};
+        query.criteria.rows = rows;
         for (std::uint32_t shard = 0; shard < fleet.script().shards; ++shard) query.shards.push_back(shard);
         return query;
     }
     ClientResponse ask(const ClientQuery& query) {
         const std::size_t before = answers.size();
-        client->ask(query);
+        client->send(query);
         run_until([&] { return answers.size() > before; });
         return answers.back();
     }
@@ -100,8 +100,8 @@
     }
     void check_response(const ClientQuery& query, const ClientResponse& response) {
         REQUIRE(response.status == 200);
-        CHECK(response.rows(query.find.rows) == full_scan(query.find, response.missing_shards));
-        CHECK(response.whole == response.missing_shards.empty());
+        CHECK(response.rows(query.criteria.rows) == full_scan(query.criteria, response.missing_shards));
+        CHECK(response.complete == response.missing_shards.empty());
         CHECK(response.answered.sections + response.pruned.sections + response.missing.sections ==
               query.shards.size());
         CHECK(std::abs(response.answered.weight + response.pruned.weight + response.missing.weight - 1) <
@@ -119,7 +119,7 @@
     const ClientQuery query = fixture.make_query();
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(response.pruned.sections >= 36);
     CHECK(fixture.fleet.work().summaries == 40);
     CHECK(fixture.fleet.work().rows == response.answered.sections);
@@ -131,11 +131,11 @@
     ServiceFixture fixture(fleet_script(4, "rows = 5\n"), "two_phase \"part\" { most_rows = 8 }");
     ClientQuery plain = fixture.make_query();
     plain.two_phase = false;
-    CHECK(fixture.ask(plain).whole);
-    CHECK(fixture.ask(fixture.make_query("wanted", 9)).whole);
+    CHECK(fixture.ask(plain).complete);
+    CHECK(fixture.ask(fixture.make_query("wanted", 9)).complete);
     ClientQuery keyed = fixture.make_query();
     keyed.query_class = "keyed", keyed.key = "k";
-    CHECK(fixture.ask(keyed).whole);
+    CHECK(fixture.ask(keyed).complete);
     CHECK(fixture.fleet.work().summaries + fixture.fleet.work().rows == 0);
     CHECK(fixture.fleet.work().calls == 12);
 }
@@ -143,14 +143,14 @@
 TEST_CASE("a query with malformed search criteria is refused before any shard request is sent") {
     ServiceFixture fixture(fleet_script(4, "rows = 5\n"));
     ClientQuery query = fixture.make_query();
-    query.find.rows = 0;
+    query.criteria.rows = 0;
     CHECK(fixture.ask(query).status == 400);
     query = fixture.make_query(std::string(300, 't'));
     CHECK(fixture.ask(query).status == 400);
     query = fixture.make_query("line\nbreak");
     CHECK(fixture.ask(query).status == 400);
     query = fixture.make_query();
-    query.find.ranges = {{"", 0, 1}};
+    query.criteria.ranges = {{"", 0, 1}};
     CHECK(fixture.ask(query).status == 400);
     CHECK(fixture.fleet.work().lookups == 0);
     CHECK(fixture.ask(fixture.make_query()).status == 200);
@@ -162,7 +162,7 @@
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
     CHECK(response.values.empty());
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(response.pruned.sections == 12);
     CHECK(fixture.fleet.work().rows == 0);
 }
@@ -184,7 +184,7 @@
     const ClientQuery query = fixture.make_query("wanted", 100);
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
-    CHECK_FALSE(response.whole);
+    CHECK_FALSE(response.complete);
     CHECK(response.missing_shards == std::vector<std::uint32_t>{0, 9, 18, 27, 36, 45, 54, 63, 72, 81, 90});
     CHECK(response.missing.weight == Approx(11 / 200.0));
 }
@@ -195,11 +195,11 @@
     const ClientQuery query = fixture.make_query();
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(response.answered.sections == 8);
     CHECK(fixture.counts().first_phases == 1);
     CHECK(fixture.counts().worst_overrun <= 5 * ms);
-    CHECK(fixture.fleet.work().given_up >= 8);
+    CHECK(fixture.fleet.work().cancellations >= 8);
 }
 
 TEST_CASE("the first phase is skipped if its minimum does not fit into the time") {
@@ -227,7 +227,7 @@
         query = fixture.make_query();
         const ClientResponse response = fixture.ask(query);
         fixture.check_response(query, response);
-        CHECK(response.whole);
+        CHECK(response.complete);
     }
     CHECK(one_phase() == 2);
     // Shards whose replicas are both one-phase are queried for rows without a summary.
@@ -239,7 +239,7 @@
     CHECK(fixture.fleet.work().summaries - summaries == 12);
     // A restart changes the nodes' entries.
     fixture.fleet.behaviour(0).refusal = fixture.fleet.behaviour(1).refusal = Refusal::none;
-    fixture.fleet.behaviour(0).starts = fixture.fleet.behaviour(1).starts = 1000;
+    fixture.fleet.behaviour(0).started_at_ms = fixture.fleet.behaviour(1).started_at_ms = 1000;
     fixture.fleet.publish();
     fixture.run_until([&] { return one_phase() == 0; });
 }
@@ -249,15 +249,15 @@
         fleet_script(8, "rows = 4\n", 4, "call_delay = \"40ms\"\nrefuses_phases = \"close\"\n"));
     ClientQuery keyed = fixture.make_query();
     keyed.query_class = "keyed", keyed.key = "k";
-    fixture.client->ask(keyed);
+    fixture.client->send(keyed);
     fixture.run_until([&] { return fixture.fleet.work().calls == 8; });
     std::vector<ClientResponse> other;
     Client second(fixture.io, fixture.service->port(),
                   [&](ClientResponse response) { other.push_back(std::move(response)); });
     const ClientQuery query = fixture.make_query();
-    second.ask(query);
+    second.send(query);
     fixture.run_until([&] { return fixture.answers.size() == 1 && other.size() == 1; });
-    CHECK(fixture.answers[0].whole);
+    CHECK(fixture.answers[0].complete);
     fixture.check_response(query, other[0]);
     CHECK(fixture.fleet.work().calls == 16);  // no attempt was repeated
 }
@@ -271,7 +271,7 @@
     const ClientQuery query = fixture.make_query("wanted", 3);
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(fixture.counts().wrong_summaries >= 1);
     CHECK(fixture.counts().rechecked == 1);
     const ClientQuery next = fixture.make_query("wanted", 3);
@@ -285,17 +285,17 @@
     const ClientQuery query = fixture.make_query();
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(fixture.counts().wrong_summaries >= 1);
 }
 
 TEST_CASE("rows of an older version than the summary are discarded, and another replica is queried") {
     ServiceFixture fixture(fleet_script(8, "rows = 8\n"));
-    fixture.fleet.behaviour(0).behind = 1;
+    fixture.fleet.behaviour(0).versions_behind = 1;
     const ClientQuery query = fixture.make_query();
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(fixture.counts().stale_rows >= 1);
 }
 
@@ -308,25 +308,25 @@
             for (std::uint32_t shard = 0; shard < 8; ++shard)
                 if (!fixture.fleet.script().sections[shard].rows.empty() &&
                     fixture.fleet.script().sections[shard].rows[0].rank >= 1000)
-                    fixture.fleet.play({0, "", {}, {shard}, -5000});
+                    fixture.fleet.apply({0, "", {}, {shard}, -5000});
         };
     const ClientQuery query = fixture.make_query();
     const ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(fixture.counts().rechecked == 1);
 }
 
 TEST_CASE("after a client disconnects between the phases, no rows are requested") {
     ServiceFixture fixture(fleet_script(8, "rows = 8\n", 4, "word_delay = \"20ms\"\n"));
-    fixture.client->ask(fixture.make_query());
+    fixture.client->send(fixture.make_query());
     fixture.run_until([&] { return fixture.fleet.work().summaries == 8; });
     fixture.client->disconnect();
     fixture.run_until([&] { return fixture.service->dispatcher().unfinished_count() == 0; });
     fixture.connect();
     ClientQuery keyed = fixture.make_query();
     keyed.query_class = "keyed", keyed.key = "k";
-    CHECK(fixture.ask(keyed).whole);
+    CHECK(fixture.ask(keyed).complete);
     CHECK(fixture.fleet.work().rows == 0);
     fixture.run_until([&] { return fixture.service->dispatcher().attempts_in_flight() == 0; });
 }
@@ -340,7 +340,7 @@
         fixture.fleet.nodes[node].on_request = [&, node](char frame_type, std::uint32_t) {
             if (frame_type == rows_request_frame && node == 1 && done && !crashes) after.insert(frame_type);
         };
-    fixture.client->ask(fixture.make_query());
+    fixture.client->send(fixture.make_query());
     fixture.run_until([&] { return fixture.fleet.work().summaries == 12; });
     if (crashes) {
         fixture.fleet.nodes[1].crash();
@@ -353,7 +353,7 @@
     fixture.run_until([&] { return !fixture.answers.empty(); });
     ClientQuery query = fixture.make_query();
     fixture.check_response(query, fixture.answers[0]);
-    CHECK(fixture.answers[0].whole);
+    CHECK(fixture.answers[0].complete);
     query = fixture.make_query();
     const std::uint64_t before = fixture.fleet.nodes[1].work.summaries + fixture.fleet.nodes[1].work.rows;
     fixture.check_response(query, fixture.ask(query));
@@ -362,11 +362,11 @@
 
 TEST_CASE("on SIGTERM between the phases the query is answered before the service stops") {
     ServiceFixture fixture(fleet_script(8, "rows = 8\n"));
-    fixture.client->ask(fixture.make_query());
+    fixture.client->send(fixture.make_query());
     fixture.run_until([&] { return fixture.fleet.work().summaries == 8; });
     std::raise(SIGTERM);
     fixture.run_until([&] { return !fixture.answers.empty(); });
-    CHECK(fixture.answers[0].whole);
+    CHECK(fixture.answers[0].complete);
     fixture.client->disconnect();
     while (fixture.service->turn()) {
     }
@@ -391,12 +391,12 @@
     query = fixture.make_query("nowhere-2");
     ClientResponse response = fixture.ask(query);
     fixture.check_response(query, response);
-    CHECK(response.whole);
+    CHECK(response.complete);
     CHECK(fixture.fleet.work().summaries < 18);  // two are allowed for false positives of the filters
     CHECK(fixture.counts().pruned_from_memory >= 14);
     // A query that reads a section sees its newer version.
     const std::uint64_t summaries = fixture.fleet.work().summaries;
-    fixture.fleet.play({0, "", {}, {3}, 0});
+    fixture.fleet.apply({0, "", {}, {3}, 0});
     query = fixture.make_query("common");
     fixture.check_response(query, fixture.ask(query));
     query = fixture.make_query("nowhere-3");
@@ -422,7 +422,8 @@
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                          std::chrono::system_clock::now().time_since_epoch())
                          .count();
-    for (std::size_t n = 0; n < 4; ++n) fixture.fleet.behaviour(n).starts = static_cast<std::uint64_t>(now);
+    for (std::size_t n = 0; n < 4; ++n)
+        fixture.fleet.behaviour(n).started_at_ms = static_cast<std::uint64_t>(now);
     fixture.fleet.publish();
     fixture.run_until([&] { return fixture.service->dispatcher().nodes().ready() == 4; });
     for (int i = 0; i < 5; ++i) {
@@ -440,7 +441,7 @@
         const ClientQuery query = fixture.make_query();
         const ClientResponse response = fixture.ask(query);
         fixture.check_response(query, response);
-        CHECK(response.whole);
+        CHECK(response.complete);
     }
     fixture.run_until([&] { return fixture.service->dispatcher().attempts_in_flight() == 0; });
     CHECK(fixture.service->dispatcher().unfinished_count() == 0);
