--- a/measure/role_cost.cpp
+++ b/measure/role_cost.cpp
@@ -207,9 +207,9 @@
     }
 }
 
-// Measures how long a fleet manager compares discovery's list with the agreed state, which it does ten times
-// a second; here there is no difference. If each node were compared with each shard, the time would grow with
-// their product, so the measurement stops before it gets long.
+// Measures how long a fleet manager takes to compare discovery's list with the agreed state, which it does
+// ten times a second; here there is no difference. If each node were compared with each shard, the time would
+// grow with their product, so the measurement stops before it gets long.
 void measure_endpoint_view() {
     double last_ms = 0;
     for (const std::size_t nodes : {1000, 3000, 10'000, 40'000, 81'000}) {
--- a/src/control/controller.cpp
+++ b/src/control/controller.cpp
@@ -11,7 +11,7 @@
 // counted together.
 constexpr Nanos reallocation_interval = 50'000'000;
 
-std::size_t at(XdsType type) { return static_cast<std::size_t>(type); }
+std::size_t index_of(XdsType type) { return static_cast<std::size_t>(type); }
 
 // Returns a number that grows over successive streams of a proxy.
 std::uint64_t response_order(Controller::StreamId stream, std::uint64_t response) {
@@ -40,15 +40,15 @@
     Decisions decisions = engine_.decide(now);
     const bool newer = decisions.generation != decisions_.generation;
     const auto version = [this, &decisions] {
-        return format_version({decisions.generation, epoch_, number_});
+        return format_version({decisions.generation, epoch_, version_number_});
     };
-    ++number_;
+    ++version_number_;
     const bool first = decisions_.pools.empty();
     for (std::uint32_t pool = 0; pool < decisions.pools.size(); ++pool) {
         if (first) pool_names_.push_back(pool_name(pool));
         const std::string& name = pool_names_[pool];
         if (first || !(decisions_.pools[pool] == decisions.pools[pool])) {
-            resources_[at(XdsType::endpoint)][name] =
+            resources_[index_of(XdsType::endpoint)][name] =
                 encoder_.endpoints(pool, decisions.pools[pool], version());
             ++encoded_;
             mark_changed(XdsType::endpoint, name);
@@ -58,12 +58,12 @@
             reallocate_at_ =
                 std::min(reallocate_at_, first ? now : now + reallocation_interval);  // drains are sent first
         }
-        if (first) resources_[at(XdsType::cluster)][name] = nullptr;
+        if (first) resources_[index_of(XdsType::cluster)][name] = nullptr;
     }
     if (first || !(decisions_.query_classes == decisions.query_classes))
         for (const QueryClassRoute& route : decisions.query_classes) {
-            resources_[at(XdsType::listener)][route.name] = encoder_.listener(route, version());
-            resources_[at(XdsType::route)][route.name] =
+            resources_[index_of(XdsType::listener)][route.name] = encoder_.listener(route, version());
+            resources_[index_of(XdsType::route)][route.name] =
                 encoder_.route(route, decisions.pools.size(), version());
             encoded_ += 2;
             mark_changed(XdsType::listener, route.name);
@@ -106,7 +106,7 @@
 void Controller::reallocate_limits() {
     allocated_at_change_ = limits_.change_count();
     reallocate_at_ = INT64_MAX;
-    ++number_;
+    ++version_number_;
     for (auto& [id, stream] : streams_)
         if (stream.proxy != 0) {
             const std::uint64_t before = stream.clusters_changed;
@@ -120,34 +120,35 @@
 ResourcePtr Controller::cluster(std::uint32_t pool, std::uint32_t limit) {
     ResourcePtr& encoded = cluster_by_limit_[{pool, limit}];
     if (encoded == nullptr) {
-        encoded = encoder_.cluster(pool, limit, format_version({decisions_.generation, epoch_, ++number_}));
+        encoded =
+            encoder_.cluster(pool, limit, format_version({decisions_.generation, epoch_, ++version_number_}));
         ++encoded_;
     }
     return encoded;
 }
 
 void Controller::update_clusters(Stream& stream) {
-    const std::vector<std::uint32_t> due = limits_.allowed_limits(stream.proxy);
-    for (std::uint32_t pool = 0; pool < due.size(); ++pool) {
+    const std::vector<std::uint32_t> allowed = limits_.allowed_limits(stream.proxy);
+    for (std::uint32_t pool = 0; pool < allowed.size(); ++pool) {
         ResourcePtr& sent = stream.clusters[pool_names_[pool]];
-        if (sent != nullptr && sent->limit == due[pool]) continue;
-        sent = cluster(pool, due[pool]);
+        if (sent != nullptr && sent->limit == allowed[pool]) continue;
+        sent = cluster(pool, allowed[pool]);
         ++stream.clusters_changed;
     }
 }
 
 XdsView Controller::view_of(const Stream& stream) const {
-    XdsView view{{decisions_.generation, epoch_, number_}, {}};
+    XdsView view{{decisions_.generation, epoch_, version_number_}, {}};
     for (std::size_t type = 0; type < xds_types; ++type) view.resources[type] = &resources_[type];
     view.change_counts = change_counts_;
-    view.resources[at(XdsType::cluster)] = &stream.clusters;
-    view.change_counts[at(XdsType::cluster)] = stream.clusters_changed;
+    view.resources[index_of(XdsType::cluster)] = &stream.clusters;
+    view.change_counts[index_of(XdsType::cluster)] = stream.clusters_changed;
     return view;
 }
 
 void Controller::mark_changed(XdsType type, const std::string& name) {
-    ++change_counts_[at(type)];
-    const Subscribers& subscribers = subscribers_[at(type)];
+    ++change_counts_[index_of(type)];
+    const Subscribers& subscribers = subscribers_[index_of(type)];
     due_.insert(subscribers.wildcard.begin(), subscribers.wildcard.end());
     if (const auto found = subscribers.by_name.find(name); found != subscribers.by_name.end())
         due_.insert(found->second.begin(), found->second.end());
@@ -217,7 +218,7 @@
 
 void Controller::index_stream(StreamId id, const Stream& stream, XdsType type,
                               const ProxyStream::SubscriptionChange& names) {
-    Subscribers& subscribers = subscribers_[at(type)];
+    Subscribers& subscribers = subscribers_[index_of(type)];
     for (const std::string& name : names.removed) remove_subscriber(subscribers, name, id);
     for (const std::string& name : names.added) subscribers.by_name[name].insert(id);
     if (stream.state.is_wildcard(type))
--- a/src/control/controller.hpp
+++ b/src/control/controller.hpp
@@ -34,6 +34,7 @@
     StreamId open(bool delta, Nanos now);
     // `node` is empty if the request names none; only the first request of a stream has to.
     Refusal on_request(StreamId id, const std::string& node, const ProxyRequest& request, Nanos now);
+    // Returns the next response on a stream, which counts as sent from then on.
     std::optional<ProxyResponse> next(StreamId id, Nanos now);
     void close(StreamId id, Nanos now);
     // Returns the streams that may have something to send since the last call. A stream whose node has
@@ -50,6 +51,7 @@
     std::uint64_t encoded() const { return encoded_; }
 
   private:
+    // One proxy's stream.
     struct Stream {
         Stream(bool delta, Nanos ack_wait, Nanos now) : state(delta, ack_wait), opened_at(now) {}
 
@@ -61,6 +63,7 @@
         std::uint64_t clusters_changed = 0;
         bool waits_for_list = false;  // the proxy knows of a newer list than this service has
     };
+    // The streams that subscribe to resources of one type.
     struct Subscribers {
         std::unordered_map<std::string, std::unordered_set<StreamId>> by_name;
         std::unordered_set<StreamId> wildcard;
@@ -87,13 +90,13 @@
     std::array<std::uint64_t, xds_types> change_counts_{};
     std::vector<std::string> pool_names_;
     std::map<std::pair<std::uint32_t, std::uint32_t>, ResourcePtr> cluster_by_limit_;
-    std::uint64_t number_ = 0, encoded_ = 0;
+    std::uint64_t version_number_ = 0, encoded_ = 0;
     std::uint64_t allocated_at_change_ = 0;  // the allocator's change count when limits were last allocated
     Nanos reallocate_at_ = INT64_MAX, now_ = 0;
     std::unordered_map<StreamId, Stream> streams_;
     std::unordered_map<std::string, StreamId> stream_by_node_;
-    // Retained during the grace period after a proxy has left.
-    std::unordered_map<std::string, std::uint64_t> proxy_ids_;
+    std::unordered_map<std::string, std::uint64_t> proxy_ids_;  // by node; retained in the grace period
+    // The end of the grace period and the node of each proxy that has left, by its id.
     std::map<std::uint64_t, std::pair<Nanos, std::string>> departed_;
     std::array<Subscribers, xds_types> subscribers_;
     std::unordered_set<StreamId> due_;
--- a/src/control/decisions.hpp
+++ b/src/control/decisions.hpp
@@ -14,6 +14,7 @@
 
 namespace tealcart {
 
+// Whether proxies may send new requests to a data node.
 enum class EndpointState : std::uint8_t { healthy, draining };
 
 // A data node as a proxy sees it.
--- a/src/control/limit_allocator.hpp
+++ b/src/control/limit_allocator.hpp
@@ -25,9 +25,8 @@
     // Forgets proxies that have left and whose grace period is over.
     void expire(Nanos now);
 
-    // Returns the limits, by pool, that the proxy may be sent now: its even share or, if other proxies hold
-    // more than theirs, what is left of the total, but never less than the proxy already has within that
-    // bound.
+    // Returns the limits, by pool, that the proxy may be sent now: its even share of the total. An increase
+    // towards that share takes only what no other proxy may have in use.
     std::vector<std::uint32_t> allowed_limits(std::uint64_t proxy) const;
     // These limits are being sent to the proxy under this number; later limits have larger numbers.
     void on_sent(std::uint64_t proxy, std::uint64_t number, const std::vector<std::uint32_t>& limits);
@@ -43,6 +42,7 @@
     std::uint64_t change_count() const { return change_count_; }
 
   private:
+    // Limits that were sent to a proxy, by pool, and their number.
     struct SentLimits {
         std::uint64_t number = 0;
         std::vector<std::uint32_t> limits;
--- a/src/control/proxy_stream.cpp
+++ b/src/control/proxy_stream.cpp
@@ -7,6 +7,7 @@
 namespace tealcart {
 namespace {
 
+// Returns the number of the response with this nonce, or 0 for a malformed nonce.
 std::uint64_t number_of(std::string_view nonce) {
     std::uint64_t number = 0;
     const auto [end, ec] = std::from_chars(nonce.data(), nonce.data() + nonce.size(), number);
@@ -24,10 +25,10 @@
     if (request.names.size() > max_names || request.subscribe.size() > max_names ||
         request.initial_versions.size() > max_names)
         return RequestResult::too_many;
-    Subscription& subscription = subscriptions_[index(*type)];
+    Subscription& subscription = subscriptions_[index_of(*type)];
     // Removals of these types may have waited for other types.
-    subscriptions_[index(XdsType::cluster)].up_to_date = subscriptions_[index(XdsType::endpoint)].up_to_date =
-        false;
+    subscriptions_[index_of(XdsType::cluster)].up_to_date =
+        subscriptions_[index_of(XdsType::endpoint)].up_to_date = false;
     const bool first = !subscription.requested;
     // A request with a nonce answers a response on this stream; it is stale if that is not the latest of its
     // type.
@@ -144,11 +145,11 @@
 // Returns the newest version of a resource, or the acknowledged one if the proxy has rejected the newest.
 ResourcePtr ProxyStream::wanted_resource(const Subscription& subscription, const ResourceMap& view,
                                          const std::string& name) const {
-    const auto now = view.find(name);
-    if (now == view.end()) return nullptr;
+    const auto newest = view.find(name);
+    if (newest == view.end()) return nullptr;
     const auto rejected = subscription.rejected.find(name);
-    if (rejected == subscription.rejected.end() || rejected->second != now->second->version)
-        return now->second;
+    if (rejected == subscription.rejected.end() || rejected->second != newest->second->version)
+        return newest->second;
     const auto acknowledged = subscription.acknowledged.find(name);
     return acknowledged == subscription.acknowledged.end() ? nullptr : acknowledged->second.resource;
 }
@@ -156,11 +157,11 @@
 // Make before break: resources that routes or listeners may refer to stay until those have been updated.
 bool ProxyStream::may_remove(XdsType type, const XdsView& view) const {
     if (type == XdsType::route || type == XdsType::listener) return true;
-    const Subscription& routes = subscriptions_[index(XdsType::route)];
+    const Subscription& routes = subscriptions_[index_of(XdsType::route)];
     if (!routes.requested) return true;
     if (routes.in_flight) return false;
-    const Change to_come = change(XdsType::route, view);
-    return to_come.updated.empty() && to_come.removed.empty();
+    const Change due_routes = change(XdsType::route, view);
+    return due_routes.updated.empty() && due_routes.removed.empty();
 }
 
 // Finds the differences between the resources of a type that a proxy has and those it should have. Names are
@@ -226,8 +227,8 @@
 };
 
 ProxyStream::Change ProxyStream::change(XdsType type, const XdsView& view) const {
-    const Subscription& subscription = subscriptions_[index(type)];
-    ChangeFinder finder(*this, subscription, *view.resources[index(type)]);
+    const Subscription& subscription = subscriptions_[index_of(type)];
+    ChangeFinder finder(*this, subscription, *view.resources[index_of(type)]);
     if (subscription.wildcard) finder.add_all();
     finder.add_named();
     finder.add_removed();
@@ -252,13 +253,13 @@
     constexpr std::array order = {XdsType::cluster, XdsType::endpoint, XdsType::listener, XdsType::route};
     std::optional<Change> limits;
     for (const XdsType type : order) {
-        Subscription& subscription = subscriptions_[index(type)];
-        const std::uint64_t changed = view.change_counts[index(type)];
+        Subscription& subscription = subscriptions_[index_of(type)];
+        const std::uint64_t changed = view.change_counts[index_of(type)];
         if (!subscription.requested ||
             (subscription.up_to_date && subscription.checked_at_change == changed &&
              !subscription.owes_response))
             continue;
-        adopt_initial_versions(subscription, *view.resources[index(type)]);
+        adopt_initial_versions(subscription, *view.resources[index_of(type)]);
         Change due = change(type, view);
         const bool held_back = !due.removed.empty() && !may_remove(type, view);
         if (held_back) due.removed.clear();
@@ -296,7 +297,7 @@
 }
 
 ProxyResponse ProxyStream::compose(XdsType type, const Change& due, const XdsView& view, Nanos now) {
-    Subscription& subscription = subscriptions_[index(type)];
+    Subscription& subscription = subscriptions_[index_of(type)];
     ProxyResponse out;
     out.type = type;
     out.number = subscription.last_response = ++last_number_;
@@ -335,7 +336,7 @@
 
 std::vector<ResourcePtr> ProxyStream::clusters() const {
     std::vector<ResourcePtr> all;
-    for (const auto& [_, sent] : subscriptions_[index(XdsType::cluster)].sent)
+    for (const auto& [_, sent] : subscriptions_[index_of(XdsType::cluster)].sent)
         if (sent.resource != nullptr) all.push_back(sent.resource);
     return all;
 }
--- a/src/control/proxy_stream.hpp
+++ b/src/control/proxy_stream.hpp
@@ -60,8 +60,8 @@
     std::uint64_t known_generation() const { return known_generation_; }
     // Returns the clusters that the proxy was sent and has not rejected.
     std::vector<ResourcePtr> clusters() const;
-    bool is_wildcard(XdsType type) const { return subscriptions_[index(type)].wildcard; }
-    const std::set<std::string>& names(XdsType type) const { return subscriptions_[index(type)].names; }
+    bool is_wildcard(XdsType type) const { return subscriptions_[index_of(type)].wildcard; }
+    const std::set<std::string>& names(XdsType type) const { return subscriptions_[index_of(type)].names; }
     // Returns the error of the latest rejection, or an empty string.
     const std::string& last_error() const { return last_error_; }
     // Returns whether no response is in flight and the proxy was sent all that it subscribed to as in `view`.
@@ -70,6 +70,7 @@
     static constexpr std::size_t max_names = 20'000;  // names of one type that a proxy may subscribe to
 
   private:
+    // The version of a resource that a proxy was sent.
     struct SentResource {
         std::string version;   // empty if the proxy was notified that the resource doesn't exist
         ResourcePtr resource;  // null if only its version is known
@@ -80,7 +81,7 @@
         bool owes_response = false;  // a response is due, even an empty one
         bool in_flight = false, one_by_one = false;
         std::set<std::string> names;
-        std::vector<std::string> last_names;  // as the proxy listed them last: most requests only repeat them
+        std::vector<std::string> last_names;  // of the latest request; most requests only repeat them
         std::map<std::string, SentResource> sent, acknowledged;
         std::map<std::string, std::string> rejected;  // rejected versions, by name
         std::vector<std::string> in_flight_names;     // names that the response in flight changes
@@ -101,7 +102,7 @@
     };
     class ChangeFinder;
 
-    static std::size_t index(XdsType type) { return static_cast<std::size_t>(type); }
+    static std::size_t index_of(XdsType type) { return static_cast<std::size_t>(type); }
     // Returns whether a state-of-the-world response must contain all resources of the type.
     static bool requires_full_state(XdsType type) {
         return type == XdsType::cluster || type == XdsType::listener;
--- a/src/control/resources.hpp
+++ b/src/control/resources.hpp
@@ -1,5 +1,6 @@
 // The xDS resources that proxies are sent, by type and name. Each is encoded once and shared by all streams.
-// Their encoding is the business of a ResourceEncoder; here they are bytes with a version. No I/O.
+// A ResourceEncoder encodes them; the rest of the control service treats them as bytes with a version. No
+// I/O.
 #pragma once
 
 #include <array>
@@ -22,7 +23,7 @@
 std::optional<XdsType> type_of(std::string_view url);
 
 // A version is written "GENERATION.EPOCH.NUMBER": the generation of the endpoint list, the start time of the
-// control service, and a counter. Versions of two services compare only by generation.
+// control service, and a counter. Versions of two control services are compared only by generation.
 struct XdsVersion {
     std::uint64_t generation = 0, epoch = 0, number = 0;
 };
--- a/src/phases/two_phase.hpp
+++ b/src/phases/two_phase.hpp
@@ -95,8 +95,11 @@
     bool rechecked() const { return rechecked_; }
 
   private:
+    // What is known of a section: nothing, that a cached filter excludes it, that its summary has no matches,
+    // or that its summary bounds the ranks of its rows.
     enum class Knowledge : std::uint8_t { none, cached_filter, no_matches, bounded };
     enum class Result : std::uint8_t { open, pruned, answered, missing };
+    // The state of one section in the query.
     struct Section {
         double weight = 0;
         Knowledge knowledge = Knowledge::none;
