--- a/src/fleet_manager/raft_node.cpp
+++ b/src/fleet_manager/raft_node.cpp
@@ -172,7 +172,9 @@
         if (result == 0) result = raft_configuration_add(&all, server.id, server.address.c_str(), RAFT_VOTER);
     if (result == 0) result = raft_bootstrap(&node.raft_, &all);
     raft_configuration_close(&all);
-    const std::string error = result == RAFT_CANTBOOTSTRAP ? "contains a log already" : raft_strerror(result);
+    const std::string error = result == RAFT_CANTBOOTSTRAP
+                                  ? "it contains a log already; expected an empty directory"
+                                  : raft_strerror(result);
     node.close();
     if (result != 0) fail(config.data_directory, error);
 }
--- a/src/fleet_manager/status_command.cpp
+++ b/src/fleet_manager/status_command.cpp
@@ -62,12 +62,12 @@
     std::printf("  %-16s %-8s zone %-8s version %-8s acts on %-6llu %s%s\n", text_of(member, "name").c_str(),
                 text_of(member, "role").c_str(), text_of(member, "zone").c_str(),
                 text_of(member, "version").c_str(), number_of(member, "acts_on"), lease_of(member).c_str(),
-                member["out"].get<bool>() ? ", out by agreement" : "");
+                member["out"].get<bool>() ? ", drained by agreement" : "");
 }
 
 void print_node(const Json& node) {
     std::printf("  %-16s zone %-8s %s%s\n", text_of(node, "name").c_str(), text_of(node, "zone").c_str(),
-                text_of(node, "health").c_str(), node["out"].get<bool>() ? ", out by agreement" : "");
+                text_of(node, "health").c_str(), node["out"].get<bool>() ? ", drained by agreement" : "");
 }
 
 void print_left_out(const Json& listing) {
@@ -80,7 +80,7 @@
         std::printf("\nmembers\n");
     } else {
         print_zones(state);
-        std::printf("\nmembers that are out, lost, or have not applied generation %llu yet\n",
+        std::printf("\nmembers that are drained, lost, or have not applied generation %llu yet\n",
                     number_of(state, "generation"));
     }
     for (const Json& member : state["members"]) print_member(member);
