--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -73,11 +73,11 @@
     const Failure failure = GENERATE(silent, reset, refused_status, garbage);
     const std::size_t failures = GENERATE(0U, 1U, 2U);
     WatchRig rig(GENERATE(1U, 2U, 3U));
-    rig.on_request = [&](TestConnection& peer, std::size_t n) {
-        if (n == 0) return peer.send(reply(unchanged_list));
-        if (n == 1) return;
-        if (n == 2 + failures) return peer.send(reply(list_five));
-        if (n > 2 + failures) return;
+    rig.on_request = [&](TestConnection& peer, std::size_t request) {
+        if (request == 0) return peer.send(reply(unchanged_list));
+        if (request == 1) return;
+        if (request == 2 + failures) return peer.send(reply(list_five));
+        if (request > 2 + failures) return;
         if (failure == reset) peer.reset();
         if (failure == refused_status) peer.send("HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
         if (failure == garbage) peer.send(reply("{"));
@@ -93,8 +93,8 @@
 
 TEST_CASE("a starting watch whose first connection is silent gets the list within 1.5 s") {
     WatchRig rig;
-    rig.on_request = [](TestConnection& peer, std::size_t n) {
-        if (n == 1) peer.send(reply(list_five));
+    rig.on_request = [](TestConnection& peer, std::size_t request) {
+        if (request == 1) peer.send(reply(list_five));
     };
     rig.start();
     const Nanos began = rig.now;
@@ -123,9 +123,9 @@
         CHECK(times.size() >= 10'000 / 420);
         CHECK(times.size() <= 10'000 / 200 + 3);
         down = false;
-        const Nanos back = rig.now;
+        const Nanos back_at = rig.now;
         rig.advance_until([&] { return rig.generation == 5; }, 10'000 * ms);
-        CHECK(rig.now - back <= 420 * ms);
+        CHECK(rig.now - back_at <= 420 * ms);
     }
     CHECK(request_times[0] != request_times[1]);
 }
@@ -137,15 +137,15 @@
     WatchRig rig(GENERATE(1U, 2U, 3U), Discovery::poll);
     Nanos answer_at = 0;
     std::shared_ptr<TestConnection> waiting;
-    rig.on_request = [&](TestConnection& peer, std::size_t n) {
-        if (n == 0) return peer.send(reply(unchanged_list));
-        if (n == 1) return;  // becomes silent, and the change happens at this moment
+    rig.on_request = [&](TestConnection& peer, std::size_t request) {
+        if (request == 0) return peer.send(reply(unchanged_list));
+        if (request == 1) return;  // becomes silent, and the change happens at this moment
         const std::size_t failures = failure == silent ? 0 : 2;
-        if (n < 2 + failures) {
+        if (request < 2 + failures) {
             if (failure == reset) peer.reset();
             if (failure == refused_status) peer.send("HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
             if (failure == garbage) peer.send(reply("{"));
-        } else if (n == 2 + failures) {
+        } else if (request == 2 + failures) {
             answer_at = rig.now + 2000 * ms;  // end of its wait in discovery's queue
             waiting = peer.shared_from_this();
         }
@@ -154,8 +154,8 @@
     rig.advance_until([&] { return rig.request_count() == 2; }, 1000 * ms);
     REQUIRE(rig.request_count() == 2);
     const Nanos changed_at = rig.now;
-    const auto turn_comes = [&] { return answer_at > 0 && rig.now >= answer_at; };
-    rig.advance_until(turn_comes, 30'000 * ms);
+    const auto is_due = [&] { return answer_at > 0 && rig.now >= answer_at; };
+    rig.advance_until(is_due, 30'000 * ms);
     REQUIRE(waiting);
     waiting->send(reply(list_five));
     rig.advance_until([&] { return rig.generation == 5; }, 30'000 * ms);
@@ -175,20 +175,21 @@
         std::uint64_t generation = 0;
     };
     std::vector<ListRecorder> observers(routers);
-    struct Due {
+    // A poll that discovery answers at this time.
+    struct PendingPoll {
         Nanos at;
         std::shared_ptr<TestConnection> peer;
     };
-    std::deque<Due> pending;
+    std::deque<PendingPoll> pending;
     Nanos busy_until = 0;
     std::size_t refused = 0;
     FakeServer discovery(io, [&](TestConnection& peer) {
         const auto end = peer.received.find("\r\n\r\n");
         if (end == std::string::npos) return;
-        // A poll for changes, which costs nothing.
-        const bool goes_on = peer.received.find("index=5&") != std::string::npos;
+        // Discovery answers polls for changes at no cost.
+        const bool is_poll_for_changes = peer.received.find("index=5&") != std::string::npos;
         peer.received.erase(0, end + 4);
-        if (goes_on) return;
+        if (is_poll_for_changes) return;
         busy_until = std::max(busy_until, now);
         if (busy_until - now > 2000 * ms) {
             ++refused;
@@ -206,7 +207,7 @@
     }
     const auto updated = [&] {
         return std::count_if(observers.begin(), observers.end(),
-                             [](const ListRecorder& t) { return t.generation == 5; });
+                             [](const ListRecorder& observer) { return observer.generation == 5; });
     };
     const Nanos began = now;
     for (; updated() < std::ptrdiff_t{routers} && now - began < 30'000 * ms; now += 10 * ms) {
@@ -218,7 +219,8 @@
         for (; !pending.empty() && pending.front().at <= now; pending.pop_front())
             if (!pending.front().peer->ended) pending.front().peer->send(reply(list_five));
     }
-    INFO(updated() << " heard, " << refused << " refused after " << (now - began) / ms << " ms");
+    INFO(updated() << " routers have the list, " << refused << " refused after " << (now - began) / ms
+                   << " ms");
     CHECK(updated() == std::ptrdiff_t{routers});
     CHECK(now - began < 9'500 * ms);
     for (auto& watch : watches) watch->stop();
@@ -227,8 +229,8 @@
 TEST_CASE("a response without a length is complete at the end of its stream, but not at a reset") {
     const bool reset_by_server = GENERATE(false, true);
     WatchRig rig;
-    rig.on_request = [reset_by_server](TestConnection& peer, std::size_t n) {
-        if (n > 0) return;
+    rig.on_request = [reset_by_server](TestConnection& peer, std::size_t request) {
+        if (request > 0) return;
         peer.send("HTTP/1.1 200 OK\r\n\r\n" + list_five);  // looks like a complete list
         if (!reset_by_server) peer.socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send);
     };
@@ -244,14 +246,14 @@
 TEST_CASE(
     "a list over the size limit is ignored, the full list is polled, and a later list within the limit is "
     "delivered") {
-    const bool stated = GENERATE(true, false);
+    const bool states_length = GENERATE(true, false);
     WatchRig rig;
-    bool grown = true;
+    bool oversized = true;
     rig.on_request = [&](TestConnection& peer, std::size_t) {
         if (rig.generation == 5) return;
         std::string list = list_five;
-        list.insert(list.size() - 1, grown ? 4096 : 0, ' ');  // the padding alone is as long as the limit
-        if (stated) return peer.send(reply(list));
+        list.insert(list.size() - 1, oversized ? 4096 : 0, ' ');  // the padding alone is as long as the limit
+        if (states_length) return peer.send(reply(list));
         peer.send("HTTP/1.1 200 OK\r\n\r\n" + list);
         peer.socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send);
     };
@@ -260,7 +262,7 @@
     CHECK(rig.generation == 0);
     REQUIRE(rig.request_count() == 3);
     CHECK(rig.requests[2].first.find("index=") == std::string::npos);
-    grown = false;
+    oversized = false;
     rig.advance_until([&] { return rig.generation == 5; }, 5000 * ms);
     CHECK(rig.generation == 5);
 }
--- a/tests/lists_test.cpp
+++ b/tests/lists_test.cpp
@@ -156,15 +156,15 @@
                       node.started_at);
 }
 
-void check_same(const std::optional<EndpointList>& got, const std::optional<EndpointList>& want) {
-    RC_ASSERT(got.has_value() == want.has_value());
-    if (!got) return;
-    RC_ASSERT(got->generation == want->generation);
-    RC_ASSERT(got->full == want->full);
-    RC_ASSERT(got->skipped_entries == want->skipped_entries);
-    RC_ASSERT(got->nodes.size() == want->nodes.size());
-    for (std::size_t i = 0; i < got->nodes.size(); ++i)
-        RC_ASSERT(fields_of(got->nodes[i]) == fields_of(want->nodes[i]));
+void check_same(const std::optional<EndpointList>& actual, const std::optional<EndpointList>& expected) {
+    RC_ASSERT(actual.has_value() == expected.has_value());
+    if (!actual) return;
+    RC_ASSERT(actual->generation == expected->generation);
+    RC_ASSERT(actual->full == expected->full);
+    RC_ASSERT(actual->skipped_entries == expected->skipped_entries);
+    RC_ASSERT(actual->nodes.size() == expected->nodes.size());
+    for (std::size_t i = 0; i < actual->nodes.size(); ++i)
+        RC_ASSERT(fields_of(actual->nodes[i]) == fields_of(expected->nodes[i]));
 }
 
 std::string any_of(std::initializer_list<const char*> from) {
@@ -250,12 +250,12 @@
     return text;
 }
 
-ListedEndpoint listed(int n, Lifecycle lifecycle, int variant = 0) {
-    return {"node " + std::to_string(n),
+ListedEndpoint listed(int index, Lifecycle lifecycle, int variant = 0) {
+    return {"node " + std::to_string(index),
             "h:" + std::to_string(1 + variant % 2),
-            "z" + std::to_string(n % 3),
+            "z" + std::to_string(index % 3),
             "k" + std::to_string(variant % 3),
-            static_cast<std::uint32_t>(n),
+            static_cast<std::uint32_t>(index),
             lifecycle,
             variant / 2 % 2};
 }
@@ -303,17 +303,17 @@
                                                 static_cast<Lifecycle>(*rc::gen::inRange(0, 3)),
                                                 *rc::gen::inRange(0, 8)));
             }
-            const auto got = nodes.apply(list), want = model.apply(list);
-            RC_ASSERT(got.added == want.added);
-            RC_ASSERT(got.moved == want.moved);
-            RC_ASSERT(got.leaving == want.leaving);
-            RC_ASSERT(got.entries.size() == want.entries.size());
-            for (std::size_t e = 0; e < got.entries.size(); ++e) {
-                RC_ASSERT(got.entries[e].node == want.entries[e].node);
-                RC_ASSERT(got.entries[e].place == want.entries[e].place);
-                RC_ASSERT(got.entries[e].lifecycle == want.entries[e].lifecycle);
-                RC_ASSERT(got.entries[e].started_at == want.entries[e].started_at);
-                RC_ASSERT(got.entries[e].group == want.entries[e].group);
+            const auto actual = nodes.apply(list), expected = model.apply(list);
+            RC_ASSERT(actual.added == expected.added);
+            RC_ASSERT(actual.moved == expected.moved);
+            RC_ASSERT(actual.leaving == expected.leaving);
+            RC_ASSERT(actual.entries.size() == expected.entries.size());
+            for (std::size_t position = 0; position < actual.entries.size(); ++position) {
+                RC_ASSERT(actual.entries[position].node == expected.entries[position].node);
+                RC_ASSERT(actual.entries[position].place == expected.entries[position].place);
+                RC_ASSERT(actual.entries[position].lifecycle == expected.entries[position].lifecycle);
+                RC_ASSERT(actual.entries[position].started_at == expected.entries[position].started_at);
+                RC_ASSERT(actual.entries[position].group == expected.entries[position].group);
             }
             RC_ASSERT(nodes.size() == model.nodes.size());
             RC_ASSERT(nodes.ready() == model.ready());
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -20,11 +20,12 @@
 
 namespace {
 
+// A seeded source of random numbers.
 class Random {
   public:
     explicit Random(std::uint64_t seed) : engine_(seed) {}
-    int below(int n) { return static_cast<int>(engine_() % static_cast<std::uint64_t>(n)); }
-    bool one_in(int n) { return below(n) == 0; }
+    int below(int bound) { return static_cast<int>(engine_() % static_cast<std::uint64_t>(bound)); }
+    bool one_in(int count) { return below(count) == 0; }
 
   private:
     std::mt19937_64 engine_;
@@ -111,13 +112,13 @@
     config.max_lease = 2000 * ms;
     SectionFilterCache cache(config, shards);
     struct ModelSection {
-        std::uint64_t version = 1, heard = 0;
+        std::uint64_t version = 1;
         Nanos leased_until = 0;  // the end of the latest lease on the current version
         std::set<std::string> terms;
     };
     std::map<std::uint32_t, ModelSection> model;
     Nanos now = 1000 * ms;
-    int ruled_out = 0;
+    int excluded = 0;
     for (int step = 0; step < 4000; ++step) {
         now += random.below(80) * ms;
         const auto shard = static_cast<std::uint32_t>(random.below(shards));
@@ -147,14 +148,14 @@
         criteria.terms = {"t" + std::to_string(random.below(60))};
         criteria.rows = 3;
         if (cache.excluded_by(shard, SearchKeys(criteria), now)) {
-            ++ruled_out;
+            ++excluded;
             REQUIRE_FALSE(section.terms.contains(criteria.terms[0]));
             REQUIRE(now < section.leased_until);
         }
         REQUIRE(cache.bytes() <= config.max_bytes);
         REQUIRE(cache.size() <= shards);
     }
-    CHECK(ruled_out > 100);
+    CHECK(excluded > 100);
     cache.clear();
     CHECK(cache.size() == 0);
     CHECK(cache.bytes() == 0);
@@ -233,14 +234,14 @@
     bool changes_versions = false, loses_answers = false, overstates_ranks = false;
     int legs = 0;
 
-    void maybe_change(std::uint32_t i) {
+    void maybe_change(std::uint32_t index) {
         if (!changes_versions || !random.one_in(4)) return;
-        ++sections[i].version;
-        for (testing::Row& row : sections[i].rows) row.rank += random.below(400) - 200;
-        testing::sort_rows(sections[i].rows);
+        ++sections[index].version;
+        for (testing::Row& row : sections[index].rows) row.rank += random.below(400) - 200;
+        testing::sort_rows(sections[index].rows);
     }
 
-    TwoPhaseStateMachine play(std::uint32_t shards) {
+    TwoPhaseStateMachine run(std::uint32_t shards) {
         testing::GeneratedContents generated;
         generated.shards = shards;
         generated.rows = random.below(12);
@@ -289,23 +290,24 @@
         REQUIRE(std::abs(sum - 1) < 1e-9);
         REQUIRE(machine.state() != TwoPhaseStateMachine::State::ended);
     }
-    void give_summary(TwoPhaseStateMachine& machine, std::uint32_t i) {
-        SectionSummary summary = testing::summarize(sections[i], criteria, 0, false);
-        at_summary[i] = sections[i];
-        if (overstated.contains(i)) {
+    void give_summary(TwoPhaseStateMachine& machine, std::uint32_t index) {
+        SectionSummary summary = testing::summarize(sections[index], criteria, 0, false);
+        at_summary[index] = sections[index];
+        if (overstated.contains(index)) {
             summary.max_rank += 5000;
             for (double& rank : summary.top_ranks) rank += 5000;
         }
-        machine.on_summary(i, i, summary);
+        machine.on_summary(index, index, summary);
     }
-    void give_rows(TwoPhaseStateMachine& machine, std::uint32_t i) {
-        if (machine.is_stale(i, sections[i].version)) return;
+    void give_rows(TwoPhaseStateMachine& machine, std::uint32_t index) {
+        if (machine.is_stale(index, sections[index].version)) return;
         std::vector<double> ranks;
-        for (const testing::Row* row : testing::best_rows(sections[i], criteria)) ranks.push_back(row->rank);
-        at_rows[i] = sections[i];
-        const auto result = machine.on_rows(i, sections[i].version, ranks);
-        const bool is_contradicted = overstated.contains(i) && at_summary.contains(i) &&
-                                     at_summary[i].version == sections[i].version && !ranks.empty();
+        for (const testing::Row* row : testing::best_rows(sections[index], criteria))
+            ranks.push_back(row->rank);
+        at_rows[index] = sections[index];
+        const auto result = machine.on_rows(index, sections[index].version, ranks);
+        const bool is_contradicted = overstated.contains(index) && at_summary.contains(index) &&
+                                     at_summary[index].version == sections[index].version && !ranks.empty();
         REQUIRE((result == TwoPhaseStateMachine::RowCheck::contradictory) == is_contradicted);
     }
     // Compares the response with the contents of all sections as of their last answer.
@@ -319,8 +321,8 @@
         std::vector<RankedRow> actual, expected;
         for (std::uint32_t i = 0; i < shards; ++i) {
             if (std::find(missing.begin(), missing.end(), i) != missing.end()) continue;
-            const auto rows_of = [&](const testing::Section& s, std::vector<RankedRow>& to) {
-                for (const testing::Row* row : testing::best_rows(s, criteria))
+            const auto rows_of = [&](const testing::Section& section, std::vector<RankedRow>& to) {
+                for (const testing::Row* row : testing::best_rows(section, criteria))
                     to.push_back({row->doc, row->rank});
             };
             if (at_rows.contains(i))
@@ -339,7 +341,7 @@
     for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
         QuerySimulation simulation(seed);
         const auto shards = static_cast<std::uint32_t>(1 + simulation.random.below(20));
-        const TwoPhaseStateMachine machine = simulation.play(shards);
+        const TwoPhaseStateMachine machine = simulation.run(shards);
         REQUIRE(machine.is_complete());
         simulation.check(machine, shards);
         pruned += machine.coverage().pruned;
@@ -356,7 +358,7 @@
         simulation.changes_versions = seed % 3 == 0;
         simulation.overstates_ranks = seed % 5 == 0;
         const auto shards = static_cast<std::uint32_t>(1 + simulation.random.below(16));
-        const TwoPhaseStateMachine machine = simulation.play(shards);
+        const TwoPhaseStateMachine machine = simulation.run(shards);
         simulation.check(machine, shards);
         rechecked += machine.rechecked();
         missing += machine.coverage().missing;
@@ -394,8 +396,9 @@
     no_matches.no_matches = true;
     audited.on_summary(0, 9, no_matches);
     audited.on_summary(1, 8, no_matches);
-    int asked = 0;
-    const Leg leg = audited.end_leg(LegDecision::answer, 10 * ms, [&asked] { return ++asked == 1; });
+    int audit_draws = 0;
+    const Leg leg =
+        audited.end_leg(LegDecision::answer, 10 * ms, [&audit_draws] { return ++audit_draws == 1; });
     REQUIRE(leg.shard_requests.size() == 1);
     CHECK(leg.shard_requests[0].weight == 1);
     CHECK(audited.on_rows(0, 0, {3.0}) == TwoPhaseStateMachine::RowCheck::contradictory);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -19,16 +19,17 @@
 QueryRouter make_router(const RouterConfig& config = small_config(),
                         const std::vector<Endpoint>& list = small_endpoint_list()) {
     QueryRouter router(config, 7);
-    play(router, start - 1000 * ms, [&](RoundEventHandler& h) { h.on_endpoints(ListKind::cached, list); });
+    play(router, start - 1000 * ms,
+         [&](RoundEventHandler& handler) { handler.on_endpoints(ListKind::cached, list); });
     return router;
 }
 
 // Lets queries with these weights arrive, with ids 20 apart, and returns the attempts that are sent.
 std::vector<Decision> start_query(QueryRouter& router, Nanos now, std::uint32_t id, std::uint16_t query_class,
                                   const Weights& weights, std::uint32_t queries = 1) {
-    const auto arrive_all = [&](RoundEventHandler& h) {
+    const auto arrive_all = [&](RoundEventHandler& handler) {
         for (std::uint32_t i = 0; i < queries; ++i)
-            deliver_query(h, id + 20 * i, query_class, now + 4000 * ms, weights);
+            deliver_query(handler, id + 20 * i, query_class, now + 4000 * ms, weights);
     };
     return play(router, now, arrive_all).of(Decision::send_attempt);
 }
@@ -36,9 +37,9 @@
 // Ends the attempts with `outcome`, and those to `other_node` with `other_outcome`.
 void end_attempts(QueryRouter& router, Nanos now, const std::vector<Decision>& attempts, Outcome outcome,
                   Nanos latency, std::uint32_t other_node = 0, Outcome other_outcome = Outcome::ok) {
-    play(router, now, [&](RoundEventHandler& h) {
+    play(router, now, [&](RoundEventHandler& handler) {
         for (const Decision& attempt : attempts)
-            h.on_attempt_result(
+            handler.on_attempt_result(
                 {attempt.id, attempt.node, 0, attempt.node == other_node ? other_outcome : outcome, latency});
     });
 }
@@ -78,16 +79,16 @@
     RouterConfig config = small_config();
     config.max_attempts = 1;
     QueryRouter router = make_router(config);
-    const Nanos cut = repeat_outcome(router, start, 1000, Outcome::overloaded);
+    const Nanos cut_at = repeat_outcome(router, start, 1000, Outcome::overloaded);
     // A weight of 0.4 alone is below the minimum of 0.5, so that a second shard request is sent.
-    CHECK(shard_requests_of(run_query(router, cut, 5000, 0, skewed_weights, Outcome::ok, 50 * ms)) ==
+    CHECK(shard_requests_of(run_query(router, cut_at, 5000, 0, skewed_weights, Outcome::ok, 50 * ms)) ==
           std::vector<std::uint32_t>{5002, 5004});
     // Each evaluation without pressure adds an eighth of the maximum width, which is less than a cut removes.
-    const Nanos half = repeat_outcome(router, cut + 100 * ms, 6000, Outcome::ok);
-    CHECK(run_query(router, half, 7000, 0, skewed_weights, Outcome::ok, 10 * ms).size() <
+    const Nanos partly_grown_at = repeat_outcome(router, cut_at + 100 * ms, 6000, Outcome::ok);
+    CHECK(run_query(router, partly_grown_at, 7000, 0, skewed_weights, Outcome::ok, 10 * ms).size() <
           skewed_weights.size());
-    const Nanos back = repeat_outcome(router, half + 100 * ms, 8000, Outcome::ok);
-    CHECK(start_query(router, back, 9000, 0, skewed_weights).size() == skewed_weights.size());
+    const Nanos grown_back_at = repeat_outcome(router, partly_grown_at + 100 * ms, 8000, Outcome::ok);
+    CHECK(start_query(router, grown_back_at, 9000, 0, skewed_weights).size() == skewed_weights.size());
 }
 
 TEST_CASE("the width is at least one shard request, and three if the two heaviest weights are close") {
@@ -121,10 +122,10 @@
     QueryRouter router = make_router(config, small_endpoint_list(40));
     const auto attempts = start_query(router, start, 1000, 0, wide);
     REQUIRE(attempts.size() == 40);
-    play(router, start + 50 * ms, [&](RoundEventHandler& h) {
+    play(router, start + 50 * ms, [&](RoundEventHandler& handler) {
         for (std::size_t i = 0; i < attempts.size(); ++i)
-            h.on_attempt_result({attempts[i].id, attempts[i].node, 0,
-                                 i % 5 == 0 ? Outcome::overloaded : Outcome::ok, 50 * ms});
+            handler.on_attempt_result({attempts[i].id, attempts[i].node, 0,
+                                       i % 5 == 0 ? Outcome::overloaded : Outcome::ok, 50 * ms});
     });
     play(router, start + 1000 * ms, no_events);
     run_query(router, start + 1500 * ms, 2000, 1, {0.5, 0.5}, Outcome::ok, 50 * ms);
@@ -142,8 +143,8 @@
     for (std::uint32_t i = 0; i < 9; ++i, now += 4000 * ms) {
         const Decision attempt = start_query(router, now, 10 + 10 * i, 1, {1}).at(0);
         CHECK((i < 3 || attempt.node != 101));
-        play(router, now + 50 * ms, [&](RoundEventHandler& h) {
-            h.on_attempt_result(
+        play(router, now + 50 * ms, [&](RoundEventHandler& handler) {
+            handler.on_attempt_result(
                 {attempt.id, attempt.node, 0, attempt.node == 101 ? Outcome::error : Outcome::ok, 50 * ms});
         });
     }
@@ -163,18 +164,18 @@
     attempts.erase(attempts.begin());  // this attempt never ends
     end_attempts(router, now + 400 * ms, attempts, Outcome::ok, 400 * ms);
     std::size_t hedges = 0;
-    for (Nanos t = now + 450 * ms; t < now + 1800 * ms; t += 50 * ms)
-        hedges += play(router, t, no_events).of(Decision::send_attempt).size();
+    for (Nanos time = now + 450 * ms; time < now + 1800 * ms; time += 50 * ms)
+        hedges += play(router, time, no_events).of(Decision::send_attempt).size();
     CHECK(hedges == (query_class == 1 ? 1 : 0));
 }
 
 TEST_CASE("replicas are selected round-robin") {
     QueryRouter router = make_router();
-    std::map<std::uint32_t, int> asked;
+    std::map<std::uint32_t, int> attempts_by_node;
     for (std::uint32_t i = 0; i < 9; ++i)
-        ++asked
+        ++attempts_by_node
             [run_query(router, start + i * 300 * ms, 10 + 10 * i, 1, {1}, Outcome::ok, 50 * ms).at(0).node];
-    CHECK(asked == std::map<std::uint32_t, int>{{100, 3}, {101, 3}, {102, 3}});
+    CHECK(attempts_by_node == std::map<std::uint32_t, int>{{100, 3}, {101, 3}, {102, 3}});
 }
 
 TEST_CASE("a replica whose last attempt timed out is skipped, unless those of all replicas did") {
@@ -212,16 +213,16 @@
     std::erase_if(attempts, [&](const Decision& attempt) { return attempt.node < 100 + hung_nodes; });
     end_attempts(router, now + 50 * ms, attempts, Outcome::ok, 50 * ms);
     std::size_t hedges = 0;
-    for (Nanos t = now + 100 * ms; t < now + 400 * ms; t += 50 * ms)
-        hedges += play(router, t, no_events).of(Decision::send_attempt).size();
+    for (Nanos time = now + 100 * ms; time < now + 400 * ms; time += 50 * ms)
+        hedges += play(router, time, no_events).of(Decision::send_attempt).size();
     CHECK((hung_nodes == 1) == (hedges > 0));
 }
 
 TEST_CASE("a first try with a short client timeout is not treated as a late retry") {
     QueryRouter router = make_router();
     run_query(router, start, 10, 1, {0.5, 0.5}, Outcome::ok, 50 * ms);
-    const RecordedDecisions decisions = play(router, start + 100 * ms, [](RoundEventHandler& h) {
-        deliver_query(h, 20, 1, start + 600 * ms, {1});
+    const RecordedDecisions decisions = play(router, start + 100 * ms, [](RoundEventHandler& handler) {
+        deliver_query(handler, 20, 1, start + 600 * ms, {1});
     });
     CHECK(decisions.of(Decision::reject).empty());
     CHECK(decisions.of(Decision::send_attempt).size() == 1);
@@ -232,8 +233,8 @@
     run_query(router, start - 100 * ms, 500, 1, four_equal_weights, Outcome::ok, 50 * ms);
     end_attempts(router, start + 6000 * ms, start_query(router, start, 10, 1, four_equal_weights, 3),
                  Outcome::ok, 6000 * ms);
-    const RecordedDecisions decisions = play(router, start + 6100 * ms, [](RoundEventHandler& h) {
-        deliver_query(h, 900, 1, start + 10100 * ms, {1});
+    const RecordedDecisions decisions = play(router, start + 6100 * ms, [](RoundEventHandler& handler) {
+        deliver_query(handler, 900, 1, start + 10100 * ms, {1});
     });
     CHECK(decisions.of(Decision::reject).at(0).wait > 0);
     CHECK(decisions.of(Decision::send_attempt).empty());
@@ -263,7 +264,7 @@
     config.discovery = Discovery::poll;
     QueryRouter router(config, 7);
     const auto list_event = [](ListKind kind) {
-        return [kind](RoundEventHandler& h) { h.on_endpoints(kind, small_endpoint_list()); };
+        return [kind](RoundEventHandler& handler) { handler.on_endpoints(kind, small_endpoint_list()); };
     };
     CHECK(play(router, start, list_event(ListKind::cached)).of(Decision::watch_endpoints).size() == 1);
     CHECK(play(router, start + 100 * ms, list_event(ListKind::failed)).of(Decision::watch_endpoints).empty());
@@ -280,7 +281,8 @@
     int to_warming_node = 0, to_warm_nodes = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         QueryRouter router(config, seed);
-        play(router, start, [&](RoundEventHandler& h) { h.on_endpoints(ListKind::cached, list); });
+        play(router, start,
+             [&](RoundEventHandler& handler) { handler.on_endpoints(ListKind::cached, list); });
         for (const Decision& attempt : start_query(router, start + 10 * ms, 10, 1, four_equal_weights, 3))
             ++(attempt.node == 101 ? to_warming_node : to_warm_nodes);
     }
@@ -315,8 +317,8 @@
         bool list_updated = false;
         // Sends queries with one shard request to a random shard each; attempts end after `service_time`.
         for (Nanos now = start; now < node_started_at + 4000 * ms; now += 5 * ms) {
-            const RecordedDecisions decisions = play(router, now, [&](RoundEventHandler& h) {
-                if (now == start) h.on_endpoints(ListKind::cached, list);
+            const RecordedDecisions decisions = play(router, now, [&](RoundEventHandler& handler) {
+                if (now == start) handler.on_endpoints(ListKind::cached, list);
                 if (!list_updated && now >= node_started_at) {
                     list_updated = true;
                     std::vector<Endpoint> delta = {list[1]};
@@ -326,19 +328,19 @@
                             delta.push_back(list[static_cast<std::size_t>(place)]);
                             delta.back().lifecycle = Lifecycle::draining;
                         }
-                    h.on_endpoints(ListKind::delta, delta);
+                    handler.on_endpoints(ListKind::delta, delta);
                 }
                 for (const auto& [at, attempt] : in_flight)
                     if (now - at >= service_time && now - at < service_time + 5 * ms) {
                         const bool fails = others == failing && now >= node_started_at && attempt.node != 101;
-                        h.on_attempt_result({attempt.id, attempt.node, ended[attempt.id]++,
-                                             fails ? Outcome::error : Outcome::ok, service_time});
+                        handler.on_attempt_result({attempt.id, attempt.node, ended[attempt.id]++,
+                                                   fails ? Outcome::error : Outcome::ok, service_time});
                     }
                 for (; next_arrival_at <= now;
                      next_arrival_at += static_cast<Nanos>(interval(random) * 1e9), id += 2)
-                    deliver_query(h, id, 1, now + 5000 * ms, {1.0}, 12,
+                    deliver_query(handler, id, 1, now + 5000 * ms, {1.0}, 12,
                                   static_cast<std::uint32_t>(random() % 12));
-                h.on_timer(0);
+                handler.on_timer(0);
             });
             std::erase_if(in_flight, [&](auto& entry) { return now - entry.first > service_time + 10 * ms; });
             for (const Decision& attempt : decisions.of(Decision::send_attempt)) {
@@ -384,10 +386,10 @@
     QueryRouter router = make_router();
     run_query(router, start, 10, 1, four_equal_weights, Outcome::ok, 50 * ms);
     const auto attempts = start_query(router, start + 100 * ms, 50, 1, four_equal_weights);
-    const RecordedDecisions decisions = play(router, start + 1900 * ms, [&](RoundEventHandler& h) {
+    const RecordedDecisions decisions = play(router, start + 1900 * ms, [&](RoundEventHandler& handler) {
         for (const Decision& attempt : attempts)
-            h.on_attempt_result({attempt.id, attempt.node, 0, Outcome::ok, 60 * ms});
-        deliver_query(h, 90, 1, start + 5000 * ms, four_equal_weights);
+            handler.on_attempt_result({attempt.id, attempt.node, 0, Outcome::ok, 60 * ms});
+        deliver_query(handler, 90, 1, start + 5000 * ms, four_equal_weights);
     });
     CHECK(decisions.of(Decision::answer).at(0).complete);
     CHECK(decisions.of(Decision::send_attempt).size() == 4);
@@ -402,15 +404,15 @@
     auto attempts = start_query(router, start + 100 * ms, 50, 1, four_equal_weights);
     if (one_answered)
         end_attempts(router, start + 150 * ms, {attempts.back()}, Outcome::ok, 50 * ms), attempts.pop_back();
-    const RecordedDecisions decisions = play(router, start + 200 * ms, [&](RoundEventHandler& h) {
+    const RecordedDecisions decisions = play(router, start + 200 * ms, [&](RoundEventHandler& handler) {
         for (const Decision& attempt : attempts)
-            h.on_attempt_result({attempt.id, attempt.node, 0, Outcome::reset, 100 * ms});
+            handler.on_attempt_result({attempt.id, attempt.node, 0, Outcome::reset, 100 * ms});
     });
     CHECK(decisions.of(Decision::reject).size() == (one_answered ? 0 : 1));
     CHECK(decisions.of(Decision::send_attempt).size() == (one_answered ? 3 : 0));
     // A marked retry is sent one shard request at a time until one is answered.
-    const auto repeat = [](RoundEventHandler& h) {
-        deliver_query(h, 70, 1, start + 4000 * ms, four_equal_weights, 4, 0, true);
+    const auto repeat = [](RoundEventHandler& handler) {
+        deliver_query(handler, 70, 1, start + 4000 * ms, four_equal_weights, 4, 0, true);
     };
     CHECK(play(router, start + 300 * ms, repeat).of(Decision::send_attempt).size() == 1);
 }
@@ -430,8 +432,8 @@
         end_attempts(router, now + 50 * ms, {attempts.begin(), slow}, Outcome::ok, 50 * ms);
         end_attempts(router, now + 3000 * ms, {slow, attempts.end()}, Outcome::ok, 3000 * ms);
     }
-    const auto arrive_all = [](RoundEventHandler& h) {
-        deliver_query(h, 900, 1, start + 36'000 * ms, four_equal_weights, 12, 6);
+    const auto arrive_all = [](RoundEventHandler& handler) {
+        deliver_query(handler, 900, 1, start + 36'000 * ms, four_equal_weights, 12, 6);
     };
     const auto attempts = play(router, start + 32'000 * ms, arrive_all).of(Decision::send_attempt);
     CHECK(attempts.size() == 4);
@@ -448,17 +450,19 @@
     std::size_t allocated = 0;
     for (std::uint32_t round = 0; round < 1500; ++round) {
         std::vector<Endpoint> list = small_endpoint_list();
-        for (Endpoint& e : list) e.node += 10 * round, e.started_at = 1 + round;
+        for (Endpoint& endpoint : list) endpoint.node += 10 * round, endpoint.started_at = 1 + round;
         const Nanos now = start + round * 100 * ms;
-        play(router, now, [&](RoundEventHandler& h) { h.on_endpoints(ListKind::full, list); });
+        play(router, now, [&](RoundEventHandler& handler) { handler.on_endpoints(ListKind::full, list); });
         const auto attempts = start_query(router, now + 10 * ms, 1 + 20 * round, 1, four_equal_weights);
         REQUIRE(attempts.size() == 4);
         for (const Decision& attempt : attempts) REQUIRE(attempt.node >= 100 + 10 * round);
         // Some attempts are still in flight when their node is removed, and end afterwards.
         if (round % 2 == 1)
-            play(router, now + 20 * ms, [&](RoundEventHandler& h) { h.on_endpoints(ListKind::full, {}); });
+            play(router, now + 20 * ms,
+                 [&](RoundEventHandler& handler) { handler.on_endpoints(ListKind::full, {}); });
         end_attempts(router, now + 30 * ms, attempts, round % 5 == 0 ? Outcome::reset : Outcome::ok, 20 * ms);
-        play(router, now + 99 * ms, [&](RoundEventHandler& h) { h.on_query_dropped(1 + 20 * round); });
+        play(router, now + 99 * ms,
+             [&](RoundEventHandler& handler) { handler.on_query_dropped(1 + 20 * round); });
         if (round == 300) allocated = allocated_bytes();
     }
     CHECK(allocated_bytes() <= allocated + 10'000);
@@ -474,15 +478,16 @@
     QueryRouter without_overhead = make_router();  // each shard request goes to the next replica in turn
     std::size_t calls_with_overhead = 0, calls_without_overhead = 0;
     for (std::uint32_t i = 0; i < 6; ++i) {
-        std::map<std::uint32_t, int> one, other;
+        std::map<std::uint32_t, int> attempts_with_overhead, attempts_without_overhead;
         const Nanos now = start + i * 300 * ms;
         for (const Decision& attempt :
              run_query(with_overhead, now, 10 + 10 * i, 1, four_equal_weights, Outcome::ok, 50 * ms))
-            ++one[attempt.node];
+            ++attempts_with_overhead[attempt.node];
         for (const Decision& attempt :
              run_query(without_overhead, now, 10 + 10 * i, 1, four_equal_weights, Outcome::ok, 50 * ms))
-            ++other[attempt.node];
-        calls_with_overhead += one.size(), calls_without_overhead += other.size();
+            ++attempts_without_overhead[attempt.node];
+        calls_with_overhead += attempts_with_overhead.size(),
+            calls_without_overhead += attempts_without_overhead.size();
     }
     CHECK(calls_with_overhead < calls_without_overhead);
 }
@@ -494,10 +499,11 @@
     QueryRouter one_per_call = make_router(config), plain = make_router();
     for (std::uint32_t i = 0; i < 4; ++i) {
         const Nanos now = start + i * 300 * ms;
-        const auto a = run_query(one_per_call, now, 10 + 10 * i, 1, four_equal_weights, Outcome::ok, 50 * ms);
-        const auto b = run_query(plain, now, 10 + 10 * i, 1, four_equal_weights, Outcome::ok, 50 * ms);
-        REQUIRE(a.size() == b.size());
-        for (std::size_t j = 0; j < a.size(); ++j) CHECK(a[j].node == b[j].node);
+        const auto actual =
+            run_query(one_per_call, now, 10 + 10 * i, 1, four_equal_weights, Outcome::ok, 50 * ms);
+        const auto expected = run_query(plain, now, 10 + 10 * i, 1, four_equal_weights, Outcome::ok, 50 * ms);
+        REQUIRE(actual.size() == expected.size());
+        for (std::size_t j = 0; j < actual.size(); ++j) CHECK(actual[j].node == expected[j].node);
     }
 }
 
@@ -505,9 +511,9 @@
     QueryRouter router = make_router();
     const auto attempts = start_query(router, start, 10, 1, four_equal_weights);
     REQUIRE(attempts.size() == 4);
-    const RecordedDecisions after = play(router, start + 10 * ms, [&](RoundEventHandler& h) {
-        h.on_attempt_result({attempts[0].id, attempts[0].node, 0, Outcome::overloaded, 10 * ms});
-        h.on_query_dropped(attempts[0].id);
+    const RecordedDecisions after = play(router, start + 10 * ms, [&](RoundEventHandler& handler) {
+        handler.on_attempt_result({attempts[0].id, attempts[0].node, 0, Outcome::overloaded, 10 * ms});
+        handler.on_query_dropped(attempts[0].id);
     });
     CHECK(after.of(Decision::send_attempt).empty());
     CHECK(after.of(Decision::reject).size() + after.of(Decision::fail_query).size() == 1);
@@ -519,8 +525,8 @@
     QueryRouter router = make_router();
     const auto attempts = start_query(router, start, 10, 1, {1});
     REQUIRE(attempts.size() == 1);
-    const RecordedDecisions at_once = play(router, start + 10 * ms, [&](RoundEventHandler& h) {
-        h.on_attempt_result({attempts[0].id, attempts[0].node, 0, Outcome::overloaded, 1 * ms});
+    const RecordedDecisions at_once = play(router, start + 10 * ms, [&](RoundEventHandler& handler) {
+        handler.on_attempt_result({attempts[0].id, attempts[0].node, 0, Outcome::overloaded, 1 * ms});
     });
     CHECK(at_once.of(Decision::send_attempt).empty());
     CHECK(play(router, start + 100 * ms, no_events).of(Decision::send_attempt).empty());
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -44,7 +44,7 @@
     std::map<std::uint32_t, ModelQuery> queries;
     std::map<std::uint32_t, ModelShardRequest> shard_requests;
     std::map<std::uint32_t, Endpoint> nodes;
-    std::map<std::uint32_t, Nanos> unavailable_since;  // since the router was told of a drain or removal
+    std::map<std::uint32_t, Nanos> unavailable_since;  // since the router was notified of a drain or removal
     std::vector<std::uint32_t> second_steps_due;       // queries whose first step ended in this round
 
     void update_endpoint(Nanos now, const Endpoint& endpoint) {
@@ -174,7 +174,7 @@
 // Returns a digest of the decisions.
 std::size_t run_generated_scenario(const RouterConfig& config, std::uint64_t seed) {
     std::knuth_b random(seed);
-    const auto draw = [&](std::uint32_t n) { return static_cast<std::uint32_t>(random() % n); };
+    const auto draw = [&](std::uint32_t bound) { return static_cast<std::uint32_t>(random() % bound); };
     std::multimap<Nanos, AttemptResult> results_due;
     std::uint32_t next_id = 1;
     int answers = 0;
@@ -187,37 +187,37 @@
         std::vector<Endpoint> list = small_endpoint_list(config.places);
         for (Endpoint& endpoint : list) model.update_endpoint(now, endpoint);
         bool listed = false;
-        std::vector<std::uint32_t> second;
+        std::vector<std::uint32_t> second_steps;
         for (const Nanos stop = now + 12'000 * ms; now < stop + 6000 * ms; now += config.round_interval) {
-            const RecordedDecisions decisions = play(router, now, [&](RoundEventHandler& h) {
-                if (!listed) h.on_endpoints(ListKind::cached, list);
+            const RecordedDecisions decisions = play(router, now, [&](RoundEventHandler& handler) {
+                if (!listed) handler.on_endpoints(ListKind::cached, list);
                 listed = true;
                 if (draw(100) == 0) {
                     Endpoint& endpoint = list[draw(static_cast<std::uint32_t>(list.size()))];
-                    const auto was = endpoint.lifecycle;
+                    const auto previous = endpoint.lifecycle;
                     endpoint.lifecycle = static_cast<Lifecycle>(draw(3));
-                    if (was != Lifecycle::ready && endpoint.lifecycle == Lifecycle::ready)
+                    if (previous != Lifecycle::ready && endpoint.lifecycle == Lifecycle::ready)
                         endpoint.started_at = now - 500 * ms;
                     model.update_endpoint(now, endpoint);
-                    h.on_endpoints(ListKind::delta, {&endpoint, 1});
+                    handler.on_endpoints(ListKind::delta, {&endpoint, 1});
                 }
                 for (auto it = results_due.begin(); it != results_due.end() && it->first <= now;
                      it = results_due.erase(it)) {
                     model.attempt_ended(it->second.shard_request, it->second.attempt, it->second.outcome);
-                    h.on_attempt_result(it->second);
+                    handler.on_attempt_result(it->second);
                 }
-                const auto add_shard_requests = [&](std::uint32_t query, std::uint32_t n, int step) {
-                    for (std::uint32_t i = 0; i < n; ++i, ++next_id) {
+                const auto add_shard_requests = [&](std::uint32_t query, std::uint32_t count, int step) {
+                    for (std::uint32_t i = 0; i < count; ++i, ++next_id) {
                         const std::uint32_t shard = draw(static_cast<std::uint32_t>(config.shards));
-                        const double weight = n == 1 ? 1 : i == 0 ? 0.5 : 0.5 / (n - 1);
+                        const double weight = count == 1 ? 1 : i == 0 ? 0.5 : 0.5 / (count - 1);
                         model.shard_requests[next_id] = {query, shard, weight, {}, false, step};
                         ++model.queries[query].shard_requests[step];
                         model.request_arrived(now);
-                        h.on_shard_request({next_id, query, shard, weight, 0});
+                        handler.on_shard_request({next_id, query, shard, weight, 0});
                     }
                 };
-                for (const std::uint32_t id : second) add_shard_requests(id, 2, 2);
-                second.clear();
+                for (const std::uint32_t id : second_steps) add_shard_requests(id, 2, 2);
+                second_steps.clear();
                 if (now < stop && draw(12) == 0) {
                     const std::uint32_t id = next_id++;
                     ModelQuery& query = model.queries[id];
@@ -225,27 +225,28 @@
                         draw(static_cast<std::uint32_t>(config.query_classes.size())));
                     query.deadline_at = now + static_cast<Nanos>(500 + draw(4500)) * ms;
                     model.request_arrived(now);
-                    h.on_query({id, id, query.query_class, 0, query.deadline_at, draw(4) == 0});
+                    handler.on_query({id, id, query.query_class, 0, query.deadline_at, draw(4) == 0});
                     add_shard_requests(id, 1 + draw(6), 1);
                 }
                 if (draw(200) == 0 && next_id > 5) {
                     const std::uint32_t id = next_id - 1 - draw(std::min(next_id - 1, 20U));
-                    if (auto q = model.queries.find(id); q != model.queries.end() && q->second.ends == 0) {
-                        q->second.ends = 1;  // its client disconnected
-                        h.on_query_dropped(id);
+                    if (auto query = model.queries.find(id);
+                        query != model.queries.end() && query->second.ends == 0) {
+                        query->second.ends = 1;  // its client disconnected
+                        handler.on_query_dropped(id);
                     }
                 }
             });
             model.check(now, decisions);
-            for (const Decision& d : decisions.recorded)
-                digest = digest * 31 + d.id + d.node + static_cast<std::size_t>(d.kind);
-            second = model.second_steps_due;
+            for (const Decision& decision : decisions.recorded)
+                digest = digest * 31 + decision.id + decision.node + static_cast<std::size_t>(decision.kind);
+            second_steps = model.second_steps_due;
             answers += static_cast<int>(decisions.of(Decision::answer).size());
             for (const Decision& decision : decisions.of(Decision::send_attempt)) {
-                static constexpr Outcome bad[] = {Outcome::error,   Outcome::overloaded,
-                                                  Outcome::timeout, Outcome::connect_failed,
-                                                  Outcome::reset,   Outcome::not_sent};
-                const Outcome outcome = draw(10) < 7 ? Outcome::ok : bad[draw(6)];
+                static constexpr Outcome failures[] = {Outcome::error,   Outcome::overloaded,
+                                                       Outcome::timeout, Outcome::connect_failed,
+                                                       Outcome::reset,   Outcome::not_sent};
+                const Outcome outcome = draw(10) < 7 ? Outcome::ok : failures[draw(6)];
                 const Nanos latency = outcome == Outcome::ok ? service_time + draw(50) * ms : draw(2500) * ms;
                 const auto attempt =
                     static_cast<std::uint8_t>(model.shard_requests.at(decision.id).attempts.size() - 1);
--- a/tests/tables_test.cpp
+++ b/tests/tables_test.cpp
@@ -35,6 +35,7 @@
 
 namespace {
 
+// Records the timers that fire.
 struct RecordedTimers final : TimerHandler {
     std::vector<std::uint64_t> cookies;
     void on_timer_due(Handle, std::uint64_t cookie) override { cookies.push_back(cookie); }
@@ -86,7 +87,7 @@
     changes = nodes.apply({2, false, {node("b", "h:2", draining)}, 0});
     CHECK(changes.leaving == std::vector<std::uint32_t>{1});
     CHECK(nodes.ready() == 1);
-    // With a new address or start time, old connections lead to a process that is gone.
+    // With a new address or start time, old connections lead to a process that has ended.
     changes = nodes.apply({3, false, {node("a", "h:9", ready), node("b", "h:2", ready, 5)}, 0});
     CHECK(changes.moved == std::vector<std::uint32_t>{0, 1});
     CHECK(changes.leaving.empty());
--- a/tests/two_phase_test.cpp
+++ b/tests/two_phase_test.cpp
@@ -20,19 +20,20 @@
                          const std::string& node_options = "") {
     std::string text = "fleet {\n shards = " + std::to_string(shards) + "\n places = 4\n width = 2\n" +
                        fleet_options + "}\n";
-    for (int n = 0; n < nodes; ++n)
-        text += "node \"n" + std::to_string(n) + "\" {\n place = " + std::to_string(n % 4) + "\n" +
+    for (int node = 0; node < nodes; ++node)
+        text += "node \"n" + std::to_string(node) + "\" {\n place = " + std::to_string(node % 4) + "\n" +
                 node_options + "}\n";
     return text;
 }
 
+// A service, the scripted fleet of its data nodes, and one client.
 struct ServiceFixture {
     boost::asio::io_context io{1};
     Fleet fleet;
     std::unique_ptr<Service> service;
     std::vector<ClientResponse> answers;
     std::unique_ptr<Client> client;
-    int asked = 0;
+    int query_count = 0;
 
     // `objective_ms` is the latency objective of query class "part".
     explicit ServiceFixture(const std::string& script, const std::string& operators = "two_phase \"part\" {}",
@@ -52,13 +53,13 @@
                 std::to_string(objective_ms) +
                 R"(,"deadline":3000.0,"semantics":"repeatable","late_worth":0.5},)"
                 R"({"name":"keyed","promise":400.0,"deadline":3000.0,"repeat_window":3000.0,"semantics":"by_key"}]})";
-            StartupConfig made = read_startup_config(
+            StartupConfig config = read_startup_config(
                 R"({"name":"r","listen":"127.0.0.1:1","discovery":")" + fleet.discovery.address() +
                 R"(","seed":"00ff","limits":{"sockets":256},"known":{"generation":1,"reset":true,"instances":[)" +
                 fleet.entries() + "]},\"settings\":" + settings + "}");
-            made.listen.port = 0;
-            apply_operator_config(made, read_operator_config(operators, "operators"));
-            return made;
+            config.listen.port = 0;
+            apply_operator_config(config, read_operator_config(operators, "operators"));
+            return config;
         });
         connect();
     }
@@ -77,26 +78,27 @@
     ClientQuery make_query(const std::string& term = "wanted", int rows = 5) {
         ClientQuery query;
         query.query_class = "part";
-        query.id = "q" + std::to_string(++asked);
+        query.id = "q" + std::to_string(++query_count);
         query.deadline_ms = 3000;
         query.criteria.terms = {term};
         query.criteria.rows = rows;
         for (std::uint32_t shard = 0; shard < fleet.script().shards; ++shard) query.shards.push_back(shard);
         return query;
     }
-    ClientResponse ask(const ClientQuery& query) {
+    // Sends a query and returns its response.
+    ClientResponse send_and_wait(const ClientQuery& query) {
         const std::size_t before = answers.size();
         client->send(query);
         run_until([&] { return answers.size() > before; });
         return answers.back();
     }
     // The rows that a full scan of all sections but these returns.
-    std::vector<RankedRow> full_scan(const SearchCriteria& find,
+    std::vector<RankedRow> full_scan(const SearchCriteria& criteria,
                                      const std::vector<std::uint32_t>& excluded = {}) {
         std::vector<std::uint32_t> shards;
         for (std::uint32_t shard = 0; shard < fleet.script().shards; ++shard)
             if (std::find(excluded.begin(), excluded.end(), shard) == excluded.end()) shards.push_back(shard);
-        return expected_rows(fleet.script().sections, shards, find);
+        return expected_rows(fleet.script().sections, shards, criteria);
     }
     void check_response(const ClientQuery& query, const ClientResponse& response) {
         REQUIRE(response.status == 200);
@@ -117,7 +119,7 @@
     ServiceFixture fixture(
         fleet_script(40, "rows = 20\nmatching = " + std::to_string(matching) + "\ntop = 0.1\nseed = 3\n"));
     const ClientQuery query = fixture.make_query();
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.complete);
     CHECK(response.pruned.sections >= 36);
@@ -131,11 +133,11 @@
     ServiceFixture fixture(fleet_script(4, "rows = 5\n"), "two_phase \"part\" { most_rows = 8 }");
     ClientQuery plain = fixture.make_query();
     plain.two_phase = false;
-    CHECK(fixture.ask(plain).complete);
-    CHECK(fixture.ask(fixture.make_query("wanted", 9)).complete);
+    CHECK(fixture.send_and_wait(plain).complete);
+    CHECK(fixture.send_and_wait(fixture.make_query("wanted", 9)).complete);
     ClientQuery keyed = fixture.make_query();
     keyed.query_class = "keyed", keyed.key = "k";
-    CHECK(fixture.ask(keyed).complete);
+    CHECK(fixture.send_and_wait(keyed).complete);
     CHECK(fixture.fleet.work().summaries + fixture.fleet.work().rows == 0);
     CHECK(fixture.fleet.work().calls == 12);
 }
@@ -144,22 +146,22 @@
     ServiceFixture fixture(fleet_script(4, "rows = 5\n"));
     ClientQuery query = fixture.make_query();
     query.criteria.rows = 0;
-    CHECK(fixture.ask(query).status == 400);
+    CHECK(fixture.send_and_wait(query).status == 400);
     query = fixture.make_query(std::string(300, 't'));
-    CHECK(fixture.ask(query).status == 400);
+    CHECK(fixture.send_and_wait(query).status == 400);
     query = fixture.make_query("line\nbreak");
-    CHECK(fixture.ask(query).status == 400);
+    CHECK(fixture.send_and_wait(query).status == 400);
     query = fixture.make_query();
     query.criteria.ranges = {{"", 0, 1}};
-    CHECK(fixture.ask(query).status == 400);
+    CHECK(fixture.send_and_wait(query).status == 400);
     CHECK(fixture.fleet.work().lookups == 0);
-    CHECK(fixture.ask(fixture.make_query()).status == 200);
+    CHECK(fixture.send_and_wait(fixture.make_query()).status == 200);
 }
 
 TEST_CASE("with every section pruned the response is complete and has no rows") {
     ServiceFixture fixture(fleet_script(12, "rows = 5\n"));
     const ClientQuery query = fixture.make_query("nowhere");
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.values.empty());
     CHECK(response.complete);
@@ -171,7 +173,7 @@
     ServiceFixture fixture(fleet_script(12, "rows = 5\n", 4, "silent_on = [\"7\"]\n"));
     const ClientQuery query = fixture.make_query("nowhere");
     const auto began = std::chrono::steady_clock::now();
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     // No remaining section has answered in time: the query is rejected, since repeating it is harmless.
     CHECK(response.status == 503);
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::milliseconds(3000));
@@ -182,7 +184,7 @@
         200, "rows = 6\nmatching = 0.3\ntop = 0.1\n", 4,
         "silent_on = [\"0\",\"9\",\"18\",\"27\",\"36\",\"45\",\"54\",\"63\",\"72\",\"81\",\"90\"]\n"));
     const ClientQuery query = fixture.make_query("wanted", 100);
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK_FALSE(response.complete);
     CHECK(response.missing_shards == std::vector<std::uint32_t>{0, 9, 18, 27, 36, 45, 54, 63, 72, 81, 90});
@@ -193,7 +195,7 @@
     ServiceFixture fixture(fleet_script(8, "rows = 6\n", 4, "silent_words = true\n"),
                            "two_phase \"part\" {\n share = 0.2\n least = \"10ms\"\n}");
     const ClientQuery query = fixture.make_query();
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.complete);
     CHECK(response.answered.sections == 8);
@@ -205,7 +207,7 @@
 TEST_CASE("the first phase is skipped if its minimum does not fit into the time") {
     ServiceFixture fixture(fleet_script(8, "rows = 6\n"), "two_phase \"part\" { least = \"250ms\" }");
     const ClientQuery query = fixture.make_query();
-    fixture.check_response(query, fixture.ask(query));
+    fixture.check_response(query, fixture.send_and_wait(query));
     CHECK(fixture.fleet.work().summaries == 0);
     CHECK(fixture.counts().first_phases == 0);
 }
@@ -216,7 +218,7 @@
     fixture.fleet.behaviour(0).refusal = fixture.fleet.behaviour(1).refusal =
         refusal == "words" ? Refusal::error_frame : Refusal::close;
     ClientQuery query = fixture.make_query();
-    fixture.check_response(query, fixture.ask(query));
+    fixture.check_response(query, fixture.send_and_wait(query));
     const auto& capability = fixture.service->dispatcher().two_phase_capability();
     const auto one_phase = [&] {
         int count = 0;
@@ -225,7 +227,7 @@
     };
     for (int i = 0; i < 6; ++i) {
         query = fixture.make_query();
-        const ClientResponse response = fixture.ask(query);
+        const ClientResponse response = fixture.send_and_wait(query);
         fixture.check_response(query, response);
         CHECK(response.complete);
     }
@@ -235,7 +237,7 @@
     CHECK(calls > 0);
     const std::uint64_t summaries = fixture.fleet.work().summaries;
     query = fixture.make_query();
-    fixture.check_response(query, fixture.ask(query));
+    fixture.check_response(query, fixture.send_and_wait(query));
     CHECK(fixture.fleet.work().summaries - summaries == 12);
     // A restart changes the nodes' entries.
     fixture.fleet.behaviour(0).refusal = fixture.fleet.behaviour(1).refusal = Refusal::none;
@@ -269,13 +271,13 @@
                            "two_phase \"part\" {}\nsection_memory { distrust = \"60s\" }");
     fixture.fleet.behaviour(2).bound_error = 9000;
     const ClientQuery query = fixture.make_query("wanted", 3);
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.complete);
     CHECK(fixture.counts().wrong_summaries >= 1);
     CHECK(fixture.counts().rechecked == 1);
     const ClientQuery next = fixture.make_query("wanted", 3);
-    fixture.check_response(next, fixture.ask(next));
+    fixture.check_response(next, fixture.send_and_wait(next));
     CHECK(fixture.counts().rechecked == 1);  // its summaries were not used
 }
 
@@ -283,7 +285,7 @@
     ServiceFixture fixture(fleet_script(16, "rows = 8\n"), "two_phase \"part\" { audit = 1 }");
     fixture.fleet.behaviour(1).hides_rows = true;
     const ClientQuery query = fixture.make_query();
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.complete);
     CHECK(fixture.counts().wrong_summaries >= 1);
@@ -293,7 +295,7 @@
     ServiceFixture fixture(fleet_script(8, "rows = 8\n"));
     fixture.fleet.behaviour(0).versions_behind = 1;
     const ClientQuery query = fixture.make_query();
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.complete);
     CHECK(fixture.counts().stale_rows >= 1);
@@ -311,7 +313,7 @@
                     fixture.fleet.apply({0, "", {}, {shard}, -5000});
         };
     const ClientQuery query = fixture.make_query();
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.complete);
     CHECK(fixture.counts().rechecked == 1);
@@ -326,7 +328,7 @@
     fixture.connect();
     ClientQuery keyed = fixture.make_query();
     keyed.query_class = "keyed", keyed.key = "k";
-    CHECK(fixture.ask(keyed).complete);
+    CHECK(fixture.send_and_wait(keyed).complete);
     CHECK(fixture.fleet.work().rows == 0);
     fixture.run_until([&] { return fixture.service->dispatcher().attempts_in_flight() == 0; });
 }
@@ -356,7 +358,7 @@
     CHECK(fixture.answers[0].complete);
     query = fixture.make_query();
     const std::uint64_t before = fixture.fleet.nodes[1].work.summaries + fixture.fleet.nodes[1].work.rows;
-    fixture.check_response(query, fixture.ask(query));
+    fixture.check_response(query, fixture.send_and_wait(query));
     CHECK(fixture.fleet.nodes[1].work.summaries + fixture.fleet.nodes[1].work.rows == before);
 }
 
@@ -378,7 +380,7 @@
     ServiceFixture fixture(fleet_script(8, "rows = 8\n", 4, "garbles_words = true\n"),
                            "two_phase \"part\" {}", true, 800);
     const ClientQuery query = fixture.make_query();
-    const ClientResponse response = fixture.ask(query);
+    const ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.pruned.sections == 0);
 }
@@ -386,10 +388,10 @@
 TEST_CASE("filters are cached for their lease and dropped when a newer version is seen") {
     ServiceFixture fixture(fleet_script(16, "rows = 8\n", 4, "lease = \"10s\"\n"));
     ClientQuery query = fixture.make_query("nowhere-1");
-    fixture.check_response(query, fixture.ask(query));
+    fixture.check_response(query, fixture.send_and_wait(query));
     CHECK(fixture.fleet.work().summaries == 16);
     query = fixture.make_query("nowhere-2");
-    ClientResponse response = fixture.ask(query);
+    ClientResponse response = fixture.send_and_wait(query);
     fixture.check_response(query, response);
     CHECK(response.complete);
     CHECK(fixture.fleet.work().summaries < 18);  // two are allowed for false positives of the filters
@@ -398,9 +400,9 @@
     const std::uint64_t summaries = fixture.fleet.work().summaries;
     fixture.fleet.apply({0, "", {}, {3}, 0});
     query = fixture.make_query("common");
-    fixture.check_response(query, fixture.ask(query));
+    fixture.check_response(query, fixture.send_and_wait(query));
     query = fixture.make_query("nowhere-3");
-    fixture.check_response(query, fixture.ask(query));
+    fixture.check_response(query, fixture.send_and_wait(query));
     CHECK(fixture.fleet.work().summaries - summaries >= 16);
     CHECK(fixture.service->dispatcher().section_filter_cache().bytes() <=
           SectionFilterCacheConfig().max_bytes);
@@ -408,13 +410,13 @@
 
 TEST_CASE("the limit on attempts for a section covers both phases together") {
     ServiceFixture fixture(fleet_script(4, "rows = 8\n", 12, "errs = true\n"));
-    std::map<std::uint32_t, int> asked;
+    std::map<std::uint32_t, int> attempts;
     for (DataNode& node : fixture.fleet.nodes)
-        node.on_request = [&](char, std::uint32_t shard) { ++asked[shard]; };
+        node.on_request = [&](char, std::uint32_t shard) { ++attempts[shard]; };
     const ClientQuery query = fixture.make_query();
-    CHECK(fixture.ask(query).status == 503);
-    for (const auto& [shard, calls] : asked) CHECK(calls <= 3);
-    CHECK(asked.size() == 4);
+    CHECK(fixture.send_and_wait(query).status == 503);
+    for (const auto& [shard, count] : attempts) CHECK(count <= 3);
+    CHECK(attempts.size() == 4);
 }
 
 TEST_CASE("two-phase queries to a cold fleet get correct responses or rejections") {
@@ -422,13 +424,13 @@
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                          std::chrono::system_clock::now().time_since_epoch())
                          .count();
-    for (std::size_t n = 0; n < 4; ++n)
-        fixture.fleet.behaviour(n).started_at_ms = static_cast<std::uint64_t>(now);
+    for (std::size_t node = 0; node < 4; ++node)
+        fixture.fleet.behaviour(node).started_at_ms = static_cast<std::uint64_t>(now);
     fixture.fleet.publish();
     fixture.run_until([&] { return fixture.service->dispatcher().nodes().ready() == 4; });
     for (int i = 0; i < 5; ++i) {
         const ClientQuery query = fixture.make_query();
-        const ClientResponse response = fixture.ask(query);
+        const ClientResponse response = fixture.send_and_wait(query);
         CHECK((response.status == 200 || response.status == 503));
         if (response.status == 200) fixture.check_response(query, response);
     }
@@ -439,7 +441,7 @@
                            "two_phase \"part\" { share = 0.2 }", false);
     for (int i = 0; i < 3; ++i) {
         const ClientQuery query = fixture.make_query();
-        const ClientResponse response = fixture.ask(query);
+        const ClientResponse response = fixture.send_and_wait(query);
         fixture.check_response(query, response);
         CHECK(response.complete);
     }
@@ -480,9 +482,9 @@
             for (const char c : {'\0', '9', '\n', ' ', '\xff', ','}) {
                 std::string changed(whole);
                 changed[i] = c;
-                const auto got = read_phase_answer(frame_type, changed);
-                if (got && got->outcome == Outcome::ok && !got->summary.top_ranks.empty())
-                    CHECK(got->summary.top_ranks.front() <= got->summary.max_rank);
+                const auto read_back = read_phase_answer(frame_type, changed);
+                if (read_back && read_back->outcome == Outcome::ok && !read_back->summary.top_ranks.empty())
+                    CHECK(read_back->summary.top_ranks.front() <= read_back->summary.max_rank);
             }
         }
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -28,8 +28,8 @@
 
 std::string error_of(const std::string& body) {
     const auto read = read_query(body, 4);
-    const auto* wrong = std::get_if<QueryBodyError>(&read);
-    return wrong != nullptr ? std::string(wrong->message) : std::string();
+    const auto* error = std::get_if<QueryBodyError>(&read);
+    return error != nullptr ? std::string(error->message) : std::string();
 }
 
 }  // namespace
@@ -136,14 +136,14 @@
         R"({"segments":[{"segment":3,"boost":0.75,"work":9000,"affinity":"00ff"},{"segment":0,"boost":0.249998}],"text":"c4\n"})",
         4);
     REQUIRE(std::holds_alternative<QueryBody>(read));
-    const auto& q = std::get<QueryBody>(read);
-    CHECK(q.text == "c4\n");
-    REQUIRE(q.shard_requests.size() == 2);
-    CHECK(q.shard_requests[0].shard == 3);
-    CHECK(q.shard_requests[0].weight == Approx(0.7500015));
-    CHECK(q.shard_requests[0].weight + q.shard_requests[1].weight == Approx(1).epsilon(1e-12));
-    CHECK(q.shard_requests[0].hint == 9'000'000);
-    CHECK(q.shard_requests[1].hint == 0);
+    const auto& query = std::get<QueryBody>(read);
+    CHECK(query.text == "c4\n");
+    REQUIRE(query.shard_requests.size() == 2);
+    CHECK(query.shard_requests[0].shard == 3);
+    CHECK(query.shard_requests[0].weight == Approx(0.7500015));
+    CHECK(query.shard_requests[0].weight + query.shard_requests[1].weight == Approx(1).epsilon(1e-12));
+    CHECK(query.shard_requests[0].hint == 9'000'000);
+    CHECK(query.shard_requests[1].hint == 0);
 }
 
 TEST_CASE("an invalid query body gives an error message and no exception") {
--- a/tests/xds_test.cpp
+++ b/tests/xds_test.cpp
@@ -18,19 +18,20 @@
 
 std::vector<ListedEndpoint> fleet(int nodes, Nanos started = 0) {
     std::vector<ListedEndpoint> list;
-    for (int n = 0; n < nodes; ++n)
-        list.push_back({"n" + std::to_string(n), "127.0.0.1:" + std::to_string(2000 + n), "z", "m",
-                        static_cast<std::uint32_t>(n % 4), Lifecycle::ready, started});
+    for (int node = 0; node < nodes; ++node)
+        list.push_back({"n" + std::to_string(node), "127.0.0.1:" + std::to_string(2000 + node), "z", "m",
+                        static_cast<std::uint32_t>(node % 4), Lifecycle::ready, started});
     return list;
 }
 
+// A control service on a free port of loopback, with a thread that ticks it.
 struct RunningServer {
     ControlConfig config = [] {
-        ControlConfig made;
-        made.enabled = true;
-        made.node_limit = 20;
-        made.leave_grace = 100 * ms;
-        return made;
+        ControlConfig control;
+        control.enabled = true;
+        control.node_limit = 20;
+        control.leave_grace = 100 * ms;
+        return control;
     }();
     std::unique_ptr<XdsServer> server;
     int port = 0;
@@ -58,14 +59,15 @@
         server->apply_list({++generation, true, std::move(nodes), 0});
     }
     std::shared_ptr<grpc::Channel> channel() const {
-        grpc::ChannelArguments args;
-        args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // each recorder has its own connection
+        grpc::ChannelArguments arguments;
+        arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // each recorder has its own connection
         return grpc::CreateCustomChannel("127.0.0.1:" + std::to_string(port),
-                                         grpc::InsecureChannelCredentials(), args);
+                                         grpc::InsecureChannelCredentials(), arguments);
     }
 };
 
-bool complete(const State& state, std::size_t pool_size) {
+// Returns whether a proxy has all resources, with this number of endpoints in each pool.
+bool is_complete(const State& state, std::size_t pool_size) {
     if (state.limits.size() != 4 || state.endpoints.size() != 4 || state.routes.size() != 2 ||
         state.listeners.size() != 2)
         return false;
@@ -107,21 +109,21 @@
     "proxies of both protocol forms get all resources, see a drain and the removal, and share the limits") {
     RunningServer control;
     control.publish(fleet(4));
-    Recorder whole(control.channel(), {.node = "whole"}),
+    Recorder state_of_world(control.channel(), {.node = "whole"}),
         delta(control.channel(), {.node = "delta", .delta = true});
-    for (Recorder* recorder : {&whole, &delta}) {
-        REQUIRE(recorder->wait_until([](const State& state) { return complete(state, 3); }));
+    for (Recorder* recorder : {&state_of_world, &delta}) {
+        REQUIRE(recorder->wait_until([](const State& state) { return is_complete(state, 3); }));
         REQUIRE(recorder->wait_until([](const State& state) { return state.limits.at("holders-0") == 30; }));
         CHECK(recorder->state().max_retries.at("part") == 2);
     }
     auto nodes = fleet(4);
     nodes[1].lifecycle = Lifecycle::draining;
     control.publish(nodes);
-    for (Recorder* recorder : {&whole, &delta}) {
+    for (Recorder* recorder : {&state_of_world, &delta}) {
         CHECK(recorder->wait_until(
             [](const State& state) { return state.endpoints.at("holders-1").at("n1").draining; }));
     }
-    for (Recorder* recorder : {&whole, &delta}) {
+    for (Recorder* recorder : {&state_of_world, &delta}) {
         CHECK(recorder->wait_until(
             [](const State& state) { return !state.endpoints.at("holders-1").contains("n1"); }));
         CHECK(recorder->wait_until([](const State& state) { return state.limits.at("holders-1") == 20; }));
@@ -137,7 +139,7 @@
     {
         Recorder leaves(control.channel(), {.node = "b"});
         REQUIRE(leaves.wait_until(
-            [](const State& state) { return complete(state, 3) && state.limits.at("holders-0") == 30; }));
+            [](const State& state) { return is_complete(state, 3) && state.limits.at("holders-0") == 30; }));
         REQUIRE(stays.wait_until([](const State& state) { return state.limits.at("holders-0") == 30; }));
     }
     CHECK(stays.wait_until([](const State& state) { return state.limits.at("holders-0") == 60; }));
@@ -155,16 +157,16 @@
         nodes[static_cast<std::size_t>(i) % 8].lifecycle = Lifecycle::draining;
         control.publish(nodes);
         recorder.cancel();
-        Recorder again(control.channel(), {.node = "p", .delta = delta});
+        Recorder reconnected(control.channel(), {.node = "p", .delta = delta});
         const std::string drains = "n" + std::to_string(i % 8);
-        REQUIRE(again.wait_until([&](const State& state) {
+        REQUIRE(reconnected.wait_until([&](const State& state) {
             if (state.endpoints.size() != 4 || state.routes.size() != 2) return false;
             for (const auto& [_, endpoints] : state.endpoints)
                 for (const auto& [node, endpoint] : endpoints)
                     if (node == drains && !endpoint.draining) return false;
             return true;
         }));
-        CHECK(again.state().unknown_references == 0);
+        CHECK(reconnected.state().unknown_references == 0);
     }
 }
 
@@ -180,8 +182,8 @@
     Recorder unaffected(control.channel(), {.node = "s", .delta = true});
     CHECK(rejects.wait_until(
         [](const State& state) { return state.endpoints.size() == 3 && state.routes.size() == 2; }));
-    CHECK(unaffected.wait_until([](const State& state) { return complete(state, 3); }));
-    CHECK(never_acknowledges.wait_until([](const State& state) { return complete(state, 3); }));
+    CHECK(unaffected.wait_until([](const State& state) { return is_complete(state, 3); }));
+    CHECK(never_acknowledges.wait_until([](const State& state) { return is_complete(state, 3); }));
     auto nodes = fleet(4);
     nodes[0].lifecycle = Lifecycle::draining;
     control.publish(nodes);
@@ -207,7 +209,7 @@
     std::string version;
     {
         Recorder recorder(first.channel(), {.node = "p"});
-        REQUIRE(recorder.wait_until([](const State& state) { return complete(state, 3); }));
+        REQUIRE(recorder.wait_until([](const State& state) { return is_complete(state, 3); }));
         version = recorder.state().version;
     }
     Recorder recorder(second.channel(), {.node = "p", .known_version = version});
@@ -215,21 +217,21 @@
                                     std::chrono::milliseconds(200)));
     second.generation = 10;
     second.publish(fleet(4));
-    CHECK(recorder.wait_until([](const State& state) { return complete(state, 3); }));
+    CHECK(recorder.wait_until([](const State& state) { return is_complete(state, 3); }));
 }
 
 TEST_CASE("malformed and invalid requests end only their own stream, with a status") {
     RunningServer control;
     control.publish(fleet(4));
     Recorder unaffected(control.channel(), {.node = "s"});
-    REQUIRE(unaffected.wait_until([](const State& state) { return complete(state, 3); }));
+    REQUIRE(unaffected.wait_until([](const State& state) { return is_complete(state, 3); }));
     Recorder unnamed(control.channel(), {.node = ""});
     REQUIRE(unnamed.wait_until([](const State& state) { return state.ended; }));
     CHECK(unnamed.state().status == grpc::StatusCode::INVALID_ARGUMENT);
     Recorder second_of_node(control.channel(), {.node = "s"});
     REQUIRE(unaffected.wait_until([](const State& state) { return state.ended; }));
     CHECK(unaffected.state().status == grpc::StatusCode::ABORTED);
-    CHECK(second_of_node.wait_until([](const State& state) { return complete(state, 3); }));
+    CHECK(second_of_node.wait_until([](const State& state) { return is_complete(state, 3); }));
     Recorder oversized(control.channel(), {.node = std::string(3 << 20, 'x')});
     REQUIRE(oversized.wait_until([](const State& state) { return state.ended; }));
     CHECK(oversized.state().status == grpc::StatusCode::RESOURCE_EXHAUSTED);
@@ -257,7 +259,7 @@
     nodes[2].started_at = now;
     control.publish(nodes);
     Recorder recorder(control.channel(), {.node = "p", .delta = true});
-    REQUIRE(recorder.wait_until([](const State& state) { return complete(state, 3); }));
+    REQUIRE(recorder.wait_until([](const State& state) { return is_complete(state, 3); }));
     const std::uint32_t cold = recorder.state().endpoints.at("holders-2").at("n2").weight;
     CHECK(cold <= 20);
     CHECK(recorder.wait_until(
@@ -265,7 +267,7 @@
     control.publish({});
     control.publish({});
     Recorder later(control.channel(), {.node = "q"});
-    CHECK(later.wait_until([](const State& state) { return complete(state, 3); }));
+    CHECK(later.wait_until([](const State& state) { return is_complete(state, 3); }));
 }
 
 TEST_CASE("a stop ends every stream, and versions after a restart differ") {
@@ -276,7 +278,7 @@
         all.push_back(std::make_unique<Recorder>(
             control->channel(), Recorder::Options{.node = "p" + std::to_string(i), .delta = i % 2 == 0}));
     for (auto& recorder : all)
-        REQUIRE(recorder->wait_until([](const State& state) { return complete(state, 3); }));
+        REQUIRE(recorder->wait_until([](const State& state) { return is_complete(state, 3); }));
     const std::string before = all[0]->state().version;
     control.reset();
     for (auto& recorder : all) {
@@ -286,6 +288,6 @@
     RunningServer next(1001);
     next.publish(fleet(4));
     Recorder recorder(next.channel(), {.node = "p0"});
-    REQUIRE(recorder.wait_until([](const State& state) { return complete(state, 3); }));
+    REQUIRE(recorder.wait_until([](const State& state) { return is_complete(state, 3); }));
     CHECK(recorder.state().version != before);
 }
