--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -55,14 +55,14 @@
         if (refusal_reason.empty()) {
             version_decreased |= copy.version() < applied_version;
             applied_version = copy.version();
-            acting = copy.document();
+            applied_document = copy.document();
             refused = 0;
         } else {
             refused = copy.version();
         }
         refusal_reason_ = refusal_reason;
-        event_log_.record(
-            name, (refusal_reason.empty() ? "acts on " : "refuses ") + std::to_string(copy.version()));
+        event_log_.record(name, (refusal_reason.empty() ? "applies version " : "refuses version ") +
+                                    std::to_string(copy.version()));
     }
     watch_.next();
 }
--- a/src/testing/change_rig.hpp
+++ b/src/testing/change_rig.hpp
@@ -23,7 +23,7 @@
     const std::string name;
     std::uint64_t applied_version = 0, refused = 0;
     changes::DocumentCopy copy;
-    changes::Document acting;  // the document that it acts on
+    changes::Document applied_document;
     Nanos lease_until = 0;
     bool version_decreased = false;  // must stay false
     std::size_t pages = 0;           // pages that it received
--- a/src/testing/contents.hpp
+++ b/src/testing/contents.hpp
@@ -49,7 +49,7 @@
 std::vector<RankedRow> expected_rows(const std::vector<Section>& sections,
                                      const std::vector<std::uint32_t>& shards,
                                      const SearchCriteria& criteria);
-// Returns the highest-ranked of rows that came from several sections.
+// Returns the `count` highest-ranked of rows that came from several sections.
 std::vector<RankedRow> top_rows(std::vector<RankedRow> rows, int count);
 
 // Parameters of generated contents. Every section holds rows with common terms; a share of the sections has
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -319,7 +319,7 @@
         for (Row& row : section.rows) row.rank += change.rank_by;
         sort_rows(section.rows);
     }
-    std::vector<HclError> ignored;  // the whole script has been validated already
+    std::vector<HclError> ignored;  // the script has been validated already
     for (NodeScript& node : script_.nodes)
         if (node.name == change.node) node.behaviour = read_behaviour(change.block, node.behaviour, ignored);
     if (!change.node.empty()) publish();
--- a/src/testing/fleet.hpp
+++ b/src/testing/fleet.hpp
@@ -19,7 +19,8 @@
 
 namespace tealcart::testing {
 
-// An accepted or outgoing connection. It reads as long as `take` returns true; bytes to send are queued.
+// An accepted or outgoing connection. It reads as long as `read_handler` returns true; bytes to send are
+// queued.
 class Connection : public std::enable_shared_from_this<Connection> {
   public:
     using ReadHandler = std::function<bool(Connection&)>;
@@ -46,7 +47,8 @@
     bool writing_ = false;
 };
 
-// Accepts connections on loopback; `make` returns the function that handles the bytes of a new connection.
+// Accepts connections on loopback; `make_handler` returns the function that handles the bytes of a new
+// connection.
 class LoopbackListener {
   public:
     LoopbackListener(boost::asio::io_context& io, std::uint16_t port,
@@ -130,6 +132,7 @@
     // Publishes the current endpoint list.
     void publish();
     Behaviour& behaviour(std::size_t node) { return script_.nodes[node].behaviour; }
+    // Returns the entries of the endpoint list, separated by commas.
     std::string entries() const;
     WorkCounts work() const;
 
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -262,9 +262,9 @@
         if (other != i) raft_proxies_[other]->cut(std::to_string(i + 1), {true, true});
 }
 
-void FleetRig::cut_off_member(const std::string& name, bool to, bool from) {
+void FleetRig::cut_off_member(const std::string& name, bool to_managers, bool from_managers) {
     event_log.record("rig", "cuts off " + name);
-    for (auto& proxy : http_proxies_) proxy->cut(name, {to, from});
+    for (auto& proxy : http_proxies_) proxy->cut(name, {to_managers, from_managers});
 }
 
 void FleetRig::heal() {
--- a/src/testing/fleet_rig.hpp
+++ b/src/testing/fleet_rig.hpp
@@ -44,7 +44,7 @@
                std::chrono::milliseconds within = std::chrono::seconds(20));
     void run_for(std::chrono::milliseconds span);
 
-    // `more`: further arguments. `before`: a command that runs the program, such as one that limits it.
+    // `wrapper_command` is a command that runs the program, such as one that limits its resources.
     void start_manager(std::size_t i, std::vector<std::string> further_arguments = {},
                        std::vector<std::string> wrapper_command = {});
     void start_router(std::size_t i);
@@ -64,12 +64,12 @@
 
     // Drops the messages between this fleet manager and the others, in the given directions.
     void cut_off(std::size_t manager, bool inbound = true, bool outbound = true);
-    // Drops the messages between a router or relay and all fleet managers: those `to` the fleet managers, or
-    // those `from` them.
-    void cut_off_member(std::size_t router, bool to, bool from) {
-        cut_off_member("r" + std::to_string(router), to, from);
+    // Drops the messages between a router or relay and all fleet managers: those to the fleet managers, those
+    // from them, or both.
+    void cut_off_member(std::size_t router, bool to_managers, bool from_managers) {
+        cut_off_member("r" + std::to_string(router), to_managers, from_managers);
     }
-    void cut_off_member(const std::string& name, bool to, bool from);
+    void cut_off_member(const std::string& name, bool to_managers, bool from_managers);
     void heal();
 
     boost::asio::io_context& io;
--- a/src/testing/rig.hpp
+++ b/src/testing/rig.hpp
@@ -106,8 +106,8 @@
     std::vector<std::weak_ptr<ProxiedConnection>> connections_;
 };
 
-// Callers for FaultProxy: the member's or relay's name in an HTTP call to a fleet manager, and the fleet
-// manager's id in the handshake of the replicated log.
+// Identify callers for FaultProxy: by the member's or relay's name in an HTTP call to a fleet manager, and by
+// the fleet manager's id in the handshake of the replicated log.
 std::string caller_name_in_body(const std::string& first_bytes);
 std::string sender_id_in_handshake(const std::string& first_bytes);
 
--- a/src/testing/script.cpp
+++ b/src/testing/script.cpp
@@ -22,8 +22,9 @@
         std::uint32_t number = 0;
         const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
         if (ec != std::errc() || end != text.data() + text.size() || number >= below)
-            reader.add_error(block.position,
-                             "'" + text + "' is no shard number below " + std::to_string(below));
+            reader.add_error(
+                block.position,
+                "'" + text + "' is not a shard number; expected an integer below " + std::to_string(below));
         else
             shards.push_back(number);
     }
@@ -64,8 +65,8 @@
     const std::string document_number = reader.label("the document's number");
     if (std::from_chars(document_number.data(), document_number.data() + document_number.size(), row.doc)
             .ec != std::errc())
-        reader.add_error(block.position,
-                         "the label of a row must be the document's number, not '" + document_number + "'");
+        reader.add_error(block.position, "the label of a 'row' block is '" + document_number +
+                                             "'; expected the document's number");
     row.rank = reader.number("rank", 0, -1e12, 1e12);
     row.terms = reader.strings("terms");
     for (const auto& [field, value] : reader.numbers_by_key("fields")) row.fields[field] = value;
@@ -150,7 +151,7 @@
         block_reader.reject_unknown();
         if (errors.empty()) script.sections = generate(generated);
     } else {
-        reader.add_error(root.position, "the script needs a 'fleet' block");
+        reader.add_error(root.position, "the 'fleet' block is missing");
     }
     script.sections.resize(script.shards);
     for (const HclBlock* block : reader.blocks("node")) {
@@ -174,7 +175,7 @@
 Script read_script_file(const std::string& path) {
     std::ifstream file(path);
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    if (!file) throw ConfigError("can't read the script " + path);
+    if (!file) throw ConfigError("cannot read the script " + path);
     return read_script(text, path);
 }
 
--- a/src/xds/encode.cpp
+++ b/src/xds/encode.cpp
@@ -26,9 +26,9 @@
 
 // Encodes a resource in both forms. Each form includes its field's tag and length, so that encoded resources
 // can be concatenated.
-ResourcePtr packed(const std::string& name, const std::string& version,
-                   const google::protobuf::Message& message, std::uint32_t pool = 0,
-                   std::uint32_t limit = 0) {
+ResourcePtr encode_resource(const std::string& name, const std::string& version,
+                            const google::protobuf::Message& message, std::uint32_t pool = 0,
+                            std::uint32_t limit = 0) {
     auto encoded = std::make_shared<XdsResource>();
     encoded->name = name;
     encoded->version = version;
@@ -59,7 +59,7 @@
     thresholds->mutable_max_requests()->set_value(limit);
     thresholds->mutable_max_pending_requests()->set_value(limit);
     thresholds->mutable_max_retries()->set_value(std::max<std::uint32_t>(limit / 10, 1));
-    return packed(cluster.name(), version, cluster, pool, limit);
+    return encode_resource(cluster.name(), version, cluster, pool, limit);
 }
 
 ResourcePtr XdsEncoder::endpoints(std::uint32_t pool, const Pool& contents,
@@ -92,7 +92,7 @@
         if (!locality->has_load_balancing_weight()) locality->mutable_load_balancing_weight()->set_value(1);
     // Proxies keep the weights as sent, however many endpoints of the pool are healthy.
     assignment.mutable_policy()->mutable_overprovisioning_factor()->set_value(100);
-    return packed(assignment.cluster_name(), version, assignment, pool);
+    return encode_resource(assignment.cluster_name(), version, assignment, pool);
 }
 
 ResourcePtr XdsEncoder::listener(const QueryClassRoute& query_class, const std::string& version) const {
@@ -106,7 +106,7 @@
     envoy::config::listener::v3::Listener listener;
     listener.set_name(query_class.name);
     listener.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
-    return packed(listener.name(), version, listener);
+    return encode_resource(listener.name(), version, listener);
 }
 
 // Routes a shard request to the pool of its shard's place, which the proxy's client names in a header, and a
@@ -144,7 +144,7 @@
             set_span(retry->mutable_per_try_timeout(),
                      std::min(query_class.timeout, query_class.retry_window) / query_class.max_attempts);
     }
-    return packed(config.name(), version, config);
+    return encode_resource(config.name(), version, config);
 }
 
 std::string response_head(const ProxyResponse& response, bool delta) {
--- a/tests/changes_model_test.cpp
+++ b/tests/changes_model_test.cpp
@@ -38,12 +38,9 @@
         Nanos lease = earliest_time;
         bool live = false;
     };
-    struct Version {
-        Document document;
-    };
 
     Limits limits;
-    std::vector<Document> versions{{}};  // by version; the model keeps all of them
+    std::vector<Document> versions{{}};  // by version; the model retains all of them
     std::vector<ModelMember> members;
     std::vector<Relay> relays;
     std::uint64_t applied_everywhere = 0, halted_version = 0;
@@ -272,7 +269,6 @@
     }
     void on(const SetLimits& command) {
         limits = command.limits;
-        Effects kept = effects;
         const Nanos previous = now;
         now = previous - 1;
         limits.lease = INT64_MAX / 8;  // the time advances without an interruption
@@ -471,7 +467,7 @@
         REQUIRE(actual.refusing == expected.refusing);
         REQUIRE(actual.unacknowledged == expected.unacknowledged);
     }
-    // The delta from each version to the latest one, as far as it is kept.
+    // The delta from each version to the latest one, as far as it is retained.
     for (std::uint64_t version = 0; version <= state.version(); ++version) {
         const auto delta = state.since(version);
         REQUIRE(delta.has_value() == (version + state.limits().max_kept >= state.version()));
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -192,8 +192,8 @@
     CHECK(kinds(changes.apply_report(changes.next_report("r1", 1))) ==
           kinds_of<Effect, StaleReport>());  // of the previous incarnation
     CHECK(changes.state.progress(1, 9).behind == Names{"m2"});
-    // m2 does not come back: it may go on acting for a lease and the drift after the old incarnation's last
-    // report.
+    // m2 does not report again, so it may act on the old version for a lease and the drift after the old
+    // incarnation's last report.
     for (int i = 0; i < 11; ++i) {
         restarted_report = changes.next_report("r1", 1);
         restarted_report.incarnation = 2;
@@ -288,7 +288,7 @@
     CHECK(changes.apply_report(changes.next_report("r1", 1)).empty());
     CHECK(changes.apply_report(changes.next_report("r2", 1)).empty());
     CHECK(changes.state.progress(1, 9).live == 2);
-    changes.now -= 5 * second;  // a new leader whose clock is behind: the time stands still
+    changes.now -= 5 * second;  // a new leader whose clock is behind: the agreed time stays
     changes.apply(Tick{});
     CHECK(changes.state.now() == 1030 * second);
     changes.now += 5 * second;
@@ -313,7 +313,7 @@
     CHECK(kinds(changes.apply_report(changes.next_report("r1", 1))) == kinds_of<Effect, AppliedEverywhere>());
 }
 
-TEST_CASE("a rollback is possible to any kept version; version numbers neither go back nor skip") {
+TEST_CASE("a rollback is possible to any retained version; version numbers neither go back nor skip") {
     Limits limits = small_limits();
     limits.max_kept = 4;
     ChangeFixture changes(limits);
@@ -339,7 +339,7 @@
     CHECK(history[0].version == 7);
     CHECK(history[0].requested_by == "ann");
     CHECK(history[0].applied_everywhere);
-    // Fewer large deltas are kept, but always the latest one.
+    // Fewer large deltas are retained, but always the latest one.
     limits.max_kept_bytes = 1;
     changes.apply(SetLimits{limits});
     CHECK(changes.state.history(9).size() == 1);
@@ -391,7 +391,7 @@
     CHECK_THROWS_AS(read_command(bytes.data(), bytes.size()), std::runtime_error);
 }
 
-TEST_CASE("a relay's report costs as much as it lists, however many members the relay has") {
+TEST_CASE("the cost of a relay's report depends on what it lists, not on how many members the relay has") {
     std::vector<std::uint64_t> plain, one_behind, caught_up;
     for (const int relays : {1, 12}) {
         ChangeFixture changes;
@@ -418,7 +418,7 @@
     CHECK(caught_up[0] <= 3);
 }
 
-TEST_CASE("a copy applies each version as a whole or not at all, and never goes back") {
+TEST_CASE("a document copy applies each version completely or not at all, and its version never decreases") {
     std::size_t applied = 0, corrupt = 0, gaps = 0, by_pages = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         CAPTURE(seed);
@@ -473,11 +473,11 @@
             REQUIRE(copy.digest() == digest_of(documents[copy.version()]));
         }
         // A new copy that receives pages only, while nothing changes.
-        DocumentCopy fresh;
-        for (int i = 0; i < 100 && fresh.version() == 0; ++i)
-            fresh.apply(changes.state.page(fresh.next_page_after(), 40));
-        CHECK(fresh.document() == changes.state.document());
-        CHECK_FALSE(fresh.needs_pages());
+        DocumentCopy new_copy;
+        for (int i = 0; i < 100 && new_copy.version() == 0; ++i)
+            new_copy.apply(changes.state.page(new_copy.next_page_after(), 40));
+        CHECK(new_copy.document() == changes.state.document());
+        CHECK_FALSE(new_copy.needs_pages());
     }
     CHECK(applied > 1000);
     CHECK(by_pages > 100);
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -343,7 +343,7 @@
     FollowerFixture fixture(1, fleet_text("", "call_delay = \"900ms\"\n"), "", "", "300.0");
     ScriptedRelay& relay = fixture.followed_relay();
     fixture.until([&] { return fixture.service->dispatcher().begun() && !relay.pending.empty(); });
-    // The first query starts right after a round, so that the next round is a whole step away.
+    // The first query starts right after a round, so that the next round is a full interval away.
     fixture.client->send(fixture.new_query());
     fixture.until([&] { return fixture.service->dispatcher().attempts_in_flight() > 0; });
     Client second(fixture.io, fixture.service->port(), [](ClientResponse) {});
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -117,7 +117,7 @@
     }
 }
 
-TEST_CASE("a list that removes most of the fleet at once: drains apply, removals are held back for a while") {
+TEST_CASE("a list that removes most of the fleet at once: drains apply, removals are delayed for a while") {
     DecisionEngine engine(test::small_config(), query_class_names, control_config(), 1);
     engine.apply_list(list_of(1, four_nodes()), start);
     auto nodes = four_nodes();
@@ -431,7 +431,7 @@
         }
         controller.apply_list(list_of(++generation, nodes), now);
     }
-    // The limits that proxies really hold don't exceed what counts as in use.
+    // Checks that the limits that proxies use do not exceed those counted as in use.
     void check_limits() {
         for (std::uint32_t pool = 0; pool < 4; ++pool) {
             std::uint64_t sum = 0;
--- a/tests/drains_test.cpp
+++ b/tests/drains_test.cpp
@@ -261,7 +261,7 @@
 }
 
 TEST_CASE(
-    "without fleet managers queries continue; after a restart of all of them the agreed state is kept") {
+    "without fleet managers queries continue; after a restart of all of them the agreed state is the same") {
     DrainFixture fixture(rig_options());
     CHECK(fixture.run({"drain", "n5"}, {0, 1, 2}) == 0);
     REQUIRE(fixture.becomes_done("n5"));
@@ -282,8 +282,8 @@
 }
 
 TEST_CASE(
-    "a fleet manager with an old data directory catches up; with a wrong or missing one it exits with one "
-    "line") {
+    "a fleet manager with an old data directory catches up; with a wrong or missing one it exits with a "
+    "one-line error") {
     DrainFixture fixture(rig_options());
     const std::size_t manager = (fixture.rig.leader() + 1) % 3;
     const std::string directory = fixture.rig.directory.path("s" + std::to_string(manager + 1)),
@@ -328,7 +328,7 @@
     fixture.check_no_failed_queries();
 }
 
-TEST_CASE("a fleet manager that cannot write its log exits with one line, and the others continue") {
+TEST_CASE("a fleet manager that cannot write its log exits with a one-line error, and the others continue") {
     DrainFixture fixture(rig_options());
     const std::size_t manager = (fixture.rig.leader() + 1) % 3;
     fixture.rig.managers[manager]->signal(SIGTERM);
@@ -374,7 +374,7 @@
     fixture.check_traffic_continues();
 }
 
-TEST_CASE("a router without a member block has no further socket, file, thread or message") {
+TEST_CASE("a router without a member block has no additional socket, file, thread or message") {
     const bool member = GENERATE(false, true);
     FleetRigOptions options = rig_options();
     options.membership = member;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -183,7 +183,7 @@
     fleet.apply(UndoRemoval{1});
     fleet.apply(UndoRemoval{2});
     CHECK(fleet.state.is_removed({false, "n0"}) ==
-          false);                                  // its return was requested first, when no other was
+          false);                                  // its return was requested when no other was pending
     CHECK(fleet.state.is_removed({false, "n3"}));  // waits for n0
     fleet.observe("n0", Health::cold);
     CHECK(fleet.state.is_removed({false, "n3"}));
@@ -261,8 +261,8 @@
     fleet.advance(2 * second, true, false);
     CHECK(fleet.state.is_removed({false, "n0"}));
     CHECK(fleet.state.members().at("r2").lost);
-    // A new leader whose clock is behind: the time stands still until it has caught up, and leases only get
-    // longer.
+    // With a new leader whose clock is behind, the agreed time stays until the clock has caught up, and
+    // leases only get longer.
     const Nanos until = fleet.state.members().at("r1").lease_until;
     fleet.now -= 100 * second;
     fleet.renew("r1", 0);
@@ -270,7 +270,7 @@
     CHECK(fleet.state.now() > fleet.now);
 }
 
-TEST_CASE("a member that may serve on after its lease is listed, or waited for with wait_for_lost") {
+TEST_CASE("a member that may still serve after its lease is listed, or waited for with wait_for_lost") {
     const bool wait_for_lost = GENERATE(false, true);
     Budgets budgets = small_budgets();
     budgets.wait_for_lost = wait_for_lost;
@@ -288,7 +288,7 @@
     CHECK(request.stage == Stage::done);
 }
 
-TEST_CASE("a halt condition halts once each time that it begins to hold") {
+TEST_CASE("a halt condition halts grants once each time that it becomes true") {
     Budgets budgets = small_budgets();
     budgets.halt_failed_share = 0.1;
     budgets.halt_lost_share = 0.4;
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -329,9 +329,9 @@
     fleet::FleetState state({});
     const Nanos now = 1000 * second;
     CHECK_FALSE(view.differences(state, now));  // before discovery's first answer there is nothing to report
-    ListedEndpoint fresh = listed_node("n1", Lifecycle::ready, 1);
-    fresh.started_at = now - 4 * second;
-    view.on_endpoints({1, true, {listed_node("n0"), fresh, listed_node("n2", Lifecycle::draining, 2)}, 0},
+    ListedEndpoint cold_node = listed_node("n1", Lifecycle::ready, 1);
+    cold_node.started_at = now - 4 * second;
+    view.on_endpoints({1, true, {listed_node("n0"), cold_node, listed_node("n2", Lifecycle::draining, 2)}, 0},
                       now);
     auto observed = view.differences(state, now);
     REQUIRE(observed);
@@ -437,9 +437,9 @@
     CHECK(commit_differences() == 1000);
     CHECK(commit_differences() == 1000);  // now they match the agreed state
     CHECK(commit_differences() == 0);
-    ListedEndpoint fresh = listed_node("n7", Lifecycle::ready, 7);
-    fresh.started_at = now;
-    view.on_endpoints({2, false, {fresh}, 0}, now);
+    ListedEndpoint cold_node = listed_node("n7", Lifecycle::ready, 7);
+    cold_node.started_at = now;
+    view.on_endpoints({2, false, {cold_node}, 0}, now);
     CHECK(commit_differences() == 1);
     CHECK(state.nodes().at("n7").health == fleet::Health::cold);
     CHECK(commit_differences() == 1);
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -347,7 +347,7 @@
     CHECK(rig.model.answers[0].status == 409);
 }
 
-TEST_CASE("a value that is longer than a response may be is not kept") {
+TEST_CASE("a value that is longer than a response may be is not stored") {
     DispatcherRig rig;
     rig.send_query(true, 1);
     rig.step();
--- a/tests/relay_parts_test.cpp
+++ b/tests/relay_parts_test.cpp
@@ -170,7 +170,7 @@
         copies.push_back(relay_copy);
         history.append(delta);
     }
-    CHECK_FALSE(history.since(0));  // three deltas are kept
+    CHECK_FALSE(history.since(0));  // three deltas are retained
     CHECK_FALSE(history.since(4));
     for (std::uint64_t version = 1; version <= 3; ++version) {
         const auto delta = history.since(version);
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -38,7 +38,7 @@
         UNSCOPED_INFO(rig.fleet_rig.event_log.text(80));
         return status;
     }
-    // Runs until `holds`, and checks all the while that the followers are consistent.
+    // Runs until `holds` returns true, and checks at each step that the followers are consistent.
     bool until(const std::function<bool()>& holds) {
         bool consistent = true;
         const bool happened = rig.until([&] {
@@ -101,7 +101,8 @@
     ChangeFixture fixture;
     fixture.follow("f0", {0, 1}), fixture.follow("f1", {1, 0}), fixture.follow("f2", {0, 1});
     fixture.publish_first_version("one\n");
-    for (const auto& follower : fixture.rig.followers) CHECK(follower->acting.at("limits") == "one\n");
+    for (const auto& follower : fixture.rig.followers)
+        CHECK(follower->applied_document.at("limits") == "one\n");
     const auto show = fixture.rig.start_config_command({"show", "limits"});
     REQUIRE(fixture.rig.until([&] { return show->ended(); }));
     CHECK(show->status() == 0);
@@ -112,7 +113,7 @@
     REQUIRE(fixture.config({"set", fixture.rig.entry("a", "1"), fixture.rig.entry("b", "2"), "--remove",
                             "limits", "--based-on", "1", "--wait"}) == 0);
     REQUIRE(fixture.all_apply(2));
-    CHECK(fixture.rig.followers[1]->acting == tealcart::changes::Document{{"a", "1"}, {"b", "2"}});
+    CHECK(fixture.rig.followers[1]->applied_document == tealcart::changes::Document{{"a", "1"}, {"b", "2"}});
     fixture.rig.followers[2]->leave();
     CHECK(fixture.all_live(2));
     const Json status = fixture.rig.relay_status(0);
@@ -290,7 +291,7 @@
         return (ann->status() == 0 ? bob : ann)->has_printed("refused: based on version 1, the latest is 2");
     }));
     CHECK(fixture.all_apply(2));
-    CHECK(fixture.rig.followers[0]->acting.at("limits") == (ann->status() == 0 ? "ann" : "bob"));
+    CHECK(fixture.rig.followers[0]->applied_document.at("limits") == (ann->status() == 0 ? "ann" : "bob"));
 }
 
 TEST_CASE(
@@ -312,7 +313,7 @@
     CHECK(fixture.rig.until([&] { return show->has_printed("refuses it: f2"); }));
     CHECK(fixture.config({"back", "1", "--wait"}) == 0);
     CHECK(fixture.all_apply(3));
-    CHECK(fixture.rig.followers[2]->acting.at("limits") == "one");
+    CHECK(fixture.rig.followers[2]->applied_document.at("limits") == "one");
 }
 
 TEST_CASE("a change refused by too many followers halts publishing; rollback and resume work") {
@@ -348,7 +349,7 @@
     CHECK(fixture.config({"set", fixture.rig.entry("limits", "two")}) == 0);
     CHECK(fixture.all_apply(3));
     CHECK(fixture.in_force(3));
-    CHECK(late.acting == fixture.rig.followers[0]->acting);
+    CHECK(late.applied_document == fixture.rig.followers[0]->applied_document);
     CHECK(late.pages >= 8);
     CHECK(late.has_lease());
 }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -99,7 +99,7 @@
     std::string operators_file;  // the operators' file; empty for none
     int config_reads = 0;
 
-    // Starts with `count` nodes, alternately at the places 0 and 1. Both places have every shard.
+    // Starts with `node_count` nodes, alternately at the places 0 and 1. Both places have every shard.
     explicit ServiceRig(int node_count = 2, std::size_t socket_limit = 256, std::string operators_text = "",
                         bool silent = false)
         : discovery_silent(silent), sockets(socket_limit), operators_file(std::move(operators_text)) {
@@ -391,13 +391,13 @@
     rig.run_until([&] { return unanswered.size() == 2; });
     rig.service->begin_stop();
     rig.run_until([&] { return idle->ended; });
-    const auto fresh = rig.client();
-    fresh->send(query("B"));
+    const auto new_client = rig.client();
+    new_client->send(query("B"));
     rig.run_until([&] { return unanswered.size() == 4; });
     for (const ReceivedAttempt& attempt : unanswered)
         DataNode::answer_attempt(attempt, "OK", "v" + attempt.id);
-    rig.run_until([&] { return busy->ended && fresh->ended; });
-    for (const auto& peer : {busy, fresh}) {
+    rig.run_until([&] { return busy->ended && new_client->ended; });
+    for (const auto& peer : {busy, new_client}) {
         CHECK(peer->received.find("HTTP/1.1 200 OK\r\n") == 0);
         CHECK(peer->received.find("Connection: close\r\n") != std::string::npos);
     }
@@ -417,9 +417,9 @@
     std::raise(SIGTERM);
     rig.run_until([&] { return idle->ended; });
     std::raise(SIGTERM);
-    const auto fresh = rig.client();  // its response shows that the second signal was handled too
-    fresh->send("GET /-/ready HTTP/1.1\r\n\r\n");
-    CHECK(rig.answer(*fresh).first == 503);
+    const auto new_client = rig.client();  // its response shows that the second signal was handled too
+    new_client->send("GET /-/ready HTTP/1.1\r\n\r\n");
+    CHECK(rig.answer(*new_client).first == 503);
     CHECK_FALSE(busy->ended);
     for (const ReceivedAttempt& attempt : unanswered)
         DataNode::answer_attempt(attempt, "OK", "v" + attempt.id);
@@ -578,7 +578,7 @@
 
 namespace {
 
-// The answer to an attempt for shard 0; `rest` follows the attempt's id.
+// Returns the answer to an attempt for shard 0, in which `rest` follows the attempt's id.
 std::string answer_frame(int attempt, const std::string& rest = "OK 1 -\nv") {
     return frame('Y', "q" + std::to_string(attempt) + ".0 " + rest);
 }
@@ -923,11 +923,11 @@
     CHECK(client->received.substr(client->received.size() - body.size()) == body);
 }
 
-TEST_CASE("the disconnect of a client is noticed after all the bytes that it sent") {
+TEST_CASE("a client's disconnect is noticed although it sent more than is buffered for further requests") {
     HttpServerRig rig(5);
     const auto client = rig.client("GET /held HTTP/1.1\r\n\r\n");
     rig.run_until([&] { return rig.request_paths.size() == 1; });
-    for (int i = 0; i < 64; ++i) {  // far more bytes than are kept of further requests
+    for (int i = 0; i < 64; ++i) {  // far more bytes than are buffered for further requests
         client->send(std::string(8192, 'x'));
         rig.io.poll();
     }
@@ -936,7 +936,7 @@
 }
 
 TEST_CASE(
-    "a client that sends more than is kept of further requests gets one response, which closes the "
+    "a client that sends more than is buffered for further requests gets one response, which closes the "
     "connection") {
     HttpServerRig rig(5);
     const auto client = rig.client("GET /held HTTP/1.1\r\n\r\n");
