--- a/src/control/decisions.hpp
+++ b/src/control/decisions.hpp
@@ -45,7 +45,7 @@
     friend bool operator==(const QueryClassRoute&, const QueryClassRoute&) = default;
 };
 
-// What the resources of all proxies are derived from.
+// The decisions from which the resources of all proxies are derived.
 struct Decisions {
     std::uint64_t generation = 0;  // of the endpoint list that they are based on
     std::vector<Pool> pools;       // by place
