--- a/src/testing/change_rig.cpp
+++ b/src/testing/change_rig.cpp
@@ -8,15 +8,16 @@
 using Json = nlohmann::json;
 using Ms = std::chrono::milliseconds;
 constexpr Nanos ms = 1'000'000;
+constexpr Ms timer_interval{2}, request_timeout{300};
 
-std::uint64_t start_of(const EventClock& time) { return static_cast<std::uint64_t>(time.now()); }
+std::uint64_t incarnation_at(const EventClock& time) { return static_cast<std::uint64_t>(time.now()); }
 
 }  // namespace
 
 Follower::Follower(boost::asio::io_context& io, EventClock& time, EventLog& event_log,
                    std::string follower_name, std::vector<HostPort> relays, RefusalCheck refusal_check)
     : name(std::move(follower_name)), time_(time), event_log_(event_log),
-      check_refusal_(std::move(refusal_check)), incarnation_(start_of(time)),
+      check_refusal_(std::move(refusal_check)), incarnation_(incarnation_at(time)),
       watch_(io, time, *this, follower_path, "relay", std::move(relays), 0, incarnation_) {
     watch_.start();
 }
@@ -109,9 +110,9 @@
         throw std::runtime_error("the relays did not become ready:\n" + fleet_rig.event_log.text());
 }
 
-// Fires the followers' timers every 2 ms, so each fires at most this much late.
+// Fires the followers' timers every `timer_interval`, so each fires at most that much late.
 void ChangeRig::fire_timers() {
-    timer_->expires_after(Ms(2));
+    timer_->expires_after(timer_interval);
     timer_->async_wait([this](const boost::system::error_code& ec) {
         if (ec) return;
         time_.timers.fire_due(time_.now());
@@ -170,7 +171,7 @@
 
 Json ChangeRig::relay_status(std::size_t i) const {
     const auto reply =
-        fleet_manager::query_manager(io_, {"127.0.0.1", ports_[i]}, "/relay/status", "", Ms(300));
+        fleet_manager::query_manager(io_, {"127.0.0.1", ports_[i]}, "/relay/status", "", request_timeout);
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
--- a/src/testing/client.cpp
+++ b/src/testing/client.cpp
@@ -6,6 +6,8 @@
 
 using Json = nlohmann::json;
 
+constexpr std::size_t max_response_bytes = 1 << 20;
+
 std::string http_request_of(const ClientQuery& query) {
     Json body;
     const std::size_t count = query.shards.size();
@@ -58,7 +60,7 @@
 
 Client::Client(boost::asio::io_context& io, std::uint16_t port,
                std::function<void(ClientResponse)> on_response)
-    : reader_(std::make_shared<ResponseReader>(1 << 20)), on_response_(std::move(on_response)) {
+    : reader_(std::make_shared<ResponseReader>(max_response_bytes)), on_response_(std::move(on_response)) {
     boost::asio::ip::tcp::socket socket(io);
     socket.connect({boost::asio::ip::address_v4::loopback(), port});
     socket.set_option(boost::asio::ip::tcp::no_delay(true));
--- a/src/testing/fleet.cpp
+++ b/src/testing/fleet.cpp
@@ -7,6 +7,8 @@
 namespace tealcart::testing {
 namespace {
 
+constexpr std::size_t frame_header_bytes = 5;  // the length and the type
+
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
@@ -98,7 +100,7 @@
     Frame frame;
     FrameStatus frame_status = FrameStatus::incomplete;
     while ((frame_status = take_frame(unread, frame)) == FrameStatus::complete) {
-        work.bytes_in += frame.payload.size() + 5;
+        work.bytes_in += frame.payload.size() + frame_header_bytes;
         bool valid = true;
         if (frame.type == 'R')
             valid = serve_shard_requests(connection, frame.payload);
--- a/src/testing/fleet_rig.cpp
+++ b/src/testing/fleet_rig.cpp
@@ -11,6 +11,8 @@
 using Ms = std::chrono::milliseconds;
 
 constexpr int shards = 12, replicas_per_shard = 3;
+constexpr std::uint32_t shards_per_query = 4;
+constexpr Ms poll_interval{5}, request_timeout{300}, reconnect_delay{100};
 
 std::string address_of(std::uint16_t port, const char* host = "127.0.0.1") {
     return std::string(host) + ":" + std::to_string(port);
@@ -176,8 +178,9 @@
     query.query_class = traffic.query_count % 3 == 2 ? "adjust" : "search";
     query.id = "q" + std::to_string(i) + "-" + std::to_string(++traffic.query_count);
     if (query.query_class == "adjust") query.key = "k" + query.id;
-    for (std::uint32_t offset = 0; offset < 4; ++offset)
-        query.shards.push_back(static_cast<std::uint32_t>(traffic.query_count * 4 + offset) % shards);
+    for (std::uint32_t offset = 0; offset < shards_per_query; ++offset)
+        query.shards.push_back(static_cast<std::uint32_t>(traffic.query_count * shards_per_query + offset) %
+                               shards);
     try {
         // The client may call this from its own handler, so the next client is created in a later one.
         traffic.client =
@@ -186,7 +189,7 @@
             });
         traffic.client->send(query);
     } catch (const boost::system::system_error&) {
-        traffic.timer->expires_after(Ms(100));  // the router is not running, so retry later
+        traffic.timer->expires_after(reconnect_delay);  // the router is not running, so retry later
         traffic.timer->async_wait([this, i](const boost::system::error_code& ec) {
             if (!ec) send_query(i);
         });
@@ -197,7 +200,7 @@
     const auto end = std::chrono::steady_clock::now() + within;
     while (!holds()) {
         if (std::chrono::steady_clock::now() > end) return false;
-        io.run_for(Ms(5));
+        io.run_for(poll_interval);
     }
     return true;
 }
@@ -209,7 +212,7 @@
 // The proxies run in this process, so the io_context has to run during the request; query_manager does that.
 Json FleetRig::get_json(std::size_t i, const std::string& path) const {
     const auto reply =
-        fleet_manager::query_manager(io, {"127.0.0.1", direct_http_ports_[i]}, path, "", Ms(300));
+        fleet_manager::query_manager(io, {"127.0.0.1", direct_http_ports_[i]}, path, "", request_timeout);
     return reply.status == 200 ? Json::parse(reply.body, nullptr, false) : Json();
 }
 
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -50,13 +50,13 @@
     }
     // Advances the time in steps small enough not to count as an interruption of the consensus.
     Effects advance(Nanos span) {
-        Effects all;
+        Effects effects;
         const Nanos end = now + span;
         while (now < end) {
             now = std::min(end, now + second);
-            for (Effect& effect : apply(Tick{})) all.push_back(std::move(effect));
+            for (Effect& effect : apply(Tick{})) effects.push_back(std::move(effect));
         }
-        return all;
+        return effects;
     }
 
     Nanos now = 1000 * second;
@@ -536,12 +536,12 @@
     // acknowledged.
     aggregator.require_full_report();
     CHECK(aggregator.grant_lease(6 * second, "m1") == 0);
-    const RelayReport all = aggregator.next_report(6 * second, second);
-    CHECK(all.full);
-    CHECK(all.joined.size() == 2);
+    const RelayReport full_report = aggregator.next_report(6 * second, second);
+    CHECK(full_report.full);
+    CHECK(full_report.joined.size() == 2);
     aggregator.acknowledge(3, 6 * second, 10 * second);
     CHECK(aggregator.grant_lease(6 * second, "m1") == 0);
-    aggregator.acknowledge(all.number, 6 * second, 10 * second);
+    aggregator.acknowledge(full_report.number, 6 * second, 10 * second);
     CHECK(aggregator.grant_lease(6 * second, "m1") == 10 * second);
 }
 
@@ -596,9 +596,10 @@
     REQUIRE(aggregator.record_report(0, member_report("m2", 4)));
     CHECK(aggregator.next_report(0, second).lowest == 9);
     // Members that refuse a version are listed as far as there is room, even if none acts on a lower version.
-    ReportAggregator all("r1", "z", 1, 100, 2);
-    for (int i = 0; i < 4; ++i) REQUIRE(all.record_report(0, refusing_report("m" + std::to_string(i), 5, 6)));
-    report = all.next_report(0, second);
+    ReportAggregator refusals("r1", "z", 1, 100, 2);
+    for (int i = 0; i < 4; ++i)
+        REQUIRE(refusals.record_report(0, refusing_report("m" + std::to_string(i), 5, 6)));
+    report = refusals.next_report(0, second);
     CHECK(report.lowest == 5);
     CHECK(report.exceptions.size() == 2);
 }
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -286,7 +286,7 @@
         for (std::uint32_t shard = 0; shard < 8; ++shard) query.shards.push_back(shard);
         return query;
     }
-    ClientResponse ask(const ClientQuery& query) {
+    ClientResponse run_query(const ClientQuery& query) {
         const std::size_t before = answers.size();
         client->send(query);
         until([&] { return answers.size() > before; });
@@ -305,8 +305,8 @@
 };
 
 std::size_t entry_count(const char* directory) {
-    const std::filesystem::directory_iterator all(directory);
-    return static_cast<std::size_t>(std::distance(begin(all), end(all)));
+    const std::filesystem::directory_iterator directory_entries(directory);
+    return static_cast<std::size_t>(std::distance(begin(directory_entries), end(directory_entries)));
 }
 
 }  // namespace
@@ -318,13 +318,13 @@
     CHECK(relay.calls[0].report.incarnation > 0);
     CHECK(relay.calls[0].report.applied_version == 0);
     CHECK(relay.calls[0].report.lease_grace == MemberConfig().lease_grace);
-    fixture.ask(fixture.new_query());
+    fixture.run_query(fixture.new_query());
     CHECK(fixture.counts().queries == 0);
     relay.publish({{"log", "level = \"warn\""}, {"two_phase.part", "audit = 0"}});
     fixture.until([&] { return relay.last_report_is(1); });
     CHECK(relay.calls.back().position.known_version == 1);
     CHECK(relay.calls.back().position.digest == changes::digest_of(relay.documents[1]));
-    ClientResponse response = fixture.ask(fixture.new_query());
+    ClientResponse response = fixture.run_query(fixture.new_query());
     CHECK(response.status == 200);
     CHECK(response.complete);
     CHECK(fixture.counts().queries == 1);
@@ -332,10 +332,10 @@
     CHECK(fixture.fleet.work().summaries == 8);
     relay.publish({{"two_phase.part", "audit = 1"}});
     fixture.until([&] { return relay.last_report_is(2); });
-    CHECK(fixture.ask(fixture.new_query()).pruned.sections == 0);
+    CHECK(fixture.run_query(fixture.new_query()).pruned.sections == 0);
     relay.publish({});
     fixture.until([&] { return relay.last_report_is(3); });
-    CHECK(fixture.ask(fixture.new_query()).status == 200);
+    CHECK(fixture.run_query(fixture.new_query()).status == 200);
     CHECK(fixture.counts().queries == 2);
 }
 
@@ -376,7 +376,7 @@
         fixture.until([&] { return !fixture.answers.empty(); });
         CHECK(fixture.answers[0].complete);
         CHECK(fixture.answers[0].pruned.sections > 0);
-        CHECK(fixture.ask(fixture.new_query()).pruned.sections == 0);
+        CHECK(fixture.run_query(fixture.new_query()).pruned.sections == 0);
     }
     SECTION("the new version turns two-phase queries off") {
         relay.publish({});
@@ -385,7 +385,7 @@
         fixture.until([&] { return !fixture.answers.empty(); });
         CHECK(fixture.answers[0].complete);
         CHECK(fixture.answers[0].pruned.sections > 0);
-        CHECK(fixture.ask(fixture.new_query()).status == 200);
+        CHECK(fixture.run_query(fixture.new_query()).status == 200);
         CHECK(fixture.counts().queries == 1);
     }
 }
@@ -401,9 +401,9 @@
     CHECK(relay.calls.back().position.known_version == 2);
     CHECK(relay.calls.back().report.refusal_reason.find(
               "block calls holds at the start only; log:1:9: 'level' is \"loud\"; expected one of") == 0);
-    fixture.ask(fixture.new_query());
+    fixture.run_query(fixture.new_query());
     // No part of the rejected document was applied.
-    CHECK(fixture.ask(fixture.new_query()).pruned.sections > 0);
+    CHECK(fixture.run_query(fixture.new_query()).pruned.sections > 0);
     CHECK(fixture.counts().queries == 2);
     CHECK(fixture.is_ready());
     SECTION("a further version with the old content is applied") {
@@ -431,7 +431,7 @@
         for (const FollowerCall& call : relay.calls)
             if (call.position.wants_pages) after.push_back(call.position.after);
         CHECK(after == std::vector<std::string>{"", "log"});
-        fixture.ask(fixture.new_query());
+        fixture.run_query(fixture.new_query());
         CHECK(fixture.counts().queries == 1);
     }
     SECTION("pages with a wrong digest are not requested again at once") {
@@ -498,7 +498,7 @@
     const auto began = std::chrono::steady_clock::now();
     fixture.until([&] { return fixture.service->dispatcher().begun() && !relay.calls.empty(); });
     CHECK_FALSE(fixture.is_ready());
-    CHECK(fixture.ask(fixture.new_query()).status == 200);  // queries that arrive are served
+    CHECK(fixture.run_query(fixture.new_query()).status == 200);  // queries that arrive are served
     if (relay_behaviour == "has no lease") relay.lease = 0;
     relay.corrupts_deltas = relay_behaviour == "sends a wrong digest";
     if (relay_behaviour != "is silent") relay.answer(relay.calls[0], *relay.listener->peers[0]);
@@ -551,7 +551,7 @@
     } else {
         fixture.until([&] { return !fixture.is_ready(); });
         CHECK(relay.calls.back().report.incarnation == incarnation);
-        CHECK(fixture.ask(fixture.new_query()).status == 503);
+        CHECK(fixture.run_query(fixture.new_query()).status == 503);
     }
 }
 
@@ -566,8 +566,8 @@
         const OpenResources before{entry_count("/proc/self/fd"), entry_count("/proc/self/task")};
         FollowerFixture fixture(setup == 2 ? 1 : 0, fleet_text(),
                                 setup == 1 ? "log { level = \"info\" }" : "");
-        fixture.ask(fixture.new_query());
-        fixture.ask(fixture.new_query());
+        fixture.run_query(fixture.new_query());
+        fixture.run_query(fixture.new_query());
         if (setup == 2) fixture.until([&] { return !fixture.relays[0]->pending.empty(); });
         CHECK((fixture.service->follower() == nullptr) == (setup < 2));
         opened.push_back({entry_count("/proc/self/fd") - before.descriptors,
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -28,14 +28,14 @@
 
 // Nodes in a ring: shard s is held by nodes s, s + 1 and s + 2. There are two zones and one machine kind.
 std::map<std::string, Node> ring(int nodes = 6, int width = 3) {
-    std::map<std::string, Node> all;
+    std::map<std::string, Node> node_list;
     for (int node_index = 0; node_index < nodes; ++node_index) {
-        Node& node = all["n" + std::to_string(node_index)];
+        Node& node = node_list["n" + std::to_string(node_index)];
         node = {node_index % 2 == 0 ? "a" : "b", "m", {}, Health::healthy, 0};
         for (int offset = 0; offset < width; ++offset)
             node.shards.push_back(static_cast<std::uint32_t>((node_index + nodes - offset) % nodes));
     }
-    return all;
+    return node_list;
 }
 
 // A FleetState with six nodes and two routers, a clock, and helpers to build commands.
@@ -390,10 +390,10 @@
             command.payload = EndpointsObserved{nodes};
         }
         if (operation == 13) {
-            ReportBatch all;
+            ReportBatch batch;
             for (const auto& [name, incarnation] : incarnations)
-                all.renewals.push_back({name, incarnation, {state.generation(), {}, {}, 0, 0}});
-            command.payload = all;
+                batch.renewals.push_back({name, incarnation, {state.generation(), {}, {}, 0, 0}});
+            command.payload = batch;
         }
         if (operation == 12 && random_below(3) == 0) command.payload = Leave{router, incarnations[router]};
         if (operation == 12 && random_below(3) == 0) command.payload = Forget{router};
@@ -545,12 +545,12 @@
             command.payload =
                 random_below(2) == 0 ? EndpointsObserved{nodes} : EndpointsObserved{{}, false, {node}};
         if (operation >= 12 && operation <= 15) {
-            ReportBatch all;
-            if (random_below(4) == 0) all.joins.push_back(random_join());
+            ReportBatch batch;
+            if (random_below(4) == 0) batch.joins.push_back(random_join());
             for (const auto& [name, incarnation] : incarnations)
                 if (name != silent_router && random_below(8) > 0)
-                    all.renewals.push_back({name, incarnation, random_report()});
-            command.payload = all;
+                    batch.renewals.push_back({name, incarnation, random_report()});
+            command.payload = batch;
         }
         if (operation == 16)
             command.payload = random_below(2) == 0
@@ -599,8 +599,8 @@
         return state.visited_count();
     };
     const auto router = [&](int router_index) { return "r" + std::to_string(router_index % routers); };
-    const auto all = ring(nodes);
-    visits_of(EndpointsObserved{all});
+    const auto node_list = ring(nodes);
+    visits_of(EndpointsObserved{node_list});
     ReportBatch joins;
     for (int router_index = 0; router_index < routers; ++router_index)
         joins.joins.push_back(
@@ -624,7 +624,7 @@
     CHECK(state.requests().at(3).blocked_by == "nodes: 2 of " + std::to_string(nodes) + " are out, 2 may be");
     for (int i = 0; i < 20; ++i)
         visits.batch_while_one_waits = std::max(visits.batch_while_one_waits, apply_batch());
-    Node cold = all.at("n300");
+    Node cold = node_list.at("n300");
     cold.health = Health::cold;
     visits.observation = visits_of(EndpointsObserved{{{"n300", cold}}, false, {}});
     visits.undo = visits_of(UndoRemoval{1});
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -364,7 +364,7 @@
     const auto name_of = [](int n) { return "n" + std::to_string(n); };
     EndpointView view(config);
     fleet::FleetState state({});
-    std::map<std::string, ListedEndpoint> all;
+    std::map<std::string, ListedEndpoint> listed_nodes;
     Nanos now = 1000 * second, last_list_at = 0;
     int differing = 0, unknown = 0, cold = 0;
     for (int i = 0; i < 2000; ++i) {
@@ -377,14 +377,14 @@
                 listed_node(name, static_cast<Lifecycle>(random_below(3)), std::uint32_t(random_below(5)));
             endpoint.started_at = random_below(2) == 0 ? now - random_below(12) * second : 0;
             if (list.full) {
-                std::erase_if(all, [&](const auto&) { return random_below(4) == 0; });
-                for (const auto& [id, node] : all) list.nodes.push_back(node);
+                std::erase_if(listed_nodes, [&](const auto&) { return random_below(4) == 0; });
+                for (const auto& [id, node] : listed_nodes) list.nodes.push_back(node);
             }
             list.nodes.push_back(endpoint);
             if (endpoint.lifecycle == Lifecycle::removed)
-                all.erase(name);
+                listed_nodes.erase(name);
             else
-                all[name] = endpoint;
+                listed_nodes[name] = endpoint;
             view.on_endpoints(list, last_list_at = now);
         }
         // An entry of a former leader is committed after this fleet manager has started to compare.
@@ -399,7 +399,7 @@
         if (last_list_at == 0 || random_below(4) == 0) continue;  // another fleet manager leads
         EndpointView fresh_view(config);
         EndpointList full_list{1, true, {}, 0};
-        for (const auto& [id, node] : all) full_list.nodes.push_back(node);
+        for (const auto& [id, node] : listed_nodes) full_list.nodes.push_back(node);
         fresh_view.on_endpoints(full_list, last_list_at);
         const auto full_comparison = fresh_view.differences(state, now);
         const auto observed = view.differences(state, now);
--- a/tests/query_dispatcher_test.cpp
+++ b/tests/query_dispatcher_test.cpp
@@ -85,17 +85,18 @@
             REQUIRE_FALSE(query.disconnected);
             REQUIRE(query.shards.contains(message.shard));
             REQUIRE(message.deadline <= query.deadline_at);
-            for (const SentAttempt& attempt : sent)
-                REQUIRE_FALSE((attempt.connection == connection && attempt.message.query->id == query.id &&
-                               attempt.message.shard == message.shard));
+            for (const SentAttempt& sent_attempt : sent)
+                REQUIRE_FALSE((sent_attempt.connection == connection &&
+                               sent_attempt.message.query->id == query.id &&
+                               sent_attempt.message.shard == message.shard));
             sent.push_back({message, connection, node, false});
         }
         return connection;
     }
-    bool withdraw(Handle connection, Handle call) override {
-        const bool found = std::erase_if(sent, [&](const SentAttempt& attempt) {
-                               return attempt.connection == connection && attempt.message.attempt == call &&
-                                      !attempt.written;
+    bool withdraw(Handle connection, Handle attempt) override {
+        const bool found = std::erase_if(sent, [&](const SentAttempt& sent_attempt) {
+                               return sent_attempt.connection == connection &&
+                                      sent_attempt.message.attempt == attempt && !sent_attempt.written;
                            }) > 0;
         withdrawn += found;
         return found;
@@ -103,8 +104,10 @@
     void send_cancel(Handle connection, const QueryText& query, std::uint32_t shard, std::uint8_t) override {
         cancelled.emplace_back(connection, query.id + "." + std::to_string(shard));
     }
-    void complete(Handle, Handle call) override {
-        std::erase_if(sent, [call](const SentAttempt& attempt) { return attempt.message.attempt == call; });
+    void complete(Handle, Handle attempt) override {
+        std::erase_if(sent, [attempt](const SentAttempt& sent_attempt) {
+            return sent_attempt.message.attempt == attempt;
+        });
     }
     void retire(std::uint32_t, bool) override {}
 
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -143,9 +143,10 @@
         return {reader.status(), reader.body()};
     }
     std::vector<ReceivedAttempt> attempts() const {
-        std::vector<ReceivedAttempt> all;
-        for (const auto& node : nodes) all.insert(all.end(), node->attempts.begin(), node->attempts.end());
-        return all;
+        std::vector<ReceivedAttempt> received_attempts;
+        for (const auto& node : nodes)
+            received_attempts.insert(received_attempts.end(), node->attempts.begin(), node->attempts.end());
+        return received_attempts;
     }
 };
 
@@ -199,12 +200,12 @@
     "response") {
     ServiceRig rig;
     const auto client = rig.client();
-    const std::string all = query("A", "Expect: 100-continue\r\nConnection: close\r\n");
-    const std::size_t body = all.find("\r\n\r\n") + 4;
-    client->send(all.substr(0, body));
+    const std::string request = query("A", "Expect: 100-continue\r\nConnection: close\r\n");
+    const std::size_t body_start = request.find("\r\n\r\n") + 4;
+    client->send(request.substr(0, body_start));
     rig.run_until([&] { return client->received == "HTTP/1.1 100 Continue\r\n\r\n"; });
     client->received.clear();
-    client->send(all.substr(body));
+    client->send(request.substr(body_start));
     CHECK(rig.answer(*client) == std::pair(200, complete_response));
     rig.run_until([&] { return client->ended; });
 }
@@ -1118,8 +1119,8 @@
 namespace {
 
 std::size_t open_descriptors() {
-    const std::filesystem::directory_iterator all("/proc/self/fd");
-    return static_cast<std::size_t>(std::distance(begin(all), end(all))) - 1;
+    const std::filesystem::directory_iterator descriptors("/proc/self/fd");
+    return static_cast<std::size_t>(std::distance(begin(descriptors), end(descriptors))) - 1;
 }
 
 }  // namespace
