--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -149,7 +149,7 @@
     CHECK(changes.state.progress(1, 10).unacknowledged.empty());
 }
 
-TEST_CASE("a refusal is reported once; too many halt publishing but still allow a rollback") {
+TEST_CASE("a refusal is reported once; too many refusals halt publishing but still allow a rollback") {
     ChangeFixture changes;
     changes.apply_report(changes.full_report(
         "r1", {member_report("m1"), member_report("m2"), member_report("m3"), member_report("m4")}));
--- a/tests/config_follower_test.cpp
+++ b/tests/config_follower_test.cpp
@@ -533,7 +533,7 @@
     CHECK(relay.calls.back().report.applied_version == 1);
 }
 
-TEST_CASE("superseded at the start the router takes a later incarnation, afterwards it is fenced") {
+TEST_CASE("a router superseded at the start takes a later incarnation; one superseded later is fenced") {
     const bool at_start = GENERATE(true, false);
     FollowerFixture fixture(1, fleet_text(), "", "", "5.0", false);
     ScriptedRelay& relay = *fixture.relays[0];
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -127,7 +127,7 @@
     CHECK(kinds(fleet.renew("r2", 99, {}, 2)) == kinds_of<Effect, StaleReport>());
 }
 
-TEST_CASE("a node that fails uses up the budget, and no grant is released by the passage of time alone") {
+TEST_CASE("a node that fails uses up the budget, and the passage of time alone grants nothing") {
     FleetFixture fleet;
     fleet.apply(RequestRemoval{"ann", {false, "n0"}});
     fleet.observe("n3", Health::cold);
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -116,8 +116,8 @@
 // shard requests' ids follow the query's id.
 inline void deliver_query(RoundEventHandler& handler, std::uint32_t id, std::uint16_t query_class,
                           Nanos deadline_at, const std::vector<double>& weights, std::uint32_t shards = 4,
-                          std::uint32_t first = 0, bool again = false) {
-    handler.on_query({id, id, query_class, 0, deadline_at, again});
+                          std::uint32_t first = 0, bool is_retry = false) {
+    handler.on_query({id, id, query_class, 0, deadline_at, is_retry});
     for (std::uint32_t i = 0; i < weights.size(); ++i)
         handler.on_shard_request({id + 1 + i, id, (first + i) % shards, weights[i], 0});
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -136,7 +136,8 @@
     CHECK(lenient.ready(1'000'000 * second));
 }
 
-TEST_CASE("superseded before its first lease a member takes a later incarnation, afterwards it is fenced") {
+TEST_CASE(
+    "a member superseded before its first lease takes a later incarnation; one superseded later is fenced") {
     MemberLease lease(member_config(3600 * second, false), 100 * second, 7);
     lease.superseded(50);
     CHECK(lease.incarnation() == 51);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -307,8 +307,8 @@
 }
 
 TEST_CASE("on SIGHUP discovery is watched at its new address without a gap and without losing a query") {
-    // Guards against ending on the signal, against staying with the old agent, and against a gap in the
-    // lists.
+    // Guards against ending on the signal, against staying with the old address, and against a gap in
+    // the lists.
     ServiceRig rig;
     std::vector<ReceivedAttempt> unanswered;
     for (auto& node : rig.nodes)
@@ -794,7 +794,8 @@
 }
 
 TEST_CASE(
-    "after a stall a request's time counts from its arrival, but not from before the previous response") {
+    "after a stall a request's time counts from its arrival, or from the previous response if that is "
+    "later") {
     HttpServerRig rig(3);
     const auto client = rig.client(get_request);
     rig.run_until([&] { return !client->received.empty(); });
@@ -953,7 +954,7 @@
     CHECK(rig.request_paths.size() == 1);
 }
 
-TEST_CASE("after the last response no more bytes are read than one request may have") {
+TEST_CASE("after a connection's last response at most one request's maximum of bytes is read") {
     // Guards against clients that keep sending the body of a request that was rejected by its head.
     HttpServerRig rig(5);
     const auto client = rig.client("POST /x HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
@@ -977,7 +978,7 @@
     CHECK(rig.last_began_at == arrived_at);
 }
 
-TEST_CASE("an invalid startup configuration gives an error that names the member") {
+TEST_CASE("an invalid startup configuration gives an error that names the field") {
     const auto expect_error = [](const std::string& text, const std::string& message) {
         CHECK_THROWS_WITH(read_startup_config(text), Catch::Contains(message));
     };
@@ -1030,7 +1031,7 @@
 }
 
 TEST_CASE(
-    "a starting service makes no decision before it has the agent's list, and is ready once it has it") {
+    "a starting service makes no decision before it has discovery's list, and is ready once it has it") {
     // The query arrives before discovery's list, which drains a node of the older cached list.
     ServiceRig rig(2, 256, "", true);
     const auto client = rig.client();
